--- a/route/guard_test.go
+++ b/route/guard_test.go
@@ -15,7 +15,7 @@
 	r := testRouter(20, Config{})
 	for i := range 2000 {
 		now := start.Add(time.Duration(i) * time.Millisecond)
-		attempt(r, now, testRequest("c", true, now, time.Hour), failed, none, time.Millisecond)
+		attempt(r, now, testRequest("c", true, now, time.Hour), failed, noReason, time.Millisecond)
 	}
 	if n := len(r.service("s").ejected); n > 1 {
 		t.Errorf("%d of 20 targets ejected while all fail alike", n)
@@ -29,7 +29,7 @@
 		outcome apiv1.Outcome
 		reason  apiv1.Reason
 		most    int
-	}{{failed, none, 4}, {notRun, full, 17}} {
+	}{{failed, noReason, 4}, {notRun, slotsFull, 17}} {
 		r := testRouter(30, Config{})
 		req := testRequest("c", true, start, time.Hour)
 		r.Admit(start, req)
@@ -60,8 +60,8 @@
 	for range 100 {
 		req := testRequest("c", true, start, time.Hour)
 		for range 5 {
-			attempt(r, start, req, notRun, full, time.Millisecond)
-			if r.Retry(start, req, notRun, full).Allowed {
+			attempt(r, start, req, notRun, slotsFull, time.Millisecond)
+			if r.Retry(start, req, notRun, slotsFull).Allowed {
 				redirects++
 			}
 		}
@@ -102,12 +102,12 @@
 	r := testRouter(1, Config{})
 	req := testRequest("c", true, start, time.Hour)
 	r.Pick(start, req)
-	r.Sent(start, req, testTarget(0).ID)
-	r.Settled(start, Result{Request: req, Target: testTarget(0).ID, Outcome: answered, Load: &apiv1.Load{InFlight: 8, Slots: 8}})
+	r.RecordSent(start, req, testTarget(0).ID)
+	r.RecordOutcome(start, AttemptResult{Request: req, Target: testTarget(0).ID, Outcome: answered, Load: &apiv1.Load{InFlight: 8, Slots: 8}})
 	for after, want := range map[time.Duration]float64{500 * time.Millisecond: 1, 2 * time.Second: 0} {
 		now := start.Add(after)
 		s := r.service("s")
-		s.targets[testTarget(0).ID].setOthers(start, 8)
+		s.targets[testTarget(0).ID].setOtherInFlight(start, 8)
 		if c, _ := r.Pick(now, testRequest("c", true, now, time.Hour)); c.Load != want {
 			t.Errorf("%v after the report the load is taken for %v, want %v", after, c.Load, want)
 		}
@@ -119,7 +119,7 @@
 func TestOnlyIdempotentRequestsAreHedged(t *testing.T) {
 	r := testRouter(5, Config{})
 	for range 100 {
-		whole(r, start, "c", 10*time.Millisecond)
+		runRequest(r, start, "c", 10*time.Millisecond)
 	}
 	for _, idempotent := range []bool{true, false} {
 		if _, ok := r.HedgeAfter(start, testRequest("c", idempotent, start, time.Hour)); ok != idempotent {
@@ -177,12 +177,12 @@
 			if !ok {
 				t.Fatalf("request %d: %s", i, c.Reason)
 			}
-			r.Sent(now, req, c.Target.ID)
-			res := Result{Request: req, Target: c.Target.ID, Outcome: answered, Latency: time.Millisecond}
+			r.RecordSent(now, req, c.Target.ID)
+			res := AttemptResult{Request: req, Target: c.Target.ID, Outcome: answered, Latency: time.Millisecond}
 			if i > 50 && c.Target.ID != testTarget(0).ID {
 				res.Outcome, res.Reason = notRun, unreachable
 			}
-			r.Settled(now, res)
+			r.RecordOutcome(now, res)
 			if res.Outcome == answered {
 				break
 			}
