--- a/member/directory_test.go
+++ b/member/directory_test.go
@@ -35,7 +35,7 @@
 // their home entry, and change their announcements while pushes and answers are
 // lost and entries restart empty. Cause: a change was taken as known to a peer
 // that never kept it.
-func TestEntriesAgreeOnceLinksHeal(t *testing.T) {
+func TestDirectoriesConvergeAfterFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkConvergence(t, rand.New(rand.NewPCG(seed, 1))) })
 	}
@@ -107,7 +107,7 @@
 // Symptom: an entry goes on sending work to a host that died. Sequence: the agent
 // falls silent; its home entry lives on and keeps pushing. Cause: the home
 // entry's pushes refreshed every agent it listed, the silent one too.
-func TestSilentAgentBecomesUnusableEverywhere(t *testing.T) {
+func TestUnresponsiveAgentBecomesUnusableEverywhere(t *testing.T) {
 	now := time.Unix(1000, 0)
 	home := &node{name: "home", dir: New(DefaultConfig())}
 	other := &node{name: "other", dir: New(DefaultConfig())}
--- a/route/admit_test.go
+++ b/route/admit_test.go
@@ -30,7 +30,7 @@
 // Symptom: a caller waits for an answer that comes too late, or comes back in step
 // with all others. Sequence: more requests than slots. Cause: admission without
 // a look at the deadline, or a time to come back that does not follow the queue.
-func TestRefusedAtOnce(t *testing.T) {
+func TestAdmitRefusesRequestsThatCannotFinish(t *testing.T) {
 	r, held := saturatedRouter(Config{QueueFactor: 100})
 	if len(held) != 8 {
 		t.Fatalf("%d of 8 slots were given", len(held))
@@ -63,7 +63,7 @@
 // Symptom: after a slow spell a service refuses everything although its targets
 // are idle. Sequence: response times rise past all deadlines, then fall. Cause:
 // the estimate that refuses is only renewed by requests that are admitted.
-func TestSlowSpellIsForgotten(t *testing.T) {
+func TestAdmissionRecoversAfterSlowPeriod(t *testing.T) {
 	r := testRouter(3, Config{})
 	now := start
 	for range 50 {
@@ -275,7 +275,7 @@
 // Symptom: a burst of errors from a target that has just started. Cause: it is the
 // idlest one, so every entry sends it the next requests. Slow start holds back;
 // the own zone comes first while it has room.
-func TestNewAndNearTargets(t *testing.T) {
+func TestSlowStartAndZonePreference(t *testing.T) {
 	r := testRouter(9, Config{})
 	fresh := testTarget(9)
 	r.Upsert(start, fresh)
@@ -300,7 +300,7 @@
 // Symptom: an entry floods full targets, or refuses what they have room for.
 // Sequence: refusals for lack of slots, then answers, then half the targets go.
 // Cause: a limit that does not follow, or that gives up the entry's even share.
-func TestLimitFollowsRefusals(t *testing.T) {
+func TestLimitAdaptsToRefusals(t *testing.T) {
 	for entries, want := range map[int]float64{0: 1, 2: 40, 4: 20} {
 		l := concurrencyLimit{}
 		l.setBounds(80, entries)
--- a/route/guard_test.go
+++ b/route/protection_test.go
@@ -11,7 +11,7 @@
 // Symptom: a fault of a dependency takes away a third of the targets as well.
 // Sequence: every target fails most requests. Cause: targets ejected for failing
 // in a row, without a look at the others.
-func TestCommonFaultEjectsNobody(t *testing.T) {
+func TestSharedFaultIsNoReasonToEject(t *testing.T) {
 	r := testRouter(20, Config{})
 	for i := range 2000 {
 		now := start.Add(time.Duration(i) * time.Millisecond)
@@ -24,7 +24,7 @@
 
 // Symptom: one request goes round the targets without end. Sequence: every attempt
 // fails, or every one is refused for lack of slots. Cause: attempts that nothing counts.
-func TestAttemptsOfOneRequest(t *testing.T) {
+func TestAttemptsPerRequestAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		outcome apiv1.Outcome
 		reason  apiv1.Reason
@@ -98,7 +98,7 @@
 // Symptom: a target that was once reported full never gets work again. Sequence: its
 // last answer reports all slots taken, and it gets no more requests. Cause: the report
 // is only renewed by answers.
-func TestOldLoadReportsAreForgotten(t *testing.T) {
+func TestStaleLoadReportsExpire(t *testing.T) {
 	r := testRouter(1, Config{})
 	req := testRequest("c", true, start, time.Hour)
 	r.Pick(start, req)
@@ -132,7 +132,7 @@
 // clock was set back before the restart, so its agent's incarnation is a lower number.
 // Cause: the router judged by the number which announcement is the newer. That is the
 // directory's to say, and the router takes what it is told last.
-func TestLastToldIncarnationCounts(t *testing.T) {
+func TestLatestUpsertReplacesIncarnation(t *testing.T) {
 	r := testRouter(1, Config{})
 	for _, incarnation := range []uint64{3, 2, 5} {
 		told := testTarget(0)
@@ -147,7 +147,7 @@
 // Symptom: a service refuses requests although none is in flight. Sequence: a driver
 // admits one request twice and releases it once. Cause: it counts twice against the
 // limit, for good.
-func TestAdmittedOnce(t *testing.T) {
+func TestSecondAdmitPanics(t *testing.T) {
 	r := testRouter(1, Config{})
 	req := testRequest("c", true, start, time.Hour)
 	r.Admit(start, req)
@@ -163,7 +163,7 @@
 // four hosts are lost at once; more than half may not be ejected, so requests go on
 // meeting a lost one first. Cause: the attempts after those came from the retry
 // budget, which few successes could not fill.
-func TestCallersOfTheLastHostAreServed(t *testing.T) {
+func TestRequestsReachTheLastReachableHost(t *testing.T) {
 	r := testRouter(4, Config{})
 	now := start
 	for i := range 400 {
