--- a/member/directory.go
+++ b/member/directory.go
@@ -1,7 +1,7 @@
-// Package member keeps an entry's picture of all agents and their targets. An
-// agent announces itself to its home entry by heartbeats; home entries push what
-// they hear to the other entries: changes as they come, otherwise a digest. The
-// package does no I/O and is not safe for concurrent use.
+// Package member maintains an entry's view of all agents and their targets. An agent announces
+// itself to its home entry by heartbeats. Home entries push this information to the other entries:
+// changed announcements when there are any, and a digest with every push. The package does no I/O
+// and is not safe for concurrent use.
 package member
 
 import (
@@ -10,14 +10,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Config sets how long silence is tolerated.
+// Config sets the heartbeat timeouts.
 type Config struct {
-	// SuspectAfter is the silence after which an agent gets no new work.
+	// SuspectAfter is the time since an agent's last heartbeat after which the agent gets no new
+	// work.
 	SuspectAfter time.Duration
-	// ForgetAfter is the silence after which an agent is dropped.
+	// ForgetAfter is the time since an agent's last heartbeat after which the agent is removed.
 	ForgetAfter time.Duration
-	// HomeTimeout is how long an agent counts as heard directly after its last
-	// heartbeat here; past it another entry is taken to be its home.
+	// HomeTimeout is the time since an agent's last heartbeat to this entry after which another
+	// entry is assumed to be its home.
 	HomeTimeout time.Duration
 }
 
@@ -30,42 +31,44 @@
 	}
 }
 
-// Change tells the router about one agent.
+// Change is a change of one agent that the router has to apply.
 type Change struct {
 	Agent *apiv1.AgentInfo
-	// Usable: the agent was heard lately. That it is leaving is in Agent.
+	// Usable is set if the last heartbeat is recent. Whether the agent is leaving is part of Agent.
 	Usable bool
-	// Removed: the agent was dropped.
+	// Removed is set if the agent was removed from the directory.
 	Removed bool
 }
 
-// Values of a record's home that name no other entry.
+// Values of a record's home that are not the name of another entry.
 const (
-	// homeHere: this entry hears the agent.
+	// homeHere means that this entry receives the agent's heartbeats.
 	homeHere = ""
-	// homeUnknown: no entry claims to hear the agent.
+	// homeUnknown means that no entry reports receiving the agent's heartbeats.
 	homeUnknown = "-"
 )
 
 type record struct {
-	// info is never changed once it is here: it is shared with messages.
+	// info must not be modified: it is shared with messages.
 	info *apiv1.AgentInfo
-	// configurationVersion is the configuration version in force at the agent.
+	// configurationVersion is the version of the configuration in effect at the agent.
 	configurationVersion uint64
-	// lastHeard is the latest time the agent is known to have lived.
+	// lastHeard is the latest time at which the agent is known to have been alive.
 	lastHeard time.Time
-	// home names the entry that hears the agent, or is homeHere or homeUnknown.
+	// home is the name of the entry that receives the agent's heartbeats, or homeHere or
+	// homeUnknown.
 	home   string
 	usable bool
-	// changedAt is the directory's sequence at the record's last change, released
-	// the one at which this entry last stopped being the agent's home.
+	// changedAt is the directory's sequence number at the record's last change. releasedAt is the
+	// sequence number at which this entry last stopped being the agent's home.
 	changedAt, releasedAt uint64
 }
 
-// Directory is one entry's picture of the agents.
+// Directory is one entry's view of the agents.
 type Directory struct {
-	cfg      Config
-	agents   map[string]*record
+	cfg    Config
+	agents map[string]*record
+	// sequence counts the changes of records.
 	sequence uint64
 	changes  []Change
 	peers    map[string]*peer
@@ -80,8 +83,9 @@
 	}
 }
 
-// RecordHeartbeat records a direct heartbeat. It returns false when the announcement is
-// needed whole: the heartbeat left it out and this entry does not have it.
+// RecordHeartbeat records a heartbeat that the agent sent to this entry. It returns false if the
+// agent has to send its full announcement: the heartbeat does not contain it and this entry does
+// not have that revision.
 func (d *Directory) RecordHeartbeat(now time.Time, hb *apiv1.HeartbeatRequest) bool {
 	if hb.GetAgent() != nil {
 		d.applyAnnouncement(now, now, hb.GetAgent(), homeHere)
@@ -98,7 +102,7 @@
 	return true
 }
 
-// Agent returns what is known of an agent, nil when nothing.
+// Agent returns an agent's announcement, or nil if the agent is unknown.
 func (d *Directory) Agent(name string) *apiv1.AgentInfo {
 	r := d.agents[name]
 	if r == nil {
@@ -107,17 +111,17 @@
 	return r.info
 }
 
-// View is one agent as status pages show it.
+// View is the state of one agent for status pages.
 type View struct {
 	Info *apiv1.AgentInfo
-	// ConfigurationVersion is the version in force at the agent.
+	// ConfigurationVersion is the version of the configuration in effect at the agent.
 	ConfigurationVersion uint64
-	// LastHeard is the latest time the agent is known to have lived.
+	// LastHeard is the latest time at which the agent is known to have been alive.
 	LastHeard time.Time
 	Usable    bool
 }
 
-// Views returns all known agents in no order.
+// Views returns all known agents in unspecified order.
 func (d *Directory) Views() []View {
 	out := make([]View, 0, len(d.agents))
 	for _, r := range d.agents {
@@ -131,7 +135,7 @@
 	return out
 }
 
-// Tick judges every agent's silence; call it a few times per SuspectAfter.
+// Tick applies the heartbeat timeouts to every agent. Call it a few times per SuspectAfter.
 func (d *Directory) Tick(now time.Time) {
 	for name, r := range d.agents {
 		if now.Sub(r.lastHeard) > d.cfg.ForgetAfter {
@@ -147,20 +151,19 @@
 	}
 }
 
-// TakeChanges returns and clears what the router has to be told.
+// TakeChanges returns the changes that the router has to apply, and clears them.
 func (d *Directory) TakeChanges() []Change {
 	c := d.changes
 	d.changes = nil
 	return c
 }
 
-// applyAnnouncement takes an announcement heard at a time from a home entry.
+// applyAnnouncement records an announcement that the agent's home entry received at a given time.
 //
-// Which of two announcements is the newer: within one incarnation the higher
-// revision. Between incarnations the one heard last, not the higher number: an
-// incarnation is derived from the host's clock, and a clock that was set back
-// would otherwise keep the dead incarnation in place and have every dispatch
-// refused by the live one.
+// Of two announcements with the same incarnation, the one with the higher revision is newer. Of two
+// incarnations, the one heard last is newer, not the one with the higher number: an incarnation is
+// derived from the host's clock, so after the clock was set back, the dead incarnation would stay
+// in the directory and the live one would refuse every dispatch.
 func (d *Directory) applyAnnouncement(now, heard time.Time, info *apiv1.AgentInfo, home string) {
 	r := d.agents[info.GetName()]
 	if r == nil {
@@ -190,7 +193,7 @@
 	d.markChanged(now, r)
 }
 
-// setHome moves an agent to another home entry; the digests on both sides change.
+// setHome changes an agent's home entry. This changes the digests of both entries.
 func (d *Directory) setHome(r *record, home string) {
 	if r.home == home {
 		return
@@ -203,7 +206,8 @@
 	r.changedAt = d.sequence
 }
 
-// markChanged reports a record that changed.
+// markChanged assigns a new sequence number to a changed record and adds it to the changes for the
+// router.
 func (d *Directory) markChanged(now time.Time, r *record) {
 	d.sequence++
 	r.changedAt = d.sequence
@@ -211,7 +215,8 @@
 	d.changes = append(d.changes, Change{Agent: r.info, Usable: r.usable})
 }
 
-// updateUsable marks a record usable while it was heard lately, and reports a change.
+// updateUsable sets whether a record is usable, from the time of its last heartbeat, and adds a
+// change for the router if this differs from before.
 func (d *Directory) updateUsable(now time.Time, r *record) {
 	usable := d.heardRecently(now, r)
 	if usable == r.usable {
--- a/member/directory_test.go
+++ b/member/directory_test.go
@@ -9,15 +9,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// node is one entry of the test with the messages under way to it.
+// node is one simulated entry. A partitioned node neither sends nor receives pushes.
 type node struct {
 	name        string
 	dir         *Directory
 	partitioned bool
 }
 
-// exchange pushes once from one entry to another; a cut end loses it, and the
-// answer may be lost on its own.
+// exchange sends one push between two entries. The push is lost if either node is partitioned;
+// answerLost drops only the response.
 func exchange(now time.Time, from, to *node, answerLost bool) {
 	req, seq := from.dir.BuildSyncRequest(now, to.name, 1)
 	req.Entry = from.name
@@ -30,11 +30,10 @@
 	}
 }
 
-// Symptom: one entry refuses a service, or sends work to a dead agent, long after
-// the others know better. Sequence: agents restart with clocks set back, change
-// their home entry, and change their announcements while pushes and answers are
-// lost and entries restart empty. Cause: a change was taken as known to a peer
-// that never kept it.
+// Guards against directories that stay different, so that one entry refuses a service or sends work
+// to a dead agent long after the others are up to date. Agents restart with clocks set back, change
+// their home entry and their announcements while pushes and responses are lost and entries restart
+// with an empty directory. The fault was to treat a change as known to a peer that no longer had it.
 func TestDirectoriesConvergeAfterFaults(t *testing.T) {
 	for seed := uint64(1); seed <= 300; seed++ {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) { checkConvergence(t, rand.New(rand.NewPCG(seed, 1))) })
@@ -58,8 +57,8 @@
 			if faults && rng.IntN(10) == 0 {
 				next := &apiv1.AgentInfo{Name: a.Name, Incarnation: a.Incarnation, Revision: a.Revision + 1}
 				if rng.IntN(3) == 0 {
-					// A restart; the host's clock may have been set back, so the
-					// number is another one but need not be higher.
+					// The agent restarts. The host's clock may have been set back, so the new
+					// incarnation is a different number but not necessarily a higher one.
 					next.Incarnation = rng.Uint64()
 					next.Revision = 1
 				}
@@ -104,9 +103,9 @@
 	}
 }
 
-// Symptom: an entry goes on sending work to a host that died. Sequence: the agent
-// falls silent; its home entry lives on and keeps pushing. Cause: the home
-// entry's pushes refreshed every agent it listed, the silent one too.
+// Guards against an entry that keeps sending work to a dead host. The agent stops sending heartbeats
+// while its home entry keeps pushing. The fault was that these pushes refreshed every agent that
+// they listed, including the unresponsive one.
 func TestUnresponsiveAgentBecomesUnusableEverywhere(t *testing.T) {
 	now := time.Unix(1000, 0)
 	home := &node{name: "home", dir: New(DefaultConfig())}
@@ -122,12 +121,12 @@
 		now = now.Add(500 * time.Millisecond)
 	}
 	if full > 0 {
-		t.Errorf("one agent's silence had all agents sent again %d times", full)
+		t.Errorf("one unresponsive agent caused %d full pushes", full)
 	}
 	for _, n := range []*node{home, other} {
 		n.dir.Tick(now)
 		if n.dir.agents["a"].usable {
-			t.Errorf("%s still uses an agent silent for 7 s", n.name)
+			t.Errorf("%s still uses an agent whose last heartbeat was 7 s ago", n.name)
 		}
 	}
 }
--- a/member/sync.go
+++ b/member/sync.go
@@ -13,15 +13,16 @@
 
 // peer is the state of the exchange with one other entry.
 type peer struct {
-	// acknowledged is the directory sequence up to which the peer has our changes.
+	// acknowledged is the directory's sequence number up to which the peer has this entry's changes.
 	acknowledged uint64
-	// needsFull: the peer asked for everything.
+	// needsFull is set if the next push must contain all agents: the peer requested them, or has not
+	// answered a push yet.
 	needsFull bool
 }
 
-// BuildSyncRequest builds the next message to a peer, given the configuration version in
-// force here. The caller sends it and hands the answer to Acknowledged together
-// with the returned sequence.
+// BuildSyncRequest returns the next push to a peer, given the version of the configuration in
+// effect at this entry. The caller sends it and passes the response to RecordSyncResponse together
+// with the returned sequence number.
 func (d *Directory) BuildSyncRequest(now time.Time, to string, version uint64) (*apiv1.SyncRequest, uint64) {
 	p := d.peer(to)
 	own := d.homedHere(now)
@@ -36,8 +37,8 @@
 			req.Agents = append(req.Agents, r.info)
 		}
 		age := now.Sub(r.lastHeard)
-		silent := age > d.cfg.SuspectAfter/2
-		if !silent && r.configurationVersion >= version {
+		overdue := age > d.cfg.SuspectAfter/2
+		if !overdue && r.configurationVersion >= version {
 			continue
 		}
 		req.Lagging = append(req.Lagging, &apiv1.AgentLag{
@@ -52,8 +53,8 @@
 	return req, d.sequence
 }
 
-// releasedSince names the agents that this entry stopped being the home of. The
-// receiver would otherwise find its picture different and ask for all of them.
+// releasedSince returns the names of the agents of which this entry stopped being the home after a
+// sequence number. Without them, the receiver's digest would differ and it would request all agents.
 func (d *Directory) releasedSince(sequence uint64) []string {
 	var names []string
 	for name, r := range d.agents {
@@ -64,21 +65,19 @@
 	return names
 }
 
-// RecordSyncResponse records that a peer answered a push built at a sequence.
+// RecordSyncResponse records a peer's response to the push that was built at a sequence number.
 func (d *Directory) RecordSyncResponse(from string, sequence uint64, resp *apiv1.SyncResponse) {
 	p := d.peer(from)
 	p.acknowledged = sequence
 	p.needsFull = resp.GetResend()
 }
 
-// ApplySyncRequest takes another entry's push and reports whether the sender has to send
-// all of its agents.
+// ApplySyncRequest applies another entry's push and reports whether the sender has to send all of
+// its agents.
 //
-// What goes wrong without the digest: a push that was lost, or a receiver that
-// restarted, leaves an agent unknown here for ever, because unchanged
-// announcements are not sent again. It would be noticed as one entry refusing a
-// service the others answer. Comparing digests on every push bounds that to one
-// exchange.
+// Without the digest, a lost push or a restart of the receiver would leave an agent unknown at the
+// receiver forever, because unchanged announcements are not sent again: one entry would refuse a
+// service that the others answer. Comparing digests on every push limits this to one exchange.
 func (d *Directory) ApplySyncRequest(now time.Time, req *apiv1.SyncRequest) (resend bool) {
 	lagging := lagsByName(req.GetLagging())
 	for _, info := range req.GetAgents() {
@@ -104,7 +103,9 @@
 	return false
 }
 
-// refreshHeartbeat takes a home entry's word that an agent was heard, and how it lags.
+// refreshHeartbeat updates a record from its home entry's push: the time of the agent's last
+// heartbeat and its configuration version. An agent without a lag had a recent heartbeat and has the
+// entry's configuration version.
 func (d *Directory) refreshHeartbeat(now time.Time, r *record, lag *apiv1.AgentLag, version uint64) {
 	if lag != nil {
 		version = lag.GetConfigurationVersion()
@@ -117,15 +118,15 @@
 	d.updateUsable(now, r)
 }
 
-// releaseMissing drops the home of agents that a full push no longer holds; their
-// silence then runs until another entry hears them.
+// releaseMissing clears the home of agents that a full push no longer contains. They become
+// unusable after SuspectAfter unless another entry receives their heartbeats.
 func (d *Directory) releaseMissing(theirs []*record, req *apiv1.SyncRequest) {
-	held := map[string]bool{}
+	listed := map[string]bool{}
 	for _, info := range req.GetAgents() {
-		held[info.GetName()] = true
+		listed[info.GetName()] = true
 	}
 	for _, r := range theirs {
-		if !held[r.info.GetName()] {
+		if !listed[r.info.GetName()] {
 			d.setHome(r, homeUnknown)
 		}
 	}
@@ -139,7 +140,8 @@
 	return m
 }
 
-// lagAge is the silence a lag tells of; an agent that does not lag has none.
+// lagAge returns the time since the agent's last heartbeat according to a lag. It is zero for an
+// agent without a lag.
 func lagAge(l *apiv1.AgentLag) time.Duration {
 	return time.Duration(l.GetAgeMs()) * time.Millisecond
 }
@@ -153,7 +155,8 @@
 	return p
 }
 
-// homedHere returns the agents heard here lately, sorted by name.
+// homedHere returns the agents that sent a heartbeat to this entry within HomeTimeout, sorted by
+// name.
 func (d *Directory) homedHere(now time.Time) []*record {
 	var own []*record
 	for _, r := range d.agents {
@@ -165,7 +168,7 @@
 	return own
 }
 
-// homedAt returns the agents that another entry is taken to hear, sorted by name.
+// homedAt returns the agents whose home is another entry, sorted by name.
 func (d *Directory) homedAt(entry string) []*record {
 	var out []*record
 	for _, r := range d.agents {
@@ -181,12 +184,13 @@
 	slices.SortFunc(rs, func(a, b *record) int { return cmp.Compare(a.info.GetName(), b.info.GetName()) })
 }
 
-// digest hashes names, incarnations and revisions in order.
+// digest returns a hash of the records' names, incarnations and revisions. It depends on their
+// order.
 func digest(rs []*record) uint64 {
 	h := xxhash.New()
 	var b [16]byte
 	for _, r := range rs {
-		_, _ = h.WriteString(r.info.GetName()) // a hash's Write never fails
+		_, _ = h.WriteString(r.info.GetName()) // Write of a hash never fails.
 		binary.LittleEndian.PutUint64(b[:8], r.info.GetIncarnation())
 		binary.LittleEndian.PutUint64(b[8:], r.info.GetRevision())
 		_, _ = h.Write(b[:])
