--- a/configdelta/configdelta.go
+++ b/configdelta/configdelta.go
@@ -1,7 +1,7 @@
-// Package configdelta makes and applies the difference between two versions of
-// the configuration, so that a change costs what it changes and not the whole
-// text (docs/decisions/0009-configuration-deltas.md). It does no I/O and never
-// changes the configurations it is given; results share their items.
+// Package configdelta computes and applies the difference between two versions of the
+// configuration, so that the cost of a change depends on its size and not on the size of the whole
+// text (docs/decisions/0009-configuration-deltas.md). It does no I/O and never modifies its
+// arguments; results share items with them.
 package configdelta
 
 import (
@@ -14,15 +14,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// BaseError says that a delta does not start at the configuration at hand.
+// BaseError reports a delta that does not start at the version of the given configuration.
 type BaseError struct{ Have, From, To uint64 }
 
 // Error implements error.
 func (e *BaseError) Error() string {
-	return fmt.Sprintf("delta leads from version %d to %d, not from %d", e.From, e.To, e.Have)
+	return fmt.Sprintf("delta from version %d to %d can't be applied to version %d", e.From, e.To, e.Have)
 }
 
-// CorruptError says that a delta does not lead to the configuration it names.
+// CorruptError reports a delta that does not produce the configuration whose digest it contains.
 type CorruptError struct{ Cause string }
 
 // Error implements error.
@@ -37,7 +37,8 @@
 
 func equal[T proto.Message](a, b T) bool { return proto.Equal(a, b) }
 
-// Diff returns the delta between two configurations. Its versions are theirs.
+// Diff returns the delta from the old configuration to the new one. It contains the versions of
+// both.
 func Diff(old, new *apiv1.Configuration) *apiv1.ConfigurationDelta {
 	sum, _ := digest(new)
 	d := &apiv1.ConfigurationDelta{
@@ -62,22 +63,22 @@
 	return d
 }
 
-// diffText compares line by line and counts in bytes.
+// diffText compares two texts line by line. The lengths in the returned edits are in bytes.
 func diffText(old, new string) []*apiv1.TextEdit {
 	if old == new {
 		return nil
 	}
-	was := strings.SplitAfter(old, "\n")
+	oldLines := strings.SplitAfter(old, "\n")
 	var out []*apiv1.TextEdit
-	at := 0
-	for _, e := range lines.diff(was, strings.SplitAfter(new, "\n")) {
-		dropped := at + e.keep
+	next := 0
+	for _, e := range lines.diff(oldLines, strings.SplitAfter(new, "\n")) {
+		dropped := next + e.keep
 		out = append(out, &apiv1.TextEdit{
-			Keep:   byteLength(was[at:dropped]),
-			Drop:   byteLength(was[dropped : dropped+e.drop]),
+			Keep:   byteLength(oldLines[next:dropped]),
+			Drop:   byteLength(oldLines[dropped : dropped+e.drop]),
 			Insert: strings.Join(e.insert, ""),
 		})
-		at = dropped + e.drop
+		next = dropped + e.drop
 	}
 	return out
 }
@@ -89,8 +90,8 @@
 	return n
 }
 
-// Apply returns the configuration that a delta leads to. Errors: *BaseError,
-// *CorruptError.
+// Apply returns the configuration that a delta produces from the old one. It returns a *BaseError
+// or a *CorruptError if the delta can't be applied.
 func Apply(old *apiv1.Configuration, d *apiv1.ConfigurationDelta) (*apiv1.Configuration, error) {
 	if d.GetFromVersion() != old.GetVersion() || d.GetToVersion() <= d.GetFromVersion() {
 		return nil, &BaseError{Have: old.GetVersion(), From: d.GetFromVersion(), To: d.GetToVersion()}
@@ -99,13 +100,13 @@
 	if d.PolicyChanged {
 		c.Policy = d.Policy
 	}
-	var fits [4]bool
-	c.Services, fits[0] = applyEdits(old.GetServices(), editsFromMessages(d.Services, (*apiv1.ServiceEdit).GetInsert))
-	c.Jobs, fits[1] = applyEdits(old.GetJobs(), editsFromMessages(d.Jobs, (*apiv1.JobEdit).GetInsert))
-	c.Teams, fits[2] = applyEdits(old.GetTeams(), editsFromMessages(d.Teams, (*apiv1.TeamEdit).GetInsert))
-	c.Text, fits[3] = applyText(old.GetText(), d.Text)
-	if fits != [4]bool{true, true, true, true} {
-		return nil, &CorruptError{Cause: "it reaches past the end of what it changes"}
+	var inRange [4]bool
+	c.Services, inRange[0] = applyEdits(old.GetServices(), editsFromMessages(d.Services, (*apiv1.ServiceEdit).GetInsert))
+	c.Jobs, inRange[1] = applyEdits(old.GetJobs(), editsFromMessages(d.Jobs, (*apiv1.JobEdit).GetInsert))
+	c.Teams, inRange[2] = applyEdits(old.GetTeams(), editsFromMessages(d.Teams, (*apiv1.TeamEdit).GetInsert))
+	c.Text, inRange[3] = applyText(old.GetText(), d.Text)
+	if inRange != [4]bool{true, true, true, true} {
+		return nil, &CorruptError{Cause: "an edit reaches past the end of its list or text"}
 	}
 	if sum, ok := digest(c); !ok || sum != d.Digest {
 		return nil, &CorruptError{Cause: "the digest of the result does not match"}
@@ -113,7 +114,7 @@
 	return c, nil
 }
 
-// editMessage is what the edits of every list have in common.
+// editMessage is the common interface of the edit messages of all lists.
 type editMessage interface {
 	GetKeep() uint32
 	GetDrop() uint32
@@ -145,8 +146,8 @@
 	return b.String(), true
 }
 
-// ApplyChain applies deltas one after another. Those that lead no further than
-// the configuration at hand are passed over: another answer may have been quicker.
+// ApplyChain applies consecutive deltas. It skips those whose target version is not newer than the
+// configuration: a response that arrived earlier may already have brought that version.
 func ApplyChain(old *apiv1.Configuration, chain []*apiv1.ConfigurationDelta) (*apiv1.Configuration, error) {
 	c := old
 	for _, d := range chain {
@@ -162,18 +163,18 @@
 	return c, nil
 }
 
-// digest covers all but the version. Replicas that run different builds must
-// come to the same one: configuration has no maps and no oneofs, whose order
-// could differ, and new fields get the highest numbers, so a build that does not
-// know a field still encodes it in the same place.
+// digest returns a hash of everything but the version. Replicas that run different builds must
+// compute the same digest. Therefore, Configuration has no maps and no oneofs, whose order could
+// differ, and new fields get the highest numbers, so that a build that does not know a field still
+// encodes it in the same position.
 //
-// It is false where the text is not UTF-8, as when it was cut within a character:
-// such a text can't be encoded and must not be adopted.
+// ok is false if the text is not valid UTF-8, for example after an edit that splits a character:
+// such a text can't be encoded and must not be applied.
 func digest(c *apiv1.Configuration) (sum uint64, ok bool) {
-	plain := &apiv1.Configuration{
+	unversioned := &apiv1.Configuration{
 		Services: c.GetServices(), Jobs: c.GetJobs(), Teams: c.GetTeams(),
 		Policy: c.GetPolicy(), TextDigest: c.GetTextDigest(), Text: c.GetText(),
 	}
-	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(plain)
+	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(unversioned)
 	return xxhash.Sum64(data), err == nil
 }
--- a/configdelta/configdelta_test.go
+++ b/configdelta/configdelta_test.go
@@ -12,8 +12,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// drawConfiguration draws from few names and lines, so that items move, repeat
-// and change often.
+// drawConfiguration draws from a small set of names and lines, so that items often move, repeat and
+// change.
 func drawConfiguration(t *rapid.T, version uint64) *apiv1.Configuration {
 	names := rapid.SliceOfN(rapid.IntRange(0, 7), 0, 9)
 	c := &apiv1.Configuration{Version: version, TextDigest: fmt.Sprint(version)}
@@ -35,10 +35,10 @@
 	return c
 }
 
-// Symptom: after a change two hosts have the same version and different
-// configurations. Sequence: any two configurations, with items that move, repeat
-// and change; then any one field of the delta is damaged on the way. Cause: edits
-// that don't lead to the new one exactly, or a digest that is not compared.
+// Guards against two hosts that have different configurations with the same version. This happens
+// if the edits do not produce the new configuration exactly, or if the digest is not compared. The
+// test diffs two configurations with items that move, repeat and change, then flips one bit of the
+// encoded delta.
 func TestDeltaReproducesNewConfigurationOrIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := drawConfiguration(t, 3), drawConfiguration(t, 5)
@@ -52,7 +52,7 @@
 		}
 		got, err := Apply(old, d)
 		if err != nil || !proto.Equal(got, new) {
-			t.Fatalf("%v, %v instead of %v", err, got, new)
+			t.Fatalf("error %v, got %v, want %v", err, got, new)
 		}
 		data[rapid.IntRange(0, len(data)-1).Draw(t, "byte")] ^= byte(1 << rapid.IntRange(0, 7).Draw(t, "bit"))
 		damaged := &apiv1.ConfigurationDelta{}
@@ -62,9 +62,9 @@
 		got, err = Apply(old, damaged)
 		var base *BaseError
 		var corrupt *CorruptError
-		// The version is no part of the digest: the log gives it out.
+		// The version is not part of the digest: the log assigns it.
 		if err == nil && (damaged.ToVersion == d.ToVersion && !proto.Equal(got, new)) {
-			t.Fatalf("damaged delta led to %v", got)
+			t.Fatalf("damaged delta produced %v", got)
 		}
 		if err != nil && !errors.As(err, &base) && !errors.As(err, &corrupt) {
 			t.Fatalf("untyped error %v", err)
@@ -72,9 +72,9 @@
 	})
 }
 
-// Symptom: a change of one job costs as much as the whole text. Sequence: finished
-// jobs are taken out at the front, new ones put in at the end. Cause: one patch
-// from the first to the last difference holds all that lies between.
+// Guards against deltas as large as the whole text for a change of a few jobs. Finished jobs are
+// removed at the front and new ones added at the end. A single edit from the first to the last
+// difference would contain everything between them.
 func TestDeltaOfDistantChangesStaysSmall(t *testing.T) {
 	job := func(i int) (*apiv1.Job, string) {
 		name := fmt.Sprint("job-", i)
@@ -96,9 +96,9 @@
 	}
 }
 
-// Symptom: an answer that another overtook sets a host back. Sequence: chains from
-// two peers cross, one of them with a gap. Cause: a chain applied where it does
-// not start.
+// Guards against a delayed response that sets a host back to an older configuration. Two peers send
+// overlapping chains of deltas, one of them with a gap. The fault was to apply a chain to a version
+// at which it does not start.
 func TestApplyChainRejectsGaps(t *testing.T) {
 	v := func(n uint64) *apiv1.Configuration {
 		return &apiv1.Configuration{Version: n, Text: fmt.Sprint("line ", n)}
