--- a/route/admit.go
+++ b/route/admit.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// minAdmittedShare is the share of the limit that is admitted even when the observed
-	// response times say that a request can't finish in time.
+	// minAdmittedShare is the fraction of the limit up to which requests are admitted even if the
+	// observed response times indicate that they can't finish in time.
 	minAdmittedShare = 0.1
-	// newCallerQueueFactor lets a caller below its share queue when others fill the queue.
+	// newCallerQueueFactor is the factor by which the bound of the queue is extended for a caller
+	// without a queued request, so that it can queue when other callers fill the queue.
 	newCallerQueueFactor = 2
 )
 
-// Admit decides at once whether a request may start, waits or is refused. A
-// queued request gets its final admission through a Wake, exactly once, or is
-// taken back with Abandon.
+// Admit decides immediately whether a request may start, has to wait or is refused. A queued
+// request either gets its final admission by a Wake, exactly once, or is removed by Abandon.
 func (r *Router) Admit(now time.Time, req *Request) Admission {
 	s := r.service(req.Service)
 	if s == nil {
@@ -26,7 +26,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if req.state != requestNew {
-		panic("route: a request is admitted once, but " + req.ID + " came again")
+		panic("route: Admit was called more than once for request " + req.ID)
 	}
 	return s.admit(now, req)
 }
@@ -38,21 +38,21 @@
 	if s.eligible()+len(s.ejected) == 0 {
 		return s.refuse(req, apiv1.Reason_REASON_NO_TARGET, s.noTargetRetryAfter(now), "no target")
 	}
-	run := s.requiredTime(now)
+	required := s.requiredTime(now)
 	left := req.remaining(now)
 	if left <= 0 {
 		return s.refuse(req, apiv1.Reason_REASON_DEADLINE, 0, "deadline has passed")
 	}
 	if s.queue.len() == 0 && s.limit.allows(s.inFlight) {
-		if run > left && float64(s.inFlight) >= minAdmittedShare*s.limit.value {
-			return s.refuse(req, apiv1.Reason_REASON_DEADLINE, s.retryAfter(now, run-left), "takes longer than the time left")
+		if required > left && float64(s.inFlight) >= minAdmittedShare*s.limit.value {
+			return s.refuse(req, apiv1.Reason_REASON_DEADLINE, s.retryAfter(now, required-left), "expected response time exceeds the time left")
 		}
-		return s.startRequest(now, req, "below the limit")
+		return s.startRequest(now, req, "below the concurrency limit")
 	}
 	wait := s.predictWait(s.queue.ahead(req) + 1)
-	if bound := s.maxResponseTime(left, run); wait+run > bound {
+	if bound := s.maxResponseTime(left, required); wait+required > bound {
 		left = bound
-		return s.refuse(req, apiv1.Reason_REASON_OVERLOADED, s.retryAfter(now, wait+run-left), "queue is longer than the time left or the objective")
+		return s.refuse(req, apiv1.Reason_REASON_OVERLOADED, s.retryAfter(now, wait+required-left), "expected time to the answer exceeds the time left or the objective")
 	}
 	if s.queueFull(req) {
 		return s.refuse(req, apiv1.Reason_REASON_OVERLOADED, s.retryAfter(now, wait), "queue is full")
@@ -60,7 +60,7 @@
 	req.state = requestQueued
 	s.queue.push(req)
 	s.counters.Queued++
-	return Admission{Queued: true, LatestStart: req.Deadline.Add(-run), Text: "over the limit"}
+	return Admission{Queued: true, LatestStart: req.Deadline.Add(-required), Text: "concurrency limit is reached"}
 }
 
 func (s *service) startRequest(now time.Time, req *Request, text string) Admission {
@@ -77,7 +77,8 @@
 	return Admission{Reason: reason, RetryAfter: retryAfter, Text: text}
 }
 
-// requiredTime is the response time that a request must have left to be started.
+// requiredTime returns the time to the deadline that a request must have left to be started. It is
+// a quantile of the response time.
 func (s *service) requiredTime(now time.Time) time.Duration {
 	switch {
 	case s.cfg.FinishQuantile >= 0.95:
@@ -88,26 +89,26 @@
 	return s.latency.quantile(now, q50)
 }
 
-// maxResponseTime is the longest predicted time to an answer that a request is queued
-// for. Beyond the objective a longer queue starts no more work, it only makes
-// every answer late.
-func (s *service) maxResponseTime(left, run time.Duration) time.Duration {
+// maxResponseTime returns the longest predicted response time, including the time in the queue, at
+// which a request is still queued. Beyond the objective, a longer queue does not start more
+// requests, but makes every answer late.
+func (s *service) maxResponseTime(left, required time.Duration) time.Duration {
 	if s.objective <= 0 {
 		return left
 	}
 	bound := time.Duration(s.cfg.WaitObjectives * float64(s.objective))
-	return min(left, max(bound, 2*run))
+	return min(left, max(bound, 2*required))
 }
 
-// predictWait predicts how long a number of starts take: by Little's law the limit's
-// requests leave at limit / hold.
+// predictWait returns the predicted time that a number of starts take. By Little's law, requests
+// finish at the rate limit / meanInFlightTime.
 func (s *service) predictWait(starts float64) time.Duration {
 	return time.Duration(starts * float64(s.latency.meanInFlightTime) / max(1, s.limit.value))
 }
 
-// queueFull bounds the queue as a whole and each caller's part of it. A caller
-// keeps one share less than an even split among those that wait, so that there
-// is room for one caller more.
+// queueFull reports whether the bound of the whole queue or of the caller's part of it is reached.
+// A caller's part is the bound divided by one more than the number of waiting callers, so that
+// there is space for one more caller.
 func (s *service) queueFull(req *Request) bool {
 	bound := s.cfg.QueueFactor * s.limit.value
 	c := s.queue.classOf(req)
@@ -127,9 +128,9 @@
 	return float64(s.queue.len()+1) > bound
 }
 
-// Release ends an admitted request, with the outcome that its caller gets. It
-// returns the queued requests that start now or are refused; the driver hands
-// them to Deliver or reads them itself. A second Release does nothing.
+// Release finishes an admitted request with the outcome that its caller gets. It returns wakes for
+// the queued requests that start now or are refused. The driver passes them to Deliver or reads
+// them itself. A second Release of a request does nothing.
 func (r *Router) Release(now time.Time, req *Request, outcome apiv1.Outcome) []Wake {
 	s := r.service(req.Service)
 	if s == nil {
@@ -147,9 +148,9 @@
 	return s.startQueued(now)
 }
 
-// Abandon takes a queued request back, because its caller has gone or its latest
-// start has passed. It returns false when the request is no longer queued: its
-// wake is then on the way and has to be honoured.
+// Abandon removes a request from the queue because its caller has disconnected or its latest start
+// has passed. It returns false if the request is no longer queued. Then its wake has been or will
+// be delivered, and the driver must respect it.
 func (r *Router) Abandon(now time.Time, req *Request) (Admission, bool) {
 	s := r.service(req.Service)
 	if s == nil {
@@ -166,10 +167,10 @@
 
 func (s *service) refuseTooLate(now time.Time, req *Request) Admission {
 	lack := max(0, s.requiredTime(now)-req.remaining(now))
-	return s.refuse(req, apiv1.Reason_REASON_OVERLOADED, s.retryAfter(now, lack), "waited until too little time was left")
+	return s.refuse(req, apiv1.Reason_REASON_OVERLOADED, s.retryAfter(now, lack), "too little time left after waiting")
 }
 
-// startQueued starts queued requests while the limit allows.
+// startQueued starts queued requests while the limit allows it.
 func (s *service) startQueued(now time.Time) []Wake {
 	if s.queue.len() == 0 {
 		return nil
@@ -189,7 +190,7 @@
 	return wakes
 }
 
-// refuseExpired refuses what has waited until it can't finish any more.
+// refuseExpired refuses queued requests that can no longer finish before their deadline.
 func (s *service) refuseExpired(now time.Time) []Wake {
 	if s.queue.len() == 0 {
 		return nil
--- a/route/admit_test.go
+++ b/route/admit_test.go
@@ -11,29 +11,30 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// saturatedRouter returns a router whose limit is taken, with response times of 100 ms.
+// saturatedRouter returns a router whose concurrency limit is reached, with response times of
+// 100 ms, and the requests in flight.
 func saturatedRouter(cfg Config) (*Router, []*Request) {
 	r := testRouter(1, cfg)
 	for i := range 20 {
 		runRequest(r, start.Add(time.Duration(i)*time.Second), "c", 100*time.Millisecond)
 	}
-	var held []*Request
+	var inFlight []*Request
 	for range 8 {
 		req := testRequest("c", true, start, time.Hour)
 		if r.Admit(start, req).OK {
-			held = append(held, req)
+			inFlight = append(inFlight, req)
 		}
 	}
-	return r, held
+	return r, inFlight
 }
 
-// Symptom: a caller waits for an answer that comes too late, or comes back in step
-// with all others. Sequence: more requests than slots. Cause: admission without
-// a look at the deadline, or a time to come back that does not follow the queue.
+// Guards against requests that wait although their answer would be too late, and against refused
+// callers that all retry at the same time. There are more requests than slots. The faults are
+// admission that ignores the deadline and a Retry-After that does not follow from the queue.
 func TestAdmitRefusesRequestsThatCannotFinish(t *testing.T) {
-	r, held := saturatedRouter(Config{QueueFactor: 100})
-	if len(held) != 8 {
-		t.Fatalf("%d of 8 slots were given", len(held))
+	r, inFlight := saturatedRouter(Config{QueueFactor: 100})
+	if len(inFlight) != 8 {
+		t.Fatalf("%d of 8 requests were admitted", len(inFlight))
 	}
 	for i, c := range []struct {
 		left   time.Duration
@@ -51,7 +52,7 @@
 			continue
 		}
 		if a.RetryAfter <= last {
-			t.Fatalf("refusal %d may come back after %v, the one before after %v", i, a.RetryAfter, last)
+			t.Fatalf("refusal %d has Retry-After %v, the previous one %v", i, a.RetryAfter, last)
 		}
 		last = a.RetryAfter
 	}
@@ -60,9 +61,9 @@
 	}
 }
 
-// Symptom: after a slow spell a service refuses everything although its targets
-// are idle. Sequence: response times rise past all deadlines, then fall. Cause:
-// the estimate that refuses is only renewed by requests that are admitted.
+// Guards against a service that refuses everything after a slow period although its targets are
+// idle. Response times exceed all deadlines and then decrease. The fault is an estimate that only
+// admitted requests update, while it causes all requests to be refused.
 func TestAdmissionRecoversAfterSlowPeriod(t *testing.T) {
 	r := testRouter(3, Config{})
 	now := start
@@ -81,13 +82,13 @@
 		r.Release(now.Add(10*time.Millisecond), req, answered)
 	}
 	if admitted < 300 {
-		t.Errorf("%d of 400 requests admitted after the spell", admitted)
+		t.Errorf("%d of 400 requests admitted after the slow period", admitted)
 	}
 }
 
-// Symptom: one caller's burst makes all others wait, urgent work stands behind
-// batch, or batch never starts. Sequence: 60 requests of one caller, then one each
-// of five others, and batch. Cause: a queue in the order of arrival.
+// Guards against one caller's burst that delays all other callers, urgent requests that wait behind
+// batch requests, and batch requests that never start. One caller queues 60 requests, then five
+// others one each, and there are batch requests. The fault is a queue in the order of arrival.
 func TestQueueOrder(t *testing.T) {
 	var q queue
 	q.init(0.1)
@@ -97,7 +98,7 @@
 		q.push(req)
 	}
 	for i := range 60 {
-		push("hog", apiv1.Priority_PRIORITY_URGENT, time.Duration(60-i)*time.Millisecond)
+		push("heavy", apiv1.Priority_PRIORITY_URGENT, time.Duration(60-i)*time.Millisecond)
 	}
 	for i := range 30 {
 		push("batch", apiv1.Priority_PRIORITY_BATCH, time.Duration(i)*time.Millisecond)
@@ -105,33 +106,34 @@
 	for i := range 5 {
 		push(fmt.Sprintf("small%d", i), apiv1.Priority_PRIORITY_URGENT, time.Hour)
 	}
-	var hog []time.Time
+	var heavy []time.Time
 	small, batch := 0, 0
 	for i := range 65 {
 		req := q.pop()
 		switch {
 		case req.isBatch():
 			batch++
-		case req.Caller == "hog":
-			hog = append(hog, req.Deadline)
+		case req.Caller == "heavy":
+			heavy = append(heavy, req.Deadline)
 		default:
 			small = i
 		}
 	}
 	if small > 8 {
-		t.Errorf("the last small caller started as number %d", small)
+		t.Errorf("the last caller with one request started at position %d", small)
 	}
 	if batch < 6 || batch > 7 {
-		t.Errorf("batch had %d of 65 starts, its floor is a tenth", batch)
+		t.Errorf("batch had %d of 65 starts, its minimum is a tenth", batch)
 	}
-	if !slices.IsSortedFunc(hog, time.Time.Compare) {
-		t.Error("a caller's requests did not start by shortest slack")
+	if !slices.IsSortedFunc(heavy, time.Time.Compare) {
+		t.Error("a caller's requests did not start by least slack")
 	}
 }
 
-// Symptom: a busy caller gets all or nothing. Sequence: callers with a backlog wait
-// while another sends one request after the other, or a new caller comes with each.
-// Cause: tags that don't count what a caller has had, or a clock that stands still.
+// Guards against a caller with a backlog that gets either all starts or none. Callers with a
+// backlog wait while another caller sends one request after the other, or while each round brings a
+// new caller. The faults are start tags that do not count the starts that a caller has had, and a
+// virtual time that does not advance.
 func TestFairShareOverTime(t *testing.T) {
 	const backlogged, rounds = 9, 300
 	for _, fresh := range []bool{false, true} {
@@ -144,9 +146,9 @@
 			}
 			c.push(testRequest(fmt.Sprintf("b%d", i%backlogged), true, start, left))
 		}
-		drips, first, last := 0, 0, 0
+		singles, first, last := 0, 0, 0
 		for i := range rounds {
-			name := "drip"
+			name := "single"
 			if fresh {
 				name = fmt.Sprintf("new%d", i)
 			}
@@ -161,16 +163,16 @@
 					first++
 					last = i
 				case req.Caller[0] != 'b':
-					drips++
+					singles++
 				}
 			}
 		}
 		fair := 2 * rounds / (backlogged + 1)
-		if !fresh && drips > fair*3/2 {
-			t.Errorf("a caller with one request at a time had %d of %d starts, its share is %d", drips, 2*rounds, fair)
+		if !fresh && singles > fair*3/2 {
+			t.Errorf("a caller with one request at a time had %d of %d starts, its share is %d", singles, 2*rounds, fair)
 		}
 		if first > fair*3/2 {
-			t.Errorf("new callers %v: the caller in the greatest hurry had %d starts, its share is %d", fresh, first, fair)
+			t.Errorf("new callers %v: the caller with the earliest deadlines had %d starts, its share is %d", fresh, first, fair)
 		}
 		if last < rounds*3/4 {
 			t.Errorf("new callers %v: a caller with a backlog had %d starts, the last in round %d", fresh, first, last)
@@ -178,11 +180,11 @@
 	}
 }
 
-// Symptom: a request is answered twice or never, or a slot of the limit is lost.
-// Sequence: callers give up at the moment their request is woken, from many
-// goroutines. Cause: a wake and an abandonment that both take effect.
+// Guards against a request that is answered twice or never, and against a slot of the limit that is
+// lost. From many goroutines, callers give up at the moment when their request is woken. The fault
+// is that a wake and Abandon both take effect.
 func TestQueuedRequestsEndOnce(t *testing.T) {
-	r, held := saturatedRouter(Config{QueueFactor: 100})
+	r, inFlight := saturatedRouter(Config{QueueFactor: 100})
 	var wg sync.WaitGroup
 	for i := range 8 {
 		wg.Go(func() {
@@ -191,9 +193,9 @@
 				req := testRequestWithWake(rng, start)
 				a := r.Admit(start, req)
 				if a.Queued && rng.IntN(2) == 0 {
-					if i == 0 && len(held) > 0 {
-						Deliver(r.Release(start, held[0], answered))
-						held = held[1:]
+					if i == 0 && len(inFlight) > 0 {
+						Deliver(r.Release(start, inFlight[0], answered))
+						inFlight = inFlight[1:]
 					}
 					var ok bool
 					if a, ok = r.Abandon(start, req); !ok {
@@ -204,7 +206,7 @@
 					a = <-req.Woken
 				}
 				if a.Queued || (len(req.Woken) > 0) {
-					t.Errorf("%s was not ended once: %+v", req.ID, a)
+					t.Errorf("%s did not end exactly once: %+v", req.ID, a)
 				}
 				if a.OK {
 					Deliver(r.Release(start, req, answered))
@@ -214,12 +216,12 @@
 		})
 	}
 	wg.Wait()
-	for _, req := range held {
+	for _, req := range inFlight {
 		Deliver(r.Release(start, req, answered))
 	}
 	st, _ := r.Stats(start, "s")
 	if st.InFlight != 0 || st.QueuedUrgent != 0 {
-		t.Errorf("%d in flight and %d queued when all have ended", st.InFlight, st.QueuedUrgent)
+		t.Errorf("%d in flight and %d queued after all requests ended", st.InFlight, st.QueuedUrgent)
 	}
 }
 
@@ -230,8 +232,8 @@
 	}
 }
 
-// Symptom: some targets get no work although others are full. Cause: subsets that
-// entries draw on their own. With ranks per target each has the same number of
+// Guards against targets without requests while others are full, caused by subsets that each entry
+// draws at random. With ranks for each target, each target is in the subsets of the same number of
 // entries, and an entry that leaves moves only its own share.
 func TestSubsetsCoverEachTargetEvenly(t *testing.T) {
 	const targets, entries = 300, 20
@@ -272,9 +274,9 @@
 	}
 }
 
-// Symptom: a burst of errors from a target that has just started. Cause: it is the
-// idlest one, so every entry sends it the next requests. Slow start holds back;
-// the own zone comes first while it has room.
+// Guards against a burst of errors from a target that has just started. It is the most idle one, so
+// every entry would send it the next requests. Slow start limits them, and the own zone is
+// preferred while it has free capacity.
 func TestSlowStartAndZonePreference(t *testing.T) {
 	r := testRouter(9, Config{})
 	fresh := testTarget(9)
@@ -290,16 +292,16 @@
 		zones[c.Target.AvailabilityZone]++
 	}
 	if picks[fresh.ID] > 1 {
-		t.Errorf("a target just started got %d of 24 requests", picks[fresh.ID])
+		t.Errorf("a newly started target got %d of 24 requests", picks[fresh.ID])
 	}
 	if zones["az-0"] < 20 || zones["az-0"] == 24 {
-		t.Errorf("requests by zone: %v, want the own zone first until it is 0.7 loaded", zones)
+		t.Errorf("requests by zone: %v, want the own zone first up to a load of 0.7", zones)
 	}
 }
 
-// Symptom: an entry floods full targets, or refuses what they have room for.
-// Sequence: refusals for lack of slots, then answers, then half the targets go.
-// Cause: a limit that does not follow, or that gives up the entry's even share.
+// Guards against an entry that overloads full targets, or refuses requests for which they have free
+// capacity. Refusals for lack of slots are followed by answers and by the loss of half of the
+// slots. The faults are a limit that does not adapt, and a limit below the even share of the entry.
 func TestLimitAdaptsToRefusals(t *testing.T) {
 	for entries, want := range map[int]float64{0: 1, 2: 40, 4: 20} {
 		l := concurrencyLimit{}
--- a/route/bench_test.go
+++ b/route/bench_test.go
@@ -11,7 +11,8 @@
 
 var benchTargetCounts = []int{11, 110, 1100, 3700}
 
-// benchRouter has a load on every target, and 27 entries when there are many.
+// benchRouter returns a router with a load on every target, and with 27 entries if there are more
+// than 100 targets.
 func benchRouter(targets int) *Router {
 	r := testRouter(targets, Config{})
 	if targets > 100 {
@@ -28,7 +29,7 @@
 	return r
 }
 
-// BenchmarkPick is one routing decision.
+// BenchmarkPick measures one routing decision.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range benchTargetCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -44,8 +45,8 @@
 	}
 }
 
-// BenchmarkPickHard is a decision among 3,700 targets of which all are full, or
-// half have been lost.
+// BenchmarkPickHard measures a decision among 3,700 targets that are all full, or of which half are
+// unreachable.
 func BenchmarkPickHard(b *testing.B) {
 	for _, name := range []string{"full", "lost"} {
 		b.Run(name, func(b *testing.B) {
@@ -67,7 +68,7 @@
 	}
 }
 
-// BenchmarkRequest is all that the router does for one request.
+// BenchmarkRequest measures all router calls for one request.
 func BenchmarkRequest(b *testing.B) {
 	for _, n := range benchTargetCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -80,7 +81,7 @@
 	}
 }
 
-// BenchmarkRequestParallel is the same from all processors on one service.
+// BenchmarkRequestParallel measures the same calls from all processors for one service.
 func BenchmarkRequestParallel(b *testing.B) {
 	r := benchRouter(1100)
 	var callers atomic.Int64
@@ -106,7 +107,7 @@
 	r.Release(now, req, answered)
 }
 
-// BenchmarkUpsert is one changed announcement.
+// BenchmarkUpsert measures one changed announcement.
 func BenchmarkUpsert(b *testing.B) {
 	for _, n := range benchTargetCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/route/config.go
+++ b/route/config.go
@@ -2,83 +2,86 @@
 
 import "time"
 
-// Config holds a router's settings. A zero field takes the default named with
-// it; the defaults come from docs/measurements/routing.md.
+// Config contains a router's settings. A field that is zero takes the default given in its comment.
+// The defaults come from docs/measurements/routing.md. The names of the fields are the keys of
+// routebench's --config flag.
 type Config struct {
-	// AvailabilityZone and Region are where this entry stands.
+	// AvailabilityZone and Region are the location of this entry.
 	AvailabilityZone string
 	Region           string
 	// Seed makes the router's random choices repeatable.
 	Seed uint64
 
-	// LocalLoad is the load of the own availability zone, in-flight per slot,
-	// from which on other zones are used too. Default 0.7.
+	// LocalLoad is the load of the entry's own availability zone, in requests in flight per slot,
+	// from which requests are also sent to other zones. Default 0.7.
 	LocalLoad float64
-	// Choices is the number of random targets of which the least loaded is taken.
+	// Choices is the number of randomly sampled targets, of which the least loaded one is chosen.
 	// Default 4.
 	Choices int
-	// SlowStart is how long a new target takes to get its full share. Default 10 s.
+	// SlowStart is the time from when a target is added or readmitted until it gets its full share
+	// of requests. Default 10 s.
 	SlowStart time.Duration
-	// LoadAge is how long a load report counts. Default 1 s.
+	// LoadAge is the time from a load report until it expires. Default 1 s.
 	LoadAge time.Duration
-	// SubsetMin is the least number of targets kept per service, if there are
-	// that many; SubsetCover is the least number of entries that keep each
-	// target. Defaults 64 and 4.
+	// SubsetMin is the minimum number of targets in an entry's subset of a service, if the service
+	// has that many. SubsetCover is the minimum number of entries that have each target in their
+	// subset. Defaults 64 and 4.
 	SubsetMin   int
 	SubsetCover int
 
-	// RefusalShare is the share of dispatches refused for lack of slots at which
-	// the concurrency limit settles. Default 0.5.
+	// RefusalShare is the fraction of dispatches refused for lack of slots at which the concurrency
+	// limit reaches its equilibrium. Default 0.5.
 	RefusalShare float64
-	// QueueFactor bounds a queue to a multiple of the concurrency limit. Default 2.
+	// QueueFactor limits the length of a queue to a multiple of the concurrency limit. Default 2.
 	QueueFactor float64
-	// WaitObjectives bounds the predicted time in the queue and at the target to a
-	// multiple of the service's objective. Default 0.7.
+	// WaitObjectives limits the predicted time in the queue and at the target to a multiple of the
+	// service's objective. Default 0.7.
 	WaitObjectives float64
-	// FinishQuantile is the quantile of the response time that must fit between
-	// a request's start and its deadline. Default 0.5.
+	// FinishQuantile is the quantile of the response time that must fit between a request's start
+	// and its deadline. Default 0.5.
 	FinishQuantile float64
-	// BatchFloor is the share of starts from the queue that batch requests keep
-	// while urgent ones wait. Default 0.1.
+	// BatchFloor is the minimum fraction of starts from the queue that batch requests get while
+	// urgent requests wait. Default 0.1.
 	BatchFloor float64
 
-	// EjectRatio is the failure ratio that ejects a target, EjectConsecutive the
-	// number of failures in a row that does. Defaults 0.5 and 5.
+	// EjectRatio is the failure ratio from which a target is ejected. EjectConsecutive is the
+	// number of consecutive failures from which it is ejected. Defaults 0.5 and 5.
 	EjectRatio       float64
 	EjectConsecutive int
-	// EjectShare caps the share of targets ejected for failures, and
-	// UnreachableShare that of all ejected ones. Defaults 0.3 and 0.5.
+	// EjectShare limits the fraction of targets that may be ejected when one is ejected for
+	// failures. UnreachableShare is the limit when one is ejected because it is unreachable.
+	// Defaults 0.3 and 0.5.
 	EjectShare       float64
 	UnreachableShare float64
-	// EjectTime is the first ejection's length; it doubles with each one that
-	// follows, up to EjectTimeMax. Defaults 1 s and 4 s.
+	// EjectTime is the time from a target's first ejection to its first probe. It doubles with each
+	// ejection or failed probe that follows, up to EjectTimeMax. Defaults 1 s and 4 s.
 	EjectTime    time.Duration
 	EjectTimeMax time.Duration
 
-	// MaxAttempts bounds the dispatches of one request, hedges included and
-	// redirects not. Default 4.
+	// MaxAttempts limits the dispatches of one request, including hedges but not redirects. Default
+	// 4.
 	MaxAttempts uint32
-	// RetryRatio is the number of retries that a success allows, RetryBurst the
-	// most that is saved up. Defaults 0.1 and 20.
+	// RetryRatio is the number of retries that a success adds to the budget. RetryBurst is the
+	// maximum that the budget accumulates. Defaults 0.1 and 20.
 	RetryRatio float64
 	RetryBurst float64
-	// RedirectRatio and RedirectBurst are the same for attempts after a refusal by
-	// an agent, which took no work from a target. Defaults 2 and 100.
+	// RedirectRatio and RedirectBurst are the same for redirects, which are attempts after a
+	// refusal by an agent that cost no target any work. Defaults 2 and 100.
 	RedirectRatio float64
 	RedirectBurst float64
-	// MaxRedirects bounds such attempts of one request. Default 16.
+	// MaxRedirects limits the redirects of one request. Default 16.
 	MaxRedirects uint32
 	// HedgeRatio and HedgeBurst are the same for hedges. Defaults 0.03 and 10.
 	HedgeRatio float64
 	HedgeBurst float64
-	// HedgeLoad is the use of the concurrency limit from which on nothing is
+	// HedgeLoad is the fraction of the concurrency limit in use above which requests are not
 	// hedged. Default 0.8.
 	HedgeLoad float64
 
-	// LatencyWindow is the time over which response times are observed; quantiles
-	// are over one to two windows. Default 10 s.
+	// LatencyWindow is the length of a window of observed response times. Quantiles cover one to
+	// two windows. Default 10 s.
 	LatencyWindow time.Duration
-	// RetryAfterMax bounds the Retry-After given with a refusal. Default 30 s.
+	// RetryAfterMax limits the Retry-After of a refusal. Default 30 s.
 	RetryAfterMax time.Duration
 }
 
--- a/route/decision.go
+++ b/route/decision.go
@@ -6,18 +6,18 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Admission is the decision whether a request may start. It is one of: admitted
-// (OK), queued (Queued), refused (neither).
+// Admission is the decision whether a request may start. The request is admitted (OK), queued
+// (Queued) or refused (neither).
 type Admission struct {
 	OK     bool
 	Queued bool
-	// Reason says why it was refused; what is refused was not run.
+	// Reason is the reason of a refusal. A refused request was not run.
 	Reason apiv1.Reason
-	// RetryAfter is how long a refused caller is to wait before it retries, from the
-	// queue's length and the rate at which the service works it off.
+	// RetryAfter is how long a refused caller should wait before it retries. It follows from the
+	// queue's length and the rate at which the service starts queued requests.
 	RetryAfter time.Duration
-	// LatestStart is when a queued request has too little time left to finish;
-	// the driver calls Abandon then.
+	// LatestStart is the time after which a queued request can no longer finish before its
+	// deadline. The driver then calls Abandon.
 	LatestStart time.Time
 	// Text explains the decision to an operator.
 	Text string
@@ -29,8 +29,8 @@
 	Admission Admission
 }
 
-// Deliver hands wakes to the channels of their requests. It never blocks, given
-// the buffer of one that Request.Woken asks for: a request is woken once.
+// Deliver sends each wake to the channel of its request. It never blocks, because Request.Woken has
+// a buffer of one and a request is woken only once.
 func Deliver(wakes []Wake) {
 	for _, w := range wakes {
 		if w.Request.Woken != nil {
@@ -39,20 +39,20 @@
 	}
 }
 
-// Choice is the decision which target gets an attempt.
+// Choice is the decision which target an attempt is sent to.
 type Choice struct {
 	Target Target
-	// Candidates is the number of targets that could have been chosen.
+	// Candidates is the number of eligible targets.
 	Candidates int
-	// Load is the load per slot that the target is believed to have.
+	// Load is the estimated load of the target per slot.
 	Load   float64
 	Reason string
 }
 
-// RetryDecision is the decision whether an attempt is followed by another.
+// RetryDecision is the decision whether an attempt is followed by another one.
 type RetryDecision struct {
 	Allowed bool
-	// Delay is how long the driver waits before it picks again.
+	// Delay is how long the driver waits before it calls Pick again.
 	Delay time.Duration
 	Text  string
 }
--- a/route/eject.go
+++ b/route/eject.go
@@ -6,24 +6,25 @@
 )
 
 const (
-	// ejectWindow is the length of a window of outcomes; ratios are over one to two.
+	// ejectWindow is the length of a window of outcomes. Failure ratios cover one to two windows.
 	ejectWindow = 5 * time.Second
-	// minEjectSamples is the least number of outcomes that a ratio is taken from.
+	// minEjectSamples is the minimum number of outcomes for a failure ratio.
 	minEjectSamples = 10
-	// outlierRatio is how many times the other targets' failure ratio a target
-	// must reach to be ejected: a fault of all targets is no target's fault.
+	// outlierRatio is how many times the mean failure rate of the other targets a target's failure
+	// rate must be to eject it: a fault that all targets share is not the target's own fault.
 	outlierRatio = 2
-	// failureRateWeight is the weight of one outcome in the recent failures.
+	// failureRateWeight is the weight of one outcome in the moving average of failures.
 	failureRateWeight = 0.1
-	// maxProbeCandidates bounds the ejected targets that one pick looks at.
+	// maxProbeCandidates limits the ejected targets that one Pick considers for a probe.
 	maxProbeCandidates = 4
-	// maxEjectDoublings keeps the shift of the ejection time from overflowing.
+	// maxEjectDoublings prevents an overflow of the shift of the ejection time.
 	maxEjectDoublings = 16
-	// probeRatio is the number of probes that a success allows, probeBurst the
-	// most that is saved up.
+	// probeRatio is the number of probes that a success adds to the budget. probeBurst is the
+	// maximum that the budget accumulates.
 	probeRatio = 0.02
 	probeBurst = 5
-	// probeTimeout frees the place of a probe whose outcome never came.
+	// probeTimeout is the time from a probe until another one may be sent although the first has no
+	// outcome.
 	probeTimeout = 10 * time.Second
 )
 
@@ -55,20 +56,21 @@
 }
 func (w *outcomeWindow) failures() int { return w.failed + w.previousFailed }
 
-// health is what a target's outcomes say about it.
+// health is the state of a target that follows from its outcomes.
 type health struct {
 	window      outcomeWindow
 	consecutive int
-	// failureRate is the moving average of failures, 0 to 1.
+	// failureRate is the moving average of failures, from 0 to 1.
 	failureRate   float64
 	lastOutcomeAt time.Time
 	ejected       bool
 	unreachable   bool
-	// probeAfter is when an ejected target may be probed, probedAt when it last was.
+	// probeAfter is the time from which an ejected target may be probed. probedAt is the time of
+	// its last probe.
 	probeAfter time.Time
 	probedAt   time.Time
 	probing    bool
-	// ejections counts those without a success between them.
+	// ejections counts the ejections and failed probes since the last success.
 	ejections int
 }
 
@@ -82,7 +84,7 @@
 	h.failureRate += failureRateWeight * (failed - h.failureRate)
 }
 
-// recordSuccess takes in a success.
+// recordSuccess records a success of the target.
 func (s *service) recordSuccess(now time.Time, t *target) {
 	t.health.add(now, true)
 	t.health.consecutive = 0
@@ -92,7 +94,7 @@
 	}
 }
 
-// recordFailure takes in a failure of the target itself.
+// recordFailure records a failure of the target itself.
 func (s *service) recordFailure(now time.Time, t *target) {
 	t.health.add(now, false)
 	t.health.consecutive++
@@ -105,8 +107,8 @@
 	}
 }
 
-// recordFailedProbe keeps a target out, unless the others have come to fail as much:
-// then what looked like its own fault is everyone's.
+// recordFailedProbe keeps a target ejected, unless the other targets now fail as much: then the
+// failures are not the target's own.
 func (s *service) recordFailedProbe(now time.Time, t *target) {
 	if s.isOutlier(now, t) {
 		s.scheduleProbe(now, t)
@@ -115,8 +117,8 @@
 	s.readmit(now, t)
 }
 
-// shouldEject reports whether a target's failures, by their ratio or in a row, are
-// reason to eject it.
+// shouldEject reports whether to eject a target because of its failure ratio or its consecutive
+// failures.
 func (s *service) shouldEject(now time.Time, t *target) bool {
 	w := &t.health.window
 	highRatio := w.total() >= minEjectSamples && float64(w.failures()) >= s.cfg.EjectRatio*float64(w.total())
@@ -126,19 +128,18 @@
 	return s.isOutlier(now, t)
 }
 
-// isOutlier reports whether a target fails much more than the others do. In a fault
-// that all targets share, like a failing dependency, ejections would only take
-// capacity away from those that are left.
+// isOutlier reports whether a target fails much more often than the others. If all targets share a
+// fault, such as a failing dependency, ejections would only reduce the capacity.
 func (s *service) isOutlier(now time.Time, t *target) bool {
-	var rest failureMean
+	var others failureMean
 	for i := range s.tiers {
-		rest.add(now, t, s.tiers[i].targets)
+		others.add(now, t, s.tiers[i].targets)
 	}
-	rest.add(now, t, s.ejected)
-	return rest.n == 0 || t.health.failureRate >= outlierRatio*rest.sum/float64(rest.n)
+	others.add(now, t, s.ejected)
+	return others.n == 0 || t.health.failureRate >= outlierRatio*others.sum/float64(others.n)
 }
 
-// failureMean averages the recent failures of all targets but one.
+// failureMean is the mean failure rate of all targets with a recent outcome, except one.
 type failureMean struct {
 	sum float64
 	n   int
@@ -153,7 +154,7 @@
 	}
 }
 
-// recordUnreachable takes in that an agent can't be reached: none of its targets can.
+// recordUnreachable records that an agent is unreachable, and with it all of its targets.
 func (s *service) recordUnreachable(now time.Time, t *target) {
 	if t.health.ejected {
 		s.scheduleProbe(now, t)
@@ -171,8 +172,8 @@
 	t.health.unreachable = t.health.ejected
 }
 
-// eject takes a target out until its probe, unless too many are out already:
-// ejecting the last ones would turn a partial failure into a whole one.
+// eject removes a target from the eligible ones until its probe, unless too many targets are
+// ejected already: ejecting the last ones would turn a partial failure into a complete one.
 func (s *service) eject(now time.Time, t *target, share float64) {
 	if t.tierIndex < 0 || len(s.ejected)+1 > maxEjected(s.eligible()+len(s.ejected), share) {
 		return
@@ -186,8 +187,8 @@
 	s.limit.setBounds(s.slots(), s.sharingEntries())
 }
 
-// maxEjected is how many of a number of targets may be out at a time; at least
-// one target always stays.
+// maxEjected returns how many of a number of targets may be ejected at a time. At least one target
+// always stays eligible.
 func maxEjected(total int, share float64) int {
 	if total < 2 {
 		return 0
@@ -195,7 +196,7 @@
 	return max(1, int(share*float64(total)))
 }
 
-// scheduleProbe sets the time of the next probe, with exponential backoff.
+// scheduleProbe sets the time of the next probe with exponential backoff.
 func (s *service) scheduleProbe(now time.Time, t *target) {
 	h := &t.health
 	d := s.cfg.EjectTimeMax
@@ -207,11 +208,11 @@
 	h.probeAfter = now.Add(d)
 }
 
-// pickProbe returns an ejected target whose time has come for one request. Probes
-// are a small share of all requests, since a lost host makes each one wait: when
-// a zone is lost, its targets' probes would otherwise delay requests by the
-// hundred. Requests that are not idempotent are kept away for an ejection longer,
-// as their outcome could stay unknown.
+// pickProbe returns an ejected target that is due for a probe by this request, or nil. Probes are
+// limited to a small fraction of all requests, because each probe of a lost host makes its request
+// wait: when a zone is lost, the probes of its targets would otherwise delay hundreds of requests.
+// A request that is not idempotent waits for one more ejection time before it may be a probe,
+// because its outcome could stay unknown.
 func (s *service) pickProbe(now time.Time, req *Request) *target {
 	if len(s.ejected) == 0 || !s.probeBudget.available() {
 		return nil
@@ -232,17 +233,17 @@
 
 func (t *target) probeDue(now time.Time, req *Request) bool {
 	h := &t.health
-	from := h.probeAfter
+	due := h.probeAfter
 	if !req.Idempotent {
-		from = from.Add(t.svc.cfg.EjectTime)
+		due = due.Add(t.svc.cfg.EjectTime)
 	}
-	if now.Before(from) || t.Leaving || !t.inSubset || req.wasTried(t.ID) {
+	if now.Before(due) || t.Leaving || !t.inSubset || req.wasTried(t.ID) {
 		return false
 	}
 	return !h.probing || now.Sub(h.probedAt) >= probeTimeout
 }
 
-// readmit gives a target work again, with a slow start and a clean record.
+// readmit makes a target eligible again, with a slow start and a new health record.
 func (s *service) readmit(now time.Time, t *target) {
 	s.clearEjection(t)
 	t.health = health{ejections: t.health.ejections}
@@ -251,6 +252,7 @@
 	s.limit.setBounds(s.slots(), s.sharingEntries())
 }
 
+// clearEjection removes a target from the ejected ones without making it eligible.
 func (s *service) clearEjection(t *target) {
 	if !t.health.ejected {
 		return
@@ -261,7 +263,8 @@
 	}
 }
 
-// enforceEjectionCap readmits targets when others went away and the cap shrank.
+// enforceEjectionCap readmits targets while more are ejected than the limit allows, after other
+// targets were removed.
 func (s *service) enforceEjectionCap(now time.Time) {
 	for len(s.ejected) > maxEjected(s.eligible()+len(s.ejected), s.cfg.UnreachableShare) {
 		s.readmit(now, s.ejected[0])
--- a/route/heap.go
+++ b/route/heap.go
@@ -1,13 +1,13 @@
 package route
 
-// heapItem is what an itemHeap orders. An item knows its place in the heap, so that it can
-// be moved or removed.
+// heapItem is an item of an itemHeap. heapIndex returns a pointer to the position of the item in
+// the heap, by which the item can be moved or removed.
 type heapItem[T any] interface {
 	before(T) bool
 	heapIndex() *int
 }
 
-// itemHeap implements heap.Interface.
+// itemHeap is a heap of items in the order of their before method. It implements heap.Interface.
 type itemHeap[T heapItem[T]] []T
 
 func (h itemHeap[T]) Len() int           { return len(h) }
--- a/route/hedge.go
+++ b/route/hedge.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// minHedgeSamples is the least number of observed response times to hedge by.
+// minHedgeSamples is the minimum number of observed response times from which a hedge delay is
+// derived.
 const minHedgeSamples = 50
 
-// HedgeAfter returns how long the driver waits for a request's first attempt
-// before it asks Pick for a second one beside it (Dean and Barroso, "The Tail at
-// Scale", 2013); false when the request is not to be hedged. Pick takes the
-// token from the hedge budget and refuses when it is spent. The loser is
-// canceled and settled with the reason CANCELED or REVOKED.
+// HedgeAfter returns how long the driver waits for the first attempt of a request before it calls
+// Pick for a concurrent second attempt (Dean and Barroso, "The Tail at Scale", 2013), or false if
+// the request should not be hedged. Pick takes the token from the hedge budget and refuses the
+// hedge if there is none. The driver cancels the slower attempt and records its outcome with the
+// reason CANCELED or REVOKED.
 func (r *Router) HedgeAfter(now time.Time, req *Request) (time.Duration, bool) {
 	if !req.Idempotent {
 		return 0, false
@@ -23,8 +24,8 @@
 	if len(req.openAttempts) > 1 || req.Attempt >= s.cfg.MaxAttempts || s.eligible() < 2 {
 		return 0, false
 	}
-	// A busy service gains nothing from doing work twice: what a hedge takes,
-	// another request waits for.
+	// A busy service gains nothing from running requests twice: another request has to wait for the
+	// slot that a hedge takes.
 	if s.queue.len() > 0 || float64(s.inFlight) > s.cfg.HedgeLoad*s.limit.value {
 		return 0, false
 	}
--- a/route/latency.go
+++ b/route/latency.go
@@ -10,14 +10,14 @@
 	latencyUnit   = 10 * time.Microsecond
 	latencyMax    = 2 * time.Minute
 	latencyDigits = 2
-	// refreshDivisor is how much a histogram grows, as a divisor of its count,
-	// before its quantiles are computed anew.
+	// refreshDivisor bounds the age of the cached quantiles: they are computed again when more than
+	// count / refreshDivisor values were recorded since the last time.
 	refreshDivisor     = 16
 	inFlightTimeWeight = 0.05
 	responseTimeWeight = 0.01
 )
 
-// latency observes response times over one to two windows.
+// latency records the response times of one to two windows.
 type latency struct {
 	window   time.Duration
 	start    time.Time
@@ -35,7 +35,7 @@
 	meanResponseTime time.Duration
 }
 
-// The quantiles that are kept at hand.
+// The quantiles that are cached, as indexes of quantiles and cachedQuantiles.
 const (
 	q50 = iota
 	q90
@@ -95,7 +95,7 @@
 	}
 }
 
-// quantile returns one of the kept quantiles, 0 when nothing was observed.
+// quantile returns one of the cached quantiles, or 0 if there are no response times.
 func (l *latency) quantile(now time.Time, i int) time.Duration {
 	l.rotate(now)
 	if l.count == 0 {
@@ -108,7 +108,7 @@
 	l.meanInFlightTime = average(l.meanInFlightTime, d, inFlightTimeWeight)
 }
 
-// average moves an average towards a new value; the first one sets it.
+// average returns a moving average after a new value. The first value sets it.
 func average(old, d time.Duration, weight float64) time.Duration {
 	if old == 0 {
 		return d
--- a/route/main_test.go
+++ b/route/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that a verdict repeats. Other
-// seeds: go test ./route -rapid.seed=N.
+// TestMain sets a fixed seed for the property tests, so that their results are reproducible. To use
+// another seed, run go test ./route -rapid.seed=N.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := map[string]bool{}
--- a/route/pick.go
+++ b/route/pick.go
@@ -3,21 +3,21 @@
 import "time"
 
 const (
-	// extraChoices is how many further targets are looked at when all choices are
-	// believed full.
+	// extraChoices is the number of further targets that are sampled if all choices seem full.
 	extraChoices = 8
-	// maxRedraws bounds the draws for one choice; tried targets are drawn again.
+	// maxRedraws limits the random draws for one choice. A target that was already tried is drawn
+	// again.
 	maxRedraws = 6
-	// fullPenalty is more than the score of a target with a free slot.
+	// fullPenalty is more than the score of any target with a free slot.
 	fullPenalty = 1000
-	// slowStartFloor is the share of its slots that a new target begins with.
+	// slowStartFloor is the fraction of its slots with which a new target starts.
 	slowStartFloor = 0.1
 )
 
-// Pick chooses a target for the next attempt of an admitted request: the least
-// loaded of a few random ones, after the power of two choices (Mitzenmacher, 2001).
-// It refuses a second attempt that could run a non-idempotent request twice, and an
-// attempt beside an open one that the hedge budget does not allow.
+// Pick chooses a target for the next attempt of an admitted request: the least loaded of a few
+// random ones, according to the power of two choices (Mitzenmacher, 2001). It refuses a second
+// attempt that could run a non-idempotent request twice, and a hedge that the hedge budget does not
+// allow.
 func (r *Router) Pick(now time.Time, req *Request) (Choice, bool) {
 	s := r.service(req.Service)
 	if s == nil {
@@ -29,9 +29,8 @@
 }
 
 func (s *service) pick(now time.Time, req *Request) (Choice, bool) {
-	// A second dispatch of a request that may have run could run it twice. This is
-	// checked here, and not only by Retry, so that no mistake of a driver can
-	// cause it.
+	// A second dispatch of a request that may have run could run it twice. Pick checks this itself,
+	// in addition to Retry, so that no error in a driver can cause it.
 	if !req.Idempotent && req.possiblyRun > 0 {
 		return Choice{Reason: "not idempotent and may have run"}, false
 	}
@@ -65,20 +64,20 @@
 	}
 	t, reason := s.chooseByTier(now, req)
 	if t == nil {
-		t, reason = s.scan(now, req, false), "last untried"
+		t, reason = s.scan(now, req, false), "last untried target"
 	}
 	if t == nil && !hedge {
-		t, reason = s.scan(now, req, true), "all were tried"
+		t, reason = s.scan(now, req, true), "all targets were tried"
 	}
 	if t == nil {
-		reason = "all were tried"
+		reason = "all targets were tried"
 	}
 	c.Reason = reason
 	return t, c
 }
 
-// chooseByTier draws from the own availability zone until that is loaded, then
-// from the region, and from other regions only when this one has no target.
+// chooseByTier samples targets of the entry's own availability zone while the load of that zone is
+// low enough, otherwise of the region. It samples other regions only if this one has no target.
 func (s *service) chooseByTier(now time.Time, req *Request) (*target, string) {
 	zone := &s.tiers[tierZone]
 	if len(zone.targets) > 0 && zone.utilization() < s.cfg.LocalLoad {
@@ -93,12 +92,12 @@
 	return s.sample(now, req, s.tiers[tierRemote].targets, nil), "other region"
 }
 
-// sample takes the least loaded of some random targets of a and b together, and
-// looks at a few more when it seems full.
+// sample returns the least loaded of some random targets from a and b together. If it seems full,
+// sample considers a few more targets.
 func (s *service) sample(now time.Time, req *Request, a, b []*target) *target {
 	var best *target
 	bestScore := 0.0
-	looked := 0
+	sampled := 0
 	for range s.cfg.Choices + extraChoices {
 		t := s.sampleOne(req, best, a, b)
 		if t == nil {
@@ -108,17 +107,19 @@
 		if sc := t.score(now); best == nil || sc < bestScore {
 			best, bestScore = t, sc
 		}
-		looked++
-		if looked >= s.cfg.Choices && !best.full() {
+		sampled++
+		if sampled >= s.cfg.Choices && !best.full() {
 			return best
 		}
 	}
 	return best
 }
 
-func (s *service) sampleOne(req *Request, not *target, a, b []*target) *target {
+// sampleOne returns a random target from a and b together that is neither exclude nor already tried,
+// or nil if it finds none within maxRedraws draws.
+func (s *service) sampleOne(req *Request, exclude *target, a, b []*target) *target {
 	n := len(a) + len(b)
-	if n == 0 || (n == 1 && not != nil) {
+	if n == 0 || (n == 1 && exclude != nil) {
 		return nil
 	}
 	for range maxRedraws {
@@ -129,19 +130,20 @@
 		} else {
 			t = b[i-len(a)]
 		}
-		if t != not && !req.wasTried(t.ID) && !req.hasOpenAttempt(t) {
+		if t != exclude && !req.wasTried(t.ID) && !req.hasOpenAttempt(t) {
 			return t
 		}
 	}
 	return nil
 }
 
-// scan looks at all targets, nearest tier first, for the least loaded one.
-func (s *service) scan(now time.Time, req *Request, again bool) *target {
+// scan returns the least loaded target of the nearest tier that has one without an open attempt of
+// the request. Targets that were already tried are considered only if includeTried is set.
+func (s *service) scan(now time.Time, req *Request, includeTried bool) *target {
 	for i := range s.tiers {
 		var best *target
 		for _, t := range s.tiers[i].targets {
-			if req.hasOpenAttempt(t) || (!again && req.wasTried(t.ID)) {
+			if req.hasOpenAttempt(t) || (!includeTried && req.wasTried(t.ID)) {
 				continue
 			}
 			if best == nil || t.score(now) < best.score(now) {
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// score is the load per slot that the target would have with one request more,
-// weighted by how slow it is. A full target comes after any other, however slow.
+// score returns the load per slot that the target would have with one more request, weighted by its
+// slowness. A full target scores worse than any other, however slow.
 func (t *target) score(now time.Time) float64 {
 	sc := (t.load() + 1) / (float64(t.Slots) * t.slowStartShare(now)) * t.slowness()
 	if t.full() {
@@ -165,9 +167,9 @@
 	return sc
 }
 
-// slowStartShare is the share of its slots that a new target counts with. Without a slow
-// start all entries send their next requests to the one idle target at once,
-// while its caches are cold.
+// slowStartShare returns the fraction of its slots that counts for a new target. Without a slow
+// start, all entries would send their next requests to the one idle target at once, while its
+// caches are cold.
 func (t *target) slowStartShare(now time.Time) float64 {
 	age := now.Sub(t.addedAt)
 	if age >= t.svc.cfg.SlowStart {
--- a/route/protection_test.go
+++ b/route/protection_test.go
@@ -8,9 +8,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: a fault of a dependency takes away a third of the targets as well.
-// Sequence: every target fails most requests. Cause: targets ejected for failing
-// in a row, without a look at the others.
+// Guards against the loss of a third of the targets during a fault of a dependency. Every target
+// fails most requests. The fault is to eject targets for consecutive failures without comparing
+// them with the others.
 func TestSharedFaultIsNoReasonToEject(t *testing.T) {
 	r := testRouter(20, Config{})
 	for i := range 2000 {
@@ -18,12 +18,13 @@
 		attempt(r, now, testRequest("c", true, now, time.Hour), failed, noReason, time.Millisecond)
 	}
 	if n := len(r.service("s").ejected); n > 1 {
-		t.Errorf("%d of 20 targets ejected while all fail alike", n)
+		t.Errorf("%d of 20 targets ejected while all fail equally often", n)
 	}
 }
 
-// Symptom: one request goes round the targets without end. Sequence: every attempt
-// fails, or every one is refused for lack of slots. Cause: attempts that nothing counts.
+// Guards against a request that is sent to one target after another without end. Every attempt
+// fails, or every one is refused for lack of slots. The fault is that such attempts are not
+// counted.
 func TestAttemptsPerRequestAreBounded(t *testing.T) {
 	for _, c := range []struct {
 		outcome apiv1.Outcome
@@ -38,7 +39,7 @@
 		for {
 			id, ok := attempt(r, start, req, c.outcome, c.reason, time.Millisecond)
 			if !ok || seen[id] {
-				t.Fatalf("%s: attempt %d went to %q, tried are %v", c.reason, attempts+1, id, req.Tried)
+				t.Fatalf("%s: attempt %d was sent to %q, already tried: %v", c.reason, attempts+1, id, req.Tried)
 			}
 			seen[id] = true
 			attempts++
@@ -52,8 +53,8 @@
 	}
 }
 
-// Symptom: entries and agents are busy with refusals. Sequence: no target has a
-// free slot for long. Cause: redirects that no success pays for.
+// Guards against entries and agents that are kept busy by refusals. No target has a free slot for a
+// long time. The fault is to allow redirects without successes that pay for them.
 func TestRedirectsStayWithinTheBudget(t *testing.T) {
 	r := testRouter(30, Config{})
 	redirects := 0
@@ -67,13 +68,13 @@
 		}
 	}
 	if redirects != 100 {
-		t.Errorf("%d redirects without a success, 100 were saved up", redirects)
+		t.Errorf("%d redirects without a success, the budget had 100", redirects)
 	}
 }
 
-// Symptom: requests wait for hosts that are gone. Sequence: half of all agents
-// can't be reached, and each ejection's time is up. Cause: as many probes as there
-// are ejected targets.
+// Guards against requests that wait for lost hosts. Half of all agents are unreachable, and the
+// ejection time of each has elapsed. The fault is to send as many probes as there are ejected
+// targets.
 func TestProbesStayWithinTheBudget(t *testing.T) {
 	r := testRouter(40, Config{})
 	s := r.service("s")
@@ -95,9 +96,8 @@
 	}
 }
 
-// Symptom: a target that was once reported full never gets work again. Sequence: its
-// last answer reports all slots taken, and it gets no more requests. Cause: the report
-// is only renewed by answers.
+// Guards against a target that never gets requests again after it was reported full once. Its last
+// answer reports that all slots are in use, and only answers update the report.
 func TestStaleLoadReportsExpire(t *testing.T) {
 	r := testRouter(1, Config{})
 	req := testRequest("c", true, start, time.Hour)
@@ -109,13 +109,13 @@
 		s := r.service("s")
 		s.targets[testTarget(0).ID].setOtherInFlight(start, 8)
 		if c, _ := r.Pick(now, testRequest("c", true, now, time.Hour)); c.Load != want {
-			t.Errorf("%v after the report the load is taken for %v, want %v", after, c.Load, want)
+			t.Errorf("%v after the report, the estimated load is %v, want %v", after, c.Load, want)
 		}
 	}
 }
 
-// Symptom: a bid is recorded twice. Sequence: it takes longer than most. Cause: a
-// hedge of a request that is not idempotent.
+// Guards against a bid that is recorded twice. The request takes longer than most. The fault is to
+// hedge a request that is not idempotent.
 func TestOnlyIdempotentRequestsAreHedged(t *testing.T) {
 	r := testRouter(5, Config{})
 	for range 100 {
@@ -128,41 +128,40 @@
 	}
 }
 
-// Symptom: every dispatch to a host that restarted is refused. Sequence: the host's
-// clock was set back before the restart, so its agent's incarnation is a lower number.
-// Cause: the router judged by the number which announcement is the newer. That is the
-// directory's to say, and the router takes what it is told last.
+// Guards against the refusal of every dispatch to a host that restarted. The clock of the host was
+// set back before the restart, so the new incarnation of its agent has a lower number. The fault
+// was that the router considered the higher number to be newer. The directory decides which
+// announcement is newer, and the router uses the one that it received last.
 func TestLatestUpsertReplacesIncarnation(t *testing.T) {
 	r := testRouter(1, Config{})
 	for _, incarnation := range []uint64{3, 2, 5} {
-		told := testTarget(0)
-		told.AgentIncarnation, told.Address = incarnation, fmt.Sprint("127.0.0.1:", incarnation)
-		r.Upsert(start, told)
-		if c, _ := r.Pick(start, testRequest("c", true, start, time.Hour)); c.Target != told {
+		latest := testTarget(0)
+		latest.AgentIncarnation, latest.Address = incarnation, fmt.Sprint("127.0.0.1:", incarnation)
+		r.Upsert(start, latest)
+		if c, _ := r.Pick(start, testRequest("c", true, start, time.Hour)); c.Target != latest {
 			t.Errorf("picked %+v", c.Target)
 		}
 	}
 }
 
-// Symptom: a service refuses requests although none is in flight. Sequence: a driver
-// admits one request twice and releases it once. Cause: it counts twice against the
-// limit, for good.
+// Guards against a service that refuses requests although none is in flight. A driver admits one
+// request twice and releases it once, so it would stay counted against the limit forever.
 func TestSecondAdmitPanics(t *testing.T) {
 	r := testRouter(1, Config{})
 	req := testRequest("c", true, start, time.Hour)
 	r.Admit(start, req)
 	defer func() {
 		if recover() == nil {
-			t.Error("admitted a second time")
+			t.Error("the request was admitted a second time")
 		}
 	}()
 	r.Admit(start, req)
 }
 
-// Symptom: callers are refused while a host with room is up. Sequence: three of
-// four hosts are lost at once; more than half may not be ejected, so requests go on
-// meeting a lost one first. Cause: the attempts after those came from the retry
-// budget, which few successes could not fill.
+// Guards against the refusal of callers while a host with free capacity is up. Three of four hosts
+// are lost at once. No more than half of them may be ejected, so the first attempts of requests
+// still reach lost hosts. The fault was that the following attempts used the retry budget, which
+// the few successes could not refill.
 func TestRequestsReachTheLastReachableHost(t *testing.T) {
 	r := testRouter(4, Config{})
 	now := start
--- a/route/queue.go
+++ b/route/queue.go
@@ -5,30 +5,31 @@
 	"time"
 )
 
-// queue holds the requests of a service that wait for the concurrency limit.
-// Urgent requests go before batch ones, which keep a floor. Within a class,
-// callers share starts by start-time fair queueing (Goyal, Vin and Cheng, 1996),
-// and a caller's own requests go by shortest slack: all of a service's requests
-// are expected to take equally long, so slack orders like the deadline.
+// queue contains the requests of a service that wait for the concurrency limit. Urgent requests
+// start before batch requests, which get a minimum fraction of the starts. Within a priority class,
+// callers share starts by start-time fair queueing (Goyal, Vin and Cheng, 1996). The requests of
+// one caller are ordered by least slack: all requests of a service are expected to take equally
+// long, so the order by slack is the order by deadline.
 type queue struct {
 	urgent        priorityClass
 	batch         priorityClass
 	batchMinShare float64
-	// batchCredit is what batch has been owed by the floor so far.
+	// batchCredit accumulates batchMinShare for each start while both classes wait. At 1, the next
+	// start is a batch request.
 	batchCredit float64
 }
 
 type priorityClass struct {
 	flows  itemHeap[*flow]
 	byName map[string]*flow
-	// virtualTime is the tag that a caller joins with. It rises with each start by as
-	// much as an even share is, so that neither new callers nor one that sends a
-	// request at a time pass those that wait for theirs.
+	// virtualTime is the start tag of a caller that joins. Each start advances it by an even share
+	// of one start, so that neither new callers nor a caller that sends one request at a time
+	// overtake the callers that wait for their share.
 	virtualTime float64
 	length      int
 }
 
-// flow is what one caller has waiting.
+// flow contains the waiting requests of one caller.
 type flow struct {
 	caller   string
 	startTag float64
@@ -57,7 +58,7 @@
 
 func (q *queue) remove(req *Request) { q.classOf(req).remove(req) }
 
-// pop takes the next request; nil when the queue is empty.
+// pop removes and returns the next request, or nil if the queue is empty.
 func (q *queue) pop() *Request {
 	if q.batch.length == 0 || q.urgent.length == 0 {
 		if q.urgent.length > 0 {
@@ -73,7 +74,7 @@
 	return q.urgent.pop()
 }
 
-// ahead estimates how many requests would start before req if it joined now.
+// ahead returns an estimate of how many requests would start before req if it joined now.
 func (q *queue) ahead(req *Request) float64 {
 	c := q.classOf(req)
 	n := c.ahead(req)
@@ -129,8 +130,9 @@
 	delete(c.byName, f.caller)
 }
 
-// ahead counts the caller's requests with less slack and as many of each other
-// caller as fair queueing lets go first, those that are still to come included.
+// ahead counts the caller's own requests with less slack, and for each of them and for req itself
+// one request of every other caller that waits, as fair queueing starts them first. This includes
+// requests that those callers have not sent yet.
 func (c *priorityClass) ahead(req *Request) float64 {
 	own := 0
 	others := len(c.flows)
@@ -145,7 +147,7 @@
 	return float64(own + (own+1)*others)
 }
 
-// withDeadlineBefore returns the requests that must start by the given time and have not.
+// withDeadlineBefore returns the waiting requests whose deadline is before the given time.
 func (q *queue) withDeadlineBefore(deadline time.Time) []*Request {
 	var late []*Request
 	for _, c := range []*priorityClass{&q.urgent, &q.batch} {
@@ -160,7 +162,7 @@
 	return late
 }
 
-// before orders callers by tag, then by the shortest slack of their requests.
+// before orders callers by start tag, then by the least slack of their requests.
 func (f *flow) before(other *flow) bool {
 	if f.startTag != other.startTag {
 		return f.startTag < other.startTag
@@ -170,8 +172,8 @@
 
 func (f *flow) heapIndex() *int { return &f.index }
 
-// before orders one caller's requests by slack. It breaks ties by id, so that a run does not
-// depend on the heap's layout.
+// before orders the requests of one caller by slack. It breaks ties by id, so that runs do not
+// depend on the layout of the heap.
 func (r *Request) before(other *Request) bool {
 	if !r.Deadline.Equal(other.Deadline) {
 		return r.Deadline.Before(other.Deadline)
--- a/route/request.go
+++ b/route/request.go
@@ -7,36 +7,36 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Request is one caller's request on its way through the router. The driver
-// fills in the exported fields; the router keeps its own state in the others,
-// under the service's lock. A Request is used once and not copied.
+// Request is the state of one caller's request. The driver sets the exported fields. The router
+// keeps its own state in the other fields, protected by the service's mutex. A Request must not be
+// reused or copied.
 type Request struct {
 	ID      string
 	Service string
 	Caller  string
-	// Idempotent says that running the request twice does no harm.
+	// Idempotent is set if it is safe to run the request twice.
 	Idempotent bool
 	Deadline   time.Time
 	Priority   apiv1.Priority
-	// Tried holds the ids of the targets that have had an attempt and Attempt
-	// counts the dispatches so far. Sent maintains both.
+	// Tried contains the ids of the targets that have had an attempt. Attempt counts the dispatches
+	// so far. RecordSent maintains both.
 	Tried   []string
 	Attempt uint32
-	// Woken gets the final admission of a queued request from Deliver. It needs
-	// a buffer of one; nil when the driver reads the wakes itself.
+	// Woken receives the final admission of a queued request from Deliver. It needs a buffer of
+	// one. It is nil if the driver reads the wakes itself.
 	Woken chan Admission
 
 	state      requestState
 	admittedAt time.Time
-	// openAttempts holds the targets of attempts without an outcome.
+	// openAttempts contains the targets of the attempts that have no outcome yet.
 	openAttempts []*target
-	// possiblyRun counts attempts that were sent and not proven to be not run.
+	// possiblyRun counts the attempts that were sent and are not confirmed to be not run.
 	possiblyRun int
 
-	// redirects counts the attempts that followed an agent's refusal.
+	// redirects counts the attempts that followed a refusal without work.
 	redirects uint32
 
-	// Position in the queue.
+	// flow and queueIndex are the request's position in the queue.
 	flow       *flow
 	queueIndex int
 }
@@ -62,7 +62,8 @@
 	return slices.Contains(q.Tried, id)
 }
 
-// closeAttempt takes the attempt at a target out of the open ones; nil when there is none.
+// closeAttempt removes the open attempt at a target and returns the target, or nil if there is no
+// such attempt.
 func (q *Request) closeAttempt(id string) *target {
 	for i, t := range q.openAttempts {
 		if t.ID == id {
--- a/route/retry.go
+++ b/route/retry.go
@@ -7,17 +7,16 @@
 )
 
 const (
-	// immediateRedirects is the number of redirects without a delay: another target is
-	// likely to have room.
+	// immediateRedirects is the number of redirects without a delay: another target probably has
+	// free capacity.
 	immediateRedirects = 4
-	// maxBackoffDoublings bounds the doublings of the delay.
+	// maxBackoffDoublings limits how often the delay doubles.
 	maxBackoffDoublings = 4
 )
 
-// Retry decides whether a request goes on after an attempt ended without an
-// answer. The driver calls it once per ended attempt, and not while another
-// attempt of the request is open. A granted retry has taken its token from the
-// budget.
+// Retry decides whether to make another attempt of a request after one ended without an answer. The
+// driver calls it once for each ended attempt, and not while another attempt of the request is
+// open. If Retry allows an attempt, it has taken the token from the budget.
 func (r *Router) Retry(now time.Time, req *Request, outcome apiv1.Outcome, reason apiv1.Reason) RetryDecision {
 	s := r.service(req.Service)
 	if s == nil {
@@ -31,15 +30,15 @@
 func (s *service) retry(now time.Time, req *Request, outcome apiv1.Outcome, reason apiv1.Reason) RetryDecision {
 	switch {
 	case outcome == apiv1.Outcome_OUTCOME_ANSWERED:
-		return RetryDecision{Text: "was answered"}
+		return RetryDecision{Text: "already answered"}
 	case !req.Idempotent && (req.possiblyRun > 0 || !confirmedNotRun(outcome, reason)):
 		return RetryDecision{Text: "not idempotent and may have run"}
 	case !retryable(reason):
-		return RetryDecision{Text: "no target would do better"}
+		return RetryDecision{Text: "not retryable"}
 	case refusedWithoutWork(outcome, reason):
 		return s.redirect(now, req)
 	case req.Attempt-req.redirects >= s.cfg.MaxAttempts:
-		return RetryDecision{Text: "out of attempts"}
+		return RetryDecision{Text: "attempt limit is reached"}
 	}
 	delay := s.backoff(int(req.Attempt - req.redirects))
 	if req.remaining(now) < delay+s.requiredTime(now) {
@@ -53,12 +52,12 @@
 	return RetryDecision{Allowed: true, Delay: delay, Text: "within the retry budget"}
 }
 
-// redirect decides about another target after a refusal that cost no work. These
-// attempts have a budget of their own: under the retry budget a moment of full
-// slots would use up what failures need, and the other way round.
+// redirect decides whether to try another target after a refusal that cost no work. Redirects have
+// a budget of their own: with the retry budget, a short period of full slots would use up the
+// tokens that are needed for failures, and failures would use up those for redirects.
 func (s *service) redirect(now time.Time, req *Request) RetryDecision {
 	if req.redirects >= s.cfg.MaxRedirects {
-		return RetryDecision{Text: "refused by too many targets"}
+		return RetryDecision{Text: "redirect limit is reached"}
 	}
 	delay := s.redirectDelay(req)
 	if req.remaining(now) < delay+s.requiredTime(now) {
@@ -73,9 +72,9 @@
 	return RetryDecision{Allowed: true, Delay: delay, Text: "refused without work"}
 }
 
-// redirectDelay does not grow: slots come free all the time, and a growing delay
-// had requests wait long after there was one, or run out of attempts with most of
-// their time left.
+// redirectDelay returns the delay before a redirect. It does not grow, because slots become free
+// continuously: with a growing delay, requests waited long after a slot was free, or ran out of
+// attempts with most of their time left.
 func (s *service) redirectDelay(req *Request) time.Duration {
 	if req.redirects < immediateRedirects {
 		return 0
@@ -83,10 +82,10 @@
 	return s.backoff(1)
 }
 
-// refusedWithoutWork: no target did anything for the attempt, because of the
-// target's state and not of the request. That its agent could not be reached is
-// one such state: under the retry budget the callers of a small service were
-// refused while one of its few hosts was down and another had room.
+// refusedWithoutWork reports whether no target did any work for the attempt because of the target's
+// state, and not because of the request. An unreachable agent is such a state: when these attempts
+// used the retry budget, the callers of a small service were refused while one of its few hosts was
+// down and another had free capacity.
 func refusedWithoutWork(o apiv1.Outcome, reason apiv1.Reason) bool {
 	if o != apiv1.Outcome_OUTCOME_NOT_RUN {
 		return false
@@ -95,8 +94,8 @@
 	return v == outcomeSlotsFull || v == outcomeLeaving || v == outcomeUnreachable
 }
 
-// retryable names the reasons that another target, or the same one later, may
-// not have.
+// retryable reports whether an attempt at another target, or later at the same one, may end without
+// this reason.
 func retryable(reason apiv1.Reason) bool {
 	switch reason {
 	case apiv1.Reason_REASON_DEADLINE,
@@ -113,9 +112,9 @@
 	return true
 }
 
-// backoff is the delay before the n-th attempt that has one: half the median
-// response time, doubled with each and spread evenly over its upper half so that
-// attempts do not come in step.
+// backoff returns the delay before the n-th delayed attempt: half the median response time, doubled
+// with each attempt. The delay is drawn uniformly from its upper half, so that attempts are not
+// synchronized.
 func (s *service) backoff(n int) time.Duration {
 	d := (s.latency.cachedQuantiles[q50] / 2) << min(max(0, n-1), maxBackoffDoublings)
 	if n <= 0 || d <= 0 {
--- a/route/retryafter.go
+++ b/route/retryafter.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// defaultRetryAfter is the Retry-After while no rate was observed yet.
+// defaultRetryAfter is the Retry-After while no rate of starts has been observed.
 const defaultRetryAfter = 100 * time.Millisecond
 
-// RetryAfter returns how long a caller whose request was given up is to wait
-// before it retries, from the service's queue and the rate at which it works it
-// off.
+// RetryAfter returns how long a caller whose request was abandoned should wait before it retries.
+// It follows from the length of the service's queue and the rate at which the service starts queued
+// requests.
 func (r *Router) RetryAfter(now time.Time, service string) time.Duration {
 	s := r.service(service)
 	if s == nil {
@@ -18,10 +18,9 @@
 	return s.retryAfter(now, s.predictWait(float64(s.queue.len())))
 }
 
-// retryAfter returns how long the caller of a refused request that lacks some
-// time is to wait. The retries are spread, one per start that the service makes:
-// with the same Retry-After for all, the callers refused in one burst would come
-// back as the next one.
+// retryAfter returns how long the caller of a refused request should wait, where lack is the time
+// that the request was short of. It spreads the retries, one per start that the service makes: with
+// the same Retry-After for all, the callers refused in one burst would return as the next burst.
 func (s *service) retryAfter(now time.Time, lack time.Duration) time.Duration {
 	step := s.predictWait(1)
 	if step == 0 {
@@ -41,8 +40,8 @@
 	return at.Sub(now)
 }
 
-// noTargetRetryAfter is the Retry-After of a service without targets: as long
-// again as it has been without.
+// noTargetRetryAfter returns the Retry-After of a service without targets: as long as it has had
+// none so far, between defaultRetryAfter and RetryAfterMax.
 func (s *service) noTargetRetryAfter(now time.Time) time.Duration {
 	if s.emptySince.IsZero() {
 		s.emptySince = now
--- a/route/route_test.go
+++ b/route/route_test.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// attempt makes one attempt with a given outcome, which comes twice; false when no
-// target was given.
+// attempt makes one attempt with the given outcome and reports the outcome twice. It returns false
+// if Pick chose no target.
 func attempt(r *Router, now time.Time, req *Request, o apiv1.Outcome, reason apiv1.Reason, took time.Duration) (string, bool) {
 	c, ok := r.Pick(now, req)
 	if !ok {
@@ -75,9 +75,9 @@
 	}
 }
 
-// Symptom: a stallholder is charged twice. Sequence: the first attempt's answer is
-// lost, and the driver picks again without asking Retry. Cause: no check between
-// a lost answer and the next dispatch. Pick must refuse by itself.
+// Guards against a stallholder who is charged twice. The answer to the first attempt is lost, and
+// the driver calls Pick again without calling Retry. Without a check between a lost answer and the
+// next dispatch, the request could run twice, so Pick must refuse the attempt itself.
 func TestNonIdempotentIsNotPickedTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := testRouter(6, Config{})
@@ -110,9 +110,9 @@
 	})
 }
 
-// Symptom: a service with running targets answers "no target". Sequence: targets
-// fail, vanish, leave and come back in any order. Cause: ejections that take the
-// last ones out, or sums and lists that drift from the targets they stand for.
+// Guards against a service that has running targets and is answered with "no target". Targets fail,
+// disappear, leave and return in any order. The faults are ejections of the last targets, and sums
+// and lists that no longer agree with the targets.
 func TestTargetsStayConsistent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(t, "targets")
@@ -138,7 +138,7 @@
 				before := s.eligible()
 				_, ok := attempt(r, now, req, o, reason, time.Millisecond)
 				if !ok && before > 0 {
-					t.Fatalf("no target was given, %d are eligible", before)
+					t.Fatalf("Pick chose no target, %d are eligible", before)
 				}
 			}
 			checkTargets(t, s)
@@ -151,7 +151,7 @@
 	var slots, load [tierCount]float64
 	for _, x := range s.targets {
 		if x.ownInFlight != 0 {
-			t.Fatalf("%d in flight at %s when every attempt has ended", x.ownInFlight, x.ID)
+			t.Fatalf("%d in flight at %s after every attempt ended", x.ownInFlight, x.ID)
 		}
 		if x.Leaving {
 			continue
@@ -177,15 +177,15 @@
 	}
 }
 
-// Symptom: a target that fails everything keeps getting requests, or one that
-// recovered gets none. Sequence: it fails, is ejected, fails a probe, then works.
-// Cause: no ejection, probes in a crowd, or an ejection that never ends.
+// Guards against a target that keeps getting requests although it fails all of them, and against
+// one that gets none after it recovered. The target fails, is ejected and then answers its probe.
+// The faults are a missing ejection, many probes at the same time, and an ejection that never ends.
 func TestEjectionAndProbe(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		outcome apiv1.Outcome
 		reason  apiv1.Reason
-		after   int // failures until it is out; 0 is never
+		after   int // failures until the target is ejected; 0 means never
 	}{
 		{"failures", failed, noReason, 5},
 		{"unreachable", unknown, unreachable, 1},
@@ -211,7 +211,7 @@
 			}
 			if c.after == 0 {
 				if out != 0 || failures == 0 {
-					t.Fatalf("%d ejected after %d outcomes that are no failures", out, failures)
+					t.Fatalf("%d ejected after %d outcomes that are not failures", out, failures)
 				}
 				return
 			}
@@ -229,7 +229,7 @@
 				}
 			}
 			if probes != 1 {
-				t.Fatalf("%d probes at a time", probes)
+				t.Fatalf("%d probes at the same time, want 1", probes)
 			}
 			r.RecordSent(now, probe, bad)
 			r.RecordOutcome(now, AttemptResult{Request: probe, Target: bad, Outcome: answered, Latency: time.Millisecond})
@@ -240,14 +240,14 @@
 	}
 }
 
-// Symptom: an attempt more than is safe, or none where one would do. Sequence: one
-// attempt ends with each outcome and reason. Cause: a wrong line in the rules of which
-// attempt may follow which outcome.
+// Guards against an unsafe further attempt, and against the lack of a safe one. One attempt ends
+// with each outcome and reason. The fault is an error in the rules for the attempts that may follow
+// an outcome.
 func TestRetryRules(t *testing.T) {
 	for _, c := range []struct {
 		outcome         apiv1.Outcome
 		reason          apiv1.Reason
-		idempotent, not bool // allowed when idempotent, when not
+		idempotent, not bool // whether a retry is allowed if idempotent, and if not
 	}{
 		{answered, noReason, false, false},
 		{failed, noReason, true, false},
@@ -283,9 +283,9 @@
 	}
 }
 
-// Symptom: a service that comes back from a fault is held down by retries and
-// hedges. Sequence: everything fails for a while. Cause: attempts beside the
-// first ones that no success has paid for.
+// Guards against a service that can't recover from a fault because of retries and hedges.
+// Everything fails for some time. The fault is to allow extra attempts without successes that pay
+// for them.
 func TestExtraAttemptsStayWithinTheBudget(t *testing.T) {
 	r := testRouter(20, Config{})
 	now := start
@@ -313,6 +313,6 @@
 		r.Release(now, req, failed)
 	}
 	if hedges > 10 || retries > 20 || hedges == 0 || retries == 0 {
-		t.Errorf("%d hedges and %d retries while nothing succeeds, at most 10 and 20 were saved up", hedges, retries)
+		t.Errorf("%d hedges and %d retries while nothing succeeds, the budgets had at most 10 and 20", hedges, retries)
 	}
 }
--- a/route/router.go
+++ b/route/router.go
@@ -1,20 +1,19 @@
-// Package route decides, for each request, whether it is admitted, which target
-// gets it, whether it is tried again and when it is hedged.
+// Package route decides, for each request, whether it is admitted, which target it is sent to,
+// whether it is retried and when it is hedged.
 //
-// It does no I/O: the time comes in with each call and randomness comes from a
-// seed. A Router may be called from many goroutines; each service has a mutex
-// of its own, held for well under a microsecond per decision, and the map of
-// services is read without a lock.
+// It does no I/O: the caller passes the current time to each call, and random choices come from a
+// seed. A Router may be called from many goroutines. Each service has a mutex of its own, which is
+// locked for well under a microsecond per decision, and the map of services is read without a lock.
 //
-// The life of a request, as its driver sees it:
+// The driver of a request makes these calls:
 //
-//	a := r.Admit(now, req)             refused, queued or admitted
-//	(queued: wait for req.Woken or a.LatestStart, then call Abandon)
-//	c, ok := r.Pick(now, req)          choose a target
-//	r.Sent(now, req, c.Target.ID)      the attempt is on its way
-//	r.Settled(now, Result{...})        the attempt has an outcome
-//	d := r.Retry(now, req, ...)        again from Pick, if allowed
-//	Deliver(r.Release(now, req, out))  once, when the request is over
+//	a := r.Admit(now, req)                   refused, queued or admitted
+//	(queued: wait for req.Woken until a.LatestStart, then call Abandon)
+//	c, ok := r.Pick(now, req)                choose a target
+//	r.RecordSent(now, req, c.Target.ID)      before the attempt is sent
+//	r.RecordOutcome(now, AttemptResult{...}) when the attempt has an outcome
+//	d := r.Retry(now, req, ...)              if allowed, repeat from Pick
+//	Deliver(r.Release(now, req, outcome))    once, when the request is finished
 package route
 
 import (
@@ -26,14 +25,14 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Router holds what one entry knows about services and their targets.
+// Router holds the state of all services and their targets at one entry.
 type Router struct {
 	cfg Config
 
-	// mu guards changes of the map, of owners and of the entry names.
+	// mu protects changes of the map of services, of serviceByTarget and of the entry names.
 	mu       sync.Mutex
 	services atomic.Pointer[map[string]*service]
-	// serviceByTarget maps a target id to the service that it serves.
+	// serviceByTarget maps the id of a target to its service.
 	serviceByTarget map[string]*service
 	self            string
 	entries         []string
@@ -46,12 +45,13 @@
 	return r
 }
 
-// service finds a service without taking the router's lock; nil when unknown.
+// service returns a service without locking the router's mutex, or nil if it is unknown.
 func (r *Router) service(name string) *service {
 	return (*r.services.Load())[name]
 }
 
-// ensureService returns the service, creating it undeclared. r.mu is held.
+// ensureService returns the service. If it does not exist, ensureService creates it without a
+// declaration. The caller must hold r.mu.
 func (r *Router) ensureService(name string) *service {
 	if s := r.service(name); s != nil {
 		return s
@@ -75,9 +75,9 @@
 	s.objective = time.Duration(decl.GetObjectiveMs()) * time.Millisecond
 }
 
-// RemoveService takes a declaration back. New requests are refused; those that
-// are queued are refused through the returned wakes. Targets stay known, so
-// that a service declared again has them at once.
+// RemoveService removes the declaration of a service. New requests are refused, and so are queued
+// ones, through the returned wakes. The targets stay known, so that they are available at once if
+// the service is declared again.
 func (r *Router) RemoveService(name string) []Wake {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -93,7 +93,8 @@
 	return wakes
 }
 
-// removeIfUnused drops a service that is neither declared nor served. Both locks are held.
+// removeIfUnused removes a service that has neither a declaration nor targets. The caller must hold
+// both locks.
 func (r *Router) removeIfUnused(s *service) {
 	if s.declared || len(s.targets) > 0 {
 		return
@@ -103,8 +104,8 @@
 	r.services.Store(&next)
 }
 
-// SetEntries tells the router its own name and those of all entries, itself
-// included. Without it the router keeps every target of every service.
+// SetEntries sets the name of this entry and the names of all entries, including this one. Until it
+// is called, the router keeps every target of every service.
 func (r *Router) SetEntries(self string, entries []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -117,9 +118,9 @@
 	}
 }
 
-// Tick refuses queued requests that can no longer finish in time and wakes
-// those that fit. Calling it a few times a second is enough: every Release does
-// the same for its service.
+// Tick refuses queued requests that can no longer finish in time and admits those for which there
+// is capacity. A few calls a second are enough, because every Release does the latter for its
+// service.
 func (r *Router) Tick(now time.Time) []Wake {
 	var wakes []Wake
 	for _, s := range *r.services.Load() {
--- a/route/service.go
+++ b/route/service.go
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// service is one service as seen from this entry.
+// service is the state of one service at this entry.
 type service struct {
 	cfg  Config
 	name string
@@ -16,15 +16,14 @@
 	mu       sync.Mutex
 	rng      *rand.Rand
 	declared bool
-	// objective is the response time that 99 of 100 requests should meet, 0 when
-	// there is none.
+	// objective is the response time that 99 of 100 requests should meet, or 0 if there is none.
 	objective time.Duration
 
 	targets map[string]*target
 	tiers   [tierCount]tier
 	byAgent map[string][]*target
-	// ejected holds the targets that get no work until their probe; probeCursor is
-	// where the last probe looked.
+	// ejected contains the targets that get no requests until their probe. probeCursor is the index
+	// at which the last search for a target to probe ended.
 	ejected     []*target
 	probeCursor int
 	subset      subset
@@ -32,9 +31,10 @@
 	limit    concurrencyLimit
 	inFlight int
 	queue    queue
-	// lastRetryAt is the latest time that a refused caller was told to retry at.
+	// lastRetryAt is the latest time to which the retry of a refused caller was scheduled.
 	lastRetryAt time.Time
-	// emptySince is when the last eligible target was lost.
+	// emptySince is when the service lost its last eligible target. It is zero while there are
+	// eligible targets.
 	emptySince time.Time
 
 	latency        latency
--- a/route/settle.go
+++ b/route/settle.go
@@ -6,20 +6,20 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// AttemptResult is what became of one attempt.
+// AttemptResult is the result of one attempt.
 type AttemptResult struct {
 	Request *Request
 	// Target is the id of the target that the attempt was sent to.
 	Target  string
 	Outcome apiv1.Outcome
 	Reason  apiv1.Reason
-	// Load rode on the answer; nil when there was none.
+	// Load is the load report in the answer, or nil if there was none.
 	Load *apiv1.Load
-	// Latency is the time from Sent to the outcome.
+	// Latency is the time from RecordSent to the outcome.
 	Latency time.Duration
 }
 
-// RecordSent notes that an attempt is on its way to a target, before it is sent.
+// RecordSent records an attempt at a target. The driver calls it before it sends the attempt.
 func (r *Router) RecordSent(now time.Time, req *Request, target string) {
 	s := r.service(req.Service)
 	if s == nil {
@@ -39,8 +39,7 @@
 	req.openAttempts = append(req.openAttempts, t)
 }
 
-// RecordOutcome takes in the outcome of an attempt. Only the first outcome of an
-// attempt counts.
+// RecordOutcome records the outcome of an attempt. Only the first outcome of an attempt counts.
 func (r *Router) RecordOutcome(now time.Time, res AttemptResult) {
 	s := r.service(res.Request.Service)
 	if s == nil {
@@ -60,13 +59,13 @@
 	s.applyResult(now, t, res)
 }
 
-// confirmedNotRun: a duplicate was not run itself, but the attempt that it
-// duplicates may have been.
+// confirmedNotRun reports whether an outcome confirms that the request was not run. A duplicate was
+// not run itself, but the attempt that it duplicates may have been.
 func confirmedNotRun(o apiv1.Outcome, reason apiv1.Reason) bool {
 	return o == apiv1.Outcome_OUTCOME_NOT_RUN && reason != apiv1.Reason_REASON_DUPLICATE
 }
 
-// applyResult draws the conclusions about the target, the limit and the budgets.
+// applyResult updates the health of the target, the concurrency limit and the budgets.
 func (s *service) applyResult(now time.Time, t *target, res AttemptResult) {
 	switch classify(res.Outcome, res.Reason) {
 	case outcomeSuccess:
@@ -98,8 +97,8 @@
 	}
 }
 
-// recordReachable notes that a target's agent answered, though it said nothing about
-// how well the target works.
+// recordReachable records that the target's agent is reachable, after an outcome that is neither a
+// success nor a failure of the target.
 func (s *service) recordReachable(now time.Time, t *target) {
 	t.health.probing = false
 	if t.health.ejected && t.health.unreachable {
@@ -107,6 +106,7 @@
 	}
 }
 
+// outcomeClass is what an outcome means for the health of its target.
 type outcomeClass uint8
 
 const (
@@ -119,8 +119,8 @@
 	outcomeUnreachable
 )
 
-// classify tells what an outcome says about the target: a lack of slots is a signal
-// of capacity and a leaving target works as it should, neither is a failure.
+// classify returns what an outcome means for the health of the target. A lack of slots is a signal
+// of capacity and a leaving target works as intended, so neither is a failure.
 func classify(o apiv1.Outcome, reason apiv1.Reason) outcomeClass {
 	switch reason {
 	case apiv1.Reason_REASON_SLOTS_FULL, apiv1.Reason_REASON_CONNECTIONS_FULL:
@@ -151,7 +151,7 @@
 	return outcomeFailure
 }
 
-// placeholderTarget stands in for a target that was removed between Pick and Sent.
+// placeholderTarget returns a substitute for a target that was removed between Pick and RecordSent.
 func (s *service) placeholderTarget(id string) *target {
 	return &target{Target: Target{ID: id, Slots: 1}, svc: s, tierIndex: -1}
 }
--- a/route/stats.go
+++ b/route/stats.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Counters count a service's decisions and outcomes since the start.
+// Counters count a service's decisions and outcomes since the router was created.
 type Counters struct {
 	Admitted, Queued, Refused                 uint64
 	Picks, Sent                               uint64
@@ -32,13 +32,13 @@
 // Stats is a service's state for the status page and the metrics.
 type Stats struct {
 	Service string
-	// Limit is the concurrency limit, InFlight the requests that count towards
-	// it, QueuedUrgent and QueuedBatch those that wait.
+	// Limit is the concurrency limit. InFlight is the number of requests that count towards it.
+	// QueuedUrgent and QueuedBatch are the numbers of waiting requests.
 	Limit                     float64
 	InFlight                  int
 	QueuedUrgent, QueuedBatch int
-	// Known counts all targets, Kept those in this entry's subset, Eligible those
-	// that get work and Ejected those that wait for a probe.
+	// Known counts all targets, InSubset those in this entry's subset, Eligible those that get
+	// requests and Ejected those that wait for a probe.
 	Known, InSubset, Eligible, Ejected int
 	Slots                              float64
 	P50, P95, P99                      time.Duration
@@ -46,7 +46,7 @@
 	Counters                           Counters
 }
 
-// Stats returns a service's state; false when the service is unknown.
+// Stats returns a service's state, or false if the service is unknown.
 func (r *Router) Stats(now time.Time, name string) (Stats, bool) {
 	s := r.service(name)
 	if s == nil {
--- a/route/subset.go
+++ b/route/subset.go
@@ -6,20 +6,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// subset bounds how many targets of a service this entry keeps when there are
-// many. Entries are ranked for each target by rendezvous hashing (Thaler and
-// Ravishankar, 1998), and the first cover entries keep it, so that each target
-// is kept by the same number of entries and none is forgotten. An entry that
-// comes or goes moves only its own share.
+// subset limits how many targets of a service this entry uses if there are many. For each target,
+// the entries are ranked by rendezvous hashing (Thaler and Ravishankar, 1998), and the first
+// entriesPerTarget of them use it. Thus, each target is used by the same number of entries and none
+// is left out. An entry that is added or removed moves only its own share of the targets.
 type subset struct {
 	self    string
 	entries []string
-	// entriesPerTarget is the number of entries that keep each target; 0 keeps all targets.
+	// entriesPerTarget is the number of entries that have each target in their subset. 0 means that
+	// every subset contains all targets.
 	entriesPerTarget int
 }
 
-// sharingEntries is the number of entries that share this entry's targets, 0 when it was
-// not told.
+// sharingEntries returns the number of entries that share each of this entry's targets, or 0 if the
+// entries are unknown.
 func (s *service) sharingEntries() int {
 	if s.subset.entriesPerTarget > 0 {
 		return s.subset.entriesPerTarget
@@ -34,25 +34,25 @@
 	s.limit.setBounds(s.slots(), s.sharingEntries())
 }
 
-// entriesPerTargetFor returns the cover for a number of targets. It is a power of two, so
-// that a growing service rarely changes it.
+// entriesPerTargetFor returns entriesPerTarget for a number of targets. It is a power of two, so
+// that it rarely changes while a service grows.
 func (s *service) entriesPerTargetFor(targets int) int {
 	entries := len(s.subset.entries)
 	if targets <= s.cfg.SubsetMin || entries <= s.cfg.SubsetCover {
 		return 0
 	}
-	need := max(s.cfg.SubsetCover, (s.cfg.SubsetMin*entries+targets-1)/targets)
-	cover := 1
-	for cover < need {
-		cover *= 2
+	required := max(s.cfg.SubsetCover, (s.cfg.SubsetMin*entries+targets-1)/targets)
+	n := 1
+	for n < required {
+		n *= 2
 	}
-	if cover >= entries {
+	if n >= entries {
 		return 0
 	}
-	return cover
+	return n
 }
 
-// updateSubset decides whether a target belongs to this entry's subset.
+// updateSubset determines whether a target belongs to this entry's subset.
 func (s *service) updateSubset(t *target) {
 	if s.entriesPerTargetFor(len(s.targets)) != s.subset.entriesPerTarget {
 		s.recomputeSubset()
@@ -61,7 +61,7 @@
 	t.inSubset = s.subset.contains(t.ID)
 }
 
-// recomputeSubset decides anew for all targets.
+// recomputeSubset determines for all targets whether they belong to the subset.
 func (s *service) recomputeSubset() {
 	s.subset.entriesPerTarget = s.entriesPerTargetFor(len(s.targets))
 	for _, id := range sortedKeys(s.targets) {
@@ -75,10 +75,10 @@
 	if u.entriesPerTarget == 0 || !slices.Contains(u.entries, u.self) {
 		return true
 	}
-	mine := rendezvous(u.self, id)
+	ownRank := rendezvous(u.self, id)
 	ahead := 0
 	for _, p := range u.entries {
-		if p != u.self && rendezvous(p, id) > mine {
+		if p != u.self && rendezvous(p, id) > ownRank {
 			ahead++
 		}
 	}
@@ -93,7 +93,8 @@
 	return d.Sum64()
 }
 
-// sortedKeys keeps the order of the tiers, and so a run, independent of map order.
+// sortedKeys returns the sorted keys of m. With them the order of the targets in the tiers, and
+// therefore a run, does not depend on the order of the map.
 func sortedKeys(m map[string]*target) []string {
 	keys := make([]string, 0, len(m))
 	for k := range m {
--- a/route/targets.go
+++ b/route/targets.go
@@ -7,7 +7,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Target is a back end instance as its agent announces it.
+// Target is one back end instance as announced by its agent.
 type Target struct {
 	ID      string
 	Service string
@@ -22,7 +22,7 @@
 	Leaving          bool
 }
 
-// The tiers of targets, nearest first.
+// The tiers of targets, from the nearest to the farthest.
 const (
 	tierZone = iota
 	tierRegion
@@ -31,20 +31,21 @@
 )
 
 const (
-	// targetResponseTimeWeight is the weight of one answer in a target's mean response time.
+	// targetResponseTimeWeight is the weight of one answer in the moving average of a target's
+	// response time.
 	targetResponseTimeWeight = 0.1
 	minSlowness              = 0.7
 	maxSlowness              = 5.0
 )
 
-// tier holds the eligible targets at one distance. slots and load are sums.
+// tier contains the eligible targets of one distance. slots and load are the sums over them.
 type tier struct {
 	targets []*target
 	slots   float64
 	load    float64
 }
 
-// utilization is the tier's load per slot.
+// utilization returns the load of the tier per slot.
 func (t *tier) utilization() float64 {
 	if t.slots <= 0 {
 		return 1
@@ -52,17 +53,17 @@
 	return t.load / t.slots
 }
 
-// target is what the router knows of a Target.
+// target is the state of one Target.
 type target struct {
 	Target
 	svc       *service
 	tier      int
-	tierIndex int // in the tier's list, -1 when not eligible
+	tierIndex int // in the tier's targets; -1 if not eligible
 	addedAt   time.Time
 	inSubset  bool // in this entry's subset
 
-	// ownInFlight counts this entry's attempts in flight; others estimates the rest from
-	// load reports.
+	// ownInFlight counts this entry's attempts in flight. otherInFlight is an estimate of all other
+	// attempts, from load reports.
 	ownInFlight     int
 	otherInFlight   float64
 	otherInFlightAt time.Time
@@ -72,7 +73,7 @@
 	health health
 }
 
-// load is the number of requests believed to be at the target.
+// load returns the estimated number of requests in flight at the target.
 func (t *target) load() float64 { return float64(t.ownInFlight) + t.otherInFlight }
 
 func (t *target) full() bool {
@@ -94,9 +95,9 @@
 	t.otherInFlightAt = now
 }
 
-// slowness is the target's response time relative to the service's, within
-// bounds. Without it a slow target gets its even share of requests until its
-// slots fill up.
+// slowness returns the target's response time relative to that of the service, between minSlowness
+// and maxSlowness. Without this factor, a slow target gets an even share of the requests until its
+// slots are full.
 func (t *target) slowness() float64 {
 	all := t.svc.latency.meanResponseTime
 	if t.meanResponseTime == 0 || all == 0 {
@@ -105,7 +106,7 @@
 	return min(maxSlowness, max(minSlowness, float64(t.meanResponseTime)/float64(all)))
 }
 
-// applyLoadReport takes in the load that rides on an answer.
+// applyLoadReport records the load report in an answer.
 func (t *target) applyLoadReport(now time.Time, l *apiv1.Load) {
 	if l == nil {
 		return
@@ -118,16 +119,16 @@
 	t.setOtherInFlight(now, max(0, float64(int(l.GetInFlight())-t.ownInFlight)))
 }
 
-// expireLoadReport forgets a load report that is too old to say anything. Without it a target
-// that was once reported full and gets no work from here would stay full forever.
+// expireLoadReport discards a load report that is older than LoadAge. Otherwise, a target that was
+// once reported full and gets no requests from this entry would count as full forever.
 func (t *target) expireLoadReport(now time.Time) {
 	if t.otherInFlight > 0 && now.Sub(t.otherInFlightAt) > t.svc.cfg.LoadAge {
 		t.setOtherInFlight(now, 0)
 	}
 }
 
-// Upsert adds a target or takes in its new announcement. A new incarnation of
-// its agent starts with a clean record. The wakes are queued requests that now fit.
+// Upsert adds a target or applies its new announcement. A new incarnation of its agent starts with
+// a new health record. The wakes are for queued requests that can start now.
 func (r *Router) Upsert(now time.Time, tgt Target) []Wake {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -145,8 +146,8 @@
 
 func (s *service) upsert(now time.Time, tgt Target) {
 	t := s.targets[tgt.ID]
-	// Another incarnation starts afresh, whichever number is the higher: a host's
-	// clock may have been set back. The directory says which is the newer.
+	// A different incarnation replaces the target, whichever number is higher: a host's clock may
+	// have been set back. The directory decides which incarnation is newer.
 	if t != nil && t.AgentIncarnation != tgt.AgentIncarnation {
 		s.dropTarget(t)
 		t = nil
@@ -179,8 +180,8 @@
 	return tierZone
 }
 
-// Remove forgets a target. Its open attempts may still be settled. The wakes are
-// queued requests that can no longer be served.
+// Remove removes a target. The outcomes of its open attempts may still be recorded. The wakes are
+// for queued requests that can no longer be served.
 func (r *Router) Remove(now time.Time, id string) []Wake {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -204,7 +205,7 @@
 	return wakes
 }
 
-// SetLeaving stops new work for a target until its next announcement.
+// SetLeaving stops sending new requests to a target until its next announcement.
 func (r *Router) SetLeaving(now time.Time, id string) {
 	r.mu.Lock()
 	s := r.serviceByTarget[id]
@@ -219,8 +220,9 @@
 	}
 }
 
-// markLeaving takes a target out. An ejected one counts no longer: it would use up the
-// cap on ejections and leave the others without a way back.
+// markLeaving makes a target ineligible that is leaving. If it was ejected, it no longer counts as
+// ejected: it would use up the limit on ejections and keep the other ejected targets from being
+// readmitted.
 func (s *service) markLeaving(now time.Time, t *target) {
 	t.Leaving = true
 	s.clearEjection(t)
@@ -228,6 +230,7 @@
 	s.targetsChanged(now)
 }
 
+// dropTarget removes a target from all lists of the service.
 func (s *service) dropTarget(t *target) {
 	delete(s.targets, t.ID)
 	s.unlist(t)
@@ -236,6 +239,7 @@
 	t.inSubset = false
 }
 
+// unlistFromAgent removes a target from the targets of its agent.
 func (s *service) unlistFromAgent(t *target) {
 	list := s.byAgent[t.Agent]
 	if i := slices.Index(list, t); i >= 0 {
@@ -248,8 +252,7 @@
 	s.byAgent[t.Agent] = list
 }
 
-// updateEligibility puts a target into its tier's list if it is eligible and takes it out
-// if it is not.
+// updateEligibility adds a target to its tier if it is eligible, and removes it if it is not.
 func (s *service) updateEligibility(t *target) {
 	if !t.inSubset || t.Leaving || t.health.ejected {
 		s.unlist(t)
@@ -265,7 +268,7 @@
 	tr.load += t.load()
 }
 
-// unlist takes a target out of its tier's list.
+// unlist removes a target from its tier.
 func (s *service) unlist(t *target) {
 	if t.tierIndex < 0 {
 		return
@@ -281,7 +284,8 @@
 	t.tierIndex = -1
 }
 
-// targetsChanged follows a change of the eligible targets.
+// targetsChanged adjusts the ejections, emptySince and the concurrency limit after a change of the
+// eligible targets.
 func (s *service) targetsChanged(now time.Time) {
 	s.enforceEjectionCap(now)
 	if s.eligible() > 0 {
@@ -292,7 +296,7 @@
 	s.limit.setBounds(s.slots(), s.sharingEntries())
 }
 
-// eligible is the number of targets that may get work.
+// eligible returns the number of targets that may get requests.
 func (s *service) eligible() int {
 	n := 0
 	for i := range s.tiers {
@@ -301,8 +305,8 @@
 	return n
 }
 
-// slots sums the slots of the targets that requests go to: other regions count
-// only when this one has none.
+// slots returns the sum of the slots of the targets that requests are sent to. Other regions count
+// only if this one has no targets.
 func (s *service) slots() float64 {
 	n := s.tiers[tierZone].slots + s.tiers[tierRegion].slots
 	if n > 0 {
