--- a/route/admit.go
+++ b/route/admit.go
@@ -26,7 +26,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if req.state != requestNew {
-		panic("route: Admit was called more than once for request " + req.ID)
+		panic("route: request " + req.ID + " was admitted more than once")
 	}
 	return s.admit(now, req)
 }
--- a/route/latency.go
+++ b/route/latency.go
@@ -25,6 +25,8 @@
 	previous *hdrhistogram.Histogram
 	merged   *hdrhistogram.Histogram
 
+	// count is the number of values in both windows. unrefreshed counts those that were recorded
+	// after cachedQuantiles was computed.
 	count           int64
 	unrefreshed     int64
 	cachedQuantiles [quantileCount]time.Duration
--- a/route/queue.go
+++ b/route/queue.go
@@ -19,6 +19,7 @@
 	batchCredit float64
 }
 
+// priorityClass contains the waiting requests of one priority, by caller.
 type priorityClass struct {
 	flows  itemHeap[*flow]
 	byName map[string]*flow
@@ -37,8 +38,8 @@
 	index    int
 }
 
-func (q *queue) init(floor float64) {
-	q.batchMinShare = floor
+func (q *queue) init(batchMinShare float64) {
+	q.batchMinShare = batchMinShare
 	q.urgent.init()
 	q.batch.init()
 }
