--- a/schedule/advice_test.go
+++ b/schedule/advice_test.go
@@ -8,7 +8,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// enableAdvice has the queue of batch jobs ask the placement advisor.
+// enableAdvice makes the batch queue require placement advice.
 func (r *harness) enableAdvice() {
 	c := r.machine.Configuration()
 	for _, q := range c.Queues {
@@ -17,10 +17,10 @@
 	c.Version++
 }
 
-// Symptom: tasks of an advised queue wait for good, or a worker refuses each start.
-// Sequence: the advisor answers for some workers and refuses others; the tickets run
-// out before all tasks have started; a question gets no answer.
-// Cause: a start without a valid ticket, or no second question.
+// Guards against tasks of an advised queue that wait indefinitely, and against starts without a
+// valid ticket, which the worker refuses each time. The advisor approves some workers and refuses
+// others, tickets expire before all tasks have started, and a request gets no response, after which
+// it has to be sent again.
 func TestAdvisedQueue(t *testing.T) {
 	r := newHarness(t)
 	r.enableAdvice()
@@ -30,16 +30,16 @@
 	r.submit("batch", "b1", step)
 	d := r.plan()
 	if len(d.Starts) > 0 || len(d.AdviceRequests) != 1 || len(d.AdviceRequests[0].Workers) != 2 {
-		t.Fatalf("before any advice: starts %v, questions %v", d.Starts, d.AdviceRequests)
+		t.Fatalf("before any advice: starts %v, requests %v", d.Starts, d.AdviceRequests)
 	}
 	q := d.AdviceRequests[0]
 	if d := r.plan(); len(d.AdviceRequests) > 0 {
-		t.Fatal("the same question is put twice")
+		t.Fatal("the same request is sent twice")
 	}
 	r.planner.RecordAdviceFailure(q, r.now)
 	r.advance(adviceRetryDelay)
 	if d := r.plan(); len(d.AdviceRequests) != 1 {
-		t.Fatal("a question without an answer is not put again")
+		t.Fatal("a request without a response is not sent again")
 	}
 	r.planner.RecordAdvice(q, Advice{Tickets: map[string]string{"w1": "t1"}, Valid: 2 * time.Second}, r.now)
 	d = r.plan()
@@ -47,12 +47,12 @@
 		t.Fatalf("started %v", d.Starts)
 	}
 	if d.Unplaced[0].WorkersByReason[ReasonRefused] != 1 {
-		t.Errorf("the other task waits since %s", d.Unplaced[0].ReasonSummary())
+		t.Errorf("the other task waits because of %s", d.Unplaced[0].ReasonSummary())
 	}
 	r.reportEnd(jobqueue.RunID{Task: jobqueue.TaskIDOf(d.Starts[0].Task), Number: 1}, apiv1.RunEndKind_RUN_END_KIND_DONE)
 	r.advance(2 * time.Second)
 	if d := r.plan(); len(d.Starts) > 0 || len(d.AdviceRequests) != 1 || len(d.AdviceRequests[0].Workers) != 1 {
-		t.Fatalf("after the ticket ran out: starts %v, questions %v", d.Starts, d.AdviceRequests)
+		t.Fatalf("after the ticket expired: starts %v, requests %v", d.Starts, d.AdviceRequests)
 	}
 	r.planner.RecordAdvice(q, Advice{Tickets: map[string]string{"w1": "t2"}, Valid: 2 * time.Second}, r.now)
 	r.planner.RecordRefusal(RefusedStart{Step: q.Step, Worker: "w1", At: r.now})
--- a/schedule/avoided_test.go
+++ b/schedule/avoided_test.go
@@ -9,7 +9,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Guards against a long-running task that waits until workers are avoided no longer, where all are.
+// Guards against a long-running task that waits for the end of an avoidance while all workers are
+// avoided.
 func TestLongRunningTaskStartsThoughAllWorkersAreAvoided(t *testing.T) {
 	for failures := avoidAfterFailures; failures <= 4; failures++ {
 		t.Run(fmt.Sprintf("%d failures each", failures), func(t *testing.T) {
@@ -27,7 +28,8 @@
 	}
 }
 
-// Guards against a job that waits, with nothing running, until workers are avoided no longer, where all are.
+// Guards against a job without a run that waits for the end of an avoidance while all workers are
+// avoided.
 func TestStarvingJobStartsThoughAllWorkersAreAvoided(t *testing.T) {
 	for name, step := range map[string]*apiv1.JobStep{
 		"batch":    {Count: 2, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 300},
@@ -54,7 +56,7 @@
 	}
 }
 
-// Guards against a broken worker, the only one, that is given long-running tasks without a pause.
+// Guards against a broken worker, the only one, that gets long-running tasks without a pause.
 func TestWorkerThatFailsAllItGetsIsTriedOnceASecond(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
@@ -70,7 +72,7 @@
 	}
 }
 
-// Guards against failures that are minutes apart and count as failures in a row.
+// Guards against failures that are minutes apart and count as consecutive.
 func TestRunThatFailsEachTenMinutesStartsAgainAtOnce(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
@@ -85,7 +87,7 @@
 	}
 }
 
-// Guards against one incident that counts as many failures in a row.
+// Guards against a single incident that counts as many consecutive failures.
 func TestRunsThatFailTogetherDoNotLengthenEachOthersWait(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
@@ -97,7 +99,8 @@
 	}
 }
 
-// Guards against a set without a worker once a run more has failed on each of its workers.
+// Guards against a long-running task that finds no worker after one more run has failed on each of
+// its workers.
 func TestOneMoreFailureOnEachWorkerLeavesATaskAWorker(t *testing.T) {
 	for before := 1; before <= 3; before++ {
 		t.Run(fmt.Sprintf("%d failures before", before), func(t *testing.T) {
@@ -128,7 +131,7 @@
 	}
 }
 
-// failAll has all runs of a worker fail.
+// failAll reports all runs of a worker as failed.
 func (r *harness) failAll(worker string) {
 	r.t.Helper()
 	for _, id := range r.runsOn(worker) {
@@ -136,7 +139,7 @@
 	}
 }
 
-// failBatch has tasks of batch jobs fail on each worker, one after the other.
+// failBatch fails tasks of batch jobs on each worker, one after the other.
 func (r *harness) failBatch(workers []string, times int) {
 	r.t.Helper()
 	for i := range times {
--- a/schedule/backfillset_test.go
+++ b/schedule/backfillset_test.go
@@ -10,7 +10,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Guards against a missing task of a set that reserves no processors, which waits as long as another one runs.
+// Guards against a missing task of a long-running set that reserves no processors and waits for as
+// long as another task of the set runs.
 func TestMissingTaskOfBackfillSetEventuallyStarts(t *testing.T) {
 	for name, count := range map[string]uint32{"its only task": 1, "one of two tasks": 2} {
 		t.Run(name, func(t *testing.T) {
@@ -46,7 +47,8 @@
 	}
 }
 
-// learnHeavyImage teaches that an image brings the tails beside it over their objective.
+// learnHeavyImage feeds samples according to which an image pushes the tail latencies beside it
+// beyond their objective.
 func (r *harness) learnHeavyImage() {
 	for range 20 {
 		r.planner.interference.learn(tailSample{
@@ -55,7 +57,7 @@
 	}
 }
 
-// Guards against a worker that the score rules out for a task that reserves what it uses.
+// Guards against a score that rules out a worker for a task that reserves the capacity it uses.
 func TestScoreExcludesNoWorkerForReservingTasks(t *testing.T) {
 	for seed := range int64(50) {
 		random := rand.New(rand.NewSource(seed))
@@ -67,8 +69,8 @@
 		for _, c := range round.candidates() {
 			for _, s := range round.slots {
 				feasible := round.feasible(c, s)
-				if _, judged := round.evaluate(c, s); !c.step.Spec.Backfill && judged != feasible {
-					t.Fatalf("seed %d: %v on %s is %v by the rules and %v by the score", seed, c.key(), s.worker.Spec.Id, feasible, judged)
+				if _, evaluated := round.evaluate(c, s); !c.step.Spec.Backfill && evaluated != feasible {
+					t.Fatalf("seed %d: %v on %s is %v by the rules and %v by the score", seed, c.key(), s.worker.Spec.Id, feasible, evaluated)
 				}
 			}
 		}
--- a/schedule/bench_test.go
+++ b/schedule/bench_test.go
@@ -11,15 +11,15 @@
 
 const (
 	benchImages = 9
-	// benchServing and benchBackfill are the tasks that run on each worker, as at the
-	// users' size: 21,000 latency-critical and 26,000 batch tasks on 3,700 workers.
+	// benchServing and benchBackfill are the tasks on each worker at the scale of the users: 21,000
+	// latency-critical and 26,000 batch tasks on 3,700 workers.
 	benchServing  = 6
 	benchBackfill = 7
-	// benchRound is the time that one round's new work comes in.
+	// benchRound is the period in which the new work of one round arrives.
 	benchRound = 20 * time.Millisecond
 )
 
-// newBusyFleet is a fleet with its usual work.
+// newBusyFleet returns a fleet with its usual work.
 func newBusyFleet(b *testing.B, workers int) *harness {
 	r := newHarnessFor(b)
 	for i := range workers {
@@ -38,7 +38,7 @@
 	return r
 }
 
-// startAndObserve has the planner start what it can, and has all runs reported.
+// startAndObserve plans once and reports all runs.
 func (r *harness) startAndObserve() {
 	r.plan()
 	for _, w := range r.machine.Workers() {
@@ -47,8 +47,8 @@
 	r.advance(paceInterval)
 }
 
-// BenchmarkPlan measures a round on a fleet with its usual work, while jobs of 6
-// tasks come in at a rate of starts; their ends are not measured. The figures are in
+// BenchmarkPlan measures a round on a fleet with its usual work while jobs of 6 tasks arrive at a
+// given rate of starts. The ends of these tasks are not measured. The results are in
 // docs/measurements/platform.md.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{11, 54, 3700} {
@@ -81,7 +81,7 @@
 	}
 }
 
-// applyAndEnd applies a decision and ends what it started.
+// applyAndEnd applies a decision and ends the runs that it started.
 func (r *harness) applyAndEnd(d Decision, jobs []string) {
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Plan{Plan: &apiv1.PlanRuns{
 		Term: testTerm, Starts: d.Starts, Stops: d.Stops,
--- a/schedule/chain.go
+++ b/schedule/chain.go
@@ -7,24 +7,24 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// AllowedTime is the time within which an occurrence should end, from when it is due: its
-// queue's stretch of the longest chain of its steps, and an allowance.
+// AllowedTime returns the time from when an occurrence is due to when it should end: the stretch
+// factor of its queue times its critical path, plus the allowance of the queue.
 func (p *Planner) AllowedTime(q *apiv1.JobQueue, o *jobqueue.Occurrence) time.Duration {
-	chain := p.criticalPath(o, false)
-	return time.Duration(q.Stretch*float64(chain.Milliseconds()))*time.Millisecond +
+	path := p.criticalPath(o, false)
+	return time.Duration(q.Stretch*float64(path.Milliseconds()))*time.Millisecond +
 		time.Duration(q.AllowanceMs)*time.Millisecond
 }
 
-// criticalPath is the expected time of the longest chain of steps, or of what is
-// left of it.
-func (p *Planner) criticalPath(o *jobqueue.Occurrence, left bool) time.Duration {
+// criticalPath returns the expected duration of the longest chain of steps. With remaining set,
+// steps that have ended count as zero.
+func (p *Planner) criticalPath(o *jobqueue.Occurrence, remaining bool) time.Duration {
 	ends := make([]time.Duration, len(o.Steps))
 	var longest time.Duration
 	for i, s := range o.Steps {
 		for _, before := range s.Spec.After {
 			ends[i] = max(ends[i], ends[before])
 		}
-		if !left || !s.Ended() {
+		if !remaining || !s.Ended() {
 			ends[i] += p.durations.expected(s.Spec)
 		}
 		longest = max(longest, ends[i])
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -8,19 +8,18 @@
 )
 
 const (
-	// evacuationTimeout is how long tasks that would lose their work may go on on a
-	// worker that is emptied: most end by themselves within it.
+	// evacuationTimeout is the time from the beginning of an evacuation to the stop of tasks that
+	// would lose their work. Most tasks end by themselves within it.
 	evacuationTimeout = 5 * time.Second
-	// maxEvacuationsPerRound bounds the runs that are stopped at once, so that their
-	// successors find room one after the other.
+	// maxEvacuationsPerRound bounds the runs that are stopped at once, so that their successors are
+	// placed one after the other.
 	maxEvacuationsPerRound = 8
 )
 
-// evacuate stops what runs on workers whose hosts are to go down, so that it goes on
-// elsewhere: serving tasks within their availability budget, tasks with checkpoints
-// at once, the others when they have had time to end. What goes wrong without it:
-// the maintenance ends all of them at once, and a step's users find none of its tasks
-// at work.
+// evacuate stops the runs on workers whose hosts are to go down, so that they continue elsewhere.
+// Serving tasks are stopped within their unavailable budget, tasks with checkpoints at once, and
+// the others after they have had time to end. Otherwise the maintenance would end all of them at
+// once, and the users of a step would find none of its tasks running.
 func (r *round) evacuate() {
 	since := map[string]time.Time{}
 	stops := 0
@@ -44,6 +43,8 @@
 	r.planner.leavingSince = since
 }
 
+// shouldEvacuate reports whether a run is to be stopped now, after its worker has been evacuated
+// for the given time.
 func (r *round) shouldEvacuate(run *jobqueue.Run, s *slot, waited time.Duration) bool {
 	step := run.Step
 	switch {
@@ -57,25 +58,26 @@
 	return false
 }
 
-// withinUnavailableBudget reports whether a long-running step can lose one more task by an order of
-// ours: those that are not at work count, for whatever reason. Each order that
-// ends a sound long-running task asks here.
+// withinUnavailableBudget reports whether the planner may stop one more task of a long-running
+// step, which is always so for a step without an unavailable budget. Tasks that are not running
+// count against the budget for whatever reason. Each order that ends a sound long-running task
+// checks this.
 func (r *round) withinUnavailableBudget(run *jobqueue.Run) bool {
 	if !run.Step.HasUnavailableBudget {
 		return true
 	}
 	id := run.ID.Task
-	away := uint32(0)
+	unavailable := uint32(0)
 	for i, t := range run.Job().Occurrences[id.Occurrence].Steps[id.Step].Tasks {
 		if uint32(i) != id.Index && !r.isRunning(t) {
-			away++
+			unavailable++
 		}
 	}
-	return away < run.Step.UnavailableBudget
+	return unavailable < run.Step.UnavailableBudget
 }
 
-// isRunning reports whether a long-running task was lately seen at work, on a worker in
-// reach, and is not being stopped, by this round neither.
+// isRunning reports whether a long-running task was last observed running on a reachable worker and
+// is not being stopped, neither by the state nor by this round.
 func (r *round) isRunning(t *jobqueue.Task) bool {
 	for _, run := range t.Runs {
 		o, seen := r.fleet.Observed(run.ID)
@@ -86,7 +88,7 @@
 	return false
 }
 
-// stop decides that a run is stopped.
+// stop adds the stop of a run to the decision.
 func (r *round) stop(id jobqueue.RunID, reason string) {
 	if r.stopped[id] {
 		return
--- a/schedule/evacuate_test.go
+++ b/schedule/evacuate_test.go
@@ -8,7 +8,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// beginEvacuation has a worker's host be next for its maintenance.
+// beginEvacuation begins the evacuation of a worker for the maintenance of its host.
 func (r *harness) beginEvacuation(worker string) {
 	r.t.Helper()
 	host := r.machine.Worker(worker).Spec.Host
@@ -20,18 +20,17 @@
 	}}})
 }
 
-// Symptom: the users of a long-running step find fewer of its tasks at work than its
-// caller allowed to be missing.
-// Sequence: a worker that runs two of its tasks is emptied for maintenance.
-// Cause: both are stopped at once, or the second before the first is back at work.
+// Guards against a long-running step with fewer running tasks than its unavailable budget permits.
+// A worker that runs two of its tasks is evacuated for maintenance, and both were stopped at once,
+// or the second before the first was running again.
 func TestEvacuationKeepsTheBudget(t *testing.T) {
 	for name, c := range map[string]struct {
 		budget     uint32
 		first, all int
 	}{
-		"none may miss": {0, 0, 0},
-		"one may miss":  {1, 1, 2},
-		"two may miss":  {2, 2, 2},
+		"none may be missing": {0, 0, 0},
+		"one may be missing":  {1, 1, 2},
+		"two may be missing":  {2, 2, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newHarness(t)
@@ -47,7 +46,7 @@
 			if len(stops) != c.first {
 				t.Fatalf("stopped %v at first", stops)
 			}
-			// While the first is on its way, no other one goes.
+			// Until the first task is running again, no further one is stopped.
 			if more := r.plan().Stops; len(more) > 0 {
 				t.Fatalf("stopped %v before the others are back", more)
 			}
@@ -73,10 +72,9 @@
 	}
 }
 
-// Symptom: a batch task without checkpoints loses its work to a host's maintenance,
-// though it would have ended in time.
-// Sequence: the worker of a task with checkpoints and of one without is emptied.
-// Cause: both are stopped at once; or the second is waited for without end.
+// Guards against a batch task without checkpoints that loses its work to the maintenance of a host
+// though it would have ended in time. The worker of a task with checkpoints and of one without is
+// evacuated, and both were stopped at once, or the second was given unlimited time.
 func TestEvacuationWaitsForWork(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 4000, 64_000)
--- a/schedule/failingload_test.go
+++ b/schedule/failingload_test.go
@@ -8,8 +8,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Guards against a long-running task that waits for as long as runs that began before fail, one
-// by one, on all workers.
+// Guards against a long-running task that waits for as long as runs that started before it fail,
+// one by one, on all workers.
 func TestLongRunningTaskStartsWhileOtherRunsGoOnFailing(t *testing.T) {
 	r := newHarness(t)
 	workers := []string{"w1", "w2", "w3"}
--- a/schedule/fleetproperty_test.go
+++ b/schedule/fleetproperty_test.go
@@ -13,19 +13,21 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// maxWait is how long a long-running task may wait beside room for it twice over.
+// maxWait is how long a long-running task may wait while there is free capacity for two such tasks.
 const maxWait = 3 * time.Second
 
-var fleetSeeds = flag.Int64("fleets.seeds", 0, "play this many random fleets for each property, in place of a few")
+var fleetSeeds = flag.Int64("fleets.seeds", 0, "simulate this many random fleets for each property instead of a few")
 
 const (
-	// defaultFleets are played where none has failed yet, manyFleets hold all that have.
+	// defaultFleets is the number of fleets for properties that have not failed yet. For the
+	// others, the first manyFleets seeds or the seeds listed with the property include all that
+	// have failed.
 	defaultFleets = 4
 	manyFleets    = 20
 )
 
-// fleetSeedsToRun returns the seeds of the fleets to play, with some that failed before.
-func fleetSeedsToRun(count int64, kept ...int64) []int64 {
+// fleetSeedsToRun returns the seeds of the fleets to simulate, and adds seeds that failed before.
+func fleetSeedsToRun(count int64, failed ...int64) []int64 {
 	if *fleetSeeds > 0 {
 		count = *fleetSeeds
 	}
@@ -33,27 +35,27 @@
 	for seed := range count {
 		seeds = append(seeds, seed)
 	}
-	return append(seeds, kept...)
+	return append(seeds, failed...)
 }
 
-// Guards against a long-running task that waits beside sound workers with room for it.
+// Guards against a long-running task that waits although sound workers have free capacity for it.
 func TestLongRunningTaskWithFreeCapacityStarts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults fleetFaults
 		fleets int64
-		kept   []int64
+		failed []int64
 	}{
-		{"workers die", fleetFaults{}, defaultFleets, nil},
-		{"workers are quiet or leave", fleetFaults{unreachable: true, leaving: true}, defaultFleets, nil},
+		{"workers crash", fleetFaults{}, defaultFleets, nil},
+		{"workers are unreachable or leave", fleetFaults{unreachable: true, leaving: true}, defaultFleets, nil},
 		{"queues are advised", fleetFaults{advised: true}, defaultFleets, nil},
-		{"tasks fill", fleetFaults{backfillSets: true}, manyFleets, nil},
+		{"sets reserve no processors", fleetFaults{backfillSets: true}, manyFleets, nil},
 		{"a run fails in five minutes", fleetFaults{failuresPerMille: 3}, defaultFleets, nil},
 		{"a run fails in half a minute", fleetFaults{failuresPerMille: 33}, defaultFleets, nil},
 		{"a run fails in a hundred seconds, and none ends", fleetFaults{failuresPerMille: 10, noBatch: true}, defaultFleets, []int64{8}},
-		{"workers fail all they get for a while", fleetFaults{broken: true}, manyFleets, nil},
+		{"workers fail all runs for some time", fleetFaults{broken: true}, manyFleets, nil},
 		{"workers refuse starts", fleetFaults{refusing: true}, defaultFleets, []int64{80, 136, 161}},
-		{"decisions come to nothing", fleetFaults{uncommitted: true}, defaultFleets, nil},
+		{"decisions are not committed", fleetFaults{uncommitted: true}, defaultFleets, nil},
 		{"all of these", fleetFaults{
 			unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true, refusing: true, uncommitted: true,
 		}, manyFleets, nil},
@@ -61,7 +63,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			waits := newWaitChecker()
-			for _, seed := range fleetSeedsToRun(c.fleets, c.kept...) {
+			for _, seed := range fleetSeedsToRun(c.fleets, c.failed...) {
 				s := newFleetSim(t, seed, c.faults)
 				waits.begin(seed)
 				for range simSpan / simStep {
@@ -74,7 +76,8 @@
 	}
 }
 
-// waitChecker finds the long-running tasks that wait beside room for them, and why.
+// waitChecker finds long-running tasks that wait although there is free capacity for them, and the
+// reasons.
 type waitChecker struct {
 	seed     int64
 	since    map[jobqueue.TaskID]time.Time
@@ -83,8 +86,8 @@
 	tooLong  int
 	longest  time.Duration
 	examples []string
-	// reasons counts the tasks that waited too long by what was said against the workers that
-	// could have taken them.
+	// reasons counts the tasks that waited too long by the reasons against the workers that could
+	// run them.
 	reasons map[string]int
 }
 
@@ -94,13 +97,13 @@
 	j.seed, j.since, j.reported = seed, map[jobqueue.TaskID]time.Time{}, map[jobqueue.TaskID]bool{}
 }
 
-// check judges the state after a decision was applied.
+// check checks the state after a decision was applied.
 func (j *waitChecker) check(s *fleetSim) {
 	round := s.openRound()
 	waiting := map[jobqueue.TaskID]bool{}
 	for _, c := range longRunningWithoutRun(s.machine) {
-		could := s.ableWorkers(c)
-		if !fitsTwice(c, could) {
+		able := s.ableWorkers(c)
+		if !fitsTwice(c, able) {
 			continue
 		}
 		id := jobqueue.TaskID{Job: c.job.ID(), Index: uint32(c.tasks[0])}
@@ -109,13 +112,13 @@
 			j.since[id] = s.now
 			j.waits++
 		}
-		j.checkWait(s, round, c, id, could)
+		j.checkWait(s, round, c, id, able)
 	}
 	maps.DeleteFunc(j.since, func(id jobqueue.TaskID, _ time.Time) bool { return !waiting[id] })
 	maps.DeleteFunc(j.reported, func(id jobqueue.TaskID, _ bool) bool { return !waiting[id] })
 }
 
-func (j *waitChecker) checkWait(s *fleetSim, round *round, c *candidate, id jobqueue.TaskID, could []*jobqueue.Worker) {
+func (j *waitChecker) checkWait(s *fleetSim, round *round, c *candidate, id jobqueue.TaskID, able []*jobqueue.Worker) {
 	waited := s.now.Sub(j.since[id])
 	j.longest = max(j.longest, waited)
 	if waited <= maxWait || j.reported[id] {
@@ -123,28 +126,28 @@
 	}
 	j.reported[id] = true
 	j.tooLong++
-	said := round.reasonsAgainst(c, could)
-	j.reasons[said]++
+	reasons := round.reasonsAgainst(c, able)
+	j.reasons[reasons]++
 	if len(j.examples) < 3 {
-		j.examples = append(j.examples, fmt.Sprintf("seed %d, %v into it: %v waits for %v: %s",
-			j.seed, time.Duration(s.steps)*simStep, id, waited, said))
+		j.examples = append(j.examples, fmt.Sprintf("seed %d, after %v: %v waits for %v: %s",
+			j.seed, time.Duration(s.steps)*simStep, id, waited, reasons))
 	}
 }
 
 func (j *waitChecker) report(t *testing.T) {
 	t.Helper()
-	t.Logf("%d waits beside room, the longest %v", j.waits, j.longest)
+	t.Logf("%d waits beside free capacity, the longest %v", j.waits, j.longest)
 	if j.tooLong == 0 {
 		return
 	}
-	for _, said := range slices.Sorted(maps.Keys(j.reasons)) {
-		t.Logf("%d tasks: %s", j.reasons[said], said)
+	for _, reasons := range slices.Sorted(maps.Keys(j.reasons)) {
+		t.Logf("%d tasks: %s", j.reasons[reasons], reasons)
 	}
-	t.Errorf("%d long-running tasks waited for more than %v beside room twice over:\n%s",
+	t.Errorf("%d long-running tasks waited for more than %v beside free capacity for two:\n%s",
 		j.tooLong, maxWait, strings.Join(j.examples, "\n"))
 }
 
-// longRunningWithoutRun returns a candidate for each task that lasts and has no run.
+// longRunningWithoutRun returns a candidate for each long-running task without a run.
 func longRunningWithoutRun(m *jobqueue.Machine) []*candidate {
 	var found []*candidate
 	for _, j := range m.Active() {
@@ -159,7 +162,8 @@
 	return found
 }
 
-// ableWorkers returns the sound workers that may and can run a task, whatever the planner thinks.
+// ableWorkers returns the sound workers that may run a task and have capacity for it, regardless of
+// the planner.
 func (s *fleetSim) ableWorkers(c *candidate) []*jobqueue.Worker {
 	return slices.DeleteFunc(s.machine.Workers(), func(w *jobqueue.Worker) bool {
 		id := jobqueue.TaskID{Job: c.job.ID(), Step: uint32(c.stepIndex)}
@@ -171,17 +175,17 @@
 	})
 }
 
-// fitsTwice reports whether workers have room for two tasks as a candidate's.
-func fitsTwice(c *candidate, could []*jobqueue.Worker) bool {
-	if len(could) != 1 {
-		return len(could) > 1
+// fitsTwice reports whether workers have free capacity for two tasks of a candidate.
+func fitsTwice(c *candidate, able []*jobqueue.Worker) bool {
+	if len(able) != 1 {
+		return len(able) > 1
 	}
 	need := jobqueue.Reserved(c.step.Spec)
 	limit := int(c.step.Spec.MaxPerWorker)
-	return need.Add(need).Fits(could[0].Free()) && (limit == 0 || could[0].CountOf(c.key())+2 <= limit)
+	return need.Add(need).Fits(able[0].Free()) && (limit == 0 || able[0].CountOf(c.key())+2 <= limit)
 }
 
-// reasonsAgainst sums up what the planner has against workers.
+// reasonsAgainst summarizes the reasons of the planner against workers.
 func (r *round) reasonsAgainst(c *candidate, workers []*jobqueue.Worker) string {
 	w := UnplacedStep{}
 	for _, s := range r.slots {
@@ -199,7 +203,7 @@
 	return strings.Join(names, " and ")
 }
 
-// Guards against a state that refuses again and again what the planner decides.
+// Guards against a state machine that repeatedly rejects what the planner decides.
 func TestStateAcceptsPlannedStarts(t *testing.T) {
 	t.Parallel()
 	faults := fleetFaults{unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true}
@@ -215,7 +219,7 @@
 		}
 	}
 	if refused > 0 {
-		t.Errorf("the state refused %d starts", refused)
+		t.Errorf("the state machine rejected %d starts", refused)
 	}
 }
 
@@ -223,7 +227,8 @@
 	return jobqueue.RunID{Task: jobqueue.TaskIDOf(s.Task), Number: s.Run}
 }
 
-// Guards against room of a worker that is taken by no run of it, and runs that only their task or their worker knows.
+// Guards against capacity that is reserved on a worker for none of its runs, and runs that only
+// their task or only their worker records.
 func TestReservedCapacityMatchesRuns(t *testing.T) {
 	t.Parallel()
 	faults := fleetFaults{unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true, refusing: true}
@@ -232,28 +237,28 @@
 		for range simSpan / simStep {
 			s.tick()
 			s.checkCovered()
-			held := 0
+			onWorkers := 0
 			for _, w := range s.machine.Workers() {
 				used := jobqueue.Resources{}
 				for id, run := range w.Runs {
 					used = used.Add(jobqueue.Reserved(run.Step))
 					if s.machine.Run(id) != run {
-						t.Fatalf("seed %d: %v holds room on %s, and its task doesn't know it", seed, id, w.Spec.Id)
+						t.Fatalf("seed %d: %v reserves capacity on %s, and its task does not record it", seed, id, w.Spec.Id)
 					}
 				}
 				if used != w.Used {
 					t.Fatalf("seed %d: %s counts %+v in use, its runs reserve %+v", seed, w.Spec.Id, w.Used, used)
 				}
-				held += len(w.Runs)
+				onWorkers += len(w.Runs)
 			}
-			if known := countTaskRuns(s.machine); known != held {
-				t.Fatalf("seed %d: tasks have %d runs, workers %d", seed, known, held)
+			if onTasks := countTaskRuns(s.machine); onTasks != onWorkers {
+				t.Fatalf("seed %d: tasks have %d runs, workers %d", seed, onTasks, onWorkers)
 			}
 		}
 	}
 }
 
-// countTaskRuns counts the runs that tasks know.
+// countTaskRuns counts the runs that tasks record.
 func countTaskRuns(m *jobqueue.Machine) int {
 	count := 0
 	for _, j := range m.Active() {
--- a/schedule/fleetsim_test.go
+++ b/schedule/fleetsim_test.go
@@ -18,22 +18,23 @@
 	simStepsPerSecond = int(time.Second / simStep)
 )
 
-// fleetFaults says what a simulated fleet has to bear beside workers that die.
+// fleetFaults are the faults of a simulated fleet in addition to crashes of workers.
 type fleetFaults struct {
-	// failuresPerMille is how many runs of a thousand fail in a second; broken has workers fail all they
-	// get for a while.
+	// failuresPerMille is how many of a thousand runs fail per second. broken makes workers fail
+	// all of their runs for some time.
 	failuresPerMille int
 	broken           bool
-	// unreachable has workers out of reach for a while, leaving has them drain or be emptied.
+	// unreachable makes workers unreachable for some time. leaving makes them drain or be
+	// evacuated.
 	unreachable, leaving bool
-	// advised has long-running sets in a queue with an advisor, fills has sets that reserve
-	// no processors, refusing has workers that refuse each start for a while.
+	// advised adds long-running sets in a queue with an advisor, backfillSets adds sets that
+	// reserve no processors, and refusing makes workers refuse each start for some time.
 	advised, backfillSets, refusing bool
-	// noBatch leaves the fleet to long-running sets; uncommitted has decisions come to nothing.
+	// noBatch omits batch work. uncommitted leaves some decisions uncommitted.
 	noBatch, uncommitted bool
 }
 
-// fleetSim is a random fleet in virtual time, whose runs end as the workers have it.
+// fleetSim is a random fleet in virtual time whose runs end as simulated by their workers.
 type fleetSim struct {
 	*harness
 	faults    fleetFaults
@@ -60,7 +61,7 @@
 	wave               uint64
 }
 
-// fleetAnswer is an advisor's answer on its way.
+// fleetAnswer is a pending response of the advisor.
 type fleetAnswer struct {
 	question AdviceRequest
 	askedAt  time.Time
@@ -110,7 +111,7 @@
 	s.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{Configuration: c}}})
 }
 
-// submitSet hands a long-running set in.
+// submitSet submits a long-running set.
 func (s *fleetSim) submitSet(number int) {
 	step := &apiv1.JobStep{
 		Count: 1 + uint32(s.random.Intn(4)), CpuMilli: 500 + 500*int64(s.random.Intn(4)), MemoryMb: 200 + 200*int64(s.random.Intn(6)),
@@ -133,7 +134,7 @@
 	s.submit(queue, fmt.Sprintf("set%d", number), step)
 }
 
-// submitWork hands batch work in, as much as keeps the fleet busy.
+// submitWork submits as much batch work as keeps the fleet busy.
 func (s *fleetSim) submitWork() {
 	if s.faults.noBatch || s.random.Intn(10) > 3 {
 		return
@@ -168,7 +169,7 @@
 	}}})
 }
 
-// tick lets a step of virtual time pass and decides at its end.
+// tick advances virtual time by one step and plans at its end.
 func (s *fleetSim) tick() Decision {
 	s.advance(simStep)
 	s.steps++
@@ -204,7 +205,7 @@
 	}
 }
 
-// injectFault draws what goes wrong with a host next.
+// injectFault draws the next fault of a host.
 func (s *fleetSim) injectFault(h *fleetHost) {
 	if h.worker == "" || !h.departAt.IsZero() {
 		return
@@ -212,7 +213,7 @@
 	span := time.Duration(500+s.random.Intn(5000)) * time.Millisecond
 	switch p := s.random.Float64(); {
 	case p < 0.004:
-		// It dies; the leader learns of it later.
+		// The worker crashes, and the leader detects it later.
 		s.unresponsive[h.worker] = true
 		h.departAt, h.backAt = s.now.Add(span), s.now.Add(2*span)
 	case p < 0.008 && s.faults.unreachable:
@@ -231,7 +232,7 @@
 	}
 }
 
-// evacuateHost has a host's worker emptied for its maintenance.
+// evacuateHost begins the evacuation of a host's worker for maintenance.
 func (s *fleetSim) evacuateHost(h *fleetHost) {
 	s.waves++
 	h.wave = s.waves
@@ -247,7 +248,7 @@
 	}}})
 }
 
-// applyDueEvents does what was drawn for a host when its time has come.
+// applyDueEvents applies the events of a host that are due.
 func (s *fleetSim) applyDueEvents(h *fleetHost) {
 	if !h.departAt.IsZero() && !s.now.Before(h.departAt) {
 		if h.wave != 0 {
@@ -283,7 +284,7 @@
 	s.answers = open
 }
 
-// approves is the advisor's policy, which doesn't change.
+// approves is the advisor's policy, which is constant.
 func approves(step jobqueue.StepID, worker string) bool {
 	sum := 0
 	for _, c := range step.Job + worker {
@@ -292,7 +293,7 @@
 	return sum%3 != 0
 }
 
-// endRuns ends the runs whose time has come.
+// endRuns ends the runs that are due.
 func (s *fleetSim) endRuns() {
 	for _, h := range s.hosts {
 		if h.worker == "" || s.unresponsive[h.worker] {
@@ -324,16 +325,16 @@
 		return
 	}
 	fails := s.now.Before(h.brokenUntil) || s.random.Intn(1000*simStepsPerSecond) < s.faults.failuresPerMille
-	over := !run.Step.LongRunning && s.now.Sub(began).Milliseconds() >= run.Step.EstimatedMs
+	finished := !run.Step.LongRunning && s.now.Sub(began).Milliseconds() >= run.Step.EstimatedMs
 	switch {
 	case fails:
 		s.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_FAILED)
-	case over:
+	case finished:
 		s.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
 	}
 }
 
-// refuseStarts has workers that refuse give their new runs back.
+// refuseStarts refuses the new runs on workers that refuse starts.
 func (s *fleetSim) refuseStarts(d Decision) {
 	for _, start := range d.Starts {
 		for _, h := range s.hosts {
@@ -345,7 +346,7 @@
 	}
 }
 
-// refuseStart has a worker refuse a start.
+// refuseStart reports that a worker refused a start.
 func (r *harness) refuseStart(id jobqueue.RunID, worker string) {
 	r.t.Helper()
 	if r.machine.Run(id) == nil {
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// harness holds a queue machine, a planner and the clock of a test.
+// harness holds a queue machine, a planner and the clock of a test, and implements Fleet.
 type harness struct {
 	t            testing.TB
 	machine      *jobqueue.Machine
@@ -17,7 +17,7 @@
 	now          time.Time
 	observations map[jobqueue.RunID]Observation
 	unresponsive map[string]bool
-	// unresponsiveAt is when a worker was last found silent.
+	// unresponsiveAt is the time at which a worker was last found unresponsive.
 	unresponsiveAt  map[string]time.Time
 	nextEndSequence map[string]uint64
 }
@@ -28,6 +28,7 @@
 	testPool = "pool"
 )
 
+// newHarness returns a harness with one pool, and an urgent and a batch queue for it.
 func newHarness(t *testing.T) *harness { return newHarnessFor(t) }
 
 func newHarnessFor(t testing.TB) *harness {
@@ -70,7 +71,7 @@
 	}}}})
 }
 
-// reportEnd has a worker list the end of a run.
+// reportEnd reports the end of a run by its worker.
 func (r *harness) reportEnd(id jobqueue.RunID, kind apiv1.RunEndKind) {
 	r.t.Helper()
 	run := r.machine.Run(id)
@@ -102,7 +103,7 @@
 	return o, ok
 }
 
-// plan decides once and commits what was decided.
+// plan makes one decision and commits it.
 func (r *harness) plan() Decision {
 	r.t.Helper()
 	d := r.planner.Plan(r.machine, r, r.now, r.now.UnixMilli())
@@ -114,8 +115,7 @@
 	return d
 }
 
-// startAll starts the tasks of a job's first step on a worker, whatever the planner
-// thinks of it.
+// startAll starts the tasks of a job's first step on a worker without consulting the planner.
 func (r *harness) startAll(worker, job string) {
 	r.t.Helper()
 	var starts []*apiv1.StartRun
@@ -132,7 +132,7 @@
 
 func (r *harness) advance(d time.Duration) { r.now = r.now.Add(d) }
 
-// observe reports a run's percent and figure as of now.
+// observe reports a run's percent and figure at the current time.
 func (r *harness) observe(id jobqueue.RunID, percent uint32, figure int64) {
 	o, seen := r.observations[id]
 	if !seen {
@@ -150,8 +150,8 @@
 	return r.machine.Worker(worker).SortedRuns()
 }
 
-// observeAll reports all runs of a worker: serving tasks with the given tail,
-// backfilling ones at full use of their processors.
+// observeAll reports all runs of a worker: serving tasks with the given tail latency, backfill
+// tasks with full use of their processors.
 func (r *harness) observeAll(worker string, tail func(serving int) int64) {
 	w := r.machine.Worker(worker)
 	serving := 0
--- a/schedule/headroom.go
+++ b/schedule/headroom.go
@@ -6,22 +6,24 @@
 )
 
 const (
-	// priorHeadroom is what a serving step is believed to have by itself.
+	// priorHeadroom is the headroom that a serving step is assumed to have without backfill tasks
+	// until it is measured. priorLevelDeviation and priorSlopeDeviation are the standard deviations
+	// of the initial level and slope.
 	priorHeadroom       = 2.5
 	priorLevelDeviation = 1.0
 	priorSlopeDeviation = 0.5
-	// slopeDrift is how much a level's change a second changes in a second, as a
-	// deviation; slopeRetention is the share of it that is left after a second, since loads
-	// swing.
+	// slopeDrift is the standard deviation of the change of a slope within one second.
+	// slopeRetention is the fraction of a slope that remains after one second, because loads
+	// fluctuate.
 	slopeDrift     = 0.9
 	slopeRetention = 0.6
-	// usualHeadroomWeight is the weight of the newest sample in an image's usual headroom: the
-	// samples of a few swings.
+	// usualHeadroomWeight is the weight of the newest sample in an image's usual headroom. It
+	// averages the samples of a few load cycles.
 	usualHeadroomWeight = 0.01
 )
 
-// headroomEstimate is a step's headroom by itself: a level and its change a second, with their
-// covariances.
+// headroomEstimate is an estimate of a step's headroom without backfill tasks: a level and its
+// slope per second, with their covariances.
 type headroomEstimate struct {
 	updatedAt                      time.Time
 	level, slope                   float64
@@ -32,35 +34,37 @@
 	return &headroomEstimate{updatedAt: now, level: level, levelVar: priorLevelDeviation * priorLevelDeviation, slopeVar: priorSlopeDeviation * priorSlopeDeviation}
 }
 
-// advance carries the estimate on to now.
-func (l *headroomEstimate) advance(now time.Time) {
-	passed := now.Sub(l.updatedAt).Seconds()
-	kept := math.Pow(slopeRetention, passed)
-	l.level = l.forecast(now)
-	l.updatedAt = now
-	l.slope *= kept
-	l.levelVar += 2*passed*l.covariance + passed*passed*l.slopeVar
-	l.covariance = (l.covariance + passed*l.slopeVar) * kept
-	l.slopeVar = l.slopeVar*kept*kept + slopeDrift*slopeDrift*passed
+// advance extrapolates the estimate to now.
+func (e *headroomEstimate) advance(now time.Time) {
+	passed := now.Sub(e.updatedAt).Seconds()
+	retained := math.Pow(slopeRetention, passed)
+	e.level = e.forecast(now)
+	e.updatedAt = now
+	e.slope *= retained
+	e.levelVar += 2*passed*e.covariance + passed*passed*e.slopeVar
+	e.covariance = (e.covariance + passed*e.slopeVar) * retained
+	e.slopeVar = e.slopeVar*retained*retained + slopeDrift*slopeDrift*passed
 }
 
-func (l *headroomEstimate) variance() float64 { return l.levelVar }
+func (e *headroomEstimate) variance() float64 { return e.levelVar }
 
-func (l *headroomEstimate) correct(off, variance float64) {
-	gain, slopeGain := l.levelVar/variance, l.covariance/variance
-	l.level = clampHeadroom(l.level + gain*off)
-	l.slope += slopeGain * off
-	l.slopeVar -= slopeGain * l.covariance
-	l.covariance -= gain * l.covariance
-	l.levelVar -= gain * l.levelVar
+// correct updates level and slope by a sample that deviates from the forecast, given the variance
+// of that deviation.
+func (e *headroomEstimate) correct(deviation, variance float64) {
+	gain, slopeGain := e.levelVar/variance, e.covariance/variance
+	e.level = clampHeadroom(e.level + gain*deviation)
+	e.slope += slopeGain * deviation
+	e.slopeVar -= slopeGain * e.covariance
+	e.covariance -= gain * e.covariance
+	e.levelVar -= gain * e.levelVar
 }
 
-// forecast carries the level on along its slope, which fades.
-func (l *headroomEstimate) forecast(at time.Time) float64 {
-	passed := at.Sub(l.updatedAt).Seconds()
-	return clampHeadroom(l.level + l.slope*(1-math.Pow(slopeRetention, passed))/-math.Log(slopeRetention))
+// forecast extrapolates the level along its slope, which decays.
+func (e *headroomEstimate) forecast(at time.Time) float64 {
+	passed := at.Sub(e.updatedAt).Seconds()
+	return clampHeadroom(e.level + e.slope*(1-math.Pow(slopeRetention, passed))/-math.Log(slopeRetention))
 }
 
-// clampHeadroom keeps a level where headrooms lie: a step that alone is over its objective
-// is none that backfilling tasks could help.
+// clampHeadroom limits a level to the range of headrooms. The lower limit is 1 because pausing
+// backfill tasks can't help a step that exceeds its objective by its own load.
 func clampHeadroom(level float64) float64 { return min(maxHeadroom, max(1, level)) }
--- a/schedule/headroom_test.go
+++ b/schedule/headroom_test.go
@@ -9,19 +9,19 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// servingModel is a model of serving tasks on one worker: their own load swings, and
-// backfilling runs take a part of what is left. Tails grow as in a queue, and
-// workers report their moving average.
+// servingModel models serving tasks on one worker: their own load oscillates, and backfill runs
+// take a part of the remainder. Tail latencies grow as in a queue, and workers report their moving
+// average.
 type servingModel struct {
 	serviceMs float64
 	swing     time.Duration
-	// pressure is what an image takes of the server per part of the worker.
+	// pressure is the fraction of the server that an image takes per part of the worker.
 	pressure      map[string]float64
 	reportedTails map[jobqueue.RunID]float64
 }
 
-// newServingModel returns a model whose load swings every ten seconds, and in which an image
-// presses as given.
+// newServingModel returns a model whose load oscillates with a period of ten seconds and in which
+// an image has the given pressure.
 func newServingModel(image string, pressure float64) *servingModel {
 	return &servingModel{
 		serviceMs: 16, swing: 10 * time.Second, pressure: map[string]float64{image: pressure},
@@ -29,14 +29,14 @@
 	}
 }
 
-// utilization is the load of the serving tasks by themselves.
+// utilization returns the load of the serving tasks alone.
 func (l *servingModel) utilization(now time.Time) float64 {
 	phase := 2 * math.Pi * float64(now.UnixMilli()%l.swing.Milliseconds()) / float64(l.swing.Milliseconds())
 	return 0.48 + 0.24*math.Sin(phase)
 }
 
-// report reports the worker's runs after one interval, and returns the worst tail
-// and what the backfilling runs worked, both as shares.
+// report reports the worker's runs after one interval. It returns the worst tail latency as a
+// fraction of its objective, and the work of the backfill runs as a fraction of full speed.
 func (l *servingModel) report(r *harness, worker string) (tailShare, worked float64) {
 	w := r.machine.Worker(worker)
 	used, taken, demand := 0.0, 0.0, 0.0
@@ -62,8 +62,8 @@
 			continue
 		}
 		tail := l.serviceMs / left
-		kept := math.Exp(-paceInterval.Seconds() / averagingTime.Seconds())
-		l.reportedTails[id] = kept*l.reportedTails[id] + (1-kept)*tail
+		retained := math.Exp(-paceInterval.Seconds() / averagingTime.Seconds())
+		l.reportedTails[id] = retained*l.reportedTails[id] + (1-retained)*tail
 		r.observe(id, fullPace, int64(l.reportedTails[id]))
 		tailShare = max(tailShare, tail/float64(step.TailObjectiveMs))
 	}
@@ -71,12 +71,11 @@
 	return tailShare, used / max(1, demand)
 }
 
-// Symptom: batch work stands still most of the day beside serving tasks that have
-// room to spare half of the time, and yet their tails are over the objective once in
-// each swing of their load.
-// Sequence: the users' load of the serving tasks swings every ten seconds; batch
-// work beside them takes a quarter of what they have left at most times.
-// Cause: paces that follow the tails of the mean load, or only those of a second ago.
+// Guards against batch work that is paused most of the time beside serving tasks with free capacity
+// half of the time, while their tail latencies exceed the objective once per load cycle. The load
+// of the serving tasks oscillates with a period of ten seconds, batch work takes a quarter of the
+// remainder most of the time, and the paces followed the tail latencies of the mean load or only
+// those of a second ago.
 func TestPacesFollowTheLoad(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -86,7 +85,7 @@
 	r.startAll("w1", "b1")
 	model := newServingModel("some", 0.04)
 	const learning, watched = 20, 80
-	over, worked := 0, 0.0
+	exceeded, worked := 0, 0.0
 	for i := range learning + watched {
 		r.advance(paceInterval)
 		tail, work := model.report(r, "w1")
@@ -95,21 +94,20 @@
 		}
 		worked += work / watched
 		if tail > 1 {
-			over++
+			exceeded++
 		}
 	}
-	if over > watched/20 {
-		t.Errorf("the tail was over its objective in %d of %d reports", over, watched)
+	if exceeded > watched/20 {
+		t.Errorf("the tail latency exceeded its objective in %d of %d reports", exceeded, watched)
 	}
 	if worked < 0.5 {
-		t.Errorf("batch work went at %.2f of its speed", worked)
+		t.Errorf("batch work ran at %.2f of its speed", worked)
 	}
 }
 
-// Symptom: whenever batch tasks start beside a serving task, its tail is over its
-// objective for a second.
-// Sequence: the image is known to disturb; its tasks start and work at full speed.
-// Cause: a run has no pace until its worker's next report.
+// Guards against a tail latency that exceeds its objective for a second whenever batch tasks of an
+// image with known interference start beside the serving task. A run had no pace until the next
+// report of its worker and worked at full speed.
 func TestRunStartsAtItsPace(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -132,18 +130,16 @@
 			continue
 		}
 		if pace := r.meanPace("w1", "heavy"); pace > 0.6 || len(d.RepacedWorkers) != 1 {
-			t.Fatalf("the run starts at %.2f of its speed, %v are told", pace, d.RepacedWorkers)
+			t.Fatalf("the run starts at %.2f of its speed, the workers with new paces are %v", pace, d.RepacedWorkers)
 		}
 		return
 	}
 	t.Fatal("the task did not start")
 }
 
-// Symptom: after an election, batch work that waited through it starts beside the
-// serving tasks that it disturbs.
-// Sequence: a planner learns that an image disturbs; another leader's planner follows,
-// with a state that was restored from a snapshot.
-// Cause: the new planner takes every image for harmless.
+// Guards against batch work that waited during an election and starts beside serving tasks with
+// which it interferes. The planner of the next leader, with a state restored from a snapshot,
+// considered every image harmless.
 func TestNextPlannerRestoresLearnedImages(t *testing.T) {
 	r := newHarness(t)
 	for range 20 {
@@ -163,18 +159,16 @@
 	next := New()
 	next.RestoreLearned(restored.Learnt(), r.now)
 	if after := next.interference.pressureOf("serving", "heavy", r.now); math.Abs(after-before) > 0.01 {
-		t.Errorf("the pressure was %.2f, the next planner believes %.2f", before, after)
+		t.Errorf("the pressure was %.2f, that of the next planner is %.2f", before, after)
 	}
 	if next.interference.usualHeadroom("serving") == priorHeadroom {
 		t.Error("the next planner does not know the usual headroom")
 	}
 }
 
-// Symptom: a batch task is slowed down right after its start though another worker
-// had room to spare.
-// Sequence: serving tasks of one image run on two workers; the users of one of them
-// are many at the moment, those of the other few.
-// Cause: the worker is chosen by what the image has left on the average.
+// Guards against a batch task that is slowed down right after its start though another worker had
+// free capacity. Serving tasks of one image run on two workers with currently high and low load,
+// and the worker was chosen by the mean headroom of the image.
 func TestTaskGoesWhereTheLoadIsLow(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -191,15 +185,13 @@
 	r.submit("batch", "b1", backfillTasks(2, 3000, "some"))
 	r.plan()
 	if len(r.runsOn("w2")) != 3 {
-		t.Fatalf("%v run where many users are, %v where few", r.runsOn("w1"), r.runsOn("w2"))
+		t.Fatalf("%v run beside the high load, %v beside the low load", r.runsOn("w1"), r.runsOn("w2"))
 	}
 }
 
-// Symptom: a serving task is over its objective for a second whenever a large batch
-// step starts beside it.
-// Sequence: nine tasks of a step start on one worker; each by itself would be slowed
-// down a little.
-// Cause: until the first paces have reached them they all work at full speed.
+// Guards against a serving task that exceeds its objective for a second whenever a large batch step
+// starts beside it. Nine tasks of a step, each of which alone would be slowed down a little, start
+// on one worker and work at full speed until the first paces have reached them.
 func TestStartsLeaveHeadroomBeforeFirstPace(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -7,45 +7,48 @@
 )
 
 const (
-	// avoidAfterFailures is how many runs of a worker must fail without one that ends
-	// well between them before it is avoided: tasks fail by themselves now and then,
-	// seldom twice in a row, and a broken worker is found after two.
+	// avoidAfterFailures is how many runs of a worker must fail, without one that succeeds between
+	// them, before the worker is avoided. Tasks occasionally fail by themselves but rarely twice in
+	// a row, and two failures are enough to detect a broken worker.
 	avoidAfterFailures = 2
-	// initialAvoidance is how long a worker is avoided at first; each further failure
-	// doubles it, up to maxAvoidance.
+	// initialAvoidance is the time from the failure that causes a worker to be avoided to the end
+	// of its avoidance. Each further failure doubles it, up to maxAvoidance.
 	initialAvoidance = 3 * time.Second
 	maxAvoidance     = 12 * time.Second
-	// incidentWindow is the time within which failures of a worker lengthen its avoidance
-	// once: what ends many of its runs at a time says no more than what ends one.
+	// incidentWindow is the time after an extension of a worker's avoidance in which further
+	// failures don't extend it again. An event that ends many runs of a worker at once indicates no
+	// more than one that ends a single run.
 	incidentWindow = time.Second
-	// failureResetDelay is the time without a failure, on a worker that gets work, after which
-	// the next one is not in a row with those before it. A long-running task never ends
-	// well, so nothing else would ever end the row.
+	// failureResetDelay is the time without a failure, on a worker that gets work, after which the
+	// next failure is not consecutive to the earlier ones. A long-running task never succeeds, so
+	// nothing else would end its sequence of failures.
 	failureResetDelay = 15 * time.Second
-	// avoidedRetryInterval is the time between two rounds that give an avoided worker tasks that find
-	// no other: one that fails all it gets is tried once in that time, and what else fails
-	// there meanwhile keeps nobody waiting.
+	// avoidedRetryInterval is the time from one round that gives an avoided worker tasks that find
+	// no other worker to the next such round. A worker that fails all of its tasks is thus retried
+	// once in that time, and other failures there don't delay waiting tasks meanwhile.
 	avoidedRetryInterval = time.Second
-	// refusalPause is how long a worker that refused a start gets no other one: long enough
-	// for the task to go elsewhere, and most workers are full or unhealthy for a moment.
+	// refusalPause is the time from the refusal of a start by a worker to the next start there. It
+	// is long enough for the task to start elsewhere, and most refusing workers are full or
+	// unhealthy only briefly.
 	refusalPause = time.Second
 )
 
-// healthTable tells which workers fail what they are given.
+// healthTable tracks which workers fail their tasks.
 type healthTable struct {
 	byWorker map[string]*health
 }
 
+// health is the failure history of a worker.
 type health struct {
 	failures     int
 	failedAt     time.Time
 	avoidedUntil time.Time
 	avoidance    time.Duration
-	// avoidanceExtendedAt is when a failure last lengthened the avoidance.
+	// avoidanceExtendedAt is the time at which a failure last extended the avoidance.
 	avoidanceExtendedAt time.Time
-	// refusedUntil is when the pause after its last refusal is over.
+	// refusedUntil is the end of the pause after the worker's last refusal.
 	refusedUntil time.Time
-	// retriedAt is when it last got a task although it was avoided.
+	// retriedAt is the time at which the worker last got a task although it was avoided.
 	retriedAt time.Time
 }
 
@@ -70,9 +73,10 @@
 	}
 }
 
-// reset ends the row of failures.
+// reset ends the sequence of consecutive failures.
 func (h *health) reset() { *h = health{refusedUntil: h.refusedUntil, retriedAt: h.retriedAt} }
 
+// recordFailure counts a failed run and avoids the worker after consecutive failures.
 func (h *health) recordFailure(at time.Time) {
 	if at.Sub(h.failedAt) > failureResetDelay && at.Sub(h.avoidedUntil) > failureResetDelay {
 		h.reset()
@@ -87,7 +91,7 @@
 	h.avoidedUntil = at.Add(h.avoidance)
 }
 
-// markStalled marks a worker on which tasks stand still.
+// markStalled avoids a worker on which tasks make no progress or are not listed.
 func (t healthTable) markStalled(worker string, at time.Time) {
 	h := t.entry(worker)
 	h.failures = max(h.failures, avoidAfterFailures)
@@ -96,25 +100,25 @@
 	h.avoidedUntil = at.Add(h.avoidance)
 }
 
-// recordRefusal takes in that a worker can take no task for now.
+// recordRefusal records that a worker can currently take no task.
 func (t healthTable) recordRefusal(worker string, at time.Time) {
 	t.entry(worker).refusedUntil = at.Add(refusalPause)
 }
 
-// avoided reports whether a worker should get no work for now.
+// avoided reports whether a worker should currently get no tasks.
 func (h *health) avoided(now time.Time) bool {
 	return h != nil && (now.Before(h.avoidedUntil) || now.Before(h.refusedUntil))
 }
 
-// mayRetry reports whether an avoided worker may get tasks that find no other.
+// mayRetry reports whether an avoided worker may get tasks that find no other worker.
 func (h *health) mayRetry(now time.Time) bool {
 	return h == nil || now.Sub(h.retriedAt) >= avoidedRetryInterval && !now.Before(h.refusedUntil)
 }
 
-// recordRetry notes that an avoided worker got a task that found no other.
+// recordRetry records that an avoided worker got a task that found no other worker.
 func (t healthTable) recordRetry(worker string, at time.Time) { t.entry(worker).retriedAt = at }
 
-// recentlyFailed reports whether a worker failed its last run.
+// recentlyFailed reports whether the last run of a worker failed.
 func (h *health) recentlyFailed() bool {
 	return h != nil && h.failures > 0
 }
--- a/schedule/interference.go
+++ b/schedule/interference.go
@@ -9,70 +9,71 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// The headroom of a serving task is its objective over its tail: 1 when the tail is
-// just as long as it may be. A queue's tail is its service time over the share of
-// the server that is left, so what neighbours take of that share lowers the
-// headroom in proportion, whatever the load; the tail itself grows without bound.
-// Estimates are therefore made of headrooms.
+// The headroom of a serving task is the ratio of its tail latency objective to its tail latency: at
+// 1, the tail latency equals the objective. The tail latency of a queue is its service time divided
+// by the fraction of the server that remains, so the part of that fraction that neighbors take
+// reduces the headroom proportionally at any load, whereas the tail latency itself grows without
+// bound. Estimates are therefore made of headrooms.
 const (
-	// maxHeadroom is where a sample is cut: a tail of a few milliseconds in whole
-	// milliseconds says no more than that there is much.
+	// maxHeadroom limits a sample. A tail latency of a few milliseconds, in whole milliseconds,
+	// shows only that there is much headroom.
 	maxHeadroom = 6
-	// saturatedHeadroom is where a headroom says only that the queue grows without
-	// bound, not how far the neighbours are over what the task bears. No load of its
-	// own brings a task there.
+	// saturatedHeadroom is the headroom below which a sample shows only that the queue grows
+	// without bound, and not by how much the neighbors exceed what the task tolerates. The load of
+	// a task alone does not reduce its headroom that far.
 	saturatedHeadroom = 0.35
 
-	// priorPressure is what a backfilling image that nothing was seen of is believed to
-	// take of a headroom per part of the worker in use, priorPressureDeviation how far off that
-	// may be.
+	// priorPressure is the assumed reduction of a headroom by a backfill image without samples, per
+	// part of the worker in use. priorPressureDeviation is the standard deviation of that
+	// assumption.
 	priorPressure          = 0.08
 	priorPressureDeviation = 0.25
-	// pairDeviation is how far off the pressure of a pair may be when it is known how heavy
-	// the backfilling image is on the average.
+	// pairDeviation is the standard deviation of the pressure of a pair when the average pressure
+	// of the backfill image is known.
 	pairDeviation = 0.15
-	// cautionDeviations is added to a pressure that is not well known: a dozen tasks of an
-	// image add its error up.
+	// cautionDeviations is how many standard deviations are added to an uncertain pressure: with a
+	// dozen tasks of an image, the errors add up.
 	cautionDeviations = 0.25
-	// pressureDrift is how much a pressure changes in a second, as a deviation.
+	// pressureDrift is the standard deviation of the change of a pressure within one second.
 	pressureDrift = 0.05
-	// partsPerWorker is how many parts the processors of a worker are counted in: a
-	// task disturbs by the share of its worker that it uses, whatever its size.
+	// partsPerWorker is the number of parts into which the processors of a worker are divided. The
+	// interference of a task depends on the fraction of its worker that it uses, whatever the size
+	// of the worker.
 	partsPerWorker = 32
-	// sampleNoise and relativeSampleNoise are how far a report of half a second is off, as a
-	// headroom and as a share of it.
+	// sampleNoise and relativeSampleNoise are the standard deviations of a report of half a second,
+	// as a headroom and as a fraction of it.
 	sampleNoise         = 0.3
 	relativeSampleNoise = 0.12
-	// maxBackfillImages bounds the backfilling images that are told apart beside one serving
-	// image.
+	// maxBackfillImages bounds the backfill images that are distinguished beside one serving image.
 	maxBackfillImages = 48
-	// imageRetention is how long an image is remembered that nothing is seen of: names of
-	// images come with each release of the callers' programs.
+	// imageRetention is the time from the last sample of an image to its removal. Each release of
+	// the callers' programs has new image names.
 	imageRetention = time.Hour
 )
 
-// interference learns how much of its headroom each serving step has left by its
-// own load, and how much each image of backfilling tasks takes of it. The load is
-// that of the step's users: the same for all its tasks, and it swings within some
-// ten seconds. How badly an image disturbs another depends on the pair.
+// interference learns the headroom that each serving step has under its own load, and how much of
+// it each image of backfill tasks takes. The load is that of the step's users. It is the same for
+// all tasks of the step and fluctuates within about ten seconds. How much an image interferes with
+// another depends on the pair.
 type interference struct {
 	headrooms map[jobqueue.StepID]*headroomEstimate
 	images    map[string]*servingImage
-	// cachedPriors are the beliefs that were asked for since something was learnt last.
+	// cachedPriors are the priors that were computed since the last sample.
 	cachedPriors map[string]pressurePrior
 }
 
 // servingImage is what is known of an image of serving tasks.
 type servingImage struct {
-	// reportedAt is when one of its tasks last reported.
+	// reportedAt is the time at which a task of the image last reported.
 	reportedAt time.Time
-	// usualHeadroom is the mean headroom of its tasks by themselves.
+	// usualHeadroom is the mean headroom of its tasks without backfill tasks.
 	usualHeadroom float64
-	// pressures are what backfilling images take of it, by image.
+	// pressures are the estimates of the reduction of the headroom, by backfill image.
 	pressures map[string]*pressure
 }
 
-// pressure is an estimate of what a backfilling image takes of a serving one.
+// pressure is an estimate of the reduction of the headroom of a serving image by a backfill image,
+// per part of the worker in use.
 type pressure struct {
 	updatedAt time.Time
 	mean      float64
@@ -83,30 +84,30 @@
 	return &interference{headrooms: map[jobqueue.StepID]*headroomEstimate{}, images: map[string]*servingImage{}, cachedPriors: map[string]pressurePrior{}}
 }
 
-// tailSample is one report of a serving task's tail.
+// tailSample is one report of a serving task's tail latency.
 type tailSample struct {
 	step  jobqueue.StepID
 	image string
-	// headroom is the objective over the tail.
+	// headroom is the ratio of the objective to the tail latency.
 	headroom float64
-	// parts are the parts of the worker that each backfilling image beside it used.
+	// parts are the parts of the worker in use by each backfill image beside the task.
 	parts map[string]float64
 }
 
-// learn takes in a sample. Load and pressures share what the sample differs by from
-// the forecast, each by how uncertain it is.
+// learn updates the estimates by a sample. The deviation of the sample from the forecast is
+// attributed to the load and to the pressures in proportion to their uncertainty.
 func (f *interference) learn(s tailSample, now time.Time) {
 	serving := f.servingImage(s.image, now)
-	l := f.headrooms[s.step]
-	if l == nil {
-		l = newHeadroomEstimate(serving.usualHeadroom, now)
-		f.headrooms[s.step] = l
+	own := f.headrooms[s.step]
+	if own == nil {
+		own = newHeadroomEstimate(serving.usualHeadroom, now)
+		f.headrooms[s.step] = own
 	}
-	l.advance(now)
+	own.advance(now)
 	beside := f.advancePressures(serving, s.parts, now)
 	observed := min(maxHeadroom, s.headroom)
-	expected := l.level
-	variance := sampleNoise*sampleNoise + relativeSampleNoise*relativeSampleNoise*observed*observed + l.variance()
+	expected := own.level
+	variance := sampleNoise*sampleNoise + relativeSampleNoise*relativeSampleNoise*observed*observed + own.variance()
 	for image, p := range beside {
 		expected -= p.mean * s.parts[image]
 		variance += p.variance * s.parts[image] * s.parts[image]
@@ -114,17 +115,18 @@
 	if observed < saturatedHeadroom && expected < observed {
 		return
 	}
-	off := observed - expected
+	deviation := observed - expected
 	if observed >= saturatedHeadroom {
-		l.correct(off, variance)
+		own.correct(deviation, variance)
 	}
 	for image, p := range beside {
-		p.correct(off, variance, s.parts[image])
+		p.correct(deviation, variance, s.parts[image])
 	}
-	serving.usualHeadroom += usualHeadroomWeight * (l.level - serving.usualHeadroom)
+	serving.usualHeadroom += usualHeadroomWeight * (own.level - serving.usualHeadroom)
 	clear(f.cachedPriors)
 }
 
+// servingImage returns the estimates of a serving image, and creates them if necessary.
 func (f *interference) servingImage(name string, now time.Time) *servingImage {
 	i := f.images[name]
 	if i == nil {
@@ -135,8 +137,8 @@
 	return i
 }
 
-// advancePressures returns the estimates, as of now, for the backfilling images that
-// used parts of a worker.
+// advancePressures returns the estimates, extrapolated to now, for the backfill images that used
+// parts of a worker.
 func (f *interference) advancePressures(i *servingImage, parts map[string]float64, now time.Time) map[string]*pressure {
 	beside := map[string]*pressure{}
 	for image, used := range parts {
@@ -157,13 +159,14 @@
 	return beside
 }
 
-// pressurePrior is a pressure that is only believed.
+// pressurePrior is the assumed pressure of a backfill image on a serving image without common
+// samples.
 type pressurePrior struct{ mean, variance float64 }
 
-// prior is what a backfilling image is believed to take of a serving one that it was not
-// seen beside, from what it takes of others. What goes wrong without it: a heavy image has
-// to be found out once for each serving image, and each time the tails there are over their
-// objectives until it is.
+// prior returns the assumed pressure of a backfill image on a serving image beside which it was not
+// observed, derived from its pressures on other images. Otherwise a heavy image would have to be
+// learned once for each serving image, and each time the tail latencies there would exceed their
+// objectives until then.
 func (f *interference) prior(backfill string, now time.Time) pressurePrior {
 	if known, found := f.cachedPriors[backfill]; found {
 		return known
@@ -183,24 +186,29 @@
 	return b
 }
 
+// advance extrapolates the estimate to now.
 func (p *pressure) advance(now time.Time) {
 	p.variance = p.varianceAt(now)
 	p.updatedAt = now
 }
 
+// varianceAt returns the variance at a later time. It is limited to that of an image without
+// samples.
 func (p *pressure) varianceAt(now time.Time) float64 {
 	passed := now.Sub(p.updatedAt).Seconds()
 	return min(priorPressureDeviation*priorPressureDeviation, p.variance+pressureDrift*pressureDrift*passed)
 }
 
-func (p *pressure) correct(off, variance, parts float64) {
+// correct updates the estimate by a sample that deviates from the forecast, given the variance of
+// that deviation and the parts in use.
+func (p *pressure) correct(deviation, variance, parts float64) {
 	gain := p.variance * parts / variance
-	p.mean = max(0, p.mean-gain*off)
+	p.mean = max(0, p.mean-gain*deviation)
 	p.variance -= gain * parts * p.variance
 }
 
-// pressureOf is what a backfilling image takes of the headroom of a serving one, per
-// part of the worker in use, with some caution for what is not well known.
+// pressureOf returns the reduction of the headroom of a serving image by a backfill image, per part
+// of the worker in use, with a margin for uncertainty.
 func (f *interference) pressureOf(serving, backfill string, now time.Time) float64 {
 	if i := f.images[serving]; i != nil && i.pressures[backfill] != nil {
 		p := i.pressures[backfill]
@@ -210,7 +218,7 @@
 	return b.mean + cautionDeviations*math.Sqrt(b.variance)
 }
 
-// forecast is the headroom that a serving step will have by itself at a time.
+// forecast returns the expected headroom of a serving step without backfill tasks at a future time.
 func (f *interference) forecast(step jobqueue.StepID, image string, at time.Time) float64 {
 	if l := f.headrooms[step]; l != nil {
 		return l.forecast(at)
@@ -218,8 +226,7 @@
 	return f.usualHeadroom(image)
 }
 
-// usualHeadroom is what the steps of a serving image have by themselves on the
-// average.
+// usualHeadroom returns the mean headroom of the steps of a serving image without backfill tasks.
 func (f *interference) usualHeadroom(image string) float64 {
 	if i := f.images[image]; i != nil {
 		return i.usualHeadroom
@@ -227,10 +234,10 @@
 	return priorHeadroom
 }
 
-// prune drops what was learnt of steps that are over, and of serving images that
-// nothing was seen of for long.
-func (f *interference) prune(over func(jobqueue.StepID) bool, now time.Time) {
-	maps.DeleteFunc(f.headrooms, func(step jobqueue.StepID, _ *headroomEstimate) bool { return over(step) })
+// prune drops the estimates of finished steps, and those of serving images without samples for
+// imageRetention.
+func (f *interference) prune(finished func(jobqueue.StepID) bool, now time.Time) {
+	maps.DeleteFunc(f.headrooms, func(step jobqueue.StepID, _ *headroomEstimate) bool { return finished(step) })
 	maps.DeleteFunc(f.images, func(_ string, i *servingImage) bool { return now.Sub(i.reportedAt) > imageRetention })
 	clear(f.cachedPriors)
 }
--- a/schedule/longrunning_test.go
+++ b/schedule/longrunning_test.go
@@ -10,13 +10,13 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// longRunningTasks is a long-running step that only reserves.
+// longRunningTasks returns a long-running step that only reserves capacity.
 func longRunningTasks(count uint32) *apiv1.JobStep {
 	return &apiv1.JobStep{Count: count, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 300, LongRunning: true, Image: "lasting"}
 }
 
-// planUntilRunning plans every tenth of a second until each task of a job's first step has a run,
-// and returns how long that took; at most for a minute.
+// planUntilRunning plans every 100 ms until each task of a job's first step has a run, for at most
+// a minute, and returns the elapsed time.
 func (r *harness) planUntilRunning(job string) time.Duration {
 	r.t.Helper()
 	began := r.now
@@ -30,7 +30,7 @@
 	return r.now.Sub(began)
 }
 
-// Guards against a start order that stands for good though nothing is ever seen of its run.
+// Guards against a start order that remains in effect though its run is never observed.
 func TestLongRunningRunThatIsNeverSeenIsStopped(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
@@ -43,10 +43,10 @@
 			return
 		}
 	}
-	t.Error("nothing was seen of the run for 30 s, its worker is in reach, and it is not stopped")
+	t.Error("the run was not observed for 30 s on a reachable worker, and it is not stopped")
 }
 
-// Guards against a run that counts as running though its worker has ceased to list it.
+// Guards against a run that counts as running though its worker no longer lists it.
 func TestLongRunningRunThatItsWorkerNoLongerListsIsStopped(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
@@ -64,11 +64,12 @@
 	t.Error("a run was missing in the reports of its worker for 30 s, and it is not stopped")
 }
 
-// Guards against a second run of a task beside one that may go on, and against a wait after that has ended.
+// Guards against a second run of a task while the first may still run, and against a delay after
+// the first has ended.
 func TestRunBeingStoppedHoldsItsTaskUntilItsEnd(t *testing.T) {
 	for name, ends := range map[string]func(r *harness, id jobqueue.RunID){
 		"listed": func(r *harness, id jobqueue.RunID) { r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED) },
-		"lapsed": func(r *harness, _ jobqueue.RunID) {
+		"lease expired": func(r *harness, _ jobqueue.RunID) {
 			r.unresponsive["w1"] = true
 			r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Plan{Plan: &apiv1.PlanRuns{Term: testTerm, Lapsed: []string{"w1"}}}})
 		},
@@ -98,7 +99,7 @@
 	}
 }
 
-// Guards against an end of a run, of whatever kind, after which its task never gets another one.
+// Guards against an end of a run, of whatever kind, after which its task never gets another run.
 func TestEachEndOfALongRunningRunIsFollowedByAStart(t *testing.T) {
 	for seed := range int64(20) {
 		random := rand.New(rand.NewSource(seed))
@@ -109,10 +110,10 @@
 		for i := range 4 {
 			r.addWorker(fmt.Sprintf("w%d-0", i), 3000, 8000)
 		}
-		for life := range 100 {
+		for ends := range 100 {
 			r.plan()
 			if !r.machine.Job("set").Occurrences[0].Steps[0].Covered() {
-				t.Fatalf("seed %d: a task waits after %d ends", seed, life)
+				t.Fatalf("seed %d: a task waits after %d ends", seed, ends)
 			}
 			r.endSomehow(random)
 			r.advance(simStep)
@@ -120,7 +121,7 @@
 	}
 }
 
-// endSomehow ends a random run, or all of a worker, in a random way that is no failure.
+// endSomehow ends a random run, or all runs of a worker, in a random way that is not a failure.
 func (r *harness) endSomehow(random *rand.Rand) {
 	r.t.Helper()
 	w := r.machine.Workers()[random.Intn(len(r.machine.Workers()))]
@@ -151,7 +152,7 @@
 	}
 }
 
-// Guards against a lost run whose job counts as not yet due once the leader's clock was set back.
+// Guards against a lost run whose job counts as not yet due after the leader's clock was set back.
 func TestLostRunStartsAgainWhenTheClockWasSetBack(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 8000, 8000)
--- a/schedule/maintenance.go
+++ b/schedule/maintenance.go
@@ -5,50 +5,49 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// HostView is a host as the platform lists it.
+// HostView is a host as listed by the platform.
 type HostView struct {
-	// Worker is the incarnation of its worker, empty while there is none.
+	// Worker is the incarnation of the worker on the host, empty while there is none.
 	Worker string
 	// Pool is the pool of workers that the host belongs to.
 	Pool string
-	// Up is set unless the host is down, in maintenance or on the move.
+	// Up is set unless the host is down, in maintenance or being moved.
 	Up bool
 	// Down is set for a host that is switched off or lost.
 	Down bool
-	// Capacity and Labels are what its worker has, or would have.
+	// Capacity and Labels are those of the host's worker, or of the worker that it would run.
 	Capacity jobqueue.Resources
 	Labels   []string
 }
 
-// UnnamedHost stands in a list for hosts whose names can't be read. While there are any,
-// no host is known to be missing from the list. What goes wrong without it: a host whose
-// entry is spoilt counts as gone, and its wave is called done without its maintenance.
+// UnnamedHost is the key in a list for hosts whose names can't be read. While it is present, no
+// host is considered missing from the list. Otherwise a host whose entry is corrupt would count as
+// gone, and its wave would finish without the maintenance of that host.
 const UnnamedHost = ""
 
-// NextMaintenance returns the steps that hosts of waves can take, given a whole list
-// of the fleet's hosts.
+// NextMaintenance returns the next steps of the hosts of all waves, given a complete list of hosts.
 func NextMaintenance(m *jobqueue.Machine, hosts map[string]HostView) []*apiv1.MaintainHost {
 	var steps []*apiv1.MaintainHost
 	for _, w := range m.Waves() {
-		room := w.Room()
+		available := w.Room()
 		_, unnamed := hosts[UnnamedHost]
 		for _, h := range w.Hosts {
 			if h.Leaving() && !h.Down() {
-				room--
+				available--
 			}
 		}
 		for _, h := range w.Hosts {
 			if move, ok := m.MoveOf(h.Name); ok && !move.Over() {
-				// Its turn comes when it is in the pool that it goes to.
+				// The step follows when the host is in the pool that it moves to.
 				continue
 			}
 			view, listed := hosts[h.Name]
-			step := nextMaintenanceStep(m, h, view, listed || unnamed, room > 0)
+			step := nextMaintenanceStep(m, h, view, listed || unnamed, available > 0)
 			if step == nil {
 				continue
 			}
 			if !h.Leaving() && step.State == apiv1.MaintenanceState_MAINTENANCE_STATE_LEAVING {
-				room--
+				available--
 			}
 			step.Wave, step.Host = w.Spec.Number, h.Name
 			steps = append(steps, step)
@@ -57,8 +56,9 @@
 	return steps
 }
 
-// nextMaintenanceStep returns the step that a host can take, nil for none.
-func nextMaintenanceStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, room bool) *apiv1.MaintainHost {
+// nextMaintenanceStep returns the next step of a host, nil if there is none. mayLeave is set if the
+// wave permits one more host to leave.
+func nextMaintenanceStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, mayLeave bool) *apiv1.MaintainHost {
 	step := func(s apiv1.MaintenanceState, worker string) *apiv1.MaintainHost {
 		return &apiv1.MaintainHost{State: s, Worker: worker}
 	}
@@ -70,12 +70,12 @@
 	}
 	switch h.State {
 	case apiv1.MaintenanceState_MAINTENANCE_STATE_WAITING:
-		if room {
+		if mayLeave {
 			return step(apiv1.MaintenanceState_MAINTENANCE_STATE_LEAVING, view.Worker)
 		}
 	case apiv1.MaintenanceState_MAINTENANCE_STATE_LEAVING:
 		if view.Worker != h.Worker {
-			// It crashed and came back meanwhile.
+			// The worker crashed and came back meanwhile.
 			return step(apiv1.MaintenanceState_MAINTENANCE_STATE_LEAVING, view.Worker)
 		}
 		if w := m.Worker(h.Worker); w == nil || len(w.Runs) == 0 {
--- a/schedule/maintenance_test.go
+++ b/schedule/maintenance_test.go
@@ -6,9 +6,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: a wave is done though one of its hosts never had its maintenance.
-// Sequence: the host's entry in the list of hosts can't be read, not even its name.
-// Cause: a host that is not in the list counts as gone.
+// Guards against a wave that finishes though one of its hosts never had its maintenance. The host's
+// entry in the list of hosts can't be read, not even its name, and a host that is not in the list
+// counted as gone.
 func TestHostOfAnUnreadableEntryIsNotGone(t *testing.T) {
 	r := newHarness(t)
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{Wave: &apiv1.MaintenanceWave{
--- a/schedule/move.go
+++ b/schedule/move.go
@@ -7,23 +7,23 @@
 )
 
 const (
-	// lowPace is the pace, in percent, at which a run is moved if another worker would
-	// run it at the usual speed or more, and lowPaceDuration how long it must have been
-	// that low: two reports, so that a tail that is only long for a moment moves
-	// nothing. A move costs the work since the last report and a start, some tenths of
-	// a second, and a step ends with its slowest task.
+	// lowPace is the pace, in percent, at or below which a run is moved if another worker would run
+	// it at defaultMinSpeed or more. lowPaceDuration is how long the pace must have been that low.
+	// It covers two reports, so that a tail latency that is long only briefly causes no move. A
+	// move costs the work since the last report and a start, some tenths of a second, and a step
+	// ends with its slowest task.
 	lowPace         = 40
 	lowPaceDuration = time.Second
 	// maxMovesPerRound bounds the runs that are moved at once.
 	maxMovesPerRound = 4
 )
 
-// moveSlowedRuns stops backfilling runs that are slowed down for good beside the
-// serving tasks they disturb, if another worker would bear them; they go on there
-// from their checkpoint. What goes wrong without it: they hold memory and make no
-// progress while the processors of other workers are idle.
+// moveSlowedRuns stops backfill runs that are persistently slowed down because they interfere with
+// serving tasks, if another worker would tolerate them. They resume there from their checkpoint.
+// Otherwise they would occupy memory and make no progress while the processors of other workers are
+// idle.
 func (r *round) moveSlowedRuns() {
-	seen := map[jobqueue.RunID]time.Time{}
+	slowedSince := map[jobqueue.RunID]time.Time{}
 	moves := 0
 	for _, s := range r.slots {
 		if c := r.planner.pacers[s.worker.Spec.Id]; c == nil || !c.hasLowPace {
@@ -35,16 +35,17 @@
 			if !known {
 				since = r.now
 			}
-			seen[id] = since
+			slowedSince[id] = since
 			if moves < maxMovesPerRound && r.now.Sub(since) >= lowPaceDuration && r.reserveElsewhere(run, s) {
 				r.stop(id, "slowed down, another worker bears it")
 				moves++
 			}
 		}
 	}
-	r.planner.lowPaceSince = seen
+	r.planner.lowPaceSince = slowedSince
 }
 
+// isSlowed reports whether a run may be moved and its pace is at most lowPace.
 func (r *round) isSlowed(run *jobqueue.Run) bool {
 	if !run.Step.Backfill || !run.Step.Checkpointing || run.Step.Gang || run.Stopping {
 		return false
@@ -53,18 +54,18 @@
 	return set && percent <= lowPace
 }
 
-// reserveElsewhere reports whether another worker would run the task well, and takes that
-// worker's room for this round.
-func (r *round) reserveElsewhere(run *jobqueue.Run, own *slot) bool {
+// reserveElsewhere reports whether another worker would run the task at defaultMinSpeed or more,
+// and reserves capacity on that worker for this round.
+func (r *round) reserveElsewhere(run *jobqueue.Run, current *slot) bool {
 	id := run.ID.Task
 	j := run.Job()
 	c := &candidate{
 		job: j, queue: r.machine.QueueOf(j), occurrence: int(id.Occurrence), stepIndex: int(id.Step),
 		step: j.Occurrences[id.Occurrence].Steps[id.Step], neededSpeed: defaultMinSpeed,
 	}
-	usable := own.usable
-	own.usable = false
-	defer func() { own.usable = usable }()
+	usable := current.usable
+	current.usable = false
+	defer func() { current.usable = usable }()
 	s := r.best(c)
 	if s == nil {
 		return false
--- a/schedule/overcommitted.go
+++ b/schedule/overcommitted.go
@@ -6,19 +6,20 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// stopOvercommitted takes back starts on workers that have shrunk below what their runs reserve, as far
-// as no report has listed them: those that run may go on, but none may begin.
+// stopOvercommitted stops runs on workers whose capacity has shrunk below what their runs reserve,
+// as far as no report has listed these runs yet. Runs that are already running may continue, but no
+// further ones may begin.
 func (r *round) stopOvercommitted() {
 	for _, s := range r.slots {
 		if (jobqueue.Resources{}).Fits(s.free) {
 			continue
 		}
 		free := s.free
-		unseen := s.worker.RunsThat(func(run *jobqueue.Run) bool {
+		unobserved := s.worker.RunsThat(func(run *jobqueue.Run) bool {
 			_, seen := r.fleet.Observed(run.ID)
 			return !seen && !run.Stopping
 		})
-		for _, run := range slices.Backward(unseen) {
+		for _, run := range slices.Backward(unobserved) {
 			if (jobqueue.Resources{}).Fits(free) {
 				break
 			}
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -11,58 +11,60 @@
 )
 
 const (
-	// paceInterval is the time between two changes of a worker's paces: the figures
-	// are of the last half second.
+	// paceInterval is the time from one change of a worker's paces to the next. Reports cover the
+	// last half second.
 	paceInterval = 500 * time.Millisecond
-	// tailWeight is the weight of the newest report in a task's smoothed tail: single
-	// reports are noisy.
+	// tailWeight is the weight of the newest report in a task's smoothed tail latency, because
+	// single reports are noisy.
 	tailWeight = 0.7
-	// trustCutThreshold of the objective, smoothed, is where the budget is cut, trustRestoreThreshold
-	// where it is given back: between them it stays, so that paces don't swing.
+	// trustCutThreshold is the fraction of the objective above which a smoothed tail latency
+	// reduces the trust, trustRestoreThreshold the fraction below which it is restored. Between
+	// them it remains unchanged, so that paces don't oscillate.
 	trustCutThreshold     = 0.85
 	trustRestoreThreshold = 0.7
-	// trustCutFactor and trustRestoreStep change a worker's budget, minTrust is the least share
-	// of it: the estimates follow a disturbance within a report, and a budget that is
-	// cut deeper idles the worker for seconds. What lasts longer than pauseAfter ends in
-	// a standstill.
+	// trustCutFactor and trustRestoreStep change a worker's trust, and minTrust is its lower limit:
+	// the estimates follow a disturbance within one report, and a larger reduction would leave the
+	// worker idle for seconds. A disturbance longer than pauseAfter pauses the backfill runs.
 	trustCutFactor   = 0.5
 	trustRestoreStep = 0.25
 	minTrust         = 0.5
-	// pauseAfter is how long a tail may be over its objective before all
-	// backfilling runs beside it stand still. A tail falls back within a second and a
-	// half of that, and a disturbance has to end within four.
+	// pauseAfter is how long a tail latency may exceed its objective before all backfill runs
+	// beside it are paused. The tail latency recovers within 1.5 s after that, and a disturbance
+	// has to end within 4 s.
 	pauseAfter = 1400 * time.Millisecond
-	fullPace   = 100
-	// averagingTime is the time constant of the moving average that workers report; a
-	// report after more than maxReportGap holds nothing of the one before.
+	// fullPace is the pace, in percent, of a run at full speed.
+	fullPace = 100
+	// averagingTime is the time constant of the moving average that workers report. A report that
+	// follows the previous one after more than maxReportGap contains nothing of it.
 	averagingTime = 300 * time.Millisecond
 	maxReportGap  = 1200 * time.Millisecond
-	// paceStep is the granularity of a pace, so that small changes of the figures
-	// order nothing.
+	// paceStep is the granularity of a pace in percent, so that small changes of the reported
+	// values cause no orders.
 	paceStep = 10
 )
 
-// pacer holds the paces of a worker's backfilling runs.
+// pacer keeps the paces of a worker's backfill runs.
 type pacer struct {
 	updatedAt time.Time
-	// trust is the share of the budget that is given out, cut when the tails are too
-	// long all the same.
+	// trust is the fraction of the slack that is allocated. It is reduced when tail latencies are
+	// too long in spite of the estimates.
 	trust float64
-	// tails are the smoothed tails of the serving runs, as shares of their objectives.
+	// tails are the smoothed tail latencies of the serving runs as fractions of their objectives.
 	tails map[jobqueue.RunID]float64
 	paces map[jobqueue.RunID]uint32
-	// revision grows with each change of the paces; low is set while one is so low that
-	// its run may be moved.
+	// revision increases with each change of the paces. hasLowPace is set while a pace is so low
+	// that its run may be moved.
 	revision   uint64
 	hasLowPace bool
 	// reports are the last reports of the serving runs.
 	reports map[jobqueue.RunID]tailReport
-	// exceededSince says since when the tail of a serving run has been over its objective.
+	// exceededSince is the time since which the tail latency of a serving run has exceeded its
+	// objective.
 	exceededSince map[jobqueue.RunID]time.Time
 }
 
-// Observe learns from a report of a worker and sets the paces of its backfilling
-// runs. It returns whether a pace changed.
+// Observe learns from a report of a worker and sets the paces of its backfill runs. It returns
+// whether a pace changed.
 func (p *Planner) Observe(w *jobqueue.Worker, fleet Fleet, now time.Time) bool {
 	c := p.pacerOf(w.Spec.Id)
 	if now.Sub(c.updatedAt) < paceInterval {
@@ -77,7 +79,7 @@
 	return p.setPaces(c, v, now)
 }
 
-// pacerOf returns a worker's pacer, a new one where there is none.
+// pacerOf returns a worker's pacer, and creates it if necessary.
 func (p *Planner) pacerOf(worker string) *pacer {
 	c := p.pacers[worker]
 	if c == nil {
@@ -87,8 +89,7 @@
 	return c
 }
 
-// setPaces sets the paces of a worker's backfilling runs and returns whether one
-// changed.
+// setPaces sets the paces of a worker's backfill runs and returns whether one changed.
 func (p *Planner) setPaces(c *pacer, v workerView, now time.Time) bool {
 	if c.mustPause(now) {
 		return c.replacePaces(zeroPaces(v))
@@ -96,10 +97,10 @@
 	return c.replacePaces(p.allocatePaces(v, c.trust, now))
 }
 
-// setStartPaces sets the paces of the backfilling runs that this round starts, and of
-// those beside them. What goes wrong without it: a run works at full speed until
-// the next report of its worker, half a second and more, and the tails beside it
-// are over their objectives for a second.
+// setStartPaces sets the paces of the backfill runs that this round starts, and of the backfill
+// runs beside them and beside serving tasks that it starts. Otherwise a run would work at full
+// speed until the next report of its worker, for half a second or more, and the tail latencies
+// beside it would exceed their objectives for a second.
 func (r *round) setStartPaces() {
 	for _, s := range r.slots {
 		id := s.worker.Spec.Id
@@ -115,8 +116,8 @@
 	}
 }
 
-// Pace returns the pace that a run should have, in percent; false when none was
-// ever set.
+// Pace returns the pace that a run should have, in percent. It returns false if the run has no
+// pace, which means full speed.
 func (p *Planner) Pace(worker string, id jobqueue.RunID) (uint32, bool) {
 	if c := p.pacers[worker]; c != nil {
 		percent, set := c.paces[id]
@@ -125,7 +126,7 @@
 	return 0, false
 }
 
-// trust is the share of a worker's slack that is given out.
+// trust returns the fraction of a worker's slack that is allocated.
 func (p *Planner) trust(worker string) float64 {
 	if c := p.pacers[worker]; c != nil {
 		return c.trust
@@ -133,26 +134,28 @@
 	return 1
 }
 
-// workerView is what was last seen of a worker's runs.
+// workerView is what was last observed of a worker's runs.
 type workerView struct {
 	capacity int64
-	// serving are the serving runs at work; steps are those of all serving runs, with their
-	// images.
+	// serving are the serving runs that are running. steps are the steps of all serving runs, with
+	// their images.
 	serving  []observedRun
 	steps    map[jobqueue.StepID]string
 	backfill []observedRun
 }
 
+// observedRun is a run with its last observation.
 type observedRun struct {
 	run *jobqueue.Run
 	Observation
 }
 
-// tailShare is the tail latency as a share of its objective.
+// tailShare returns the tail latency as a fraction of its objective.
 func (s observedRun) tailShare() float64 {
 	return float64(s.Figure) / float64(s.run.Step.TailObjectiveMs)
 }
 
+// viewWorker returns the view of a worker with the last observations of its runs.
 func viewWorker(w *jobqueue.Worker, fleet Fleet) workerView {
 	v := workerView{capacity: w.Spec.CpuMilli, steps: servingSteps(w)}
 	for _, id := range w.SortedRuns() {
@@ -168,7 +171,7 @@
 	return v
 }
 
-// backfillParts sums the processor time in use by image, in parts of the worker.
+// backfillParts sums the processor time in use by backfill image, in parts of the worker.
 func (v workerView) backfillParts() map[string]float64 {
 	parts := map[string]float64{}
 	for _, b := range v.backfill {
@@ -177,6 +180,7 @@
 	return parts
 }
 
+// learn updates the interference estimates by the tail latencies of the serving runs.
 func (p *Planner) learn(c *pacer, v workerView, now time.Time) {
 	parts := v.backfillParts()
 	for _, s := range v.serving {
@@ -191,19 +195,20 @@
 	c.recordReports(v, now)
 }
 
-// currentTailShare is a tail as a share of its objective without what the report before
-// still adds to it: workers report a moving average, in which a queue that has gone
-// is still seen for a second.
+// currentTailShare returns a tail latency as a fraction of its objective, without the contribution
+// of the previous report. Workers report a moving average, in which a queue that has emptied
+// remains visible for a second.
 func (c *pacer) currentTailShare(s observedRun, now time.Time) float64 {
 	before, known := c.reports[s.run.ID]
 	passed := now.Sub(before.at)
 	if !known || passed > maxReportGap {
 		return s.tailShare()
 	}
-	kept := math.Exp(-passed.Seconds() / averagingTime.Seconds())
-	return max(1.0/maxHeadroom, (s.tailShare()-kept*before.share)/(1-kept))
+	retained := math.Exp(-passed.Seconds() / averagingTime.Seconds())
+	return max(1.0/maxHeadroom, (s.tailShare()-retained*before.share)/(1-retained))
 }
 
+// recordReports keeps the reported tail latencies for comparison with the next report.
 func (c *pacer) recordReports(v workerView, now time.Time) {
 	c.reports = map[jobqueue.RunID]tailReport{}
 	for _, s := range v.serving {
@@ -211,13 +216,13 @@
 	}
 }
 
-// tailReport is a tail as it was reported.
+// tailReport is a tail latency as reported, as a fraction of its objective.
 type tailReport struct {
 	at    time.Time
 	share float64
 }
 
-// smoothTails takes the newest tails in.
+// smoothTails updates the smoothed tail latencies.
 func (c *pacer) smoothTails(v workerView) {
 	tails := map[jobqueue.RunID]float64{}
 	for _, s := range v.serving {
@@ -230,6 +235,7 @@
 	c.tails = tails
 }
 
+// adjustTrust reduces or restores the trust according to the worst smoothed tail latency.
 func (c *pacer) adjustTrust(v workerView) {
 	worst := 0.0
 	for _, s := range v.serving {
@@ -243,9 +249,10 @@
 	}
 }
 
-// trackExceeded notes since when each serving run's tail has been over its objective.
+// trackExceeded updates the time since which each serving run's tail latency has exceeded its
+// objective.
 func (c *pacer) trackExceeded(v workerView, now time.Time) {
-	over := map[jobqueue.RunID]time.Time{}
+	exceeded := map[jobqueue.RunID]time.Time{}
 	for _, s := range v.serving {
 		if s.tailShare() <= 1 {
 			continue
@@ -254,15 +261,14 @@
 		if !known {
 			since = now
 		}
-		over[s.run.ID] = since
+		exceeded[s.run.ID] = since
 	}
-	c.exceededSince = over
+	c.exceededSince = exceeded
 }
 
-// mustPause reports whether a tail has been over its objective for so long that the
-// backfilling runs must stand still, whichever of them is to blame. What goes wrong
-// without it: a pair of images that was not learnt yet, or an estimate that is
-// wrong, disturbs a serving task for seconds.
+// mustPause reports whether a tail latency has exceeded its objective for so long that all backfill
+// runs must pause, whichever of them is the cause. Otherwise a pair of images that was not learned
+// yet, or a wrong estimate, would interfere with a serving task for seconds.
 func (c *pacer) mustPause(now time.Time) bool {
 	for _, since := range c.exceededSince {
 		if now.Sub(since) >= pauseAfter {
@@ -272,6 +278,7 @@
 	return false
 }
 
+// zeroPaces returns a pace of 0 for each backfill run.
 func zeroPaces(v workerView) map[jobqueue.RunID]uint32 {
 	paces := map[jobqueue.RunID]uint32{}
 	for _, b := range v.backfill {
@@ -280,14 +287,14 @@
 	return paces
 }
 
-// allocatePaces shares the slack out: the images that disturb least first, since it buys
-// the most work there.
+// allocatePaces allocates the slack to backfill runs. Images that interfere least come first,
+// because the slack permits the most work there.
 func (p *Planner) allocatePaces(v workerView, trust float64, now time.Time) map[jobqueue.RunID]uint32 {
 	paces := map[jobqueue.RunID]uint32{}
-	left := p.interference.slackAt(now.Add(paceLookahead), v.steps, trust, now)
+	slack := p.interference.slackAt(now.Add(paceLookahead), v.steps, trust, now)
 	costs := map[string]float64{}
 	for _, b := range v.backfill {
-		costs[b.run.Step.Image] = left.cost(b.run.Step, v.capacity) / float64(max(1, b.run.Step.CpuMilli))
+		costs[b.run.Step.Image] = slack.cost(b.run.Step, v.capacity) / float64(max(1, b.run.Step.CpuMilli))
 	}
 	order := slices.Clone(v.backfill)
 	slices.SortStableFunc(order, func(a, b observedRun) int {
@@ -295,18 +302,18 @@
 	})
 	for _, b := range order {
 		share := 1.0
-		if cost := left.cost(b.run.Step, v.capacity); cost > 1 {
+		if cost := slack.cost(b.run.Step, v.capacity); cost > 1 {
 			share = 1 / cost
 		}
 		percent := uint32(share*fullPace) / paceStep * paceStep
-		left.consume(b.run.Step, v.capacity, float64(percent)/fullPace)
+		slack.consume(b.run.Step, v.capacity, float64(percent)/fullPace)
 		paces[b.run.ID] = percent
 	}
 	return paces
 }
 
-// replacePaces replaces the paces and reports whether one changed. A run that was never
-// slowed down needs no order.
+// replacePaces replaces the paces and reports whether one changed. A run that was never slowed down
+// needs no order.
 func (c *pacer) replacePaces(paces map[jobqueue.RunID]uint32) bool {
 	changed, low := false, false
 	next := map[jobqueue.RunID]uint32{}
--- a/schedule/pools.go
+++ b/schedule/pools.go
@@ -10,56 +10,57 @@
 )
 
 const (
-	// shortageDelay is how long tasks of a pool have to find no room, at every look,
-	// before a host is moved there: most bursts are over sooner, and a host needs some
-	// seconds to start. Each lately refused move towards the pool doubles it.
+	// shortageDelay is how long tasks of a pool must find no free capacity, in every round, before
+	// a host is moved to the pool. Most bursts end sooner, and a host needs some seconds to start.
+	// Each recently refused move to the pool doubles the delay, up to maxShortageDelay.
 	shortageDelay    = 5 * time.Second
 	maxShortageDelay = 5 * time.Minute
-	// idleBeforeLending is how long a worker has had nothing to run before its host may be
-	// given to another pool: longer than the gaps between jobs of a busy queue.
+	// idleBeforeLending is how long a worker must have had no runs before its host may be moved to
+	// another pool. It is longer than the gaps between jobs of a busy queue.
 	idleBeforeLending = 15 * time.Second
-	// idleBeforeReturn is how long the worker of a host from standby has nothing to run
-	// before the host goes back: a start costs more than to stay for a while.
+	// idleBeforeReturn is how long the worker of a host from standby must have had no runs before
+	// the host returns. A start costs more than leaving the host in the pool for a while.
 	idleBeforeReturn = time.Minute
-	// moverStartDelay is how long a leader leads before it has hosts moved: it knows by then
-	// which workers are in reach and what waits, and the last orders of the leader before
-	// it are answered or were given up.
+	// moverStartDelay is the time from the beginning of a leadership to the first move of a host.
+	// After this time the leader knows which workers are reachable and which tasks wait, and the
+	// last orders of the previous leader have been answered or abandoned.
 	moverStartDelay = 10 * time.Second
-	// hostListInterval is the time between two lists of hosts that are asked for because a pool
-	// is short: while no host can be given, the platform is not asked at every look.
+	// hostListInterval is the time between two requests for the list of hosts that are made because
+	// a pool is short. While no host is available, the platform is not queried in every round.
 	hostListInterval = 5 * time.Second
-	// minHosts is how many hosts a pool with queues keeps.
+	// minHosts is the number of hosts that a pool with queues keeps.
 	minHosts = 1
 )
 
 // Mover decides which hosts are moved between pools. It is not safe for concurrent use.
 type Mover struct {
 	startedAt time.Time
-	// checkedAt is when moves to begin were last looked for in a list.
+	// checkedAt is the time at which a list of hosts was last checked for moves to begin.
 	checkedAt time.Time
-	// shortageSince says since when tasks of a pool found no room; needs is what they need.
+	// shortageSince is the time since which tasks of a pool have found no free capacity. needs is
+	// the capacity that they need.
 	shortageSince map[string]time.Time
 	needs         map[string]poolNeed
-	// idleSince says since when a worker in reach has had nothing to run.
+	// idleSince is the time since which a reachable worker has had no runs.
 	idleSince map[string]time.Time
 }
 
-// poolNeed is the step with the most tasks that find no room in a pool.
+// poolNeed is the step with the most tasks that find no free capacity in a pool.
 type poolNeed struct {
 	step  *apiv1.JobStep
 	tasks int
 }
 
-// NewMover returns the mover of a leader that begins to lead.
+// NewMover returns the Mover of a new leader.
 func NewMover(now time.Time) *Mover {
 	return &Mover{startedAt: now, shortageSince: map[string]time.Time{}, needs: map[string]poolNeed{}, idleSince: map[string]time.Time{}}
 }
 
-// Ready reports whether the leader has led for long enough to have hosts moved.
+// Ready reports whether the leader has led for long enough to move hosts.
 func (p *Mover) Ready(now time.Time) bool { return now.Sub(p.startedAt) >= moverStartDelay }
 
-// Update takes in which steps found no worker and which workers have nothing to run.
-// With one pool there is nothing to move, and nothing is kept.
+// Update records which steps found no worker and which workers have no runs. With a single pool no
+// host can be moved, so nothing is recorded.
 func (p *Mover) Update(m *jobqueue.Machine, fleet Fleet, waits []UnplacedStep, now time.Time) {
 	if len(m.Configuration().Pools) < 2 {
 		clear(p.shortageSince)
@@ -103,9 +104,9 @@
 	p.needs, p.shortageSince = needs, since
 }
 
-// needsHosts reports whether another host would help: all workers of the pool are full,
-// or there are none. When most of them are out of reach, drain or are in maintenance,
-// they will soon be back or replaced.
+// needsHosts reports whether another host would help: all workers of the pool are full, or there
+// are none. If most of them are unreachable, draining, avoided or in maintenance, they will soon be
+// available again or be replaced.
 func (w UnplacedStep) needsHosts() bool {
 	count := func(reasons ...Reason) int {
 		n := 0
@@ -114,17 +115,17 @@
 		}
 		return n
 	}
-	passing := count(ReasonUnreachable, ReasonDraining, ReasonMaintenance, ReasonAvoided)
+	temporary := count(ReasonUnreachable, ReasonDraining, ReasonMaintenance, ReasonAvoided)
 	full := count(ReasonProcessors, ReasonMemory, ReasonAccelerators, ReasonSpread, ReasonLabel)
 	others := count(ReasonRefused, ReasonSlow, ReasonInterference)
-	if count(ReasonNone, ReasonNotAdvised) > 0 || passing > full+others {
+	if count(ReasonNone, ReasonNotAdvised) > 0 || temporary > full+others {
 		return false
 	}
 	return full > 0 || others == 0
 }
 
-// NeedsHostList reports whether a list of hosts is worth asking for: a pool is short, or a
-// host from standby has nothing to do.
+// NeedsHostList reports whether to query the list of hosts: a pool is short of hosts, or a host
+// from standby is idle.
 func (p *Mover) NeedsHostList(m *jobqueue.Machine, now time.Time) bool {
 	if !p.Ready(now) || now.Sub(p.checkedAt) < hostListInterval {
 		return false
@@ -135,24 +136,24 @@
 		}
 	}
 	return slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool {
-		// The list may have named the worker before its first report told its start.
+		// The list may have named the worker before its first report contained its start time.
 		return p.returnMove(m, v, m.NewestIncarnation(v.Worker), now) != nil
 	})
 }
 
 // isShort reports whether a pool has lacked hosts for long enough.
 func (p *Mover) isShort(m *jobqueue.Machine, pool string, now time.Time) bool {
-	patience := shortageDelay
+	delay := shortageDelay
 	for _, v := range m.Moves() {
 		if v.State == apiv1.MoveState_MOVE_STATE_REFUSED && v.Pool == pool {
-			patience = min(2*patience, maxShortageDelay)
+			delay = min(2*delay, maxShortageDelay)
 		}
 	}
 	since, known := p.shortageSince[pool]
-	return known && now.Sub(since) >= patience
+	return known && now.Sub(since) >= delay
 }
 
-// returnMove returns the move that takes an idle host back to standby, nil for none.
+// returnMove returns the move of an idle host back to standby, nil if there is none.
 func (p *Mover) returnMove(m *jobqueue.Machine, v jobqueue.Move, worker string, now time.Time) *apiv1.MoveHost {
 	back := m.Borrowed(v)
 	if back == nil || !p.idleFor(worker, idleBeforeReturn, now) {
@@ -170,8 +171,8 @@
 	return known && now.Sub(since) >= d
 }
 
-// NextSteps returns the steps that moves can take and the moves that begin, given a whole
-// list of the fleet's hosts.
+// NextSteps returns the next steps of open moves and the moves that begin, given a complete list of
+// hosts.
 func (p *Mover) NextSteps(m *jobqueue.Machine, hosts map[string]HostView, now time.Time) []*apiv1.MoveHost {
 	var steps []*apiv1.MoveHost
 	for _, v := range m.Moves() {
@@ -186,7 +187,7 @@
 	return steps
 }
 
-// nextMoveStep returns the step that an open move can take, nil for none.
+// nextMoveStep returns the next step of an open move, nil if there is none.
 func nextMoveStep(m *jobqueue.Machine, v jobqueue.Move, view HostView, listed bool) *apiv1.MoveHost {
 	step := func(s apiv1.MoveState, worker string) *apiv1.MoveHost {
 		return &apiv1.MoveHost{Host: v.Host, Pool: v.Pool, From: v.From, State: s, Worker: worker}
@@ -208,7 +209,7 @@
 	case view.Pool == v.Pool:
 		return step(apiv1.MoveState_MOVE_STATE_DONE, view.Worker)
 	case view.Worker != v.Worker || view.Pool != v.From:
-		// It is found, or it crashed and came back meanwhile.
+		// The worker was found, or it crashed and came back meanwhile.
 		found := step(apiv1.MoveState_MOVE_STATE_LEAVING, view.Worker)
 		found.From = view.Pool
 		return found
@@ -219,7 +220,7 @@
 	return nil
 }
 
-// hostUsable reports whether a host is up with a worker, or switched off in standby.
+// hostUsable reports whether a host is up and has a worker, or is switched off in standby.
 func hostUsable(m *jobqueue.Machine, view HostView) bool {
 	if m.Pool(view.Pool).GetStandby() {
 		return view.Up || view.Down
@@ -227,8 +228,8 @@
 	return view.Up && view.Worker != ""
 }
 
-// arrivalStep returns the step of a host that was on the move and is somewhere else now. A
-// list that is late shows the incarnation before the move, which tells nothing.
+// arrivalStep returns the next step of a host that was being moved and is listed as usable. An
+// outdated list shows the incarnation before the move, which gives no information.
 func arrivalStep(m *jobqueue.Machine, v jobqueue.Move, view HostView, step func(apiv1.MoveState, string) *apiv1.MoveHost) *apiv1.MoveHost {
 	begun := v.State == apiv1.MoveState_MOVE_STATE_BEGUN
 	switch {
@@ -247,42 +248,42 @@
 	return nil
 }
 
-// beginMoves returns the moves to begin: towards pools that are short, and back to standby.
+// beginMoves returns the moves to begin: to pools that are short of hosts, and back to standby.
 func (p *Mover) beginMoves(m *jobqueue.Machine, hosts map[string]HostView, now time.Time) []*apiv1.MoveHost {
 	var begun []*apiv1.MoveHost
 	p.checkedAt = now
-	room := jobqueue.MaxMovesAtOnce
+	available := jobqueue.MaxMovesAtOnce
 	for _, v := range m.Moves() {
 		if !v.Over() {
-			room--
+			available--
 		}
 	}
 	for _, pool := range slices.Sorted(maps.Keys(p.shortageSince)) {
 		if !p.isShort(m, pool, now) || m.Pool(pool).GetStandby() {
 			continue
 		}
-		moves := p.movesToward(m, hosts, pool, now, room)
+		moves := p.movesToward(m, hosts, pool, now, available)
 		if len(moves) > 0 {
-			// What comes is waited for before more is called for.
+			// The hosts that are being moved have to arrive before more are moved.
 			p.shortageSince[pool] = now
 		}
-		room -= len(moves)
+		available -= len(moves)
 		begun = append(begun, moves...)
 	}
 	for _, v := range m.Moves() {
 		view := hosts[v.Host]
 		back := p.returnMove(m, v, view.Worker, now)
-		if room > 0 && back != nil && view.Up && view.Pool == back.From {
-			room--
+		if available > 0 && back != nil && view.Up && view.Pool == back.From {
+			available--
 			begun = append(begun, back)
 		}
 	}
 	return begun
 }
 
-// movesToward returns the moves towards a pool that lacks hosts, no more than its waiting tasks
-// need.
-func (p *Mover) movesToward(m *jobqueue.Machine, hosts map[string]HostView, pool string, now time.Time, room int) []*apiv1.MoveHost {
+// movesToward returns the moves to a pool that lacks hosts, at most as many as its waiting tasks
+// need and as may begin.
+func (p *Mover) movesToward(m *jobqueue.Machine, hosts map[string]HostView, pool string, now time.Time, limit int) []*apiv1.MoveHost {
 	var moves []*apiv1.MoveHost
 	need := p.needs[pool]
 	waiting := need.tasks
@@ -291,15 +292,15 @@
 			waiting -= tasksPerHost(need.step, hosts[v.Host].Capacity)
 		}
 	}
-	left := hostsByPool(m, hosts)
+	remaining := hostsByPool(m, hosts)
 	for _, host := range p.sourceHosts(m, hosts, pool, now) {
 		view := hosts[host]
 		fits := tasksPerHost(need.step, view.Capacity)
-		if waiting <= 0 || len(moves) >= room {
+		if waiting <= 0 || len(moves) >= limit {
 			break
 		}
 		standby := m.Pool(view.Pool).GetStandby()
-		if fits == 0 || !standby && left[view.Pool] <= minHosts {
+		if fits == 0 || !standby && remaining[view.Pool] <= minHosts {
 			continue
 		}
 		move := &apiv1.MoveHost{
@@ -308,14 +309,14 @@
 		if !m.MayBegin(move) {
 			continue
 		}
-		left[view.Pool]--
+		remaining[view.Pool]--
 		waiting -= fits
 		moves = append(moves, move)
 	}
 	return moves
 }
 
-// sourceHosts returns the hosts that may be given to a pool, those in standby first.
+// sourceHosts returns the hosts that may be moved to a pool, those in standby first.
 func (p *Mover) sourceHosts(m *jobqueue.Machine, hosts map[string]HostView, pool string, now time.Time) []string {
 	label := p.needs[pool].step.GetRequiredLabel()
 	var standby, idle []string
@@ -335,7 +336,7 @@
 	return append(standby, idle...)
 }
 
-// hostsByPool counts the hosts of each pool that work there and stay.
+// hostsByPool counts the hosts of each pool that have a worker there and are not being moved.
 func hostsByPool(m *jobqueue.Machine, hosts map[string]HostView) map[string]int {
 	count := map[string]int{}
 	for name, view := range hosts {
@@ -346,8 +347,8 @@
 	return count
 }
 
-// tasksPerHost is how many tasks of a step fit on a host.
-func tasksPerHost(step *apiv1.JobStep, has jobqueue.Resources) int {
+// tasksPerHost returns how many tasks of a step fit on a host.
+func tasksPerHost(step *apiv1.JobStep, capacity jobqueue.Resources) int {
 	n := int(step.GetCount())
 	if step == nil {
 		return 0
@@ -356,7 +357,7 @@
 		n = min(n, int(step.MaxPerWorker))
 	}
 	need := jobqueue.Reserved(step)
-	for _, r := range [][2]int64{{need.CPUMilli, has.CPUMilli}, {need.MemoryMB, has.MemoryMB}, {need.Accelerators, has.Accelerators}} {
+	for _, r := range [][2]int64{{need.CPUMilli, capacity.CPUMilli}, {need.MemoryMB, capacity.MemoryMB}, {need.Accelerators, capacity.Accelerators}} {
 		if r[0] > 0 {
 			n = min(n, int(r[1]/r[0]))
 		}
--- a/schedule/pools_test.go
+++ b/schedule/pools_test.go
@@ -14,8 +14,8 @@
 	reservePool = "reserve"
 )
 
-// moverHarness has the pools of the rig's urgent and batch queue and one in standby, each
-// host with room for two tasks of 2 cores.
+// moverHarness has a pool for each of the urgent and the batch queue and one in standby. Each host
+// has capacity for two tasks of 2 cores.
 type moverHarness struct {
 	*harness
 	mover *Mover
@@ -40,7 +40,7 @@
 
 var hostCapacity = jobqueue.Resources{CPUMilli: 4000, MemoryMB: 8000}
 
-// addHost adds a host; in the standby pool it is off.
+// addHost adds a host, which is off in the standby pool.
 func (r *moverHarness) addHost(name, pool string, labels ...string) {
 	r.t.Helper()
 	view := HostView{Pool: pool, Capacity: hostCapacity, Labels: labels}
@@ -62,7 +62,7 @@
 	r.submit("urgent", id, &apiv1.JobStep{Count: tasks, CpuMilli: 2000, MemoryMb: 1, EstimatedMs: 60_000, RequiredLabel: label})
 }
 
-// runFor passes time in looks of half a second, and returns the moves that began; each is
+// runFor advances time in rounds of half a second, and returns the moves that began. Each is
 // committed.
 func (r *moverHarness) runFor(d time.Duration) []string {
 	r.t.Helper()
@@ -85,7 +85,7 @@
 	return begun
 }
 
-// finishMove takes a move through all its steps.
+// finishMove takes a move through all of its steps.
 func (r *moverHarness) finishMove(host string) {
 	r.t.Helper()
 	v, _ := r.machine.MoveOf(host)
@@ -122,9 +122,8 @@
 	}
 }
 
-// Symptom: a host is moved for a burst that is over before it arrives.
-// Sequence: tasks find no room for some seconds; then their job is cancelled.
-// Cause: any wait counts as a shortage.
+// Guards against a host that is moved for a burst that ends before the host arrives. Tasks find no
+// free capacity for some seconds before their job is canceled, and any wait counted as a shortage.
 func TestShortWaitMovesNothing(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -141,13 +140,12 @@
 	}
 }
 
-// Symptom: tasks wait though hosts are in standby or idle in other pools; or more hosts
-// come than the tasks need, or a pool is left without any.
-// Sequence: five tasks find no room, two of which fit on a host.
-// Cause: the need or what is on its way is counted wrongly.
+// Guards against tasks that wait though hosts are in standby or idle in other pools, more moved
+// hosts than the tasks need, or a pool without hosts. Five tasks find no free capacity and two fit
+// on a host; the need or the hosts being moved were counted wrongly.
 func TestAsManyHostsComeAsTasksNeed(t *testing.T) {
 	for name, c := range map[string]struct {
-		place func(*moverHarness)
+		setUp func(*moverHarness)
 		want  []string
 	}{
 		"from standby first": {func(r *moverHarness) {
@@ -184,19 +182,18 @@
 		t.Run(name, func(t *testing.T) {
 			r := newMoverHarness(t)
 			r.addHost("a", testPool)
-			c.place(r)
+			c.setUp(r)
 			r.runFor(moverStartDelay + idleBeforeLending)
 			r.submitTasks("j", 7, "")
 			expectMoves(t, r.runFor(shortageDelay+500*time.Millisecond), c.want...)
-			// What is on its way is waited for.
+			// The hosts being moved have to arrive first.
 			expectMoves(t, r.runFor(20*time.Second))
 		})
 	}
 }
 
-// Symptom: a pool gives its hosts away between two of its own jobs.
-// Sequence: another pool is short while the hosts' work ends.
-// Cause: a worker without runs is taken for one that is not needed.
+// Guards against a pool that loses its hosts between two of its own jobs because another pool is
+// short just then, and a worker without runs was considered unneeded.
 func TestHostThatJustBecameIdleStays(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -215,9 +212,8 @@
 	expectMoves(t, r.runFor(hostListInterval+2*time.Second), "b1 to pool")
 }
 
-// Symptom: a host comes that can't run what waits.
-// Sequence: tasks need a label that only some hosts carry.
-// Cause: any host counts as help.
+// Guards against a moved host that can't run the waiting tasks. They require a label that only some
+// hosts have, and any host was considered suitable.
 func TestHostsComeWithTheLabel(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -228,10 +224,9 @@
 	expectMoves(t, r.runFor(20*time.Second), "s2 to pool")
 }
 
-// Symptom: hosts are moved because a leader knows nothing yet, or for workers that are
-// only out of sight.
-// Sequence: a leader begins to lead while tasks wait; or most workers are out of reach.
-// Cause: the leader takes what it does not see for what is not there.
+// Guards against moves that begin because a leader has no information yet, or for workers that are
+// only unreachable. A leader begins to lead while tasks wait, or most workers are unreachable, and
+// it took missing information for missing workers.
 func TestNewLeaderMovesNothing(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -244,10 +239,9 @@
 	expectMoves(t, r.runFor(shortageDelay+time.Second), "s to pool")
 }
 
-// Symptom: hosts that were called stay for good, or go while they are needed, or go
-// and come by turns.
-// Sequence: a pool is short, a host comes from standby, the work ends, and comes again.
-// Cause: where the host came from is forgotten, or any pause counts as idle.
+// Guards against hosts from standby that never return, that return while they are needed, or that
+// alternate between pools. A pool is short, a host comes from standby, the work ends and comes
+// again; the origin of the host was forgotten, or any pause counted as idle.
 func TestBorrowedHostGoesBackWhenIdle(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -258,7 +252,7 @@
 	r.finishMove("s")
 	expectMoves(t, r.runFor(2*idleBeforeReturn))
 	if n := len(r.runsOn("w-s-moved")); n != 2 {
-		t.Fatalf("%d tasks run on the host that came", n)
+		t.Fatalf("%d tasks run on the moved host", n)
 	}
 	for _, id := range r.runsOn("w-s-moved") {
 		r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
@@ -269,9 +263,8 @@
 	expectMoves(t, r.runFor(5*time.Minute))
 }
 
-// Symptom: a platform that refuses all moves is asked all the time.
-// Sequence: a pool stays short, and each host that is tried is refused.
-// Cause: a refusal is not remembered.
+// Guards against a platform that refuses all moves and gets requests all the time. A pool remains
+// short, each tried host is refused, and refusals were not taken into account.
 func TestRefusedMovesBecomeRare(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -295,9 +288,8 @@
 	}
 }
 
-// Symptom: a wave stands still.
-// Sequence: the first of its hosts is on the move to another pool.
-// Cause: the host on the move takes the room of the others.
+// Guards against a wave that makes no progress because the first of its hosts is being moved to
+// another pool and takes the place of the others in the wave.
 func TestWaveGoesOnBesideAMove(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
@@ -312,16 +304,15 @@
 	}
 }
 
-// Symptom: a move counts as done before it began, or its host as gone.
-// Sequence: the list of hosts is older than the order, or the host crashes and comes
-// back where it was.
-// Cause: any host that is up is taken for one that has arrived.
+// Guards against a move that counts as done before it began, or whose host counts as gone. The list
+// of hosts is older than the order, or the host crashes and comes back where it was, and any host
+// that is up was considered to have arrived.
 func TestStaleHostListsAreIgnored(t *testing.T) {
 	r := newMoverHarness(t)
 	r.addHost("a", testPool)
 	r.addHost("b", testPool)
-	ask := &apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: "a", Pool: batchPool}}}
-	r.apply(ask)
+	request := &apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: "a", Pool: batchPool}}}
+	r.apply(request)
 	next := func(view HostView) apiv1.MoveState {
 		t.Helper()
 		v, _ := r.machine.MoveOf("a")
@@ -353,7 +344,7 @@
 	r.commitStep("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_BEGUN)
 	expect(up("w-a", testPool), none)
 	expect(up("w-a9", testPool), apiv1.MoveState_MOVE_STATE_GONE)
-	// An incarnation that has left is named by old lists only.
+	// Only outdated lists name an incarnation that has left.
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
 		Worker: &apiv1.JobWorker{Id: "w-old", Host: "agent-old", Pool: batchPool}, Departed: true,
 	}}})
--- a/schedule/prior_test.go
+++ b/schedule/prior_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// Symptom: whenever a batch image that is known to disturb comes to a worker whose serving
-// image it was not seen beside, the tails there are over their objectives for a second or two.
-// Sequence: a heavy image runs beside one serving image until it is known; then its tasks start
-// beside another one. Cause: each pair of images is learnt from nothing.
+// Guards against tail latencies that exceed their objectives for a second or two whenever a batch
+// image with known interference starts beside a serving image for the first time. A heavy image
+// runs beside one serving image until it is known and then starts beside another one, and each pair
+// of images was learned from nothing.
 func TestHeavyImageBesideANewServingImage(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -28,20 +28,20 @@
 		model.report(r, "w2")
 	}
 	r.submit("batch", "b2", backfillTasks(6, 3000, "heavy"))
-	over, worked := 0, 0.0
+	exceeded, worked := 0, 0.0
 	for range 8 {
 		r.plan()
 		r.advance(paceInterval)
 		tail, work := model.report(r, "w2")
 		if tail > 1 {
-			over++
+			exceeded++
 		}
 		worked += work
 	}
-	if over > 1 {
-		t.Errorf("the tail was over its objective in %d of the first 8 reports", over)
+	if exceeded > 1 {
+		t.Errorf("the tail latency exceeded its objective in %d of the first 8 reports", exceeded)
 	}
 	if worked == 0 {
-		t.Error("batch work never went on")
+		t.Error("batch work never ran")
 	}
 }
--- a/schedule/probation.go
+++ b/schedule/probation.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// probationPoolDivisor is the part of a pool's workers that may have a run on trial at a time: each
-	// gets no other work meanwhile, and some of them crash.
+	// probationPoolDivisor limits the workers that may have a run on probation at a time to one
+	// third of their pool: each gets no other work meanwhile, and some of them crash.
 	probationPoolDivisor = 3
-	// longRunningCrashCost weighs a long-running run against a batch run where a trial may end both:
-	// its users lose it at once.
+	// longRunningCrashCost is the cost of ending a long-running run by a crash, relative to that of
+	// a batch run: the users of a long-running run lose it at once.
 	longRunningCrashCost = 4
-	// unobservedCrashCost keeps trials away from work that has just started there.
+	// unobservedCrashCost keeps probations away from runs that have just started.
 	unobservedCrashCost = 100
 )
 
-// splitSuspects parts the tasks whose next run is on trial from the others.
+// splitSuspects separates the tasks whose next run needs probation from the others.
 func splitSuspects(s *jobqueue.Step, tasks []int) (others, suspects []int) {
 	for _, index := range tasks {
 		if s.Suspect(index) {
@@ -30,8 +30,8 @@
 	return others, suspects
 }
 
-// endProbations ends the trials of runs that have been seen at work for long enough, and counts the
-// workers that have others.
+// endProbations ends the probation of runs that have been observed running for long enough, and
+// counts the workers that have other runs on probation.
 func (r *round) endProbations() {
 	for _, s := range r.slots {
 		if !s.onProbation {
@@ -53,8 +53,9 @@
 	}
 }
 
-// trackProbationWaits notes since when steps have had tasks that wait for their trial. One that has
-// waited for long gets it on any worker that has no other.
+// trackProbationWaits updates the time since which steps have had tasks that wait for their
+// probation. A step that has waited for starvationTimeout may use any worker that has no other run
+// on probation.
 func (r *round) trackProbationWaits(candidates []*candidate) {
 	waiting := map[jobqueue.StepID]time.Time{}
 	for _, c := range candidates {
@@ -71,8 +72,10 @@
 	r.planner.probationWaitingSince = waiting
 }
 
-// probationAllows reports whether a task may start beside what is on trial on a worker, or has to be
-// there without other new work.
+// probationAllows reports whether probation permits a task on a worker. A worker with a run on
+// probation gets only tasks of the same step that begin their probation in the same round. A task
+// that needs probation gets a worker without other starts in this round, whose runs have all been
+// observed unless the task is overdue.
 func (r *round) probationAllows(c *candidate, s *slot) bool {
 	if s.onProbation {
 		return c.probation && s.probationStep == c.key()
@@ -80,7 +83,8 @@
 	return !c.probation || len(s.startsByStep) == 0 && (c.overdue || r.allObserved(s))
 }
 
-// mayRetry reports whether a worker may have a run on trial as far as its pool's share goes.
+// withinProbationLimit reports whether a candidate may use a worker under the limit on workers of
+// its pool with a run on probation.
 func (r *round) withinProbationLimit(c *candidate, s *slot) bool {
 	pool := c.queue.Pool
 	return !c.probation || c.overdue || s.onProbation || r.probations[pool] < max(1, r.usableWorkers(pool)/probationPoolDivisor)
@@ -99,8 +103,8 @@
 	return r.usableByPool[pool]
 }
 
-// allObserved reports whether all runs of a worker have been seen at work: one that has not may be
-// what the worker crashes of next.
+// allObserved reports whether all runs of a worker have been observed. A run that has not may be
+// the cause of the next crash of the worker.
 func (r *round) allObserved(s *slot) bool {
 	for id := range s.worker.Runs {
 		if _, seen := r.fleet.Observed(id); !seen {
@@ -110,7 +114,7 @@
 	return true
 }
 
-// beginProbation notes that a task on trial starts on a worker.
+// beginProbation records that a task on probation starts on a worker.
 func (r *round) beginProbation(c *candidate, s *slot) {
 	if !s.onProbation {
 		r.probations[s.worker.Spec.Pool]++
@@ -118,7 +122,7 @@
 	s.onProbation, s.probationStep = true, c.key()
 }
 
-// undoProbation undoes beginProbation for a gang that does not start.
+// undoProbation reverts beginProbation for a gang that does not start.
 func (r *round) undoProbation(c *candidate, s *slot) {
 	if c.probation && s.onProbation && s.probationStep == c.key() {
 		s.onProbation, s.probationStep = false, jobqueue.StepID{}
@@ -126,18 +130,19 @@
 	}
 }
 
-// crashCost weighs what a worker's crash would cost, and what may be taken for its cause.
+// crashCost returns the cost of a crash of a worker. It includes runs that would be suspected as
+// the cause.
 func (r *round) crashCost(s *slot) float64 {
-	stake := 0.0
+	cost := 0.0
 	for id, run := range s.worker.Runs {
 		if run.Step.LongRunning {
-			stake += longRunningCrashCost
+			cost += longRunningCrashCost
 		} else {
-			stake++
+			cost++
 		}
 		if _, seen := r.fleet.Observed(id); !seen {
-			stake += unobservedCrashCost
+			cost += unobservedCrashCost
 		}
 	}
-	return stake
+	return cost
 }
--- a/schedule/probation_test.go
+++ b/schedule/probation_test.go
@@ -9,7 +9,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// crash ends a worker without notice, just after its runs have started, and begins its next life.
+// crash ends a worker without notice just after its runs have started, and begins its next
+// incarnation.
 func (r *harness) crash(id, next string) {
 	r.t.Helper()
 	w := r.machine.Worker(id)
@@ -27,14 +28,14 @@
 	return &apiv1.JobStep{Count: count, CpuMilli: 100, MemoryMb: 100, EstimatedMs: 500}
 }
 
-// observeRuns reports all runs of a worker as at work.
+// observeRuns reports all runs of a worker as running.
 func (r *harness) observeRuns(worker string) {
 	for _, id := range r.runsOn(worker) {
 		r.observe(id, uint32(r.now.UnixMilli()/100%100), 100)
 	}
 }
 
-// Guards against a suspect that never gets its trial beside a stream of other work.
+// Guards against a suspect that never gets its probation beside a stream of other work.
 func TestSuspectGetsProbationOnBusyWorker(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -50,11 +51,11 @@
 		}
 	}
 	if task := r.machine.Task(jobqueue.TaskID{Job: "suspect"}); task.LastRun != 2 || task.Crashes.Suspect {
-		t.Errorf("the suspect has run %d, and %+v is held against it", task.LastRun, task.Crashes)
+		t.Errorf("the last run of the suspect is %d, its crash record %+v", task.LastRun, task.Crashes)
 	}
 }
 
-// Guards against trials that hold more than their share of a pool, at two sizes of fleet.
+// Guards against probations that use more than their share of a pool, at two sizes of fleet.
 func TestProbationsUseLimitedShareOfPool(t *testing.T) {
 	for _, workers := range []int{6, 60} {
 		r := newHarness(t)
@@ -68,8 +69,8 @@
 		}
 		r.crash("w0", "w0b")
 		r.plan()
-		if trials := len(r.machine.Workers()) - len(workersWithoutProbation(r)); trials != workers/probationPoolDivisor {
-			t.Errorf("%d of %d workers have trials", trials, workers)
+		if onProbation := len(r.machine.Workers()) - len(workersWithoutProbation(r)); onProbation != workers/probationPoolDivisor {
+			t.Errorf("%d of %d workers have runs on probation", onProbation, workers)
 		}
 	}
 }
--- a/schedule/ranking.go
+++ b/schedule/ranking.go
@@ -2,29 +2,29 @@
 
 import "container/heap"
 
-// ranking holds the workers that a step's tasks may start on, the best one first.
+// ranking holds the workers on which the tasks of a step may start, the best one first.
 //
-// All tasks of a step ask the same of a worker, and a start changes only the worker that
-// gets it: so each worker is judged once a step, and again after each start that it gets.
-// With a look at all workers for each task, a round takes tasks times workers: a step of
-// 39 tasks on 160 workers 6,240 judgements in place of 199.
+// All tasks of a step have the same requirements, and a start changes only the worker that gets it.
+// So each worker is evaluated once per step, and again after each start that it gets. Evaluating
+// all workers for each task would cost tasks times workers: 6,240 evaluations instead of 199 for a
+// step of 39 tasks on 160 workers.
 type ranking struct {
 	r *round
 	c *candidate
-	// ranked is a heap of those that may get a task; refused counts the others by the
-	// reason against them.
+	// ranked is a heap of the workers that may get a task. refused counts the other workers by the
+	// reason that rules them out.
 	ranked  []rankedSlot
 	refused [reasonCount]int
 }
 
-// rankedSlot is a worker with its score, and its place among all workers.
+// rankedSlot is a worker with its score and its index among all workers.
 type rankedSlot struct {
 	slot  *slot
 	score float64
 	index int
 }
 
-// rank judges all workers for a step.
+// rank evaluates all workers for a step.
 func (r *round) rank(c *candidate) *ranking {
 	k := &ranking{r: r, c: c}
 	for i, s := range r.slots {
@@ -38,7 +38,8 @@
 	return k
 }
 
-// evaluate is a worker's score for a step's tasks, or what speaks against it.
+// evaluate returns the score of a worker for the tasks of a step, or the reason that rules the
+// worker out.
 func (r *round) evaluate(c *candidate, s *slot) (float64, Reason) {
 	if reason := r.feasible(c, s); reason != ReasonNone {
 		return 0, reason
@@ -46,8 +47,7 @@
 	return r.score(c, s)
 }
 
-// best returns the worker with the highest score, the first among equals; nil when there
-// is none.
+// best returns the worker with the highest score, the first one among equals, nil if there is none.
 func (k *ranking) best() *slot {
 	if len(k.ranked) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return k.ranked[0].slot
 }
 
-// reevaluateBest judges the best worker again, after it got a task.
+// reevaluateBest evaluates the best worker again after it got a task.
 func (k *ranking) reevaluateBest() {
 	score, reason := k.r.evaluate(k.c, k.ranked[0].slot)
 	if reason != ReasonNone {
@@ -82,7 +82,7 @@
 // Swap implements heap.Interface.
 func (k *ranking) Swap(i, j int) { k.ranked[i], k.ranked[j] = k.ranked[j], k.ranked[i] }
 
-// Push implements heap.Interface; nothing is ever added to a ranking.
+// Push implements heap.Interface. Nothing is added to a ranking once it is initialized.
 func (k *ranking) Push(x any) { k.ranked = append(k.ranked, x.(rankedSlot)) }
 
 // Pop implements heap.Interface.
--- a/schedule/ranking_test.go
+++ b/schedule/ranking_test.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// newCrowdedFleet is a fleet of unlike workers with serving and backfilling tasks on them.
+// newCrowdedFleet returns a fleet of different workers with serving and backfill tasks on them.
 func newCrowdedFleet(t *testing.T, random *rand.Rand) *harness {
 	r := newHarness(t)
 	for i := range 6 + random.Intn(10) {
@@ -35,10 +35,10 @@
 	return r
 }
 
-// Symptom: tasks start on other workers than the best ones once their step was judged as
-// a whole. Sequence: steps of several kinds, wide and narrow, on a crowded fleet; each
-// start is compared with a look at all workers anew. Cause: a start that changes what
-// another worker scores, or equals that are told apart in another order.
+// Guards against tasks that start on other workers than the best ones when their step is ranked as
+// a whole. A start may change the score of another worker, or workers of equal score may be chosen
+// in another order. Steps of several kinds and sizes start on a crowded fleet, and each start is
+// compared with an evaluation of all workers.
 func TestRankingMatchesFullScan(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
@@ -57,7 +57,7 @@
 			for _, index := range c.tasks {
 				want, got := round.best(c), ranked.best()
 				if want != got {
-					t.Fatalf("seed %d, %v: %v in place of %v", seed, c.key(), got, want)
+					t.Fatalf("seed %d, %v: %v instead of %v", seed, c.key(), got, want)
 				}
 				if got == nil {
 					break
@@ -69,16 +69,16 @@
 	}
 }
 
-// openRound returns a round that has looked at the workers and decided nothing yet.
+// openRound returns a round with slots for the workers and without decisions.
 func (r *harness) openRound() *round {
 	round := r.planner.newRound(r.machine, r, r.now, r.now.UnixMilli())
 	round.buildSlots()
 	return round
 }
 
-// BenchmarkWideSteps measures rounds that place twelve steps of 39 backfilling tasks on 160
-// workers. All workers judged anew for each task: 40.2 ms a round; once a step: 6.7 ms (two
-// runs of 200 rounds each, beside five busy processes on eight cores).
+// BenchmarkWideSteps measures rounds that place twelve steps of 39 backfill tasks on 160 workers.
+// With all workers evaluated again for each task, a round takes 40.2 ms; with one evaluation per
+// step, 6.7 ms (two runs of 200 rounds each, beside five busy processes on eight cores).
 func BenchmarkWideSteps(b *testing.B) {
 	r := newBusyFleet(b, 160)
 	for i := range 12 {
--- a/schedule/reason.go
+++ b/schedule/reason.go
@@ -7,37 +7,45 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Reason is why a worker does not get a task for now.
+// Reason is why a worker is currently ruled out for a task.
 type Reason int
 
-// The reasons against a worker.
+// The reasons that rule out a worker.
 const (
 	ReasonNone Reason = iota
-	// ReasonUnreachable: the lease ran out or no report came lately.
+	// ReasonUnreachable means that the lease has expired or no report has arrived recently.
 	ReasonUnreachable
+	// ReasonDraining means that the worker is draining.
 	ReasonDraining
-	// ReasonMaintenance: the worker is emptied for its host's maintenance.
+	// ReasonMaintenance means that the worker is evacuated for the maintenance or the move of its
+	// host.
 	ReasonMaintenance
-	// ReasonAvoided: the worker failed its last tasks, or they stood still.
+	// ReasonAvoided means that the last tasks on the worker failed or stalled, or that it refused a
+	// start.
 	ReasonAvoided
-	// ReasonPool and ReasonLabel: it is of another pool or lacks the label.
+	// ReasonPool means that the worker belongs to another pool.
 	ReasonPool
+	// ReasonLabel means that the worker lacks the required label.
 	ReasonLabel
 	ReasonProcessors
 	ReasonMemory
 	ReasonAccelerators
-	// ReasonSpread: it holds as many tasks of the step as one worker may.
+	// ReasonSpread means that the worker has as many tasks of the step as one worker may have.
 	ReasonSpread
-	// ReasonNotAdvised: the placement advisor has not said yet whether the worker may
-	// run the step. ReasonRefused: it said that the worker may not.
+	// ReasonNotAdvised means that there is no valid ticket from the placement advisor for the step
+	// on the worker.
 	ReasonNotAdvised
+	// ReasonRefused means that the placement advisor does not allow the step on the worker.
 	ReasonRefused
-	// ReasonSlow: the processors left are too few for a backfilling task.
+	// ReasonSlow means that too few processors remain for a backfill task.
 	ReasonSlow
-	// ReasonInterference: a backfilling task would lengthen the tails there too much.
+	// ReasonInterference means that a backfill task would lengthen the tail latencies on the worker
+	// too much.
 	ReasonInterference
-	// ReasonProbation: a task is on trial there that may crash its worker, or the task to place is
-	// and work that may do so has just started there.
+	// ReasonProbation means that the worker has a task on probation, which may crash it, or that
+	// the task to place needs probation and the worker is on probation already, has starts in the
+	// same round or has runs that were not yet observed, any of which could be the cause of a
+	// crash.
 	ReasonProbation
 	reasonCount
 )
@@ -50,15 +58,15 @@
 // String returns the reason's name in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// UnplacedStep is a step with tasks that could start and found no worker.
+// UnplacedStep is a step with tasks that were ready to start and found no worker.
 type UnplacedStep struct {
 	Step  jobqueue.StepID
 	Tasks int
-	// WorkersByReason counts the workers by the reason against them.
+	// WorkersByReason counts the workers by the reason that rules them out.
 	WorkersByReason [reasonCount]int
 }
 
-// ReasonSummary returns the reasons and how many workers each rules out.
+// ReasonSummary returns the reasons and the number of workers that each one rules out.
 func (w UnplacedStep) ReasonSummary() string {
 	var parts []string
 	for r, n := range w.WorkersByReason {
@@ -69,7 +77,7 @@
 	return strings.Join(parts, ", ")
 }
 
-// capacityReason says which resource is short.
+// capacityReason returns which resource is short, ReasonNone if the need fits.
 func capacityReason(need, free jobqueue.Resources) Reason {
 	switch {
 	case need.CPUMilli > free.CPUMilli:
--- a/schedule/refused_test.go
+++ b/schedule/refused_test.go
@@ -7,7 +7,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Guards against a start that goes to the worker that refuses it, again and again.
+// Guards against a start that is sent again and again to the worker that refuses it.
 func TestRefusedStartGoesToAnotherWorker(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("full", 8000, 8000)
@@ -29,7 +29,8 @@
 	}
 }
 
-// Guards against room that goes, in each decision anew, to a start that the state refuses.
+// Guards against capacity that is reserved in each decision for a start that the state machine
+// rejects.
 func TestRefusedStartReservesNoCapacity(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 4000, 8000)
@@ -55,11 +56,12 @@
 		}
 	}
 	if len(r.runsOn("w1"))+len(r.runsOn("w2")) == 0 {
-		t.Errorf("the task waits beside two empty workers, the state refused %d starts of others", refused)
+		t.Errorf("the task waits beside two empty workers, the state machine rejected %d starts of others", refused)
 	}
 }
 
-// Guards against room for a task without attempts, of a job that an earlier release left open.
+// Guards against capacity that is reserved for a task without attempts left, of a job that an
+// earlier release left open.
 func TestTaskWithoutAttemptsReservesNoCapacity(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 4000, 8000)
@@ -80,7 +82,7 @@
 	}
 }
 
-// withAttempts is the next version of a configuration, with another bound on attempts.
+// withAttempts returns the next version of a configuration, with another limit on attempts.
 func withAttempts(c *apiv1.QueueConfiguration, attempts uint32) *apiv1.QueueConfiguration {
 	next := &apiv1.QueueConfiguration{Version: c.Version + 1, Pools: c.Pools}
 	for _, q := range c.Queues {
--- a/schedule/round.go
+++ b/schedule/round.go
@@ -10,7 +10,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// round is one call of Plan.
+// round is the state of one call of Plan.
 type round struct {
 	planner *Planner
 	machine *jobqueue.Machine
@@ -18,38 +18,38 @@
 	now     time.Time
 	wallMs  int64
 	slots   []*slot
-	// probations counts the workers of each pool with a run on trial.
+	// probations counts the workers of each pool that have a run on probation.
 	probations map[string]int
-	// usableByPool counts the usable workers of each pool, nil until it is asked for.
+	// usableByPool counts the usable workers of each pool. It is nil until first needed.
 	usableByPool map[string]int
 	// stopped are the runs that this round stops.
 	stopped  map[jobqueue.RunID]bool
 	decision Decision
 }
 
-// remainingSlack returns what the present backfilling runs of a worker leave of its slack.
+// remainingSlack returns the slack of a worker that its current backfill runs leave.
 func (r *round) remainingSlack(s *slot) slack {
 	if s.slack != nil {
 		return *s.slack
 	}
 	spec := s.worker.Spec
-	then := r.now.Add(placementLookahead)
+	at := r.now.Add(placementLookahead)
 	serving := servingSteps(s.worker)
 	maps.Copy(serving, s.servingStarts)
-	left := r.planner.interference.slackAt(then, serving, r.planner.trust(spec.Id), r.now)
+	remaining := r.planner.interference.slackAt(at, serving, r.planner.trust(spec.Id), r.now)
 	for _, run := range s.worker.Runs {
 		if run.Step.Backfill {
-			left.consume(run.Step, spec.CpuMilli, 1)
+			remaining.consume(run.Step, spec.CpuMilli, 1)
 		}
 	}
 	for _, started := range s.backfillStarts {
-		left.consume(started.run.Step, spec.CpuMilli, 1)
+		remaining.consume(started.run.Step, spec.CpuMilli, 1)
 	}
-	s.slack = &left
-	return left
+	s.slack = &remaining
+	return remaining
 }
 
-// servingSteps returns the steps of a worker's serving runs, with their images.
+// servingSteps returns the steps of a worker's serving runs and their images.
 func servingSteps(w *jobqueue.Worker) map[jobqueue.StepID]string {
 	steps := map[jobqueue.StepID]string{}
 	for id, run := range w.Runs {
@@ -60,7 +60,7 @@
 	return steps
 }
 
-// candidate is a step of an occurrence with tasks whose turn has come.
+// candidate is a step of an occurrence with tasks that are ready to start.
 type candidate struct {
 	job        *jobqueue.Job
 	queue      *apiv1.JobQueue
@@ -68,20 +68,21 @@
 	stepIndex  int
 	step       *jobqueue.Step
 	tasks      []int
-	// objective is when the job should have ended, by the wall clock in ms.
+	// objectiveMs is the wall time in milliseconds by which the job should end.
 	objectiveMs int64
-	// late: the job can't end by then any more.
+	// late is set if the job can no longer end by its objective.
 	late bool
-	// neededSpeed is the share of their full speed at which its tasks start.
+	// neededSpeed is the least fraction of full speed at which the tasks may start.
 	neededSpeed float64
-	// probation: its tasks may crash their workers. overdue: they have waited for long.
+	// probation is set if the tasks may crash their workers. overdue is set if they have waited for
+	// starvationTimeout or longer.
 	probation, overdue bool
-	// lastResort: it found no worker that is not avoided.
+	// lastResort is set if no worker was found other than avoided ones. The tasks may then start on
+	// an avoided worker.
 	lastResort bool
 }
 
-// startWaiting gives each waiting task a worker while there is room, the most
-// urgent first.
+// startWaiting starts the waiting tasks on workers with free capacity, the most urgent ones first.
 func (r *round) startWaiting() {
 	candidates := r.candidates()
 	r.trackProbationWaits(candidates)
@@ -125,9 +126,10 @@
 	return found
 }
 
-// waitingTasks returns the tasks without a run, and those that may have a second one
-// since nothing is heard of the first, as far as they have attempts left: the state refuses
-// the others, and their starts would take room in each round. For a gang all or none.
+// waitingTasks returns the tasks that have no run, and those that may have a second run because the
+// worker of the first is unreachable. Tasks without attempts left are excluded: the state machine
+// rejects their starts, which would reserve capacity in each round. For a gang it returns all tasks
+// or none.
 func (r *round) waitingTasks(j *jobqueue.Job, s *jobqueue.Step) []int {
 	var tasks []int
 	for i, t := range s.Tasks {
@@ -141,8 +143,8 @@
 	return tasks
 }
 
-// mayDuplicate reports whether a task's only run is on a worker out of reach, and a
-// copy of it may run elsewhere.
+// mayDuplicate reports whether a task's only run is on an unreachable worker and a duplicate of it
+// may run elsewhere.
 func (r *round) mayDuplicate(s *jobqueue.Step, t *jobqueue.Task) bool {
 	if !s.Spec.AllowDuplicates || s.Spec.LongRunning || s.Spec.Gang || len(t.Runs) != 1 {
 		return false
@@ -150,25 +152,26 @@
 	return !t.Runs[0].Stopping && !r.fleet.Reachable(t.Runs[0].Worker)
 }
 
-func (r *round) newCandidate(j *jobqueue.Job, occurrence, number int, s *jobqueue.Step, tasks []int) *candidate {
+func (r *round) newCandidate(j *jobqueue.Job, occurrence, stepIndex int, s *jobqueue.Step, tasks []int) *candidate {
 	q := r.machine.QueueOf(j)
 	allowed := r.planner.AllowedTime(q, j.Occurrences[occurrence])
 	c := &candidate{
-		job: j, queue: q, occurrence: occurrence, stepIndex: number, step: s, tasks: tasks,
+		job: j, queue: q, occurrence: occurrence, stepIndex: stepIndex, step: s, tasks: tasks,
 		objectiveMs: j.DueMs(occurrence) + allowed.Milliseconds(),
 	}
-	left := r.planner.criticalPath(j.Occurrences[occurrence], true).Milliseconds()
-	// A long-running task is owed for as long as it is away, not by a time: with the late
-	// ones it would wait behind each quick job that is handed in meanwhile.
-	c.late = !s.Spec.LongRunning && r.wallMs+left > c.objectiveMs
-	c.neededSpeed = neededSpeed(left, c.objectiveMs-r.wallMs)
+	remainingMs := r.planner.criticalPath(j.Occurrences[occurrence], true).Milliseconds()
+	// A long-running task is required for as long as it is not running, not by a point in time.
+	// Sorted with the late candidates, it would wait behind each short job that is submitted
+	// meanwhile.
+	c.late = !s.Spec.LongRunning && r.wallMs+remainingMs > c.objectiveMs
+	c.neededSpeed = neededSpeed(remainingMs, c.objectiveMs-r.wallMs)
 	return c
 }
 
-// neededSpeed is the speed at which work of workMs would be done within leftMs, as
-// far as tasks are started at less than the usual speed. What goes wrong without it:
-// tasks of an image that disturbs wherever it runs wait for a better place until
-// their job is late, though it had time enough to go slowly.
+// neededSpeed returns the speed at which work of workMs finishes within leftMs, limited to the
+// range from absoluteMinSpeed to defaultMinSpeed. Without the lower speed, tasks of an image that
+// causes interference on every worker wait for a better worker until their job is late, though the
+// job had time enough to run slowly.
 func neededSpeed(workMs, leftMs int64) float64 {
 	if leftMs <= workMs {
 		return defaultMinSpeed
@@ -176,9 +179,9 @@
 	return min(defaultMinSpeed, max(absoluteMinSpeed, float64(workMs)/float64(leftMs)))
 }
 
-// compareCandidates: overdue trials first, as they need a worker that gets nothing else in the round,
-// urgent queues next, then jobs that can still be in time, by their objective; jobs that
-// are late already come last, the latest last.
+// compareCandidates orders overdue probations first, because they need a worker that gets no other
+// work in the round. Queues follow by priority, then jobs that can still meet their objective, by
+// that objective. Jobs that are already late come last, also by their objective.
 func compareCandidates(a, b *candidate) int {
 	if a.overdue != b.overdue {
 		if a.overdue {
@@ -225,9 +228,9 @@
 	}
 }
 
-// rankLastResort judges the workers again with those that are avoided, for a candidate that
-// found no other. What goes wrong without it: tasks that fail wherever they run have all
-// workers avoided for seconds, and a long-running task that lost its run has none meanwhile.
+// rankLastResort ranks the workers again and includes avoided ones, for a candidate that found no
+// other worker. Otherwise tasks that fail on every worker would cause all workers to be avoided for
+// seconds, and a long-running task that lost its run would have none meanwhile.
 func (r *round) rankLastResort(c *candidate, ranked *ranking) *ranking {
 	if c.lastResort || ranked.refused[ReasonAvoided] == 0 {
 		return ranked
@@ -236,11 +239,11 @@
 	return r.rank(c)
 }
 
-// startGang starts all members or none.
+// startGang starts all members of a gang or none.
 func (r *round) startGang(c *candidate) {
 	run := c.step.NextRun(0)
 	before := len(r.decision.Starts)
-	var taken []*slot
+	var reserved []*slot
 	c.lastResort = r.starving(c)
 	ranked := r.rank(c)
 	for _, index := range c.tasks {
@@ -248,19 +251,20 @@
 		if s == nil {
 			r.recordUnplaced(c, len(c.tasks), ranked)
 			r.decision.Starts = r.decision.Starts[:before]
-			for _, s := range taken {
+			for _, s := range reserved {
 				s.reserve(c, -1)
 				r.undoProbation(c, s)
 				s.backfillStarts = slices.DeleteFunc(s.backfillStarts, func(run observedRun) bool { return run.run.ID.Task.StepID() == c.key() })
 			}
 			return
 		}
-		taken = append(taken, s)
+		reserved = append(reserved, s)
 		r.start(c, index, s, run)
 		ranked.reevaluateBest()
 	}
 }
 
+// start adds the start of a task to the decision and reserves capacity for it on its worker.
 func (r *round) start(c *candidate, index int, s *slot, run uint64) {
 	id := jobqueue.TaskID{
 		Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.stepIndex), Index: uint32(index),
@@ -292,7 +296,7 @@
 	return jobqueue.StepID{Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.stepIndex)}
 }
 
-// best returns the worker for a task, nil when none has room.
+// best returns the worker with the highest score for a task, nil if there is none.
 func (r *round) best(c *candidate) *slot {
 	var best *slot
 	var bestScore float64
@@ -305,7 +309,8 @@
 	return best
 }
 
-// feasible says what speaks against a worker for a task, whatever its score.
+// feasible returns the reason that rules a worker out for a task regardless of its score,
+// ReasonNone if there is none.
 func (r *round) feasible(c *candidate, s *slot) Reason {
 	spec := c.step.Spec
 	switch {
@@ -338,7 +343,7 @@
 	return reason
 }
 
-// recordUnplaced notes that a candidate found no worker, and why.
+// recordUnplaced records that tasks of a candidate found no worker, and the reasons.
 func (r *round) recordUnplaced(c *candidate, tasks int, ranked *ranking) {
 	r.decision.Unplaced = append(r.decision.Unplaced, UnplacedStep{Step: c.key(), Tasks: tasks, WorkersByReason: ranked.refused})
 	r.requestAdvice(c)
--- a/schedule/schedule.go
+++ b/schedule/schedule.go
@@ -1,7 +1,7 @@
-// Package schedule decides which tasks of submitted jobs start where, and which
-// runs are stopped. It does no I/O and changes no state: it reads the applied
-// state and what agents last reported, and returns a decision that the state
-// judges again when the decision is committed.
+// Package schedule decides which tasks of submitted jobs start on which workers and which runs are
+// stopped. It does no I/O and changes no state: it reads the applied state and the last reports of
+// the agents, and returns a decision. The state machine validates the decision again when it is
+// committed.
 package schedule
 
 import (
@@ -14,42 +14,42 @@
 
 // Observation is what an agent last reported of a run.
 type Observation struct {
-	// At is when the report was handled.
+	// At is the time at which the report was handled.
 	At time.Time
-	// FirstAt is when the run was first seen running.
+	// FirstAt is the time at which the run was first reported running.
 	FirstAt time.Time
-	// ProgressAt is when Percent last changed.
+	// ProgressAt is the time at which Percent last changed.
 	ProgressAt time.Time
 	Percent    uint32
-	// Figure is the tail latency in milliseconds of a run with an objective for it,
-	// else the processor time in use, in thousandths of a core.
+	// Figure is the tail latency in milliseconds of a run with a tail latency objective, else the
+	// processor time in use in thousandths of a core.
 	Figure     int64
 	Checkpoint string
 }
 
-// Fleet is what the leader knows of workers and runs beside the applied state.
+// Fleet is what the leader knows of workers and runs in addition to the applied state.
 type Fleet interface {
-	// Reachable reports whether a worker's lease holds and its agent was heard of
-	// lately, so that an order would reach it.
+	// Reachable reports whether a worker's lease is valid and its agent has reported recently, so
+	// that an order would reach it.
 	Reachable(worker string) bool
 	// Observed returns the last observation of a run.
 	Observed(id jobqueue.RunID) (Observation, bool)
-	// ReportingSince returns since when reports that list all that runs on a worker have come in
-	// without a gap; false while none come.
+	// ReportingSince returns the time since which a worker has sent reports that list all of its
+	// runs without a gap. It returns false while no such reports arrive.
 	ReportingSince(worker string) (time.Time, bool)
 }
 
-// Decision is what should be committed.
+// Decision is the set of changes to commit, with what the leader does beside them.
 type Decision struct {
 	Starts []*apiv1.StartRun
 	Stops  []*apiv1.StopRun
 	// RepacedWorkers are the workers whose runs have new paces.
 	RepacedWorkers []string
-	// EndedProbations are runs on trial that have worked for long enough.
+	// EndedProbations are the runs on probation that have run for long enough.
 	EndedProbations []*apiv1.RunRef
-	// AdviceRequests are to be put to the placement advisor.
+	// AdviceRequests are to be sent to the placement advisor.
 	AdviceRequests []AdviceRequest
-	// Unplaced are the steps with tasks that could start and found no worker.
+	// Unplaced are the steps with tasks that were ready to start and found no worker.
 	Unplaced []UnplacedStep
 }
 
@@ -58,34 +58,36 @@
 	return len(d.Starts) == 0 && len(d.Stops) == 0 && len(d.EndedProbations) == 0
 }
 
-// Planner keeps what was learnt from one decision to the next. It is not safe for
-// concurrent use.
+// Planner decides on starts and stops, and keeps what it has learned from one decision to the next.
+// It is not safe for concurrent use.
 type Planner struct {
 	health       healthTable
 	durations    durationTable
 	interference *interference
 	approvals    approvals
 	pacers       map[string]*pacer
-	// waitingSince says since when a step had tasks whose turn had come and its job had
-	// nothing running.
+	// waitingSince is the time since which a step has had tasks that are ready to start while its
+	// job had no run. For a long-running step, one task without a run is enough.
 	waitingSince map[jobqueue.StepID]time.Time
-	// probationWaitingSince says since when a step has had tasks that wait for their trial.
+	// probationWaitingSince is the time since which a step has had tasks that wait for their
+	// probation.
 	probationWaitingSince map[jobqueue.StepID]time.Time
-	// paceReduction says since when a run's pace has been so low that it hardly works.
+	// lowPaceSince is the time since which a run has had a pace of at most lowPace.
 	lowPaceSince map[jobqueue.RunID]time.Time
-	// cachedUses is what the runs of each worker were last found to use.
+	// cachedUses is the last computed use of each worker's runs.
 	cachedUses map[*jobqueue.Worker]cachedUse
-	// prunedAt is when what is gone was last dropped.
+	// prunedAt is the time at which the state of departed workers and finished jobs was last
+	// dropped.
 	prunedAt time.Time
-	// unobservedSince says since when a long-running run that no report has listed yet stands in
-	// the log, and unlistedCheckedAt when such runs were last looked for.
+	// unobservedSince is the time since which the log has had a long-running run that no report has
+	// listed yet. unlistedCheckedAt is the time of the last check for such runs.
 	unobservedSince   map[jobqueue.RunID]time.Time
 	unlistedCheckedAt time.Time
-	// leavingSince says since when a worker has been emptied.
+	// leavingSince is the time since which a worker is being evacuated.
 	leavingSince map[string]time.Time
 }
 
-// New returns a planner that has learnt nothing yet.
+// New returns a planner that has learned nothing yet.
 func New() *Planner {
 	return &Planner{
 		health: newHealthTable(), durations: newDurationTable(), interference: newInterference(),
@@ -96,8 +98,8 @@
 	}
 }
 
-// Plan decides at the steady time now and the wall time wallMs (Unix
-// milliseconds), by which occurrences are due.
+// Plan decides at the steady time now. The wall time wallMs, in Unix milliseconds, determines which
+// occurrences are due.
 func (p *Planner) Plan(m *jobqueue.Machine, fleet Fleet, now time.Time, wallMs int64) Decision {
 	r := p.newRound(m, fleet, now, wallMs)
 	r.buildSlots()
@@ -116,42 +118,43 @@
 	return &round{planner: p, machine: m, fleet: fleet, now: now, wallMs: wallMs, stopped: map[jobqueue.RunID]bool{}, probations: map[string]int{}}
 }
 
-// RecordRunEnd teaches the planner how a run ended.
+// RecordRunEnd updates what the planner has learned of the worker and the image of an ended run.
 func (p *Planner) RecordRunEnd(e EndedRun) {
 	p.health.recordEnd(e)
 	p.durations.recordEnd(e)
 }
 
-// EndedRun is a run's end as the planner learns of it.
+// EndedRun describes how a run ended.
 type EndedRun struct {
 	Worker string
 	Kind   apiv1.RunEndKind
 	Step   *apiv1.JobStep
 	At     time.Time
-	// Duration is the time from the first observation to the end, 0 when unknown.
+	// Duration is the time from the first observation to the end, 0 if unknown.
 	Duration time.Duration
-	// Resumed is set for a run that went on from a checkpoint.
+	// Resumed is set for a run that resumed from a checkpoint.
 	Resumed bool
 }
 
-// pruneInterval is the time between two looks for what is gone: it only bounds the memory.
+// pruneInterval is the time from one removal of outdated entries to the next. Pruning serves only
+// to bound the memory in use.
 const pruneInterval = time.Second
 
-// pruneDeparted drops what was learnt of workers that have left.
+// pruneDeparted drops what was learned of departed workers, finished jobs and unused images.
 func (p *Planner) pruneDeparted(m *jobqueue.Machine, now time.Time) {
 	if now.Sub(p.prunedAt) < pruneInterval {
 		return
 	}
 	p.prunedAt = now
-	gone := func(worker string) bool { return m.Worker(worker) == nil }
-	maps.DeleteFunc(p.pacers, func(worker string, _ *pacer) bool { return gone(worker) })
+	departed := func(worker string) bool { return m.Worker(worker) == nil }
+	maps.DeleteFunc(p.pacers, func(worker string, _ *pacer) bool { return departed(worker) })
 	maps.DeleteFunc(p.cachedUses, func(w *jobqueue.Worker, _ cachedUse) bool { return m.Worker(w.Spec.Id) != w })
-	maps.DeleteFunc(p.health.byWorker, func(worker string, _ *health) bool { return gone(worker) })
-	over := func(step jobqueue.StepID) bool {
+	maps.DeleteFunc(p.health.byWorker, func(worker string, _ *health) bool { return departed(worker) })
+	finished := func(step jobqueue.StepID) bool {
 		j := m.Job(step.Job)
 		return j == nil || !j.Open()
 	}
-	p.interference.prune(over, now)
-	p.approvals.removeFinished(over)
+	p.interference.prune(finished, now)
+	p.approvals.removeFinished(finished)
 	p.durations.prune(now)
 }
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -20,11 +20,9 @@
 	}
 }
 
-// Symptom: a batch job is accepted and never starts, though the workers are mostly
-// free.
-// Sequence: its image is known to lengthen the tails of serving tasks beyond their
-// objective, and serving tasks run on every worker.
-// Cause: a task that would be slow everywhere is held back for good.
+// Guards against a backfill task that never starts on mostly free workers. Its image is known to
+// push the tail latencies of serving tasks beyond their objective, serving tasks run on every
+// worker, and a task that would be slow everywhere was delayed indefinitely.
 func TestInterferingTaskEventuallyStarts(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -41,14 +39,13 @@
 		r.advance(100 * time.Millisecond)
 	}
 	if len(r.runsOn("w1")) < 2 {
-		t.Fatal("the disturbing task never started on a worker that is four fifths free")
+		t.Fatal("the interfering task never started on a worker that is four fifths free")
 	}
 }
 
-// Symptom: the tail of a serving task stays over its objective while batch work
-// goes on beside it at full speed.
-// Sequence: two images run beside a serving task; one of them lengthens its tail.
-// Cause: nobody slows the disturbing one down, or all are slowed down alike.
+// Guards against a serving task whose tail latency keeps exceeding its objective beside two
+// backfill images, one of which lengthens it. Either no run was slowed down, or both images were
+// slowed down equally.
 func TestInterferingImageIsSlowedDown(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -82,14 +79,14 @@
 		share = r.meanPace("w1", "heavy")
 	}
 	if got := tail(share); got > 100 {
-		t.Errorf("the tail is %d ms, its objective 100", got)
+		t.Errorf("the tail latency is %d ms, its objective 100", got)
 	}
 	if light := r.meanPace("w1", "light"); light < 0.9 {
-		t.Errorf("the image that disturbs nobody runs at %.2f of its speed", light)
+		t.Errorf("the image without interference runs at %.2f of its speed", light)
 	}
 }
 
-// meanPace is the mean pace of a worker's runs of an image, 1 for full speed.
+// meanPace returns the mean pace of a worker's runs of an image, 1 for full speed.
 func (r *harness) meanPace(worker, image string) float64 {
 	w := r.machine.Worker(worker)
 	sum, count := 0.0, 0
@@ -107,10 +104,9 @@
 	return sum / float64(max(1, count))
 }
 
-// Symptom: jobs fail for good though most workers are sound.
-// Sequence: a worker fails every task that it starts, at once, and so is the least
-// loaded one.
-// Cause: the least loaded worker is preferred whatever became of its last tasks.
+// Guards against jobs that fail permanently though most workers are sound. A worker that fails
+// every task at once is always the least loaded one, and the least loaded worker was preferred
+// whatever the result of its last tasks.
 func TestFailingWorkerIsAvoided(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("bad", 32_000, 64_000)
@@ -132,20 +128,19 @@
 	}
 }
 
-// Symptom: a job waits for as long as a worker hangs.
-// Sequence: a run reports the same progress over and over.
-// Cause: nobody takes it for stuck; its worker holds its lease and lists no end.
+// Guards against a job that waits for as long as its worker hangs. The worker keeps its lease and
+// reports the same progress of a run again and again, and the run was not recognized as stuck.
 func TestStuckRunIsStopped(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
 	r.addWorker("w2", 32_000, 64_000)
 	r.submit("urgent", "j1", &apiv1.JobStep{Count: 1, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 1000})
 	r.plan()
-	holder := "w1"
-	if len(r.runsOn(holder)) == 0 {
-		holder = "w2"
+	stuckWorker := "w1"
+	if len(r.runsOn(stuckWorker)) == 0 {
+		stuckWorker = "w2"
 	}
-	id := r.runsOn(holder)[0]
+	id := r.runsOn(stuckWorker)[0]
 	var stops int
 	for range 40 {
 		r.observe(id, 30, 500)
@@ -153,18 +148,17 @@
 		r.advance(100 * time.Millisecond)
 	}
 	if stops != 1 || !r.machine.Run(id).Stopping {
-		t.Fatalf("%d orders to stop a run that stands still", stops)
+		t.Fatalf("%d orders to stop a run that makes no progress", stops)
 	}
 	r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
 	r.plan()
-	if len(r.runsOn(holder)) != 0 {
+	if len(r.runsOn(stuckWorker)) != 0 {
 		t.Error("the task is back on the worker that hangs")
 	}
 }
 
-// Symptom: an urgent job waits behind batch work that came before it.
-// Sequence: there is room for one task; a batch job and then an urgent one wait.
-// Cause: tasks are taken in the order of their submission.
+// Guards against an urgent job that waits behind an earlier batch job while there is free capacity
+// for one task, because tasks were started in the order of submission.
 func TestUrgentQueueGoesFirst(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 1000, 64_000)
@@ -178,7 +172,7 @@
 	}
 }
 
-// A gang starts as a whole or not at all, under one number.
+// Guards against a gang that starts partially, or whose members have different run numbers.
 func TestGangStartsWhole(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 2000, 64_000)
@@ -200,7 +194,8 @@
 	}
 }
 
-// A worker out of reach gets nothing, and a label or a bound on the spread holds.
+// Guards against starts on an unreachable worker, on one without the required label, or beyond the
+// limit of tasks per worker.
 func TestPlacementRules(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("far", 32_000, 64_000, "gpu")
@@ -220,11 +215,9 @@
 	}
 }
 
-// Symptom: batch work makes no progress while the processors of another worker are
-// idle.
-// Sequence: a backfilling run turns out to disturb the serving task beside it and is
-// slowed down for good; another worker, without serving tasks, is there.
-// Cause: a run that is slowed down stays where it is.
+// Guards against batch work that makes no progress while the processors of another worker are idle.
+// A backfill run that interferes with the serving task beside it is slowed down persistently, and
+// it was not moved to the worker without serving tasks.
 func TestSlowedRunMoves(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -232,7 +225,7 @@
 	r.submit("batch", "b1", backfillTasks(1, 3000, "heavy"))
 	r.plan()
 	r.addWorker("w2", 32_000, 64_000)
-	serves := func(int) int64 {
+	tail := func(int) int64 {
 		if len(r.runsOn("w1")) > 1 {
 			return 300
 		}
@@ -240,8 +233,8 @@
 	}
 	for range 40 {
 		r.advance(paceInterval)
-		r.observeAll("w1", serves)
-		r.observeAll("w2", serves)
+		r.observeAll("w1", tail)
+		r.observeAll("w2", tail)
 		for _, stop := range r.plan().Stops {
 			r.reportEnd(jobqueue.RunID{Task: jobqueue.TaskIDOf(stop.Task), Number: stop.Run}, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
 		}
@@ -251,11 +244,9 @@
 	}
 }
 
-// Symptom: a serving task is over its objective for seconds while batch work beside
-// it goes on, if slowly.
-// Sequence: the tail stays long whatever part of their speed the neighbours have
-// left, as after a wrong guess of which of them is to blame.
-// Cause: the neighbours are slowed down by what was learnt, never to a standstill.
+// Guards against a serving task that exceeds its objective for seconds while backfill work beside
+// it continues slowly. The tail latency remains long at any pace of the backfill runs, as after a
+// wrong attribution of the cause, and the runs were slowed down by the estimates but never paused.
 func TestBackfillEventuallyPauses(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -263,21 +254,20 @@
 	r.submit("batch", "b1", backfillTasks(3, 3000, "some"))
 	r.plan()
 	r.observeAll("w1", func(int) int64 { return 20 })
-	over := time.Duration(0)
-	for over < 3*time.Second && r.meanPace("w1", "some") > 0 {
+	exceeded := time.Duration(0)
+	for exceeded < 3*time.Second && r.meanPace("w1", "some") > 0 {
 		r.advance(paceInterval)
-		over += paceInterval
+		exceeded += paceInterval
 		r.observeAll("w1", func(int) int64 { return 110 })
 	}
-	if over > 2*time.Second {
-		t.Fatalf("after %v the neighbours still work at %.2f of their speed", over, r.meanPace("w1", "some"))
+	if exceeded > 2*time.Second {
+		t.Fatalf("after %v the backfill runs still work at %.2f of their speed", exceeded, r.meanPace("w1", "some"))
 	}
 }
 
-// Symptom: an urgent job is late by as long as a worker is cut off, though copies of
-// its tasks are allowed.
-// Sequence: a task runs on a worker that is cut off; another worker is free.
-// Cause: the task waits for the worker or for the end of its lease.
+// Guards against an urgent job that is late by as long as a worker is unreachable, though
+// duplicates of its tasks are allowed and another worker is free. The task waited for the worker or
+// for the expiry of its lease.
 func TestDuplicateOfTaskOnUnreachableWorker(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 4000, 64_000)
@@ -288,21 +278,19 @@
 	r.unresponsive["w1"] = true
 	r.plan()
 	r.plan()
-	copies := r.runsOn("w2")
-	if len(copies) != 1 || copies[0].Task.Job != "j1" {
-		t.Fatalf("%v run on the worker in reach", copies)
+	duplicates := r.runsOn("w2")
+	if len(duplicates) != 1 || duplicates[0].Task.Job != "j1" {
+		t.Fatalf("%v run on the reachable worker", duplicates)
 	}
-	r.reportEnd(copies[0], apiv1.RunEndKind_RUN_END_KIND_DONE)
+	r.reportEnd(duplicates[0], apiv1.RunEndKind_RUN_END_KIND_DONE)
 	if s := r.machine.Job("j1").State; s != apiv1.JobState_JOB_STATE_SUCCEEDED {
 		t.Fatalf("the job is %v", s)
 	}
 }
 
-// Symptom: a job is late by one task, which took three times as long as the others
-// of its step.
-// Sequence: two tasks of an image run on two workers; beside one of them a serving
-// task leaves it a third of its speed, the other worker has room for both.
-// Cause: a run that is slowed down is moved only once it hardly works.
+// Guards against a job that is late because one task took three times as long as the others of its
+// step. A serving task leaves it a third of its speed while another worker has free capacity for
+// both tasks, and a slowed run was moved only when it made almost no progress.
 func TestSlowRunMovesSoon(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -327,11 +315,9 @@
 	}
 }
 
-// Symptom: a batch job is late though it could have been in time at half of its
-// speed.
-// Sequence: its image leaves itself half of its speed on every worker; the job has
-// three times the time that its work takes.
-// Cause: tasks wait for a worker where they would be fast.
+// Guards against a batch job that is late though it could have finished in time at half speed. Its
+// image would run at half speed on every worker and the job has three times the time that its work
+// takes, but the tasks waited for a faster worker.
 func TestJobWithTimeStartsSlowly(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 32_000, 64_000)
@@ -344,7 +330,7 @@
 		r.advance(paceInterval)
 		r.observeAll("w1", func(int) int64 { return 55 })
 	}
-	// The headroom is 1.8, of which 0.4 may be taken; six parts of this take 0.75.
+	// The headroom is 1.8, of which 0.4 may be used; six parts with this pressure use 0.75.
 	beside(0.125)
 	r.submit("batch", "b1", backfillTasks(1, 6000, "some"))
 	r.plan()
@@ -360,14 +346,12 @@
 	}
 }
 
-// Symptom: a long-running task whose worker left stands still for ten seconds and more,
-// while tasks of quick jobs start all the time.
-// Sequence: all processors of the pool are in use; the worker of a task that has run for
-// a while is gone; whenever room is free, a quick job handed in just now takes it.
-// Cause: the job of the long-running task is long past its objective, so it was sorted
-// with the late ones, after everything that could still be in time.
-// Evidence: on a day with 54 workers, 44 of them full, such tasks waited for 3 to 9 s with
-// the reason "processors" in one play, and 14.5 s in another.
+// Guards against a long-running task that remains without a run for 10 s or more after its worker
+// has left, while short jobs start all the time. All processors of the pool are in use, and each
+// time some become free, a newly submitted short job takes them: the job of the long-running task
+// is long past its objective and was sorted behind everything that could still finish in time. On a
+// day with 54 workers, 44 of them full, such tasks waited for 3 to 9 s with the reason "processors"
+// in one run and for 14.5 s in another.
 func TestRestartOfALongRunningTaskIsNotLate(t *testing.T) {
 	r := newHarness(t)
 	r.addWorker("w1", 1000, 1000)
@@ -378,6 +362,6 @@
 	r.submit("urgent", "quick", &apiv1.JobStep{Count: 1, CpuMilli: 800, MemoryMb: 1, EstimatedMs: 10_000})
 	r.plan()
 	if runs := r.runsOn("w1"); len(runs) != 1 || runs[0].Task.Job != "watch" {
-		t.Fatalf("the room went to %v", runs)
+		t.Fatalf("the capacity went to %v", runs)
 	}
 }
--- a/schedule/score.go
+++ b/schedule/score.go
@@ -5,33 +5,35 @@
 )
 
 const (
-	// recentFailurePenalty puts a worker whose last run failed behind all others.
+	// recentFailurePenalty ranks a worker whose last run failed behind all others.
 	recentFailurePenalty = 10
-	// rackBonus prefers the rack with the task's data to any amount of free room.
+	// rackBonus makes the rack with the task's data outweigh any amount of free capacity.
 	rackBonus = 5
-	// servingUtilization is the share of its reservation that a serving task is expected to
-	// use: callers reserve for their peaks.
+	// servingUtilization is the fraction of its reservation that a serving task is expected to use:
+	// callers reserve for their peaks.
 	servingUtilization = 0.5
-	// defaultMinSpeed is the least share of its full speed, as the neighbours' tails allow,
-	// at which a backfilling task is started: a slower one would hold memory and be
-	// stuck there once room is found elsewhere. A job that would still be in time
-	// starts its tasks at less, down to absoluteMinSpeed. minProcessorSpeed is the same for
-	// the processors that are left: jobs that wait for their turn end sooner on the
-	// whole than jobs that all run slowly side by side.
+	// defaultMinSpeed is the least fraction of full speed, as limited by the tail latencies of the
+	// serving tasks beside it, at which a backfill task is started. A slower task would occupy
+	// memory and remain there after capacity becomes free elsewhere. A job that would still meet
+	// its objective starts its tasks at a lower speed, down to absoluteMinSpeed. minProcessorSpeed
+	// is the corresponding limit for the remaining processors: jobs that wait for their turn end
+	// sooner on the whole than jobs that all run slowly side by side.
 	defaultMinSpeed   = 0.6
 	absoluteMinSpeed  = 0.3
 	minProcessorSpeed = 0.7
-	// noServingPenalty keeps the workers without serving tasks for the images that
-	// disturb the others, and interferencePenalty keeps images away from those that they
-	// disturb while there are better places.
+	// noServingPenalty reserves the workers without serving tasks for images that interfere with
+	// serving tasks on the other workers. interferencePenalty keeps images away from those that
+	// they interfere with while there are better workers.
 	noServingPenalty    = 0.15
 	interferencePenalty = 0.3
-	// sameImageBonus gathers the serving tasks of an image: the workers then differ in
-	// what disturbs them, and each backfilling image finds some that bear it.
+	// sameImageBonus colocates the serving tasks of an image. The workers then differ in which
+	// images interfere with their tasks, and each backfill image finds some workers that tolerate
+	// it.
 	sameImageBonus = 0.5
 )
 
-// score is higher for better workers; a reason rules the worker out for now.
+// score returns the score of a worker, higher for better ones, or the reason that currently rules
+// the worker out.
 func (r *round) score(c *candidate, s *slot) (float64, Reason) {
 	spec := c.step.Spec
 	score, reason := r.kindScore(c, s)
@@ -59,8 +61,8 @@
 	return float64(s.free.CPUMilli-s.backfillMilli) / capacity, ReasonNone
 }
 
-// servingScore packs serving tasks, those of one image together: the workers that
-// stay without any take the images that would disturb them.
+// servingScore packs serving tasks and colocates those of one image. The workers that remain
+// without serving tasks get the images that would interfere with them.
 func servingScore(spec *apiv1.JobStep, s *slot, capacity float64) float64 {
 	total, same := 0, s.servingByImage[spec.Image]
 	for _, n := range s.servingByImage {
@@ -73,13 +75,13 @@
 	return score
 }
 
-// backfillScore goes by the share of its full speed that a backfilling task would
-// have, and by what it costs the serving ones.
+// backfillScore scores a worker by the fraction of full speed that a backfill task would have
+// there, and by its cost to the serving tasks.
 func (r *round) backfillScore(c *candidate, s *slot, capacity float64) (float64, Reason) {
 	spec := c.step.Spec
 	demand := float64(s.backfillMilli + spec.CpuMilli)
-	left := capacity - s.otherMilli
-	speed := min(1, left/max(1, demand))
+	remaining := capacity - s.otherMilli
+	speed := min(1, remaining/max(1, demand))
 	if speed < minProcessorSpeed {
 		return 0, ReasonSlow
 	}
@@ -90,12 +92,12 @@
 	if speed < c.neededSpeed || !r.remainingSlack(s).allowsStart(spec, s.worker.Spec.CpuMilli) {
 		return 0, ReasonInterference
 	}
-	score := speed - interferencePenalty*min(1, cost) + tieBreakWeight*(left-demand)/capacity
+	score := speed - interferencePenalty*min(1, cost) + tieBreakWeight*(remaining-demand)/capacity
 	if len(s.servingByImage) == 0 {
 		score -= noServingPenalty
 	}
 	return score, ReasonNone
 }
 
-// tieBreakWeight weighs the room left among workers of equal speed.
+// tieBreakWeight is the weight of the remaining capacity among workers of equal speed.
 const tieBreakWeight = 0.05
--- a/schedule/slot.go
+++ b/schedule/slot.go
@@ -7,45 +7,46 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// slot is a worker with what this round has given it.
+// slot is a worker with the tasks that this round starts on it.
 type slot struct {
 	worker *jobqueue.Worker
 	free   jobqueue.Resources
-	// use starts as what the worker's runs use, and grows with this round's starts.
+	// use is initially the use of the worker's runs and grows with this round's starts.
 	use
-	// servingCloned is set once the map of serving tasks is this round's own.
+	// servingCloned is set once servingByImage is a copy that this round may change.
 	servingCloned bool
-	// slack is how much headroom backfilling tasks may still take of the serving ones, nil
-	// until it is asked for.
+	// slack is the headroom of the serving tasks that backfill tasks may still take, nil until
+	// first needed.
 	slack *slack
-	// servingStarts are the serving steps that this round has given it tasks of, with their
-	// images.
+	// servingStarts are the serving steps of which this round starts tasks here, with their images.
 	servingStarts map[jobqueue.StepID]string
 	usable        bool
 	leaving       bool
 	avoided       bool
-	// mayRetry is set if a task that finds no other worker may start there though it is avoided.
+	// mayRetry is set if a task that finds no other worker may start here though the worker is
+	// avoided.
 	mayRetry       bool
 	recentlyFailed bool
-	// onProbation: a run there is on trial. probationStep is the step whose tasks begin theirs there together
-	// in this round.
+	// onProbation is set if a run here is on probation. probationStep is the step whose tasks begin
+	// their probation here together in this round.
 	onProbation   bool
 	probationStep jobqueue.StepID
-	// startsByStep counts this round's starts by step of an occurrence, nil before the first.
+	// startsByStep counts this round's starts by step of an occurrence, nil before the first start.
 	startsByStep map[jobqueue.StepID]int
-	// backfillStarts are this round's starts of backfilling tasks.
+	// backfillStarts are this round's starts of backfill tasks.
 	backfillStarts []observedRun
 }
 
 // use is what tasks are expected to use of a worker.
 type use struct {
-	// backfillMilli is the processor demand of the backfilling runs, others what the rest
-	// is expected to use of its reservation, in thousandths of a core.
+	// backfillMilli is the processor demand of the backfill runs, otherMilli the expected use of
+	// the other runs, both in thousandths of a core.
 	backfillMilli int64
 	otherMilli    float64
 	// servingByImage counts the serving tasks by image.
 	servingByImage map[string]int
-	// watchesProgress is set if one of the tasks is of a kind that is watched for standing still.
+	// watchesProgress is set if one of the tasks is of a kind that is stopped when it makes no
+	// progress.
 	watchesProgress bool
 }
 
@@ -65,8 +66,7 @@
 	}
 }
 
-// cachedUse is what the runs of a worker were found to use, at a revision of its runs and
-// of their paces.
+// cachedUse is the use of a worker's runs at a revision of the runs and of their paces.
 type cachedUse struct {
 	runsRevision  uint64
 	pacer         *pacer
@@ -74,9 +74,9 @@
 	use
 }
 
-// useOf returns what a worker's runs use; its map must not be changed. Most workers have
-// the same runs at the same paces from one round to the next, and to count them anew each
-// time took most of a round without news.
+// useOf returns the use of a worker's runs. The caller must not change its map. Most workers have
+// the same runs at the same paces from one round to the next, and recomputing the use each time
+// took most of a round without changes.
 func (r *round) useOf(w *jobqueue.Worker) use {
 	c := r.planner.pacers[w.Spec.Id]
 	known, found := r.planner.cachedUses[w]
@@ -102,7 +102,7 @@
 	return u
 }
 
-// paceReduction is the processor demand that a run's pace takes from it.
+// paceReduction returns by how much a run's pace reduces its processor demand.
 func (r *round) paceReduction(run *jobqueue.Run) int64 {
 	percent, set := r.planner.Pace(run.Worker, run.ID)
 	if !set {
@@ -111,6 +111,7 @@
 	return run.Step.CpuMilli * (fullPace - int64(percent)) / fullPace
 }
 
+// buildSlots creates a slot for each worker and prunes the state of departed workers.
 func (r *round) buildSlots() {
 	workers := r.machine.Workers()
 	r.slots = make([]*slot, 0, len(workers))
@@ -131,7 +132,7 @@
 	r.planner.pruneDeparted(r.machine, r.now)
 }
 
-// addUse adds n tasks of a step to what the worker is expected to use.
+// addUse adds n tasks of a step to the expected use of the worker.
 func (s *slot) addUse(spec *apiv1.JobStep, n int) {
 	if !s.servingCloned {
 		s.servingByImage = maps.Clone(s.servingByImage)
@@ -140,7 +141,8 @@
 	s.add(spec, n)
 }
 
-// reserve takes n tasks' room from the slot; -1 gives it back.
+// reserve reserves capacity for n tasks of a candidate. With n = -1 it releases the capacity of one
+// task.
 func (s *slot) reserve(c *candidate, n int) {
 	for range max(n, -n) {
 		if n > 0 {
@@ -156,8 +158,8 @@
 	s.startsByStep[c.key()] += n
 }
 
-// recordServing notes that the worker got a task of a serving step: what is left of its slack
-// is to be counted anew.
+// recordServing records that the worker gets a task of a serving step. The remaining slack has to
+// be computed again.
 func (s *slot) recordServing(c *candidate) {
 	if s.servingStarts == nil {
 		s.servingStarts = map[jobqueue.StepID]string{}
--- a/schedule/slot_test.go
+++ b/schedule/slot_test.go
@@ -8,11 +8,10 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: tasks are placed on workers that are full, or not on those that became free.
-// Sequence: tasks start, end, are slowed down and let up again, round after round; what
-// the planner keeps of each worker is compared with a count of its runs, and what is kept
-// of each step with its tasks.
-// Cause: a change of a worker's runs or paces that the planner does not notice.
+// Guards against tasks that are placed on full workers, or not placed on workers that have become
+// free, because a change of a worker's runs or paces did not update the cached use. Tasks start,
+// end, are slowed down and recover in random rounds, and the cached use of each worker and the
+// state of each step are compared with a recount.
 func TestCachedUseMatchesRuns(t *testing.T) {
 	for seed := range int64(60) {
 		random := rand.New(rand.NewSource(seed))
@@ -34,16 +33,16 @@
 			r.advance(paceInterval)
 			round := r.openRound()
 			for _, s := range round.slots {
-				kept, counted := s.use, round.countUse(s.worker)
-				if kept.backfillMilli != counted.backfillMilli || kept.otherMilli != counted.otherMilli || !maps.Equal(kept.servingByImage, counted.servingByImage) {
-					t.Fatalf("seed %d: %s keeps %+v, its runs use %+v", seed, s.worker.Spec.Id, kept, counted)
+				cached, counted := s.use, round.countUse(s.worker)
+				if cached.backfillMilli != counted.backfillMilli || cached.otherMilli != counted.otherMilli || !maps.Equal(cached.servingByImage, counted.servingByImage) {
+					t.Fatalf("seed %d: the cached use of %s is %+v, its runs use %+v", seed, s.worker.Spec.Id, cached, counted)
 				}
 			}
 		}
 	}
 }
 
-// checkCovered compares what the queue machine keeps of each step with its tasks.
+// checkCovered compares what the queue machine records of each step with the tasks of the step.
 func (r *harness) checkCovered() {
 	r.t.Helper()
 	for _, j := range r.machine.Active() {
--- a/schedule/starving.go
+++ b/schedule/starving.go
@@ -7,17 +7,17 @@
 )
 
 const (
-	// starvationTimeout is how long a job may have nothing running beside free workers
-	// before one of its tasks is started wherever there is room: half of the time
-	// after which callers take the job for lost.
+	// starvationTimeout is how long a job may have no run beside free workers before one of its
+	// tasks is started wherever there is free capacity. It is half of the time after which callers
+	// consider the job lost.
 	starvationTimeout = 1500 * time.Millisecond
-	// crowdedUtilization is the share of a pool's processors or memory in use from which on
-	// jobs have to wait for their turn.
+	// crowdedUtilization is the fraction of a pool's processors or memory in use above which jobs
+	// have to wait for their turn.
 	crowdedUtilization = 0.6
 )
 
-// trackWaits notes since when the steps have been waiting of which nothing runs; of
-// long-running ones each task that has no run is owed, whatever runs beside it.
+// trackWaits updates the time since which steps have been waiting whose job has no run. For a
+// long-running step each task without a run counts, even if other tasks of the step are running.
 func (r *round) trackWaits(candidates []*candidate) {
 	waiting := map[jobqueue.StepID]time.Time{}
 	for _, c := range candidates {
@@ -33,10 +33,10 @@
 	r.planner.waitingSince = waiting
 }
 
-// starving reports whether a job has had nothing running for long though its pool is mostly
-// free, or a long-running step has lacked a task for long, however full the pool is. What
-// goes wrong without it: tasks that would disturb the serving ones on every worker are held
-// back for good, and their jobs never end.
+// starving reports whether a job has had no run for starvationTimeout though its pool is mostly
+// free, or a long-running step has lacked a run for that time, however full the pool is. Otherwise
+// tasks that would interfere with serving tasks on every worker would be delayed indefinitely, and
+// their jobs would never end.
 func (r *round) starving(c *candidate) bool {
 	since, waits := r.planner.waitingSince[c.key()]
 	if !waits || r.now.Sub(since) < starvationTimeout {
@@ -45,8 +45,8 @@
 	return c.step.Spec.LongRunning || !r.crowded(c.queue.Pool)
 }
 
-// startStarving starts a task of a starving candidate wherever there is room, on avoided
-// workers too; it returns nil if there is none.
+// startStarving starts a task of a starving candidate wherever there is free capacity, avoided
+// workers included. It returns nil if there is none.
 func (r *round) startStarving(c *candidate, index int) *slot {
 	c.lastResort = true
 	s := r.leastLoadedFeasible(c)
@@ -55,13 +55,14 @@
 	}
 	r.start(c, index, s, c.step.NextRun(index))
 	if !c.step.Spec.LongRunning {
-		// One task at a time: the others follow where their speed allows.
+		// One task at a time: the others follow where their speed permits.
 		c.lastResort = false
 		delete(r.planner.waitingSince, c.key())
 	}
 	return s
 }
 
+// crowded reports whether more than crowdedUtilization of a pool's processors or memory is in use.
 func (r *round) crowded(pool string) bool {
 	var used, capacity jobqueue.Resources
 	for _, s := range r.slots {
@@ -71,11 +72,12 @@
 		used = used.Add(s.worker.Capacity().Sub(s.free))
 		capacity = capacity.Add(s.worker.Capacity())
 	}
-	over := func(used, capacity int64) bool { return float64(used) > crowdedUtilization*float64(capacity) }
-	return over(used.CPUMilli, capacity.CPUMilli) || over(used.MemoryMB, capacity.MemoryMB)
+	exceeded := func(used, capacity int64) bool { return float64(used) > crowdedUtilization*float64(capacity) }
+	return exceeded(used.CPUMilli, capacity.CPUMilli) || exceeded(used.MemoryMB, capacity.MemoryMB)
 }
 
-// leastLoadedFeasible returns the feasible worker with the least demand for its processors.
+// leastLoadedFeasible returns the feasible worker with the least relative demand for its
+// processors, nil if there is none.
 func (r *round) leastLoadedFeasible(c *candidate) *slot {
 	var best *slot
 	var bestShare float64
--- a/schedule/stuck.go
+++ b/schedule/stuck.go
@@ -6,14 +6,14 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// stuckTimeout is how long a run may report no progress before it is taken to stand
-// still. Tasks take seconds and report hundredths, so sound ones advance several
-// times a second; a worker that is slow by a factor of ten still advances.
+// stuckTimeout is the time from the last progress of a run to the report that shows it as stuck.
+// Tasks take seconds and report hundredths, so sound ones progress several times a second. A worker
+// that is slow by a factor of ten still shows progress.
 const stuckTimeout = 2500 * time.Millisecond
 
-// stopStuck stops runs that stand still, so that they go on elsewhere from their
-// checkpoint. What goes wrong without it: a worker that hangs keeps its lease and
-// lists no end, and its jobs wait for as long as it hangs.
+// stopStuck stops runs that make no progress, so that they resume elsewhere from their checkpoint.
+// Otherwise a worker that hangs would keep its lease and report no end, and its jobs would wait for
+// as long as it hangs.
 func (r *round) stopStuck() {
 	for _, s := range r.slots {
 		if !s.usable || !s.watchesProgress {
@@ -27,6 +27,7 @@
 	}
 }
 
+// isStuck reports whether a run has made no progress for more than stuckTimeout.
 func (r *round) isStuck(run *jobqueue.Run) bool {
 	if run.Stopping || run.Step.Backfill || run.Step.LongRunning || run.Step.Gang {
 		return false
--- a/schedule/unlisted.go
+++ b/schedule/unlisted.go
@@ -7,35 +7,36 @@
 )
 
 const (
-	// unlistedTimeout is how long the reports of a worker may lack a long-running run that the
-	// log holds there: a start takes some tenths of a second, and reports come twice a second.
+	// unlistedTimeout is how long the reports of a worker may lack a long-running run that the log
+	// assigns to the worker. A start takes some tenths of a second, and reports arrive twice a
+	// second.
 	unlistedTimeout = 2500 * time.Millisecond
-	// unlistedCheckInterval is the time between two looks at all long-running runs: one takes some 10 ms
-	// where there are 21,000.
+	// unlistedCheckInterval is the time from one check of all long-running runs to the next. A
+	// check takes about 10 ms with 21,000 such runs.
 	unlistedCheckInterval = time.Second
 )
 
-// stopUnlisted stops long-running runs that stand in the log and not on their worker, so that
-// they start again. What goes wrong without it: an order that was never carried out, or a run
-// whose end got lost, counts as running for good. The stop harms no run that is about to begin:
-// the worker refuses that run from then on, and it is given back only then.
+// stopUnlisted stops long-running runs that are in the log but not on their worker, so that they
+// start again. Otherwise an order that was never carried out, or a run whose end was lost, would
+// count as running indefinitely. The stop can't harm a run that is about to begin: the worker
+// refuses that run from then on, and the run is released only after that.
 func (r *round) stopUnlisted() {
 	p := r.planner
 	if r.now.Sub(p.unlistedCheckedAt) < unlistedCheckInterval {
 		return
 	}
 	p.unlistedCheckedAt = r.now
-	unseen := map[jobqueue.RunID]time.Time{}
+	unobserved := map[jobqueue.RunID]time.Time{}
 	missing := func(run *jobqueue.Run) bool {
-		return run.Step.LongRunning && !run.Stopping && r.now.Sub(r.missingSince(run, unseen)) >= unlistedTimeout
+		return run.Step.LongRunning && !run.Stopping && r.now.Sub(r.missingSince(run, unobserved)) >= unlistedTimeout
 	}
 	for _, s := range r.slots {
-		heardSince, heard := r.fleet.ReportingSince(s.worker.Spec.Id)
-		if !heard {
+		reportingSince, reporting := r.fleet.ReportingSince(s.worker.Spec.Id)
+		if !reporting {
 			continue
 		}
 		for _, run := range s.worker.RunsThat(missing) {
-			if r.now.Sub(heardSince) < unlistedTimeout {
+			if r.now.Sub(reportingSince) < unlistedTimeout {
 				continue
 			}
 			p.health.markStalled(s.worker.Spec.Id, r.now)
@@ -43,12 +44,13 @@
 			r.stop(run.ID, "not listed by its worker")
 		}
 	}
-	p.unobservedSince = unseen
+	p.unobservedSince = unobserved
 }
 
-// missingSince returns since when a run may be missing on its worker: when it was last listed
-// or, for one that never was, first found in the log by a look while the worker was heard.
-func (r *round) missingSince(run *jobqueue.Run, unseen map[jobqueue.RunID]time.Time) time.Time {
+// missingSince returns the time since which a run may be missing on its worker. This is the time at
+// which it was last listed. For a run that was never listed, it is the time at which a check first
+// found it in the log while the worker was reporting.
+func (r *round) missingSince(run *jobqueue.Run, unobserved map[jobqueue.RunID]time.Time) time.Time {
 	if o, seen := r.fleet.Observed(run.ID); seen {
 		return o.At
 	}
@@ -56,6 +58,6 @@
 	if !known {
 		since = r.now
 	}
-	unseen[run.ID] = since
+	unobserved[run.ID] = since
 	return since
 }
