--- a/schedule/backfillset_test.go
+++ b/schedule/backfillset_test.go
@@ -25,7 +25,7 @@
 			r.startFirst("set", "w1", int(count)-1)
 			r.learnHeavyImage()
 			began := r.now
-			for r.now.Sub(began) < time.Minute && !r.machine.Job("set").Occurrences[0].Steps[0].Covered() {
+			for r.now.Sub(began) < time.Minute && !r.machine.Job("set").Occurrences[0].Steps[0].FullyScheduled() {
 				r.plan()
 				r.advance(simStep)
 				r.learnHeavyImage()
--- a/schedule/chain.go
+++ b/schedule/chain.go
@@ -24,7 +24,7 @@
 		for _, before := range s.Spec.After {
 			ends[i] = max(ends[i], ends[before])
 		}
-		if !remaining || !s.Ended() {
+		if !remaining || !s.Succeeded() {
 			ends[i] += p.durations.expected(s.Spec)
 		}
 		longest = max(longest, ends[i])
--- a/schedule/fleetproperty_test.go
+++ b/schedule/fleetproperty_test.go
@@ -170,7 +170,7 @@
 		unsound := slices.ContainsFunc(s.hosts, func(h *fleetHost) bool {
 			return h.worker == w.Spec.Id && (s.now.Before(h.refusesUntil) || s.now.Before(h.brokenUntil))
 		})
-		return s.unresponsive[w.Spec.Id] || unsound || !s.machine.MayHost(c.job, id, c.step.Spec, w) ||
+		return s.unresponsive[w.Spec.Id] || unsound || !s.machine.MayRunOn(c.job, id, c.step.Spec, w) ||
 			c.queue.Advised && !approves(c.key(), w.Spec.Id)
 	})
 }
@@ -182,7 +182,7 @@
 	}
 	need := jobqueue.Reserved(c.step.Spec)
 	limit := int(c.step.Spec.MaxPerWorker)
-	return need.Add(need).Fits(able[0].Free()) && (limit == 0 || able[0].CountOf(c.key())+2 <= limit)
+	return need.Add(need).Fits(able[0].Free()) && (limit == 0 || able[0].StepRunCount(c.key())+2 <= limit)
 }
 
 // reasonsAgainst summarizes the reasons of the planner against workers.
--- a/schedule/harness_test.go
+++ b/schedule/harness_test.go
@@ -147,7 +147,7 @@
 
 // runsOn returns the runs on a worker.
 func (r *harness) runsOn(worker string) []jobqueue.RunID {
-	return r.machine.Worker(worker).SortedRuns()
+	return r.machine.Worker(worker).SortedRunIDs()
 }
 
 // observeAll reports all runs of a worker: serving tasks with the given tail latency, backfill
@@ -155,7 +155,7 @@
 func (r *harness) observeAll(worker string, tail func(serving int) int64) {
 	w := r.machine.Worker(worker)
 	serving := 0
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs > 0 {
 			r.observe(id, fullPace, tail(serving))
--- a/schedule/headroom_test.go
+++ b/schedule/headroom_test.go
@@ -40,7 +40,7 @@
 func (l *servingModel) report(r *harness, worker string) (tailShare, worked float64) {
 	w := r.machine.Worker(worker)
 	used, taken, demand := 0.0, 0.0, 0.0
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs > 0 {
 			continue
@@ -56,7 +56,7 @@
 		taken += l.pressure[step.Image] * workerParts(int64(use), w.Spec.CpuMilli)
 	}
 	left := max(0.01, 1-l.utilization(r.now)-taken)
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs == 0 {
 			continue
@@ -157,7 +157,7 @@
 		t.Fatal(err)
 	}
 	next := New()
-	next.RestoreLearned(restored.Learnt(), r.now)
+	next.RestoreLearned(restored.Learned(), r.now)
 	if after := next.interference.pressureOf("serving", "heavy", r.now); math.Abs(after-before) > 0.01 {
 		t.Errorf("the pressure was %.2f, that of the next planner is %.2f", before, after)
 	}
--- a/schedule/longrunning_test.go
+++ b/schedule/longrunning_test.go
@@ -22,7 +22,7 @@
 	began := r.now
 	for r.now.Sub(began) < time.Minute {
 		r.plan()
-		if r.machine.Job(job).Occurrences[0].Steps[0].Covered() {
+		if r.machine.Job(job).Occurrences[0].Steps[0].FullyScheduled() {
 			break
 		}
 		r.advance(simStep)
@@ -112,7 +112,7 @@
 		}
 		for ends := range 100 {
 			r.plan()
-			if !r.machine.Job("set").Occurrences[0].Steps[0].Covered() {
+			if !r.machine.Job("set").Occurrences[0].Steps[0].FullyScheduled() {
 				t.Fatalf("seed %d: a task waits after %d ends", seed, ends)
 			}
 			r.endSomehow(random)
@@ -125,7 +125,7 @@
 func (r *harness) endSomehow(random *rand.Rand) {
 	r.t.Helper()
 	w := r.machine.Workers()[random.Intn(len(r.machine.Workers()))]
-	runs := w.SortedRuns()
+	runs := w.SortedRunIDs()
 	if len(runs) == 0 {
 		return
 	}
--- a/schedule/maintenance.go
+++ b/schedule/maintenance.go
@@ -29,7 +29,7 @@
 func NextMaintenance(m *jobqueue.Machine, hosts map[string]HostView) []*apiv1.MaintainHost {
 	var steps []*apiv1.MaintainHost
 	for _, w := range m.Waves() {
-		available := w.Room()
+		available := w.FreeCapacity()
 		_, unnamed := hosts[UnnamedHost]
 		for _, h := range w.Hosts {
 			if h.Leaving() && !h.Down() {
@@ -37,7 +37,7 @@
 			}
 		}
 		for _, h := range w.Hosts {
-			if move, ok := m.MoveOf(h.Name); ok && !move.Over() {
+			if move, ok := m.MoveOf(h.Name); ok && !move.Finished() {
 				// The step follows when the host is in the pool that it moves to.
 				continue
 			}
@@ -62,7 +62,7 @@
 	step := func(s apiv1.MaintenanceState, worker string) *apiv1.MaintainHost {
 		return &apiv1.MaintainHost{State: s, Worker: worker}
 	}
-	if !listed && !h.Over() {
+	if !listed && !h.Finished() {
 		return step(apiv1.MaintenanceState_MAINTENANCE_STATE_GONE, h.Worker)
 	}
 	if !view.Up || view.Worker == "" {
--- a/schedule/move.go
+++ b/schedule/move.go
@@ -29,7 +29,7 @@
 		if c := r.planner.pacers[s.worker.Spec.Id]; c == nil || !c.hasLowPace {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(r.isSlowed) {
+		for _, run := range s.worker.RunsMatching(r.isSlowed) {
 			id := run.ID
 			since, known := r.planner.lowPaceSince[id]
 			if !known {
--- a/schedule/overcommitted.go
+++ b/schedule/overcommitted.go
@@ -15,7 +15,7 @@
 			continue
 		}
 		free := s.free
-		unobserved := s.worker.RunsThat(func(run *jobqueue.Run) bool {
+		unobserved := s.worker.RunsMatching(func(run *jobqueue.Run) bool {
 			_, seen := r.fleet.Observed(run.ID)
 			return !seen && !run.Stopping
 		})
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -158,7 +158,7 @@
 // viewWorker returns the view of a worker with the last observations of its runs.
 func viewWorker(w *jobqueue.Worker, fleet Fleet) workerView {
 	v := workerView{capacity: w.Spec.CpuMilli, steps: servingSteps(w)}
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		r := w.Runs[id]
 		o, seen := fleet.Observed(id)
 		switch {
--- a/schedule/pools.go
+++ b/schedule/pools.go
@@ -155,12 +155,12 @@
 
 // returnMove returns the move of an idle host back to standby, nil if there is none.
 func (p *Mover) returnMove(m *jobqueue.Machine, v jobqueue.Move, worker string, now time.Time) *apiv1.MoveHost {
-	back := m.Borrowed(v)
+	back := m.ReturnMove(v)
 	if back == nil || !p.idleFor(worker, idleBeforeReturn, now) {
 		return nil
 	}
 	back.Worker = worker
-	if _, short := p.shortageSince[back.From]; short || !m.MayBegin(back) {
+	if _, short := p.shortageSince[back.From]; short || !m.MayBeginMove(back) {
 		return nil
 	}
 	return back
@@ -193,14 +193,14 @@
 		return &apiv1.MoveHost{Host: v.Host, Pool: v.Pool, From: v.From, State: s, Worker: worker}
 	}
 	switch {
-	case v.Over():
+	case v.Finished():
 		return nil
 	case !listed:
 		return step(apiv1.MoveState_MOVE_STATE_GONE, v.Worker)
-	case m.HasLeft(view.Worker):
+	case m.HasDeparted(view.Worker):
 		// The list is older than the log.
 		return nil
-	case v.Down():
+	case v.InTransit():
 		return arrivalStep(m, v, view, step)
 	case m.Pool(v.Pool) == nil:
 		return step(apiv1.MoveState_MOVE_STATE_CANCELED, v.Worker)
@@ -252,9 +252,9 @@
 func (p *Mover) beginMoves(m *jobqueue.Machine, hosts map[string]HostView, now time.Time) []*apiv1.MoveHost {
 	var begun []*apiv1.MoveHost
 	p.checkedAt = now
-	available := jobqueue.MaxMovesAtOnce
+	available := jobqueue.MaxConcurrentMoves
 	for _, v := range m.Moves() {
-		if !v.Over() {
+		if !v.Finished() {
 			available--
 		}
 	}
@@ -288,7 +288,7 @@
 	need := p.needs[pool]
 	waiting := need.tasks
 	for _, v := range m.Moves() {
-		if !v.Over() && v.Pool == pool {
+		if !v.Finished() && v.Pool == pool {
 			waiting -= tasksPerHost(need.step, hosts[v.Host].Capacity)
 		}
 	}
@@ -306,7 +306,7 @@
 		move := &apiv1.MoveHost{
 			Host: host, Pool: pool, From: view.Pool, State: apiv1.MoveState_MOVE_STATE_LEAVING, Worker: view.Worker,
 		}
-		if !m.MayBegin(move) {
+		if !m.MayBeginMove(move) {
 			continue
 		}
 		remaining[view.Pool]--
@@ -340,7 +340,7 @@
 func hostsByPool(m *jobqueue.Machine, hosts map[string]HostView) map[string]int {
 	count := map[string]int{}
 	for name, view := range hosts {
-		if move, ok := m.MoveOf(name); view.Up && view.Worker != "" && (!ok || move.Over()) {
+		if move, ok := m.MoveOf(name); view.Up && view.Worker != "" && (!ok || move.Finished()) {
 			count[view.Pool]++
 		}
 	}
--- a/schedule/probation_test.go
+++ b/schedule/probation_test.go
@@ -15,7 +15,7 @@
 	r.t.Helper()
 	w := r.machine.Worker(id)
 	crash := &apiv1.WorkerCrash{}
-	for _, run := range w.SortedRuns() {
+	for _, run := range w.SortedRunIDs() {
 		crash.Worked = append(crash.Worked, &apiv1.RunWork{Task: run.Task.Ref(), Run: run.Number, Began: true})
 	}
 	spec := w.Spec
@@ -78,7 +78,7 @@
 func workersWithoutProbation(r *harness) []*jobqueue.Worker {
 	var found []*jobqueue.Worker
 	for _, w := range r.machine.Workers() {
-		if !w.HasTrial() {
+		if !w.HasRunOnProbation() {
 			found = append(found, w)
 		}
 	}
--- a/schedule/slot.go
+++ b/schedule/slot.go
@@ -126,7 +126,7 @@
 			avoided:        health.avoided(r.now),
 			mayRetry:       health.mayRetry(r.now),
 			recentlyFailed: health.recentlyFailed(),
-			onProbation:    w.HasTrial(),
+			onProbation:    w.HasRunOnProbation(),
 		})
 	}
 	r.planner.pruneDeparted(r.machine, r.now)
--- a/schedule/slot_test.go
+++ b/schedule/slot_test.go
@@ -18,7 +18,7 @@
 		r := newCrowdedFleet(t, random)
 		for range 12 {
 			for _, w := range r.machine.Workers() {
-				switch runs := w.SortedRuns(); {
+				switch runs := w.SortedRunIDs(); {
 				case random.Intn(3) == 0:
 					r.observeAll(w.Spec.Id, func(int) int64 { return int64(random.Intn(150)) })
 				case len(runs) > 0 && random.Intn(2) == 0:
@@ -53,8 +53,8 @@
 					waiting++
 				}
 			}
-			if s.Covered() != (waiting == 0) {
-				r.t.Fatalf("job %s: covered %v, %d tasks wait", j.ID(), s.Covered(), waiting)
+			if s.FullyScheduled() != (waiting == 0) {
+				r.t.Fatalf("job %s: covered %v, %d tasks wait", j.ID(), s.FullyScheduled(), waiting)
 			}
 		}
 	}
--- a/schedule/stuck.go
+++ b/schedule/stuck.go
@@ -19,7 +19,7 @@
 		if !s.usable || !s.watchesProgress {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(r.isStuck) {
+		for _, run := range s.worker.RunsMatching(r.isStuck) {
 			r.planner.health.markStalled(s.worker.Spec.Id, r.now)
 			s.avoided, s.mayRetry = true, false
 			r.stop(run.ID, "no progress")
--- a/schedule/unlisted.go
+++ b/schedule/unlisted.go
@@ -35,7 +35,7 @@
 		if !reporting {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(missing) {
+		for _, run := range s.worker.RunsMatching(missing) {
 			if r.now.Sub(reportingSince) < unlistedTimeout {
 				continue
 			}
