--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -14,7 +14,7 @@
 // crashOf returns what a report says of a crash, nil if it tells of none. That is a departure
 // without notice, or the first report of the life that follows one that did not tell.
 func (l *leadership) crashOf(m *jobqueue.Machine, r *apiv1.JobsReportRequest) (*jobqueue.Worker, []*apiv1.RunWork) {
-	worker, before := m.Worker(r.Worker.GetId()), m.WorkerOf(r.Worker.GetHost())
+	worker, before := m.Worker(r.Worker.GetId()), m.WorkerOnHost(r.Worker.GetHost())
 	switch {
 	case worker != nil && r.Departed:
 		if !r.Crashed || worker.Spec.Draining {
@@ -36,7 +36,7 @@
 		byRun[jobqueue.RunID{Task: jobqueue.TaskIDOf(t.Task), Number: t.Run}] = t
 	}
 	var list []*apiv1.RunWork
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		work := byRun[id]
 		if o, seen := l.observed[id]; seen {
 			work = cmp.Or(work, unknown(id))
@@ -50,7 +50,7 @@
 			list = append(list, work)
 		}
 	}
-	for _, id := range w.GivenUp() {
+	for _, id := range w.LostRuns() {
 		if work := cmp.Or(byRun[id], unknown(id)); !work.NeverSent {
 			list = append(list, work)
 		}
@@ -91,7 +91,7 @@
 			event.JobGivenUp.Write(d.logger, event.Term(t.term), event.Task(id), event.Run(w.Run))
 		}
 		if task := m.Task(id); task != nil && task.Crashes.Suspect {
-			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.InRow, task.Crashes.Alone))
+			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.Consecutive, task.Crashes.SoleCause))
 		}
 	}
 	if len(suspects) > 0 {
--- a/dispatch/leadership.go
+++ b/dispatch/leadership.go
@@ -100,7 +100,7 @@
 	}
 	now := d.opts.Now()
 	planner := schedule.New()
-	d.opts.Replica.ReadState(func(m *state.Machine) { planner.Resume(m.CallerJobs().Learnt(), now) })
+	d.opts.Replica.ReadState(func(m *state.Machine) { planner.Resume(m.CallerJobs().Learned(), now) })
 	d.leading = &leadership{
 		term:           term,
 		planner:        planner,
@@ -180,7 +180,7 @@
 		return nil
 	}
 	var list []*apiv1.RunCheckpoint
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		if o := l.observed[id]; o.Checkpoint != "" {
 			list = append(list, &apiv1.RunCheckpoint{Task: id.Task.Ref(), Run: id.Number, Checkpoint: o.Checkpoint})
 		}
--- a/dispatch/learnt_test.go
+++ b/dispatch/learnt_test.go
@@ -39,7 +39,7 @@
 		}
 		s.log.Lose(time.Second)
 		s.replica.ReadState(func(m *state.Machine) {
-			pressures := m.CallerJobs().Learnt().GetPressures()
+			pressures := m.CallerJobs().Learned().GetPressures()
 			if len(pressures) != 1 || pressures[0].Mean < 0.1 {
 				t.Errorf("the next leader knows %v", pressures)
 			}
--- a/dispatch/longrunning_test.go
+++ b/dispatch/longrunning_test.go
@@ -87,7 +87,7 @@
 func (s *sim) runsOn(worker string) (ids []jobqueue.RunID) {
 	s.replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(worker); w != nil {
-			ids = w.SortedRuns()
+			ids = w.SortedRunIDs()
 		}
 	})
 	return ids
--- a/dispatch/losses.go
+++ b/dispatch/losses.go
@@ -38,7 +38,7 @@
 	if crashed, worked := l.crashOf(m, r); crashed != nil && l.lostTold[crashed.Spec.Id] != crashed.Epoch {
 		d.tellCrash(l, crashed, worked)
 	}
-	if before := m.WorkerOf(r.Worker.GetHost()); before != nil && (worker == nil || before != worker && !worker.Departed) {
+	if before := m.WorkerOnHost(r.Worker.GetHost()); before != nil && (worker == nil || before != worker && !worker.Departed) {
 		d.noteLost(l, before, lostByReplacement, nil, now)
 	}
 	switch {
@@ -60,7 +60,7 @@
 	}
 	var lost []gatheredRun
 	var work time.Duration
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		if !ended[id] {
 			lost = append(lost, gatheredRun{id, now})
 			l.outages.noteEnd(w.Runs[id], why, now)
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -90,7 +90,7 @@
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
 		for _, w := range jobs.Waves() {
-			look.waves = look.waves || !w.Over()
+			look.waves = look.waves || !w.Finished()
 		}
 		look.moves = l.moves.look(jobs, l.fleet(now), l.waits, now)
 	})
@@ -135,7 +135,7 @@
 		if !known {
 			continue
 		}
-		if m.HasLeft(life) && m.Pool(view.Pool).GetStandby() {
+		if m.HasDeparted(life) && m.Pool(view.Pool).GetStandby() {
 			life = ""
 		}
 		view.Worker = life
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -67,7 +67,7 @@
 // still has runs waits for them, and the platform need not be asked meanwhile.
 func mayGoOn(m *jobqueue.Machine, v jobqueue.Move) bool {
 	w := m.Worker(v.Worker)
-	return v.Down() || !v.Over() && (w == nil || len(w.Runs) == 0)
+	return v.InTransit() || !v.Finished() && (w == nil || len(w.Runs) == 0)
 }
 
 // certain reports whether all calls of a move have been answered, or are too old to be
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -103,7 +103,7 @@
 		s.submitSpec(&apiv1.JobSpec{Id: "serving", Host: simHost, Path: "/q/serving", Steps: []*apiv1.JobStep{{
 			Count: 2, CpuMilli: 4000, MemoryMb: 500, LongRunning: true,
 		}}})
-		if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Over() }) {
+		if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Finished() }) {
 			t.Errorf("the move is %v", s.moveOf("host0"))
 		}
 	})
@@ -129,7 +129,7 @@
 		}
 		s.sleep(moverSettles)
 		s.askMove("host0", otherPool)
-		if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Over() }) {
+		if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Finished() }) {
 			t.Errorf("the move is %v", s.moveOf("host0"))
 		}
 		if term, _ := s.log.Leading(); term < 2 || len(f.Orders()) < 3 {
@@ -192,7 +192,7 @@
 			t.Errorf("%d calls", all)
 		}
 		s.askMove("host1", simPool)
-		s.await(20*time.Second, func() bool { return s.moveOf("host1").Over() })
+		s.await(20*time.Second, func() bool { return s.moveOf("host1").Finished() })
 		if h := list(1).Hosts[1]; h.Pool != simPool || !h.Up || h.Move.GetState() != apiv1.MoveState_MOVE_STATE_DONE {
 			t.Errorf("listed %v", h)
 		}
--- a/dispatch/movesim_test.go
+++ b/dispatch/movesim_test.go
@@ -46,7 +46,7 @@
 	}
 	s.calmDown()
 	arrived := func() bool {
-		return !slices.ContainsFunc(asked, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Over() })
+		return !slices.ContainsFunc(asked, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Finished() })
 	}
 	if !s.await(2*time.Minute, arrived) {
 		t.Errorf("seed %d: the moves are %v %v %v", seed, s.moveOf("host0"), s.moveOf("host1"), s.moveOf("host2"))
@@ -54,7 +54,7 @@
 	// And one of them back, as soon as it may.
 	s.sleep(31 * time.Second)
 	s.askMove("host0", simPool)
-	if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Over() }) {
+	if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Finished() }) {
 		t.Errorf("seed %d: the move back is %v", seed, s.moveOf("host0"))
 	}
 	s.judgeOrders(seed, f)
--- a/dispatch/movesrig_test.go
+++ b/dispatch/movesrig_test.go
@@ -173,7 +173,7 @@
 		meant[k], newest[o.Host] = o, o.Token
 	}
 	s.judgeHolders(seed)
-	if n := f.MostAway(); n > jobqueue.MaxMovesAtOnce {
+	if n := f.MostAway(); n > jobqueue.MaxConcurrentMoves {
 		s.t.Errorf("seed %d: %d hosts were away at once", seed, n)
 	}
 	if all, refused := f.Calls(); refused > 0 {
--- a/dispatch/outages.go
+++ b/dispatch/outages.go
@@ -80,7 +80,7 @@
 func yieldTasks(j *jobqueue.Job, wallMs int64, yield func(longRunningTask) bool) bool {
 	for k, o := range j.Occurrences {
 		for i, s := range o.Steps {
-			if !s.Spec.LongRunning || !j.Due(k, wallMs) || !o.Ready(i) {
+			if !s.Spec.LongRunning || !j.Due(k, wallMs) || !o.StepReady(i) {
 				continue
 			}
 			id := jobqueue.TaskID{Job: j.ID(), Occurrence: uint32(k), Step: uint32(i)}
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -12,7 +12,7 @@
 // logStart gathers the start of a run for the log.
 func (l *leadership) logStart(m *jobqueue.Machine, s *apiv1.StartRun, now time.Time) {
 	id := jobqueue.RunID{Task: jobqueue.TaskIDOf(s.Task), Number: s.Run}
-	if step := m.StepOf(id.Task); step != nil && step.LongRunning {
+	if step := m.StepSpec(id.Task); step != nil && step.LongRunning {
 		l.runLog.startLongRunning(l.term, s.Worker, id, now)
 		return
 	}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -112,7 +112,7 @@
 // just now. Its agent says whom it follows; what the network held up does not.
 func (l *leadership) contested(m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) bool {
 	id := r.Worker.GetId()
-	known := m.WorkerOf(r.Worker.GetHost())
+	known := m.WorkerOnHost(r.Worker.GetHost())
 	if known == nil || known.Spec.Id == id || slices.Contains(r.Follows, known.Spec.Id) {
 		return false
 	}
@@ -192,7 +192,7 @@
 
 // unable reports whether a refusal says that the worker can take no task for now.
 func unable(reason string) bool {
-	return reason == jobqueue.RefusedForRoom || reason == jobqueue.RefusedUnwilling
+	return reason == jobqueue.RefusedNoCapacity || reason == jobqueue.RefusedUnwilling
 }
 
 // endName is a kind of end in logs.
@@ -209,7 +209,7 @@
 	}
 	if w == nil {
 		command.Ends = r.Ends
-		command.Checkpoints = l.checkpoints(m.WorkerOf(r.Worker.GetHost()))
+		command.Checkpoints = l.checkpoints(m.WorkerOnHost(r.Worker.GetHost()))
 		return command
 	}
 	for _, e := range r.Ends {
@@ -223,7 +223,7 @@
 	if r.Departed {
 		command.Checkpoints = l.checkpoints(w)
 	}
-	same := proto.Equal(w.Spec, r.Worker) && len(w.GivenUp()) == 0
+	same := proto.Equal(w.Spec, r.Worker) && len(w.LostRuns()) == 0
 	if same && !r.Departed && len(command.Ends)+len(command.Refusals) == 0 {
 		return nil
 	}
--- a/dispatch/reportorder.go
+++ b/dispatch/reportorder.go
@@ -77,10 +77,10 @@
 	before := func(later jobqueue.Incarnation) bool {
 		return life.Precedes(later) && !slices.Contains(r.Follows, later.Name())
 	}
-	if known := m.WorkerOf(host); known != nil && before(jobqueue.ParseIncarnation(known.Spec.Id)) {
+	if known := m.WorkerOnHost(host); known != nil && before(jobqueue.ParseIncarnation(known.Spec.Id)) {
 		return true
 	}
-	if last := o.lives[host]; before(last) && !m.HasLeft(last.Name()) {
+	if last := o.lives[host]; before(last) && !m.HasDeparted(last.Name()) {
 		return true
 	}
 	o.lives[host] = life
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -155,6 +155,6 @@
 
 func (s *sim) waveOver() bool {
 	over := false
-	s.replica.ReadState(func(m *state.Machine) { over = m.CallerJobs().Wave(waveNumber).Over() })
+	s.replica.ReadState(func(m *state.Machine) { over = m.CallerJobs().Wave(waveNumber).Finished() })
 	return over
 }
--- a/jobqueue/ordered_test.go
+++ b/jobqueue/ordered_test.go
@@ -14,7 +14,7 @@
 // stand at the same places.
 func TestOrderedKeepsTheOrderOfItsKeys(t *testing.T) {
 	random := rand.New(rand.NewSource(1))
-	o, plain := newOrdered[int](), map[string]int{}
+	o, plain := newOrderedMap[int](), map[string]int{}
 	for i := range 5000 {
 		key := fmt.Sprintf("k%d", random.Intn(200))
 		if random.Intn(3) == 0 {
--- a/jobqueue/waves_test.go
+++ b/jobqueue/waves_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("%v: %v, want %v", x.command, got, x.want)
 		}
 	}
-	if w := m.Wave(1); w.Over() || w.Spec.Cap != 1 {
+	if w := m.Wave(1); w.Finished() || w.Spec.Cap != 1 {
 		t.Errorf("the wave is %v", w.Record())
 	}
 	if !m.Leaving("worker-b") || m.Leaving("worker-a") {
--- a/schedule/chain.go
+++ b/schedule/chain.go
@@ -24,7 +24,7 @@
 		for _, before := range s.Spec.After {
 			ends[i] = max(ends[i], ends[before])
 		}
-		if !left || !s.Ended() {
+		if !left || !s.Succeeded() {
 			ends[i] += p.images.duration(s.Spec)
 		}
 		longest = max(longest, ends[i])
--- a/schedule/evacuate.go
+++ b/schedule/evacuate.go
@@ -34,7 +34,7 @@
 			began = r.now
 		}
 		since[worker] = began
-		for _, id := range s.worker.SortedRuns() {
+		for _, id := range s.worker.SortedRunIDs() {
 			if stops < evacuationsPerRound && r.evacuates(s.worker.Runs[id], s, r.now.Sub(began)) {
 				r.stop(id, "host maintenance or move")
 				stops++
--- a/schedule/fillingset_test.go
+++ b/schedule/fillingset_test.go
@@ -24,7 +24,7 @@
 			r.startFirst("set", "w1", int(count)-1)
 			r.learnHeavy()
 			began := r.now
-			for r.now.Sub(began) < time.Minute && !r.machine.Job("set").Occurrences[0].Steps[0].Covered() {
+			for r.now.Sub(began) < time.Minute && !r.machine.Job("set").Occurrences[0].Steps[0].FullyScheduled() {
 				r.plan()
 				r.pass(simStep)
 				r.learnHeavy()
--- a/schedule/fleetproperty_test.go
+++ b/schedule/fleetproperty_test.go
@@ -166,7 +166,7 @@
 		unsound := slices.ContainsFunc(s.hosts, func(h *fleetHost) bool {
 			return h.worker == w.Spec.Id && (s.now.Before(h.refusesUntil) || s.now.Before(h.brokenUntil))
 		})
-		return s.silent[w.Spec.Id] || unsound || !s.machine.MayHost(c.job, id, c.step.Spec, w) ||
+		return s.silent[w.Spec.Id] || unsound || !s.machine.MayRunOn(c.job, id, c.step.Spec, w) ||
 			c.queue.Advised && !approves(c.key(), w.Spec.Id)
 	})
 }
@@ -178,7 +178,7 @@
 	}
 	need := jobqueue.Reserved(c.step.Spec)
 	limit := int(c.step.Spec.MaxPerWorker)
-	return need.Add(need).Fits(could[0].Free()) && (limit == 0 || could[0].CountOf(c.key())+2 <= limit)
+	return need.Add(need).Fits(could[0].Free()) && (limit == 0 || could[0].StepRunCount(c.key())+2 <= limit)
 }
 
 // saidAgainst sums up what the planner has against workers.
--- a/schedule/fleetsim_test.go
+++ b/schedule/fleetsim_test.go
@@ -299,7 +299,7 @@
 			continue
 		}
 		w := s.machine.Worker(h.worker)
-		for _, id := range w.SortedRuns() {
+		for _, id := range w.SortedRunIDs() {
 			if run := w.Runs[id]; run != nil {
 				s.endRun(h, run)
 			}
--- a/schedule/headroom_test.go
+++ b/schedule/headroom_test.go
@@ -40,7 +40,7 @@
 func (l *servedLoad) report(r *rig, worker string) (tailShare, worked float64) {
 	w := r.machine.Worker(worker)
 	used, taken, demand := 0.0, 0.0, 0.0
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs > 0 {
 			continue
@@ -56,7 +56,7 @@
 		taken += l.pressure[step.Image] * partsOf(int64(use), w.Spec.CpuMilli)
 	}
 	left := max(0.01, 1-l.utilization(r.now)-taken)
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs == 0 {
 			continue
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	next := New()
-	next.Resume(restored.Learnt(), r.now)
+	next.Resume(restored.Learned(), r.now)
 	if after := next.interference.pressure("serving", "heavy", r.now); math.Abs(after-before) > 0.01 {
 		t.Errorf("the pressure was %.2f, the next planner believes %.2f", before, after)
 	}
--- a/schedule/longrunning_test.go
+++ b/schedule/longrunning_test.go
@@ -22,7 +22,7 @@
 	began := r.now
 	for r.now.Sub(began) < time.Minute {
 		r.plan()
-		if r.machine.Job(job).Occurrences[0].Steps[0].Covered() {
+		if r.machine.Job(job).Occurrences[0].Steps[0].FullyScheduled() {
 			break
 		}
 		r.pass(simStep)
@@ -111,7 +111,7 @@
 		}
 		for life := range 100 {
 			r.plan()
-			if !r.machine.Job("set").Occurrences[0].Steps[0].Covered() {
+			if !r.machine.Job("set").Occurrences[0].Steps[0].FullyScheduled() {
 				t.Fatalf("seed %d: a task waits after %d ends", seed, life)
 			}
 			r.endSomehow(random)
@@ -124,7 +124,7 @@
 func (r *rig) endSomehow(random *rand.Rand) {
 	r.t.Helper()
 	w := r.machine.Workers()[random.Intn(len(r.machine.Workers()))]
-	runs := w.SortedRuns()
+	runs := w.SortedRunIDs()
 	if len(runs) == 0 {
 		return
 	}
--- a/schedule/maintenance.go
+++ b/schedule/maintenance.go
@@ -30,7 +30,7 @@
 func NextMaintenance(m *jobqueue.Machine, hosts map[string]HostView) []*apiv1.MaintainHost {
 	var steps []*apiv1.MaintainHost
 	for _, w := range m.Waves() {
-		room := w.Room()
+		room := w.FreeCapacity()
 		_, unnamed := hosts[UnnamedHost]
 		for _, h := range w.Hosts {
 			if h.Leaving() && !h.Down() {
@@ -38,7 +38,7 @@
 			}
 		}
 		for _, h := range w.Hosts {
-			if move, ok := m.MoveOf(h.Name); ok && !move.Over() {
+			if move, ok := m.MoveOf(h.Name); ok && !move.Finished() {
 				// Its turn comes when it is in the pool that it goes to.
 				continue
 			}
@@ -62,7 +62,7 @@
 	step := func(s apiv1.MaintenanceState, worker string) *apiv1.MaintainHost {
 		return &apiv1.MaintainHost{State: s, Worker: worker}
 	}
-	if !listed && !h.Over() {
+	if !listed && !h.Finished() {
 		return step(apiv1.MaintenanceState_MAINTENANCE_STATE_GONE, h.Worker)
 	}
 	if !view.Up || view.Worker == "" {
--- a/schedule/move.go
+++ b/schedule/move.go
@@ -29,7 +29,7 @@
 		if c := r.planner.pacers[s.worker.Spec.Id]; c == nil || !c.low {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(r.heldBackNow) {
+		for _, run := range s.worker.RunsMatching(r.heldBackNow) {
 			id := run.ID
 			since, known := r.planner.heldBack[id]
 			if !known {
--- a/schedule/oversized.go
+++ b/schedule/oversized.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		free := s.free
-		unseen := s.worker.RunsThat(func(run *jobqueue.Run) bool {
+		unseen := s.worker.RunsMatching(func(run *jobqueue.Run) bool {
 			_, seen := r.fleet.Observed(run.ID)
 			return !seen && !run.Stopping
 		})
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -153,7 +153,7 @@
 
 func viewOf(w *jobqueue.Worker, fleet Fleet) workerView {
 	v := workerView{capacity: w.Spec.CpuMilli, steps: servingOn(w)}
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		r := w.Runs[id]
 		o, seen := fleet.Observed(id)
 		switch {
--- a/schedule/pools.go
+++ b/schedule/pools.go
@@ -154,12 +154,12 @@
 
 // returning returns the move that takes an idle host back to standby, nil for none.
 func (p *Mover) returning(m *jobqueue.Machine, v jobqueue.Move, worker string, now time.Time) *apiv1.MoveHost {
-	back := m.Borrowed(v)
+	back := m.ReturnMove(v)
 	if back == nil || !p.idleFor(worker, returnAfter, now) {
 		return nil
 	}
 	back.Worker = worker
-	if _, short := p.shortSince[back.From]; short || !m.MayBegin(back) {
+	if _, short := p.shortSince[back.From]; short || !m.MayBeginMove(back) {
 		return nil
 	}
 	return back
@@ -192,14 +192,14 @@
 		return &apiv1.MoveHost{Host: v.Host, Pool: v.Pool, From: v.From, State: s, Worker: worker}
 	}
 	switch {
-	case v.Over():
+	case v.Finished():
 		return nil
 	case !listed:
 		return step(apiv1.MoveState_MOVE_STATE_GONE, v.Worker)
-	case m.HasLeft(view.Worker):
+	case m.HasDeparted(view.Worker):
 		// The list is older than the log.
 		return nil
-	case v.Down():
+	case v.InTransit():
 		return arrival(m, v, view, step)
 	case m.Pool(v.Pool) == nil:
 		return step(apiv1.MoveState_MOVE_STATE_CANCELED, v.Worker)
@@ -251,9 +251,9 @@
 func (p *Mover) begin(m *jobqueue.Machine, hosts map[string]HostView, now time.Time) []*apiv1.MoveHost {
 	var begun []*apiv1.MoveHost
 	p.lookedAt = now
-	room := jobqueue.MaxMovesAtOnce
+	room := jobqueue.MaxConcurrentMoves
 	for _, v := range m.Moves() {
-		if !v.Over() {
+		if !v.Finished() {
 			room--
 		}
 	}
@@ -287,7 +287,7 @@
 	need := p.needs[pool]
 	waiting := need.tasks
 	for _, v := range m.Moves() {
-		if !v.Over() && v.Pool == pool {
+		if !v.Finished() && v.Pool == pool {
 			waiting -= tasksOn(need.step, hosts[v.Host].Capacity)
 		}
 	}
@@ -305,7 +305,7 @@
 		move := &apiv1.MoveHost{
 			Host: host, Pool: pool, From: view.Pool, State: apiv1.MoveState_MOVE_STATE_LEAVING, Worker: view.Worker,
 		}
-		if !m.MayBegin(move) {
+		if !m.MayBeginMove(move) {
 			continue
 		}
 		left[view.Pool]--
@@ -339,7 +339,7 @@
 func hostsOf(m *jobqueue.Machine, hosts map[string]HostView) map[string]int {
 	count := map[string]int{}
 	for name, view := range hosts {
-		if move, ok := m.MoveOf(name); view.Up && view.Worker != "" && (!ok || move.Over()) {
+		if move, ok := m.MoveOf(name); view.Up && view.Worker != "" && (!ok || move.Finished()) {
 			count[view.Pool]++
 		}
 	}
--- a/schedule/pools_test.go
+++ b/schedule/pools_test.go
@@ -75,7 +75,7 @@
 			continue
 		}
 		for _, s := range r.mover.Next(r.machine, r.hosts, r.now) {
-			if v, ok := r.machine.MoveOf(s.Host); s.State == apiv1.MoveState_MOVE_STATE_LEAVING && (!ok || v.Over()) {
+			if v, ok := r.machine.MoveOf(s.Host); s.State == apiv1.MoveState_MOVE_STATE_LEAVING && (!ok || v.Finished()) {
 				begun = append(begun, s.Host+" to "+s.Pool)
 				s.Term = testTerm
 				r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_MoveHost{MoveHost: s}})
@@ -103,7 +103,7 @@
 		view.Worker += "-moved"
 		r.hosts[host] = view
 	}
-	if v, _ := r.machine.MoveOf(host); !v.Over() {
+	if v, _ := r.machine.MoveOf(host); !v.Finished() {
 		r.step(host, from, pool, view.Worker, apiv1.MoveState_MOVE_STATE_DONE)
 	}
 }
--- a/schedule/rig_test.go
+++ b/schedule/rig_test.go
@@ -146,14 +146,14 @@
 }
 
 // runsOn returns the runs on a worker.
-func (r *rig) runsOn(worker string) []jobqueue.RunID { return r.machine.Worker(worker).SortedRuns() }
+func (r *rig) runsOn(worker string) []jobqueue.RunID { return r.machine.Worker(worker).SortedRunIDs() }
 
 // observeAll reports all runs of a worker: serving tasks with the given tail,
 // backfilling ones at full use of their processors.
 func (r *rig) observeAll(worker string, tail func(serving int) int64) {
 	w := r.machine.Worker(worker)
 	serving := 0
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs > 0 {
 			r.observe(id, fullPace, tail(serving))
--- a/schedule/round.go
+++ b/schedule/round.go
@@ -107,7 +107,7 @@
 				continue
 			}
 			for i, s := range o.Steps {
-				if s.Covered() && !s.Spec.AllowDuplicates || s.Ended() || !o.Ready(i) {
+				if s.FullyScheduled() && !s.Spec.AllowDuplicates || s.Succeeded() || !o.StepReady(i) {
 					continue
 				}
 				tasks, suspects := splitSuspects(s, r.waitingTasks(j, s))
@@ -328,7 +328,7 @@
 		return reason
 	}
 	key := c.key()
-	if spec.MaxPerWorker > 0 && s.worker.CountOf(key)+s.given[key] >= int(spec.MaxPerWorker) {
+	if spec.MaxPerWorker > 0 && s.worker.StepRunCount(key)+s.given[key] >= int(spec.MaxPerWorker) {
 		return ReasonSpread
 	}
 	if !c.queue.Advised {
--- a/schedule/schedule_test.go
+++ b/schedule/schedule_test.go
@@ -63,7 +63,7 @@
 	for range 12 {
 		r.pass(paceInterval)
 		w := r.machine.Worker("w1")
-		for _, id := range w.SortedRuns() {
+		for _, id := range w.SortedRunIDs() {
 			step := w.Runs[id].Step
 			percent, set := r.planner.Pace("w1", id)
 			if !set {
--- a/schedule/slot.go
+++ b/schedule/slot.go
@@ -125,7 +125,7 @@
 			avoided:  health.avoided(r.now),
 			mayTry:   health.mayTry(r.now),
 			doubtful: health.doubtful(),
-			onTrial:  w.HasTrial(),
+			onTrial:  w.HasRunOnProbation(),
 		})
 	}
 	r.planner.forgetGone(r.machine, r.now)
--- a/schedule/slot_test.go
+++ b/schedule/slot_test.go
@@ -19,7 +19,7 @@
 		r := crowdedRig(t, random)
 		for range 12 {
 			for _, w := range r.machine.Workers() {
-				switch runs := w.SortedRuns(); {
+				switch runs := w.SortedRunIDs(); {
 				case random.Intn(3) == 0:
 					r.observeAll(w.Spec.Id, func(int) int64 { return int64(random.Intn(150)) })
 				case len(runs) > 0 && random.Intn(2) == 0:
@@ -54,8 +54,8 @@
 					waiting++
 				}
 			}
-			if s.Covered() != (waiting == 0) {
-				r.t.Fatalf("job %s: covered %v, %d tasks wait", j.ID(), s.Covered(), waiting)
+			if s.FullyScheduled() != (waiting == 0) {
+				r.t.Fatalf("job %s: covered %v, %d tasks wait", j.ID(), s.FullyScheduled(), waiting)
 			}
 		}
 	}
--- a/schedule/stuck.go
+++ b/schedule/stuck.go
@@ -19,7 +19,7 @@
 		if !s.usable || !s.mayStick {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(r.stuck) {
+		for _, run := range s.worker.RunsMatching(r.stuck) {
 			r.planner.health.suspect(s.worker.Spec.Id, r.now)
 			s.avoided, s.mayTry = true, false
 			r.stop(run.ID, "no progress")
--- a/schedule/trial.go
+++ b/schedule/trial.go
@@ -21,7 +21,7 @@
 // splitSuspects parts the tasks whose next run is on trial from the others.
 func splitSuspects(s *jobqueue.Step, tasks []int) (others, suspects []int) {
 	for _, index := range tasks {
-		if s.Suspect(index) {
+		if s.NextRunOnProbation(index) {
 			suspects = append(suspects, index)
 		} else {
 			others = append(others, index)
@@ -38,7 +38,7 @@
 			continue
 		}
 		open := false
-		for _, run := range s.worker.RunsThat(func(run *jobqueue.Run) bool { return run.OnTrial }) {
+		for _, run := range s.worker.RunsMatching(func(run *jobqueue.Run) bool { return run.OnProbation }) {
 			o, seen := r.fleet.Observed(run.ID)
 			if seen && o.At.Sub(o.FirstAt) >= r.machine.Task(run.ID.Task).Crashes.Probation() {
 				r.decision.TrialsOver = append(r.decision.TrialsOver, &apiv1.RunRef{Task: run.ID.Task.Ref(), Run: run.ID.Number})
--- a/schedule/trial_test.go
+++ b/schedule/trial_test.go
@@ -14,7 +14,7 @@
 	r.t.Helper()
 	w := r.machine.Worker(id)
 	crash := &apiv1.WorkerCrash{}
-	for _, run := range w.SortedRuns() {
+	for _, run := range w.SortedRunIDs() {
 		crash.Worked = append(crash.Worked, &apiv1.RunWork{Task: run.Task.Ref(), Run: run.Number, Began: true})
 	}
 	spec := w.Spec
@@ -77,7 +77,7 @@
 func idle(r *rig) []*jobqueue.Worker {
 	var found []*jobqueue.Worker
 	for _, w := range r.machine.Workers() {
-		if !w.HasTrial() {
+		if !w.HasRunOnProbation() {
 			found = append(found, w)
 		}
 	}
--- a/schedule/unlisted.go
+++ b/schedule/unlisted.go
@@ -34,7 +34,7 @@
 		if !heard {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(missing) {
+		for _, run := range s.worker.RunsMatching(missing) {
 			if r.now.Sub(heardSince) < unlistedAfter {
 				continue
 			}
