--- a/jobapi/client.go
+++ b/jobapi/client.go
@@ -15,16 +15,17 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// errorBody is the body of every refusal.
+// errorBody is the JSON body of every error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// writeJSON answers; a caller that is gone by then needs no answer.
+// writeJSON writes a JSON response. Write errors are ignored, because a client that has
+// disconnected needs no response.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		status, data = http.StatusInternalServerError, []byte(`{"error":"answer can't be encoded"}`)
+		status, data = http.StatusInternalServerError, []byte(`{"error":"response cannot be encoded"}`)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
@@ -35,13 +36,13 @@
 	writeJSON(w, status, errorBody{Error: message})
 }
 
-// Client speaks to the interface at one address after another.
+// Client calls the API, trying its addresses one after another.
 type Client struct {
 	Addresses []string
 	HTTP      *http.Client
 }
 
-// StatusError is an answer that is not 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Status  int
 	Message string
@@ -50,26 +51,26 @@
 // Error implements error.
 func (e *StatusError) Error() string { return http.StatusText(e.Status) + ": " + e.Message }
 
-// PutQueues submits a configuration, as JSON.
+// PutQueues submits a configuration in JSON.
 func (c *Client) PutQueues(ctx context.Context, configuration []byte) error {
 	_, err := c.call(ctx, http.MethodPut, queuesPath, configuration)
 	return err
 }
 
-// Submit hands a job in, as JSON.
+// Submit submits a job in JSON.
 func (c *Client) Submit(ctx context.Context, job []byte) error {
 	_, err := c.call(ctx, http.MethodPost, jobsPath, job)
 	return err
 }
 
-// Read returns the state of a job, or what waits in a queue.
+// Read returns the state of a job, or the number of pending jobs of a queue.
 func (c *Client) Read(ctx context.Context, host, path string) (Status, error) {
 	var s Status
 	body, err := c.call(ctx, http.MethodGet, jobURL(host, path), nil)
 	if err != nil {
 		return s, err
 	}
-	return s, errors.Wrap(json.Unmarshal(body, &s), "answer")
+	return s, errors.Wrap(json.Unmarshal(body, &s), "decode response")
 }
 
 // Cancel cancels a job.
@@ -85,23 +86,23 @@
 		return nil, err
 	}
 	e := &apiv1.JobExplanation{}
-	return e, errors.Wrap(protojson.Unmarshal(body, e), "answer")
+	return e, errors.Wrap(protojson.Unmarshal(body, e), "decode response")
 }
 
-// PutWave submits a maintenance wave, as JSON.
+// PutWave submits a maintenance wave in JSON.
 func (c *Client) PutWave(ctx context.Context, wave []byte) error {
 	_, err := c.call(ctx, http.MethodPost, wavesPath, wave)
 	return err
 }
 
-// Wave returns how far a maintenance wave is.
+// Wave returns the progress of a maintenance wave.
 func (c *Client) Wave(ctx context.Context, number uint64) (*apiv1.WaveRecord, error) {
 	body, err := c.call(ctx, http.MethodGet, wavesPath+"/"+strconv.FormatUint(number, 10), nil)
 	if err != nil {
 		return nil, err
 	}
 	w := &apiv1.WaveRecord{}
-	return w, errors.Wrap(protojson.Unmarshal(body, w), "answer")
+	return w, errors.Wrap(protojson.Unmarshal(body, w), "decode response")
 }
 
 // Hosts lists all hosts with their newest moves.
@@ -112,14 +113,14 @@
 	}
 	resp := &apiv1.JobsReadResponse{}
 	err = protojson.Unmarshal(body, resp)
-	return resp.Hosts, errors.Wrap(err, "answer")
+	return resp.Hosts, errors.Wrap(err, "decode response")
 }
 
-// MoveHost asks that a host moves to a pool.
+// MoveHost requests that a host moves to a pool.
 func (c *Client) MoveHost(ctx context.Context, host, pool string) error {
 	body, err := protojson.Marshal(&apiv1.RequestMove{Host: host, Pool: pool})
 	if err != nil {
-		return errors.Wrap(err, "move")
+		return errors.Wrap(err, "encode move request")
 	}
 	_, err = c.call(ctx, http.MethodPost, hostsPath+movePath, body)
 	return err
@@ -129,41 +130,41 @@
 	return jobsPath + "?" + url.Values{"host": {host}, "path": {path}}.Encode()
 }
 
-// call asks each address until one answers. Every call may be repeated: jobs and
-// configurations are named by their callers.
+// call tries each address until one responds with a status below 500. Every call is safe to repeat,
+// because jobs and configurations are identified by their callers.
 func (c *Client) call(ctx context.Context, method, path string, body []byte) ([]byte, error) {
-	err := errors.New("no address is named")
+	err := errors.New("no server address configured")
 	for _, address := range c.Addresses {
-		var answer []byte
-		answer, err = c.callAddress(ctx, method, "http://"+address+path, body)
-		var refused *StatusError
-		if err == nil || errors.As(err, &refused) && refused.Status < http.StatusInternalServerError {
-			return answer, err
+		var response []byte
+		response, err = c.callAddress(ctx, method, "http://"+address+path, body)
+		var statusErr *StatusError
+		if err == nil || errors.As(err, &statusErr) && statusErr.Status < http.StatusInternalServerError {
+			return response, err
 		}
 	}
 	return nil, err
 }
 
-func (c *Client) callAddress(ctx context.Context, method, target string, body []byte) ([]byte, error) {
-	r, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
+func (c *Client) callAddress(ctx context.Context, method, requestURL string, body []byte) ([]byte, error) {
+	r, err := http.NewRequestWithContext(ctx, method, requestURL, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	resp, err := c.HTTP.Do(r)
 	if err != nil {
-		return nil, errors.Wrap(err, "request")
+		return nil, errors.Wrap(err, "send request")
 	}
-	defer func() { _ = resp.Body.Close() }() // the whole body is read
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
+	defer func() { _ = resp.Body.Close() }() // an error is of no interest once the body has been read
+	response, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
-		return nil, errors.Wrap(err, "answer")
+		return nil, errors.Wrap(err, "read response")
 	}
 	if resp.StatusCode == http.StatusOK {
-		return answer, nil
+		return response, nil
 	}
-	refusal := errorBody{}
-	if json.Unmarshal(answer, &refusal) != nil {
-		refusal.Error = string(answer)
+	failure := errorBody{}
+	if json.Unmarshal(response, &failure) != nil {
+		failure.Error = string(response)
 	}
-	return nil, &StatusError{Status: resp.StatusCode, Message: refusal.Error}
+	return nil, &StatusError{Status: resp.StatusCode, Message: failure.Error}
 }
--- a/jobapi/jobapi.go
+++ b/jobapi/jobapi.go
@@ -1,19 +1,19 @@
-// Package jobapi is the HTTP interface of queues and submitted jobs, and its
-// client. Bodies are JSON, in the names of the messages of api/v1 (jobs.proto).
+// Package jobapi implements the HTTP API of queues and submitted jobs, and its client.
+// Bodies are JSON encodings of the messages in api/v1 (jobs.proto).
 //
-//	PUT    /v1/queues              a QueueConfiguration; the highest version is in force
-//	GET    /v1/queues              the one in force, as it was submitted
-//	POST   /v1/jobs                a JobSpec; the same id is the same job
-//	GET    /v1/jobs?host=&path=    the state of a job, or what waits in a queue
+//	PUT    /v1/queues              submits a QueueConfiguration; the highest version is in effect
+//	GET    /v1/queues              returns the configuration in effect as it was submitted
+//	POST   /v1/jobs                submits a JobSpec; idempotent by ID
+//	GET    /v1/jobs?host=&path=    returns the state of a job, or the pending jobs of a queue
 //	DELETE /v1/jobs?host=&path=    cancels a job
-//	GET    /v1/explanations/ID     a JobExplanation: the job's tasks, runs and waits
-//	POST   /v1/waves               a MaintenanceWave; the same number is the same wave
-//	GET    /v1/waves/NUMBER        how far its hosts are, a WaveRecord
-//	GET    /v1/hosts               all hosts, JobsReadResponse.hosts
-//	POST   /v1/hosts/move          a RequestMove; the same again is the same move
+//	GET    /v1/explanations/ID     returns a JobExplanation: the job's tasks, runs and waits
+//	POST   /v1/waves               submits a MaintenanceWave; idempotent by number
+//	GET    /v1/waves/NUMBER        returns the progress of the wave's hosts as a WaveRecord
+//	GET    /v1/hosts               returns all hosts as JobsReadResponse.hosts
+//	POST   /v1/hosts/move          submits a RequestMove; idempotent
 //
-// 503 says that nothing was done and never will be, with Retry-After; 504 that it is
-// not known what became of the request, which may be sent again.
+// Status 503, with Retry-After, means that the request was not executed and never will be.
+// Status 504 means that its outcome is unknown; the request may be sent again.
 package jobapi
 
 import (
@@ -39,19 +39,19 @@
 	queuesPath = "/v1/queues"
 	jobsPath   = "/v1/jobs"
 	wavesPath  = "/v1/waves"
-	// explanationsPath is apart from jobsPath, below which the administration API explains
-	// the jobs of the operators' text.
+	// explanationsPath is not below jobsPath, because the administration API uses paths below
+	// jobsPath to explain the jobs in the operators' configuration text.
 	explanationsPath = "/v1/explanations"
 	hostsPath        = "/v1/hosts"
 	movePath         = "/move"
-	// maxBody bounds a request's body in bytes.
+	// maxBody bounds the body of a request or response in bytes.
 	maxBody = 8 << 20
-	// requestTimeout bounds a request: two elections and some.
+	// requestTimeout bounds a request. It is somewhat longer than two elections take.
 	requestTimeout = 5 * time.Second
 	retryAfter     = time.Second
 )
 
-// Backend is the control group; *jobclient.Client implements it.
+// Backend provides access to the control group; it is implemented by *jobclient.Client.
 type Backend interface {
 	PutQueues(ctx context.Context, c *apiv1.QueueConfiguration) (apiv1.JobOutcome, error)
 	Submit(ctx context.Context, spec *apiv1.JobSpec) (apiv1.JobOutcome, error)
@@ -61,21 +61,21 @@
 	Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error)
 }
 
-// Status is the answer to a read.
+// Status is the response to a read.
 type Status struct {
-	// State of a job: queued, running, succeeded, failed or canceled.
+	// State is the state of a job: queued, running, succeeded, failed or canceled.
 	State string `json:"state,omitempty"`
-	// Pending jobs of a queue.
+	// Pending is the number of pending jobs of a queue.
 	Pending *uint32 `json:"pending,omitempty"`
 }
 
-// Paths lists the patterns of http.ServeMux that the handler serves. What is below the
-// path of the jobs is the administration API's.
+// Paths returns the http.ServeMux patterns that the handler serves. Paths below jobsPath belong to
+// the administration API.
 func Paths() []string {
 	return []string{queuesPath, jobsPath, explanationsPath + "/", wavesPath, wavesPath + "/", hostsPath, hostsPath + "/"}
 }
 
-// Handler serves the interface.
+// Handler returns a handler that serves the API.
 func Handler(b Backend) http.Handler {
 	h := handler{b}
 	r := httprouter.New()
@@ -94,7 +94,8 @@
 
 type handler struct{ Backend }
 
-// decode reads a message; unknown fields are refused, since they are mistakes.
+// decode reads a message from a request body. Unknown fields are refused, because they indicate a
+// mistake by the client.
 func decode(r *http.Request, m proto.Message) error {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -103,7 +104,8 @@
 	return errors.Wrap(protojson.Unmarshal(body, m), "body")
 }
 
-// decodeValid reads and checks a message; a mistake is answered and false returned.
+// decodeValid reads and validates a message. If it is invalid, decodeValid writes an error response
+// and returns false.
 func decodeValid(w http.ResponseWriter, r *http.Request, m proto.Message, check func() error) bool {
 	err := decode(r, m)
 	if err == nil {
@@ -138,11 +140,11 @@
 	defer cancel()
 	resp, err := h.Read(ctx, &apiv1.JobsReadRequest{Kind: apiv1.JobsReadKind_JOBS_READ_KIND_CONFIGURATION})
 	if err != nil || resp.Outcome != apiv1.JobOutcome_JOB_OUTCOME_OK {
-		writeError(w, http.StatusServiceUnavailable, "the configuration in force is not known")
+		writeError(w, http.StatusServiceUnavailable, "the configuration in effect is unknown")
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(resp.Document) // a reader that is gone needs no answer
+	_, _ = w.Write(resp.Document) // a client that has disconnected needs no response
 }
 
 func (h handler) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
@@ -156,7 +158,7 @@
 	writeOutcome(w, outcome, err)
 }
 
-// requestedJob is the job or queue that a request names.
+// requestedJob returns the job or queue that a request names; id is empty for a queue.
 func requestedJob(r *http.Request) (host, path, id string) {
 	q := r.URL.Query()
 	host, path = q.Get("host"), q.Get("path")
@@ -207,7 +209,8 @@
 	}
 }
 
-// readSucceeded reports whether a read found what it asked for; else it is answered.
+// readSucceeded reports whether a read found what was requested; otherwise it writes an error
+// response.
 func readSucceeded(w http.ResponseWriter, resp *apiv1.JobsReadResponse, err error) bool {
 	switch {
 	case err != nil:
@@ -234,7 +237,7 @@
 func (h handler) getWave(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	number, err := strconv.ParseUint(p.ByName("number"), 10, 64)
 	if err != nil {
-		writeError(w, http.StatusBadRequest, p.ByName("number")+" is no number of a wave")
+		writeError(w, http.StatusBadRequest, p.ByName("number")+" is not a wave number")
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -257,12 +260,13 @@
 	return h.Read(ctx, &apiv1.JobsReadRequest{Kind: apiv1.JobsReadKind_JOBS_READ_KIND_HOSTS})
 }
 
-// moveHost looks the host up first: the log does not know hosts that have no worker.
+// moveHost first checks that the platform lists the host, because the log does not contain hosts
+// without a worker.
 func (h handler) moveHost(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	move := &apiv1.RequestMove{}
 	check := func() error {
 		if move.Host == "" || move.Pool == "" {
-			return errors.New("a move needs a host and a pool")
+			return errors.New("a move requires a host and a pool")
 		}
 		return nil
 	}
@@ -276,14 +280,14 @@
 		return
 	}
 	if !slices.ContainsFunc(resp.Hosts, func(listed *apiv1.HostRecord) bool { return listed.Host == move.Host }) {
-		writeError(w, http.StatusNotFound, "there is no host "+strconv.Quote(move.Host))
+		writeError(w, http.StatusNotFound, "unknown host "+strconv.Quote(move.Host))
 		return
 	}
 	outcome, err := h.RequestMove(ctx, move)
 	writeOutcome(w, outcome, err)
 }
 
-// writeMessage answers with a message as JSON.
+// writeMessage writes a message as a JSON response.
 func writeMessage(w http.ResponseWriter, m proto.Message) {
 	data, err := protojson.Marshal(m)
 	if err != nil {
@@ -291,11 +295,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(data) // a reader that is gone needs no answer
+	_, _ = w.Write(data) // a client that has disconnected needs no response
 }
 
-// HTTPStatus is the HTTP status of an outcome and an error: 503 for what was not done
-// and never will be, 504 for what is in doubt.
+// HTTPStatus returns the HTTP status for an outcome and an error: 503 if the request was not
+// executed and never will be, 504 if its outcome is unknown.
 func HTTPStatus(o apiv1.JobOutcome, err error) int {
 	var unavailable *control.UnavailableError
 	switch {
@@ -321,11 +325,11 @@
 	return http.StatusServiceUnavailable
 }
 
-// outcomeMessages explain what an outcome's name does not.
+// outcomeMessages explains the outcomes whose names are not self-explanatory.
 var outcomeMessages = map[apiv1.JobOutcome]string{
-	apiv1.JobOutcome_JOB_OUTCOME_NO_POOL:  "the configuration in force has no such pool",
-	apiv1.JobOutcome_JOB_OUTCOME_CONFLICT: "the host is in a maintenance wave or on another move, or was moved a moment ago",
-	apiv1.JobOutcome_JOB_OUTCOME_NO_HOSTS: "this deployment has no interface to its hosts",
+	apiv1.JobOutcome_JOB_OUTCOME_NO_POOL:  "the configuration in effect has no such pool",
+	apiv1.JobOutcome_JOB_OUTCOME_CONFLICT: "the host is in a maintenance wave or another move, or was moved recently",
+	apiv1.JobOutcome_JOB_OUTCOME_NO_HOSTS: "this deployment does not support host operations",
 }
 
 func writeOutcome(w http.ResponseWriter, o apiv1.JobOutcome, err error) {
--- a/jobapi/jobapi_test.go
+++ b/jobapi/jobapi_test.go
@@ -13,7 +13,7 @@
 	"github.com/cairnlift/cairnlift/jobapi"
 )
 
-// fakeBackend answers every command with the same outcome and error.
+// fakeBackend returns the same outcome and error for every command.
 type fakeBackend struct {
 	outcome apiv1.JobOutcome
 	err     error
@@ -66,17 +66,17 @@
 	if err == nil {
 		return http.StatusOK
 	}
-	var refused *jobapi.StatusError
-	if !errors.As(err, &refused) {
+	var statusErr *jobapi.StatusError
+	if !errors.As(err, &statusErr) {
 		t.Fatal(err)
 	}
-	return refused.Status
+	return statusErr.Status
 }
 
-// Symptom: a caller is told that its job was refused, and it runs.
-// Sequence: the fate of the submission is not known.
-// Cause: whatever goes wrong is answered as a refusal.
-func TestARefusalIsTrue(t *testing.T) {
+// TestStatusMatchesOutcome guards against reporting to a caller that its job was refused although
+// it runs. The outcome of the submission is unknown; the fault occurs if every error is reported as
+// a refusal.
+func TestStatusMatchesOutcome(t *testing.T) {
 	cases := []struct {
 		outcome apiv1.JobOutcome
 		err     error
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestMistakesAreNotPassedOn(t *testing.T) {
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	g := &fakeBackend{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}
 	client := newTestClient(t, g)
 	for _, bad := range []string{"", "[]", `{"id":"a"}`, strings.Replace(goodJob, `"count"`, `"cuont"`, 1)} {
@@ -113,7 +113,7 @@
 		}
 	}
 	if g.calls != 0 {
-		t.Errorf("%d mistakes were passed on", g.calls)
+		t.Errorf("%d invalid requests were forwarded", g.calls)
 	}
 	if err := client.PutQueues(t.Context(), []byte(goodQueues)); err != nil || g.calls != 1 {
 		t.Errorf("good queues: %v", err)
@@ -177,13 +177,13 @@
 		t.Errorf("%v, %v", hosts, err)
 	}
 	if got := status(t, client.MoveHost(t.Context(), "h/1", "")); got != 400 {
-		t.Errorf("a move to nowhere: %d", got)
+		t.Errorf("a move without a pool: %d", got)
 	}
 	if got := status(t, client.MoveHost(t.Context(), "nosuch", "q")); got != 404 {
 		t.Errorf("a move of an unknown host: %d", got)
 	}
 	if g.calls != 0 {
-		t.Errorf("%d mistakes were passed on", g.calls)
+		t.Errorf("%d invalid requests were forwarded", g.calls)
 	}
 	if err := client.MoveHost(t.Context(), "h/1", "q"); err != nil || g.calls != 1 {
 		t.Errorf("%v after %d calls", err, g.calls)
@@ -198,7 +198,7 @@
 	}
 	g.read = &apiv1.JobsReadResponse{Outcome: apiv1.JobOutcome_JOB_OUTCOME_NO_HOSTS}
 	if got := status(t, client.MoveHost(t.Context(), "h/1", "q")); got != 501 {
-		t.Errorf("without an interface to hosts: %d", got)
+		t.Errorf("without support for host operations: %d", got)
 	}
 }
 
