--- a/jobclient/client.go
+++ b/jobclient/client.go
@@ -1,6 +1,5 @@
-// Package jobclient reaches the control group from any other process: it finds
-// the control hosts from a few seed addresses, keeps the list it last heard, and
-// follows the leader.
+// Package jobclient connects other processes to the control group: it discovers the control hosts
+// from a few seed addresses, remembers the last list it received, and follows the leader.
 package jobclient
 
 import (
@@ -21,27 +20,27 @@
 )
 
 const (
-	// attemptTimeout bounds one try: a control host that is frozen or cut off must not
-	// use up a caller's time while an election, which takes about as long, already
-	// brings another leader. It is far above a commit, which takes some ten
-	// milliseconds.
+	// attemptTimeout bounds one attempt. A control host that is frozen or cut off must not use up a
+	// caller's time while an election, which takes about as long, already yields another leader.
+	// The timeout is far longer than a commit, which takes about ten milliseconds.
 	attemptTimeout = 600 * time.Millisecond
-	// refreshInterval is the time between questions for the list of control hosts.
+	// refreshInterval is the time from the end of one request for the list of control hosts to the
+	// next request, and the timeout of each of them.
 	refreshInterval = 2 * time.Second
 	dialTimeout     = 400 * time.Millisecond
 	idleTimeout     = 20 * time.Second
-	// ordersWait is how long the leader may hold a call for orders.
+	// ordersWait is how long the leader may wait before it responds to a call for orders.
 	ordersWait = time.Second
-	// ordersTimeout is ordersWait and the time for an answer: a connection that went
-	// silent is noticed by it.
+	// ordersTimeout is ordersWait plus the time for the response. It detects unresponsive
+	// connections.
 	ordersTimeout  = ordersWait + 500*time.Millisecond
 	maxIdlePerHost = 16
 )
 
-// ErrUnconfirmed says that no leader confirmed a read within its time.
+// ErrUnconfirmed is returned if no leader confirmed a read in time.
 var ErrUnconfirmed = errors.New("no leader confirmed the read")
 
-// Client reaches the control group. Its methods may be called by many goroutines.
+// Client calls the control group. It is safe for concurrent use.
 type Client struct {
 	seeds     []string
 	http      *http.Client
@@ -51,15 +50,15 @@
 
 	mu          sync.Mutex
 	jobsClients map[string]apiv1.Jobs
-	// peers are the control hosts that are asked, in order.
+	// peers are the control hosts that are queried, in sorted order.
 	peers []string
-	// directories are the hosts that only pass on what they heard of the group.
+	// directories are the hosts that are not members and only pass on a list of control hosts.
 	directories map[string]bool
 	lastContact time.Time
 }
 
-// New returns a client that starts from the seeds, internal addresses of control
-// hosts (IP and port).
+// New returns a client that starts from the seeds, which are internal addresses of control hosts
+// (IP and port).
 func New(seeds []string, logger *zap.Logger) *Client {
 	hc := &http.Client{Transport: redial.New(redial.Options{
 		DialTimeout: dialTimeout, IdleTimeout: idleTimeout, MaxIdlePerHost: maxIdlePerHost,
@@ -73,7 +72,7 @@
 	}
 }
 
-// Run keeps the list of control hosts until ctx ends.
+// Run keeps the list of control hosts up to date until ctx is done.
 func (c *Client) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		c.refresh(ctx)
@@ -86,36 +85,36 @@
 	}
 }
 
-// refresh asks one control host after another, until a member of the group tells
-// who belongs to it. What a directory tells leads on to members but is neither a
-// contact with the group nor a reason to forget members: it may be old.
+// refresh queries one control host after another, until a member of the group returns the list of
+// members. The list of a directory leads to members, but it counts neither as contact with the
+// group nor as a reason to remove members, because it may be outdated.
 func (c *Client) refresh(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, refreshInterval)
 	defer cancel()
-	heard := false
+	fromMember := false
 	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
 		resp, err := c.jobsClient(address).Members(ctx, &apiv1.JobsMembersRequest{})
 		if err != nil || len(resp.Addresses) == 0 {
 			return "", false
 		}
-		// A member of the group names itself too.
-		heard = slices.Contains(resp.Addresses, address)
-		if heard {
+		// A member of the group includes its own address.
+		fromMember = slices.Contains(resp.Addresses, address)
+		if fromMember {
 			c.setMembers(resp.Addresses)
 		} else {
 			c.addFromDirectory(address, resp.Addresses)
 		}
-		return "", heard
+		return "", fromMember
 	})
-	if !heard {
+	if !fromMember {
 		c.restoreSeeds()
 	}
 }
 
-// setMembers takes a list of members over. The seeds stay on it: should all members
-// that this process knows be replaced while it is cut off, they lead back. Those
-// that are directories are left out until then: a request that they can't serve
-// would wait for its next try.
+// setMembers replaces the list of members. The seeds stay on the list, so that the client finds the
+// group again if all known members are replaced while the client is cut off. Seeds that are
+// directories are left out until restoreSeeds: a request that they cannot serve would only have to
+// wait for its next attempt.
 func (c *Client) setMembers(members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -124,15 +123,15 @@
 	c.setPeers(slices.Concat(members, seeds))
 }
 
-// addFromDirectory adds the hosts that a directory told of to those that are asked.
-func (c *Client) addFromDirectory(directory string, told []string) {
+// addFromDirectory adds the hosts that a directory reported to the hosts that are queried.
+func (c *Client) addFromDirectory(directory string, reported []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.directories[directory] = true
-	c.setPeers(slices.Concat(c.peers, told))
+	c.setPeers(slices.Concat(c.peers, reported))
 }
 
-// restoreSeeds asks the seeds again, directories too, beside all others.
+// restoreSeeds adds all seeds, including directories, to the hosts that are queried.
 func (c *Client) restoreSeeds() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +139,7 @@
 	c.setPeers(slices.Concat(c.peers, c.seeds))
 }
 
-// setPeers replaces the hosts that are asked. The caller holds mu.
+// setPeers replaces the hosts that are queried. The caller must hold mu.
 func (c *Client) setPeers(peers []string) {
 	slices.Sort(peers)
 	peers = slices.Compact(peers)
@@ -152,15 +151,15 @@
 	event.ControlHostsNews.Write(c.logger, event.Addresses(peers))
 }
 
-// Addresses returns the internal addresses of the control hosts known here, with
-// the seeds as long as the group was not found.
+// Addresses returns the internal addresses of the known control hosts, including the seeds until
+// the group is found.
 func (c *Client) Addresses() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.peers)
 }
 
-// ContactAge is the time since a control host last answered.
+// ContactAge returns the time since a control host last responded.
 func (c *Client) ContactAge() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,8 +177,8 @@
 	return j
 }
 
-// propose commits a command about jobs. Errors: *control.UnavailableError (it was
-// not proposed and never will be), *control.UnknownError.
+// propose commits a command about jobs. Errors: *control.UnavailableError (the command was not
+// proposed and never will be), *control.UnknownError.
 func (c *Client) propose(ctx context.Context, cmd *apiv1.JobsCommand) (apiv1.JobOutcome, error) {
 	res, err := c.forwarder.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Jobs{Jobs: cmd}})
 	c.recordLeaderResult(ctx, err)
@@ -190,7 +189,8 @@
 	return res.Job, nil
 }
 
-// recordLeaderResult takes in whether a leader answered. A caller that went away tells nothing.
+// recordLeaderResult records whether a leader responded. If the caller canceled the call, its
+// result is ignored.
 func (c *Client) recordLeaderResult(ctx context.Context, err error) {
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		return
@@ -204,7 +204,7 @@
 	c.lastContact = time.Now()
 }
 
-// Submit hands a job in; see propose for errors.
+// Submit submits a job; see propose for errors.
 func (c *Client) Submit(ctx context.Context, spec *apiv1.JobSpec) (apiv1.JobOutcome, error) {
 	return c.propose(ctx, &apiv1.JobsCommand{Body: &apiv1.JobsCommand_Submit{Submit: &apiv1.SubmitJob{Spec: spec}}})
 }
@@ -228,12 +228,12 @@
 	return c.propose(ctx, &apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{Wave: w}}})
 }
 
-// RequestMove asks that a host moves to a pool; see propose for errors.
+// RequestMove requests that a host moves to a pool; see propose for errors.
 func (c *Client) RequestMove(ctx context.Context, r *apiv1.RequestMove) (apiv1.JobOutcome, error) {
 	return c.propose(ctx, &apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: r}})
 }
 
-// Read reads from state that is confirmed to be the newest. Errors: ErrUnconfirmed.
+// Read reads state that is confirmed to be the newest. Errors: ErrUnconfirmed.
 func (c *Client) Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	var found *apiv1.JobsReadResponse
 	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
@@ -253,35 +253,35 @@
 	return found, nil
 }
 
-// ErrNoLeader says that no leader answered.
-var ErrNoLeader = errors.New("no leader answered")
+// ErrNoLeader is returned if no leader responded.
+var ErrNoLeader = errors.New("no leader responded")
 
-// leaderResponse is an answer that only the leader gives in earnest.
+// leaderResponse is a response that is valid only if it comes from the leader.
 type leaderResponse interface {
 	GetNotLeader() bool
 	GetLeaderAddress() string
 }
 
-// callLeader looks for the leader with a call that any control host answers, and returns the
-// leader's answer. Errors: ErrNoLeader.
-func callLeader[T leaderResponse](ctx context.Context, c *Client, what string, call func(context.Context, apiv1.Jobs) (T, error)) (T, error) {
+// callLeader finds the leader by making a call to one control host after another, and returns the
+// leader's response. Errors: ErrNoLeader.
+func callLeader[T leaderResponse](ctx context.Context, c *Client, operation string, call func(context.Context, apiv1.Jobs) (T, error)) (T, error) {
 	var found T
-	var answered bool
+	var responded bool
 	cause := ErrNoLeader
 	c.forwarder.Ask(ctx, true, func(ctx context.Context, address string) (string, bool) {
 		resp, err := call(ctx, c.jobsClient(address))
 		if err != nil {
-			cause = errors.Mark(errors.Wrapf(err, "%s %s", what, address), ErrNoLeader)
+			cause = errors.Mark(errors.Wrapf(err, "%s %s", operation, address), ErrNoLeader)
 			return "", false
 		}
 		if resp.GetNotLeader() {
-			cause = errors.Mark(errors.Newf("%s does not lead", address), ErrNoLeader)
+			cause = errors.Mark(errors.Newf("%s is not the leader", address), ErrNoLeader)
 			return resp.GetLeaderAddress(), false
 		}
-		found, answered = resp, true
+		found, responded = resp, true
 		return "", true
 	})
-	if !answered {
+	if !responded {
 		c.recordLeaderResult(ctx, cause)
 		return found, cause
 	}
@@ -289,31 +289,31 @@
 	return found, nil
 }
 
-// Report carries a worker's report to the leader. Errors: ErrNoLeader.
+// Report sends a worker's report to the leader. Errors: ErrNoLeader.
 func (c *Client) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	return callLeader(ctx, c, "report to", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsReportResponse, error) {
 		return host.Report(ctx, r)
 	})
 }
 
-// CurrentOrders looks for the leader and returns its orders for a worker, without waiting
-// for any. Errors: ErrNoLeader.
+// CurrentOrders finds the leader and returns its current orders for a worker, without waiting for
+// new ones. Errors: ErrNoLeader.
 func (c *Client) CurrentOrders(ctx context.Context, worker string) (*apiv1.JobsOrdersResponse, error) {
-	return callLeader(ctx, c, "orders of", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
+	return callLeader(ctx, c, "orders from", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
 		return host.Orders(ctx, &apiv1.JobsOrdersRequest{Worker: worker})
 	})
 }
 
-// HostLease looks for the leader and returns which worker it holds on a host, and the number
-// of that worker's lease. Errors: ErrNoLeader.
+// HostLease finds the leader and returns which worker the leader has recorded on a host, and the
+// number of that worker's lease. Errors: ErrNoLeader.
 func (c *Client) HostLease(ctx context.Context, host string) (*apiv1.JobsOrdersResponse, error) {
-	return callLeader(ctx, c, "lease of", func(ctx context.Context, control apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
+	return callLeader(ctx, c, "host lease from", func(ctx context.Context, control apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
 		return control.Orders(ctx, &apiv1.JobsOrdersRequest{Host: host})
 	})
 }
 
-// Orders waits for orders to a worker, at the leader as last known. Errors:
-// ErrNoLeader, or that of the call.
+// Orders waits at the last known leader for orders for a worker. Errors: ErrNoLeader, or the error
+// of the call.
 func (c *Client) Orders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
 	address := c.forwarder.LeaderAddress()
 	if address == "" {
--- a/jobclient/client_test.go
+++ b/jobclient/client_test.go
@@ -26,10 +26,10 @@
 	return &apiv1.JobsReadResponse{Unconfirmed: !h.leads.Load(), Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}, nil
 }
 
-// Symptom: an entry's log does not say from when to when it was without a leader.
-// Sequence: the group has no leader for some reads, then it has one.
-// Cause: only the calls that fail have lines, if any.
-func TestLostLeaderIsTold(t *testing.T) {
+// TestLostLeaderIsLogged guards against an entry's log that does not show from when to when there
+// was no leader. The group has no leader during some reads, then it has one. The fault occurs if
+// log lines, if any, are written only for the failing calls.
+func TestLostLeaderIsLogged(t *testing.T) {
 	host := &intermittentLeader{}
 	server := httptest.NewServer(apiv1.NewJobsServer(host))
 	defer server.Close()
@@ -38,7 +38,7 @@
 	read := func() {
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		_, _ = client.Read(ctx, &apiv1.JobsReadRequest{}) // the lines tell how it went
+		_, _ = client.Read(ctx, &apiv1.JobsReadRequest{}) // the log lines show the result
 	}
 	for lines.FilterMessage("dependency lost").Len() == 0 {
 		read()
@@ -49,10 +49,10 @@
 	}
 	for _, l := range lines.All() {
 		if l.ContextMap()["dependency"] != "leader" {
-			t.Errorf("line %v", l)
+			t.Errorf("unexpected log line %v", l)
 		}
 	}
 	if lines.Len() != 2 {
-		t.Errorf("%d lines", lines.Len())
+		t.Errorf("%d log lines, want 2", lines.Len())
 	}
 }
--- a/jobclient/directory.go
+++ b/jobclient/directory.go
@@ -9,21 +9,20 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-const noReplica = "this host keeps no replica"
-
-// Directory stands in for a replica on a control host that keeps none, as it has no
-// disk. Other processes may have been told nothing but such hosts: they have to
-// find the group through them, and must go on to the next host with everything
-// else. So it tells the control hosts that its client knows, and answers any other
-// call as a replica does that leads nothing and can confirm nothing: nothing was
-// done. An error would not do, since after an error nobody knows whether a command
-// was committed.
+const noReplica = "this host has no replica"
+
+// Directory replaces the replica on a control host that has none because it has no disk. Other
+// processes may have been configured with such hosts only: they must be able to find the group
+// through them, and must continue with the next host for all other calls. A Directory therefore
+// returns the control hosts that its client knows, and responds to any other call as a replica that
+// does not lead and cannot confirm reads: nothing was done. An error would be ambiguous, because
+// after an error it is unknown whether a command was committed.
 type Directory struct {
 	client *Client
-	// name is this host's in the control group's settings.
+	// name is this host's name in the control group's settings.
 	name string
-	// address is this host's own, which is never named: only a member of the group
-	// names itself.
+	// address is this host's own address, which Members never returns: only a member of the group
+	// includes its own address.
 	address string
 }
 
@@ -33,13 +32,13 @@
 	_ apiv1.Quorum  = Directory{}
 )
 
-// NewDirectory returns the directory of a host with a name and an internal address.
+// NewDirectory returns the directory of a host with the given name and internal address.
 func NewDirectory(client *Client, name, address string) Directory {
 	return Directory{client: client, name: name, address: address}
 }
 
-// Identify implements apiv1.Quorum: an answer without an id says that there is no
-// replica to wait for. Hosts that found a group would wait for ever without it.
+// Identify implements apiv1.Quorum. A response without an ID means that there is no replica to wait
+// for. Without it, hosts that form a new group would wait forever.
 func (d Directory) Identify(context.Context, *apiv1.IdentifyRequest) (*apiv1.IdentifyResponse, error) {
 	return &apiv1.IdentifyResponse{Name: d.name}, nil
 }
@@ -80,17 +79,18 @@
 	return &apiv1.ProposeResponse{NotLeader: true}, nil
 }
 
-// Renew implements apiv1.Control; the answer names no leader.
+// Renew implements apiv1.Control. The response names no leader.
 func (d Directory) Renew(context.Context, *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	return &apiv1.RenewResponse{}, nil
 }
 
-// Heartbeat implements apiv1.Control; agents have entries for homes.
+// Heartbeat implements apiv1.Control. It is not supported, because agents send heartbeats to
+// entries.
 func (d Directory) Heartbeat(context.Context, *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
-	return nil, twirp.NewError(twirp.Unimplemented, "this host is no home of agents")
+	return nil, twirp.NewError(twirp.Unimplemented, "this host does not accept agent heartbeats")
 }
 
-// Sync implements apiv1.Control; only entries exchange announcements.
+// Sync implements apiv1.Control. It is not supported, because only entries exchange announcements.
 func (d Directory) Sync(context.Context, *apiv1.SyncRequest) (*apiv1.SyncResponse, error) {
-	return nil, twirp.NewError(twirp.Unimplemented, "this host is no entry")
+	return nil, twirp.NewError(twirp.Unimplemented, "this host is not an entry")
 }
--- a/jobclient/directory_test.go
+++ b/jobclient/directory_test.go
@@ -16,7 +16,7 @@
 	"github.com/cairnlift/cairnlift/control"
 )
 
-// member is a control host with a replica, which leads.
+// member is a control host with a replica that leads.
 type member struct {
 	apiv1.Jobs
 	apiv1.Control
@@ -39,15 +39,14 @@
 	return &apiv1.ProposeResponse{Result: &apiv1.Result{Job: apiv1.JobOutcome_JOB_OUTCOME_OK}}, nil
 }
 
-// host serves on an address of its own. asked counts the calls other than those
-// for the members.
+// host is a server with its own address. requests counts the calls other than Members.
 type host struct {
 	address  string
 	server   *httptest.Server
 	requests atomic.Int64
 }
 
-// startHost serves what make returns for the host's address.
+// startHost starts a server of the services returned for the host's address.
 func startHost(t *testing.T, services func(address string) (apiv1.Jobs, apiv1.Control)) *host {
 	h := &host{}
 	h.server = httptest.NewUnstartedServer(nil)
@@ -68,7 +67,7 @@
 	return h
 }
 
-// startMember starts a member that names itself and further ones.
+// startMember starts a member that returns its own address and the further ones.
 func startMember(t *testing.T, further ...string) *host {
 	return startHost(t, func(address string) (apiv1.Jobs, apiv1.Control) {
 		m := &member{addresses: append(further, address)}
@@ -76,7 +75,7 @@
 	})
 }
 
-// startDirectory starts a host without a replica, which was told these seeds.
+// startDirectory starts a host without a replica that is configured with the seeds.
 func startDirectory(t *testing.T, seeds ...string) (*host, *Client) {
 	var c *Client
 	h := startHost(t, func(address string) (apiv1.Jobs, apiv1.Control) {
@@ -87,17 +86,17 @@
 	return h, c
 }
 
-// shortContext bounds a question that nobody answers as one hopes.
+// shortContext limits calls that are expected to get no response.
 func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// Symptom: entries and agents never reach the control group, though it is whole.
-// Sequence: all control hosts that they were told of have no disk. Cause: such a
-// host does not say where the members are, or its own address stays among those
-// that requests are sent to.
+// TestGroupIsFoundThroughDirectories guards against entries and agents that never reach a healthy
+// control group because all control hosts that they are configured with have no disk. The fault
+// occurs if such a host does not return the members, or if its own address remains among those that
+// requests are sent to.
 func TestGroupIsFoundThroughDirectories(t *testing.T) {
 	leader := startMember(t)
 	near, nearClient := startDirectory(t, leader.address)
@@ -105,14 +104,14 @@
 	far, farClient := startDirectory(t, near.address)
 	farClient.refresh(t.Context())
 	c := New([]string{far.address, near.address}, zap.NewNop())
-	for range 4 { // so that each host that it knows is asked
+	for range 4 { // once for each known host
 		c.refresh(t.Context())
 	}
 	if got := c.Addresses(); !slices.Equal(got, []string{leader.address}) {
-		t.Fatalf("knows %v, the leader is %s", got, leader.address)
+		t.Fatalf("known hosts are %v, the leader is %s", got, leader.address)
 	}
 	if c.lastContact.IsZero() {
-		t.Error("a member's answer is no contact")
+		t.Error("a member's response does not count as contact")
 	}
 	if _, err := c.Submit(t.Context(), &apiv1.JobSpec{}); err != nil {
 		t.Error(err)
@@ -124,14 +123,15 @@
 		t.Error(err)
 	}
 	if n := far.requests.Load() + near.requests.Load(); n != 0 {
-		t.Errorf("%d requests went to hosts that can serve none", n)
+		t.Errorf("%d requests were sent to hosts without a replica", n)
 	}
 }
 
-// Symptom: an entry says that it is ready, and refuses all that reaches it.
-// Sequence: two hosts without a replica tell each other what each heard of the
-// other; all members are gone. Cause: hearsay is taken for contact with the group.
-func TestDirectoryIsNoContactWithTheGroup(t *testing.T) {
+// TestDirectoryIsNotGroupContact guards against an entry that reports to be ready but refuses every
+// request. Two hosts without a replica exchange the lists that each received from the other, and
+// all members are unreachable. The fault occurs if a directory's list counts as contact with the
+// group.
+func TestDirectoryIsNotGroupContact(t *testing.T) {
 	one, oneClient := startDirectory(t)
 	two, twoClient := startDirectory(t, one.address)
 	oneClient.addFromDirectory(two.address, []string{two.address})
@@ -139,16 +139,16 @@
 	for _, client := range []*Client{oneClient, twoClient, c} {
 		client.refresh(shortContext(t))
 		if !client.lastContact.IsZero() {
-			t.Errorf("contact with a group that is not there; known: %v", client.Addresses())
+			t.Errorf("contact with a group that does not exist; known hosts: %v", client.Addresses())
 		}
 	}
 }
 
-// Symptom: after a cut, a process never finds the group again. Sequence: it knows
-// the members; while they are out of reach, a host without a replica tells it a
-// list from before they were replaced. Cause: hearsay takes the place of what a
-// member told, or the seeds are not asked again.
-func TestOldHearsayForgetsNoMember(t *testing.T) {
+// TestStaleDirectoryListKeepsMembers guards against a process that never finds the group again
+// after a network partition. It knows the members; while they are unreachable, a host without a
+// replica returns a list from before the members were replaced. The fault occurs if that list
+// replaces the one from a member, or if the seeds are not queried again.
+func TestStaleDirectoryListKeepsMembers(t *testing.T) {
 	second := startMember(t)
 	first := startMember(t, second.address)
 	directory, _ := startDirectory(t, "127.0.0.1:1")
@@ -161,15 +161,16 @@
 	c.refresh(shortContext(t))
 	for _, address := range []string{first.address, second.address, directory.address} {
 		if !slices.Contains(c.Addresses(), address) {
-			t.Errorf("%s is forgotten", address)
+			t.Errorf("%s is no longer known", address)
 		}
 	}
 }
 
-// Symptom: a submission that nobody took gets "unknown" for an answer, and its
-// caller can't hand it in elsewhere. Sequence: only a host without a replica is in
-// reach. Cause: its answer leaves open whether the command was committed.
-func TestDirectoryLeavesNothingInDoubt(t *testing.T) {
+// TestDirectoryOutcomeIsCertain guards against an "unknown" outcome for a submission that nothing
+// has accepted, which prevents its caller from submitting the job elsewhere. Only a host without a
+// replica is reachable. The fault occurs if its response leaves open whether the command was
+// committed.
+func TestDirectoryOutcomeIsCertain(t *testing.T) {
 	directory, _ := startDirectory(t)
 	c := New([]string{directory.address}, zap.NewNop())
 	_, err := c.Submit(shortContext(t), &apiv1.JobSpec{})
@@ -187,11 +188,11 @@
 		t.Errorf("orders: %v", err)
 	}
 	if c.forwarder.LeaderAddress() != "" {
-		t.Error("a host without a replica is taken for the leader")
+		t.Error("a host without a replica is known as the leader")
 	}
 }
 
-// leadingMember gives orders if it leads.
+// leadingMember returns orders if it leads.
 type leadingMember struct {
 	member
 	leads bool
@@ -204,9 +205,10 @@
 	return &apiv1.JobsOrdersResponse{Term: 7, Epoch: uint64(len(r.Worker))}, nil
 }
 
-// Symptom: an agent that was restarted never learns the term. Sequence: it knows no leader,
-// and asks for its worker's orders. Cause: calls for orders go to the known leader only.
-func TestCurrentOrdersLookForTheLeader(t *testing.T) {
+// TestCurrentOrdersFindsLeader guards against a restarted agent that never learns the term. It
+// knows no leader and queries its worker's orders. The fault occurs if calls for orders go only to
+// the known leader.
+func TestCurrentOrdersFindsLeader(t *testing.T) {
 	serve := func(leads bool) *host {
 		return startHost(t, func(string) (apiv1.Jobs, apiv1.Control) {
 			m := &leadingMember{leads: leads}
@@ -223,6 +225,6 @@
 		t.Fatalf("%v, %v", resp, err)
 	}
 	if resp, err := c.Orders(t.Context(), &apiv1.JobsOrdersRequest{Worker: "w1"}); err != nil || resp.Term != 7 {
-		t.Errorf("the leader is not known now: %v, %v", resp, err)
+		t.Errorf("the leader is still unknown: %v, %v", resp, err)
 	}
 }
