--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -11,7 +11,7 @@
 // Advisor says which workers may run a step, where a policy outside decides that.
 // An error means that there is no answer; the question is put again.
 type Advisor interface {
-	Approve(ctx context.Context, q schedule.Question) (schedule.Advice, error)
+	Approve(ctx context.Context, q schedule.AdviceRequest) (schedule.Advice, error)
 }
 
 const (
@@ -24,13 +24,13 @@
 
 // askedQuestion is a question of a leader of a term.
 type askedQuestion struct {
-	schedule.Question
+	schedule.AdviceRequest
 	term uint64
 }
 
 // putQuestions queues questions for the advisor; one that finds no place is put
 // again later. d.mu is held.
-func (d *Dispatcher) putQuestions(l *leadership, questions []schedule.Question, now time.Time) {
+func (d *Dispatcher) putQuestions(l *leadership, questions []schedule.AdviceRequest, now time.Time) {
 	for _, q := range questions {
 		queue := d.questions
 		if q.LongRunning {
@@ -39,7 +39,7 @@
 		select {
 		case queue <- askedQuestion{q, l.term}:
 		default:
-			l.planner.Unadvised(q, now)
+			l.planner.RecordAdviceFailure(q, now)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	asked := d.opts.Now()
-	advice, err := d.opts.Advisor.Approve(ctx, q.Question)
+	advice, err := d.opts.Advisor.Approve(ctx, q.AdviceRequest)
 	now := d.opts.Now()
 	d.meters.advice.Observe(now.Sub(asked))
 	d.advisor.Note(err)
@@ -94,10 +94,10 @@
 		return
 	}
 	if err != nil {
-		d.leading.planner.Unadvised(q.Question, now)
+		d.leading.planner.RecordAdviceFailure(q.AdviceRequest, now)
 		return
 	}
-	d.leading.planner.Advised(q.Question, advice, asked)
+	d.leading.planner.RecordAdvice(q.AdviceRequest, advice, asked)
 	select {
 	case d.wake <- struct{}{}:
 	default:
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -180,16 +180,16 @@
 			plan.Checkpoints = append(plan.Checkpoints, l.checkpoints(jobs.Worker(id))...)
 		}
 		decision := l.planner.Plan(jobs, l.fleet(now), now, now.UnixMilli())
-		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.TrialsOver
-		for _, w := range decision.Paced {
+		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.EndedProbations
+		for _, w := range decision.RepacedWorkers {
 			l.orderRevisions[w]++
 			d.meters.paceOrders.Inc(1)
 		}
 		plan.Learnt = l.learntToKeep(now)
-		d.lookAtLongRunning(l, jobs, decision.Waits, now)
+		d.lookAtLongRunning(l, jobs, decision.Unplaced, now)
 		d.logDecision(jobs, l, plan, now)
-		d.noteWaits(l, decision.Waits, now)
-		d.putQuestions(l, decision.Questions, now)
+		d.noteWaits(l, decision.Unplaced, now)
+		d.putQuestions(l, decision.AdviceRequests, now)
 		l.forgetRuns(jobs)
 		l.runLog.tick(l.term, now)
 	})
--- a/dispatch/leadership.go
+++ b/dispatch/leadership.go
@@ -29,7 +29,7 @@
 	// orderRevisions grow with each change of what is ordered to a worker beside the log.
 	orderRevisions map[string]uint64
 	// waits are the steps that found no worker in the last round.
-	waits       []schedule.Wait
+	waits       []schedule.UnplacedStep
 	waitsLogged map[jobqueue.StepID]waitLogged
 	runLog      *runLog
 	// saved are the runs' last checkpoints; lostTold is the epoch of each worker in which
@@ -100,7 +100,7 @@
 	}
 	now := d.opts.Now()
 	planner := schedule.New()
-	d.opts.Replica.ReadState(func(m *state.Machine) { planner.Resume(m.CallerJobs().Learned(), now) })
+	d.opts.Replica.ReadState(func(m *state.Machine) { planner.RestoreLearned(m.CallerJobs().Learned(), now) })
 	d.leading = &leadership{
 		term:           term,
 		planner:        planner,
@@ -150,7 +150,7 @@
 		return nil
 	}
 	l.keptAt, l.reported = now, false
-	return l.planner.Learnt(now)
+	return l.planner.Learned(now)
 }
 
 // endLapses lets the leases of lapsed workers be renewed again. A plan whose fate
@@ -228,8 +228,8 @@
 // Reachable implements schedule.Fleet.
 func (v fleetView) Reachable(worker string) bool { return v.l.leases.reachable(worker, v.now) }
 
-// HeardSince implements schedule.Fleet.
-func (v fleetView) HeardSince(worker string) (time.Time, bool) {
+// ReportingSince implements schedule.Fleet.
+func (v fleetView) ReportingSince(worker string) (time.Time, bool) {
 	return v.l.contacts.since(worker, v.now)
 }
 
--- a/dispatch/lines_test.go
+++ b/dispatch/lines_test.go
@@ -129,7 +129,7 @@
 
 var errUnwell = errors.New("the platform gives no answer")
 
-func (p *moodyPlatform) Approve(context.Context, schedule.Question) (schedule.Advice, error) {
+func (p *moodyPlatform) Approve(context.Context, schedule.AdviceRequest) (schedule.Advice, error) {
 	if !p.well.Load() {
 		return schedule.Advice{}, errUnwell
 	}
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -57,10 +57,10 @@
 }
 
 // look reports whether a move is open or is to begin.
-func (l *movesLed) look(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.Wait, now time.Time) bool {
-	l.mover.Note(m, fleet, waits, now)
+func (l *movesLed) look(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.UnplacedStep, now time.Time) bool {
+	l.mover.Update(m, fleet, waits, now)
 	goesOn := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayGoOn(m, v) })
-	return goesOn || l.mover.Wanted(m, now)
+	return goesOn || l.mover.NeedsHostList(m, now)
 }
 
 // mayGoOn reports whether a list of hosts may tell that a move goes on: one whose worker
@@ -115,8 +115,8 @@
 	settled := false
 	d.withMoves(term, func(l *movesLed) {
 		now := d.opts.Now()
-		settled = l.mover.Settled(now)
-		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.Next(m.CallerJobs(), hosts, now) })
+		settled = l.mover.Ready(now)
+		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.NextSteps(m.CallerJobs(), hosts, now) })
 	})
 	for _, step := range steps {
 		d.takeMoveStep(ctx, term, step)
--- a/dispatch/outages.go
+++ b/dispatch/outages.go
@@ -97,7 +97,7 @@
 
 // lookAtLongRunning notes which long-running tasks are not known to run, and tells of those
 // that have been away for long and of those that are back.
-func (d *Dispatcher) lookAtLongRunning(l *leadership, m *jobqueue.Machine, waits []schedule.Wait, now time.Time) {
+func (d *Dispatcher) lookAtLongRunning(l *leadership, m *jobqueue.Machine, waits []schedule.UnplacedStep, now time.Time) {
 	o := l.outages
 	if now.Sub(o.lookedAt) < outageLook {
 		return
@@ -105,7 +105,7 @@
 	o.lookedAt = now
 	whyByStep := map[jobqueue.StepID]string{}
 	for _, w := range waits {
-		whyByStep[w.Step] = w.Why()
+		whyByStep[w.Step] = w.ReasonSummary()
 	}
 	present := map[jobqueue.TaskID]bool{}
 	away := map[string][]string{}
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -65,7 +65,7 @@
 			continue
 		}
 		last := len(j.Occurrences) - 1
-		open[j.ID()] = openJob{j.DueMs(last), l.planner.Allowed(m.QueueOf(j), j.Occurrences[last])}
+		open[j.ID()] = openJob{j.DueMs(last), l.planner.AllowedTime(m.QueueOf(j), j.Occurrences[last])}
 	}
 	return open
 }
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -156,13 +156,13 @@
 		}
 		l.endsLearnt[w.Spec.Id] = max(l.endsLearnt[w.Spec.Id], e.Sequence)
 		d.meters.ends.Inc(1)
-		ended := schedule.Ended{
+		ended := schedule.EndedRun{
 			Worker: w.Spec.Id, Kind: e.Kind, Step: run.Step, At: now, Resumed: run.Checkpoint != "",
 		}
 		if o, seen := l.observed[run.ID]; seen {
-			ended.Took = now.Sub(o.FirstAt)
+			ended.Duration = now.Sub(o.FirstAt)
 		}
-		l.planner.RunEnded(ended)
+		l.planner.RecordRunEnd(ended)
 		if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE {
 			l.runLog.end(l.term, w.Spec.Id, run.ID, now)
 			continue
@@ -182,8 +182,8 @@
 		l.refusalsLearnt[id] = true
 		d.meters.refused.Inc(1)
 		d.count("dispatch.starts_refused", refusal.Reason)
-		l.planner.StartRefused(schedule.Refusal{
-			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, Unable: unable(refusal.Reason),
+		l.planner.RecordRefusal(schedule.RefusedStart{
+			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, WorkerUnavailable: unable(refusal.Reason),
 		})
 		event.StartRefused.Write(d.logger, event.Worker(w.Spec.Id), event.Reason(refusal.Reason), event.Task(id.Task),
 			event.Run(id.Number))
--- a/dispatch/runlog.go
+++ b/dispatch/runlog.go
@@ -56,7 +56,7 @@
 
 // gatheredWait is a step whose tasks found no worker.
 type gatheredWait struct {
-	wait   schedule.Wait
+	wait   schedule.UnplacedStep
 	waited time.Duration
 	at     time.Time
 }
@@ -100,8 +100,8 @@
 	g.gathered(term, now)
 }
 
-func (g *runLog) wait(term uint64, w schedule.Wait, waited time.Duration, now time.Time) {
-	why := w.Why()
+func (g *runLog) wait(term uint64, w schedule.UnplacedStep, waited time.Duration, now time.Time) {
+	why := w.ReasonSummary()
 	g.waits[why] = append(g.waits[why], gatheredWait{w, waited, now})
 	g.gathered(term, now)
 }
--- a/dispatch/waits.go
+++ b/dispatch/waits.go
@@ -16,7 +16,7 @@
 
 // noteWaits counts and notes for the log the steps whose tasks found no worker; each step at
 // most once in an interval, since rounds come many times a second.
-func (d *Dispatcher) noteWaits(l *leadership, waits []schedule.Wait, now time.Time) {
+func (d *Dispatcher) noteWaits(l *leadership, waits []schedule.UnplacedStep, now time.Time) {
 	l.waits = waits
 	tasks := 0
 	logged := map[jobqueue.StepID]waitLogged{}
--- a/schedule/maintenance.go
+++ b/schedule/maintenance.go
@@ -43,7 +43,7 @@
 				continue
 			}
 			view, listed := hosts[h.Name]
-			step := nextStep(m, h, view, listed || unnamed, room > 0)
+			step := nextMaintenanceStep(m, h, view, listed || unnamed, room > 0)
 			if step == nil {
 				continue
 			}
@@ -57,8 +57,8 @@
 	return steps
 }
 
-// nextStep returns the step that a host can take, nil for none.
-func nextStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, room bool) *apiv1.MaintainHost {
+// nextMaintenanceStep returns the step that a host can take, nil for none.
+func nextMaintenanceStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, room bool) *apiv1.MaintainHost {
 	step := func(s apiv1.MaintenanceState, worker string) *apiv1.MaintainHost {
 		return &apiv1.MaintainHost{State: s, Worker: worker}
 	}
