--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -31,7 +31,7 @@
 func (d *Dispatcher) explain(id string) *apiv1.JobsReadResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
 		return &apiv1.JobsReadResponse{Unconfirmed: true}
 	}
