--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -8,28 +8,28 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// Advisor says which workers may run a step, where a policy outside decides that.
-// An error means that there is no answer; the question is put again.
+// Advisor is the external placement policy that decides which workers may run a step. An error
+// means that no decision was received; the question is sent again.
 type Advisor interface {
 	Approve(ctx context.Context, q schedule.Question) (schedule.Advice, error)
 }
 
 const (
-	// maxPendingQuestions bounds the questions of each kind that wait for the advisor, which
-	// answers one at a time and refuses calls when too many wait there.
+	// maxPendingQuestions bounds the questions of each kind that are queued for the advisor, which
+	// answers one call at a time and rejects calls when its own queue is full.
 	maxPendingQuestions = 24
-	// adviceTimeout bounds one call: an advisor looks at thirty workers in less.
+	// adviceTimeout bounds one call; an advisor evaluates thirty workers in less time.
 	adviceTimeout = 2 * time.Second
 )
 
-// pendingQuestion is a question of a leader of a term.
+// pendingQuestion is a question to the advisor, with the term of the leader that asked it.
 type pendingQuestion struct {
 	schedule.Question
 	term uint64
 }
 
-// enqueueQuestions queues questions for the advisor; one that finds no place is put
-// again later. d.mu is held.
+// enqueueQuestions queues questions for the advisor. A question that does not fit is returned to
+// the planner, which asks it again later. The caller must hold d.mu.
 func (d *Dispatcher) enqueueQuestions(l *leaderState, questions []schedule.Question, now time.Time) {
 	for _, q := range questions {
 		queue := d.otherQuestions
@@ -44,7 +44,7 @@
 	}
 }
 
-// advisorLoop puts the questions to the advisor, one after the other, until ctx ends.
+// advisorLoop sends the queued questions to the advisor, one at a time, until ctx ends.
 func (d *Dispatcher) advisorLoop(ctx context.Context) {
 	for {
 		q, ok := d.nextQuestion(ctx)
@@ -55,9 +55,9 @@
 	}
 }
 
-// nextQuestion waits for a question; false when ctx has ended. Those about long-running steps
-// come first. What goes wrong without it: a task that lost its run waits for seconds behind
-// the questions about a burst of batch work.
+// nextQuestion waits for a question and returns false once ctx has ended. Questions about
+// long-running steps come first: otherwise a task that lost its run waits for seconds behind the
+// questions about a burst of batch work.
 func (d *Dispatcher) nextQuestion(ctx context.Context) (pendingQuestion, bool) {
 	select {
 	case q := <-d.longRunningQuestions:
--- a/dispatch/batchedlog.go
+++ b/dispatch/batchedlog.go
@@ -12,41 +12,41 @@
 )
 
 const (
-	// logBatchInterval is the time that starts and ends are gathered for one line.
+	// logBatchInterval is the time from the first entry of a batch to the lines that report it.
 	logBatchInterval = time.Second
-	// maxLogBatchEntries is the number of starts and ends that one line names at most, so that
-	// a line stays below some 10 kB.
+	// maxLogBatchEntries bounds the entries of one batch, so that a line stays below about 10 kB.
 	maxLogBatchEntries = 200
 )
 
-// batchedLog gathers what routinely happens into lines of an interval: starts, and ends
-// without a failure, by worker; steps that wait by what rules the workers out.
+// batchedLog collects routine events and writes them as one line per kind and interval: starts, and
+// ends without a failure, by worker; waiting steps by the reasons that exclude the workers.
 //
-// What goes wrong without it: a busy leader writes little but two lines for each run.
-// Whoever has only the end of its log then sees seconds of starts, and not the line that
-// says when leadership, a worker or the configuration changed.
+// Without batching, a busy leader writes little other than two lines per run. Someone who has only
+// the end of its log then sees a few seconds of starts, but not the line that reports a change of
+// leadership, of a worker or of the configuration.
 type batchedLog struct {
 	logger     *zap.Logger
 	startedAt  time.Time
 	entryCount int
 	starts     map[string][]runEntry
-	// longRunningStarts are the started runs of long-running steps.
+	// longRunningStarts are the starts of runs of long-running steps.
 	longRunningStarts map[string][]runEntry
 	ends              map[string][]runEntry
 	waits             map[string][]waitEntry
 	objectiveMisses   map[string][]objectiveMissEntry
-	// finishedJobs are the jobs that came to an end, by the path of their queue.
+	// finishedJobs are the jobs that finished, by the path prefix of their queue.
 	finishedJobs map[string][]finishedJobEntry
 }
 
-// objectiveMissEntry is a serving run whose tail is over its objective, in percent of it.
+// objectiveMissEntry is a serving run whose tail latency exceeds its objective; percent is relative
+// to the objective.
 type objectiveMissEntry struct {
 	run     runEntry
 	percent int64
 }
 
-// finishedJobEntry is a job that came to an end: how, after which time, and within which it
-// should have.
+// finishedJobEntry is a job that finished: its outcome, the time that it took and the time that it
+// was allowed.
 type finishedJobEntry struct {
 	id            string
 	outcome       string
@@ -54,14 +54,14 @@
 	at            time.Time
 }
 
-// waitEntry is a step whose tasks found no worker.
+// waitEntry is a step with tasks for which the planner found no worker.
 type waitEntry struct {
 	wait   schedule.Wait
 	waited time.Duration
 	at     time.Time
 }
 
-// runEntry is a run and when it started or ended.
+// runEntry is a run and the time when it started or ended.
 type runEntry struct {
 	id jobqueue.RunID
 	at time.Time
@@ -101,8 +101,8 @@
 }
 
 func (g *batchedLog) addWait(term uint64, w schedule.Wait, waited time.Duration, now time.Time) {
-	why := w.Why()
-	g.waits[why] = append(g.waits[why], waitEntry{w, waited, now})
+	reason := w.Why()
+	g.waits[reason] = append(g.waits[reason], waitEntry{w, waited, now})
 	g.entryAdded(term, now)
 }
 
@@ -116,14 +116,14 @@
 	}
 }
 
-// flushIfDue writes what is due.
+// flushIfDue writes the batch if logBatchInterval has passed since its first entry.
 func (g *batchedLog) flushIfDue(term uint64, now time.Time) {
 	if g.entryCount > 0 && now.Sub(g.startedAt) >= logBatchInterval {
 		g.flush(term, now)
 	}
 }
 
-// flush writes what was gathered.
+// flush writes the collected entries and starts a new batch.
 func (g *batchedLog) flush(term uint64, now time.Time) {
 	if g.entryCount == 0 {
 		return
@@ -150,7 +150,7 @@
 	g.entryCount = 0
 }
 
-// formatRuns writes each run as "TASK RUN AGE", the age in milliseconds.
+// formatRuns formats each run as "TASK RUN AGE", the age in milliseconds.
 func formatRuns(runs map[string][]runEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(runs))
 	for worker, list := range runs {
@@ -161,19 +161,19 @@
 	return lists
 }
 
-// formatWaits writes each step as "STEP TASKS WAITED AGE", both times in milliseconds.
+// formatWaits formats each step as "STEP TASKS WAITED AGE", both times in milliseconds.
 func formatWaits(waits map[string][]waitEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(waits))
-	for why, list := range waits {
+	for reason, list := range waits {
 		for _, w := range list {
-			lists[why] = append(lists[why], fmt.Sprintf("%s %d %d %d", w.wait.Step, w.wait.Tasks, w.waited.Milliseconds(),
+			lists[reason] = append(lists[reason], fmt.Sprintf("%s %d %d %d", w.wait.Step, w.wait.Tasks, w.waited.Milliseconds(),
 				now.Sub(w.at).Milliseconds()))
 		}
 	}
 	return lists
 }
 
-// formatObjectiveMisses writes each run as "TASK RUN PERCENT AGE", the age in milliseconds.
+// formatObjectiveMisses formats each run as "TASK RUN PERCENT AGE", the age in milliseconds.
 func formatObjectiveMisses(tails map[string][]objectiveMissEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(tails))
 	for worker, list := range tails {
@@ -185,7 +185,7 @@
 	return lists
 }
 
-// formatFinishedJobs writes each job as "JOB HOW TOOK ALLOWED AGE", the times in milliseconds.
+// formatFinishedJobs formats each job as "JOB HOW TOOK ALLOWED AGE", the times in milliseconds.
 func formatFinishedJobs(jobs map[string][]finishedJobEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(jobs))
 	for path, list := range jobs {
--- a/dispatch/broadcast.go
+++ b/dispatch/broadcast.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// broadcast wakes all who wait for a change.
+// broadcast wakes all goroutines that wait for a change.
 type broadcast struct {
 	mu sync.Mutex
 	ch chan struct{}
--- a/dispatch/contacts.go
+++ b/dispatch/contacts.go
@@ -7,10 +7,10 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// contactTracker tells since when whole reports of each worker have come in without a gap: what such
-// reports lack isn't on the worker.
+// contactTracker records since when complete reports of each worker have arrived without a gap. A
+// run that is missing from such reports is not on the worker.
 type contactTracker struct {
-	// maxGap is the longest time between two reports.
+	// maxGap is the time between two reports from which on they no longer belong to one span.
 	maxGap   time.Duration
 	byWorker map[string]contactSpan
 }
@@ -21,7 +21,7 @@
 	return &contactTracker{maxGap: gap, byWorker: map[string]contactSpan{}}
 }
 
-// recordReport takes in a report. One that does not list all that runs ends the contact.
+// recordReport records a report. A report that does not list all running runs ends the span.
 func (c *contactTracker) recordReport(r *apiv1.JobsReportRequest, now time.Time) {
 	worker := r.Worker.GetId()
 	if r.Partial || r.Lapsed || r.Departed {
@@ -36,7 +36,7 @@
 	c.byWorker[worker] = known
 }
 
-// since returns when the contact with a worker began; false if there is none.
+// since returns the start of the current span of a worker's reports, false if there is none.
 func (c *contactTracker) since(worker string, now time.Time) (time.Time, bool) {
 	known, found := c.byWorker[worker]
 	return known.since, found && now.Sub(known.last) < c.maxGap
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -11,28 +11,29 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// reportedCrash returns what a report says of a crash, nil if it tells of none. That is a departure
-// without notice, or the first report of the life that follows one that did not tell.
+// reportedCrash returns the worker that a report shows to have crashed and the work of its runs,
+// nil if there is none. A crash is a departure without notice, or the first report of an
+// incarnation whose predecessor did not give notice.
 func (l *leaderState) reportedCrash(m *jobqueue.Machine, r *apiv1.JobsReportRequest) (*jobqueue.Worker, []*apiv1.RunWork) {
-	worker, before := m.Worker(r.Worker.GetId()), m.WorkerOf(r.Worker.GetHost())
+	worker, previous := m.Worker(r.Worker.GetId()), m.WorkerOf(r.Worker.GetHost())
 	switch {
 	case worker != nil && r.Departed:
 		if !r.Crashed || worker.Spec.Draining {
 			return nil, nil
 		}
 		return worker, l.workBeforeCrash(worker, r.Worked)
-	case worker == nil && !r.Departed && before != nil && !before.Spec.Draining:
-		return before, l.workBeforeCrash(before, nil)
+	case worker == nil && !r.Departed && previous != nil && !previous.Spec.Draining:
+		return previous, l.workBeforeCrash(previous, nil)
 	}
 	return nil, nil
 }
 
-// workBeforeCrash lists how long the runs that a worker may have begun had worked at least, those
-// that had worked for the shortest time first. told is what the agent says: if it names any, a run
-// that neither it nor an earlier report names never began, unless it was given up.
-func (l *leaderState) workBeforeCrash(w *jobqueue.Worker, told []*apiv1.RunWork) []*apiv1.RunWork {
+// workBeforeCrash lists the minimum working time of each run that a worker may have begun, shortest
+// first. reported is what the agent lists: if it lists any run, then a run that neither it nor an
+// earlier report lists never began, unless the log had counted that run as lost.
+func (l *leaderState) workBeforeCrash(w *jobqueue.Worker, reported []*apiv1.RunWork) []*apiv1.RunWork {
 	byRun := map[jobqueue.RunID]*apiv1.RunWork{}
-	for _, t := range told {
+	for _, t := range reported {
 		byRun[jobqueue.RunID{Task: jobqueue.TaskIDOf(t.Task), Number: t.Run}] = t
 	}
 	var list []*apiv1.RunWork
@@ -43,7 +44,7 @@
 			work.NeverSent = false
 			work.WorkedMs, work.Began = max(work.WorkedMs, o.At.Sub(o.FirstAt).Milliseconds()), true
 		}
-		if work == nil && len(told) == 0 {
+		if work == nil && len(reported) == 0 {
 			work = unknownWork(id)
 		}
 		if work != nil && !work.NeverSent {
@@ -63,10 +64,10 @@
 	return &apiv1.RunWork{Task: id.Task.Ref(), Run: id.Number, WorkedMs: jobqueue.UnknownMs, AtMostMs: jobqueue.UnknownMs}
 }
 
-// maxCrashRunsLogged bounds the runs that a line on a crash names.
+// maxCrashRunsLogged bounds the runs that the line about a crash lists.
 const maxCrashRunsLogged = 20
 
-// logCrash tells of a worker's crash and of the runs that began last.
+// logCrash logs a worker's crash and the runs that began last.
 func (d *Dispatcher) logCrash(l *leaderState, w *jobqueue.Worker, worked []*apiv1.RunWork) {
 	names := make([]string, 0, maxCrashRunsLogged)
 	for _, r := range worked[:min(len(worked), maxCrashRunsLogged)] {
@@ -77,35 +78,36 @@
 		event.Worked(map[string][]string{w.Spec.Id: names}))
 }
 
-// logSuspects tells of the tasks that are suspected after a crash, and of jobs that are given up.
-func (d *Dispatcher) logSuspects(m *jobqueue.Machine, t appliedReport) {
+// logSuspects logs the tasks that are suspect after a crash, and the jobs that failed at the crash
+// limit.
+func (d *Dispatcher) logSuspects(m *jobqueue.Machine, applied appliedReport) {
 	var suspects []string
-	for _, w := range t.command.GetCrash().GetWorked() {
+	for _, w := range applied.command.GetCrash().GetWorked() {
 		id := jobqueue.TaskIDOf(w.Task)
 		j := m.Job(id.Job)
-		if _, wasOpen := t.openJobs[id.Job]; !wasOpen || j == nil {
+		if _, wasOpen := applied.openJobs[id.Job]; !wasOpen || j == nil {
 			continue
 		}
 		if j.Failure == apiv1.JobFailure_JOB_FAILURE_CRASHES && j.FailedTask == id && !d.leader.finishLogged[id.Job] {
 			d.metrics.jobsAtCrashLimit.Inc(1)
-			event.JobGivenUp.Write(d.logger, event.Term(t.term), event.Task(id), event.Run(w.Run))
+			event.JobGivenUp.Write(d.logger, event.Term(applied.term), event.Task(id), event.Run(w.Run))
 		}
 		if task := m.Task(id); task != nil && task.Crashes.Suspect {
 			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.InRow, task.Crashes.Alone))
 		}
 	}
 	if len(suspects) > 0 {
-		event.TasksSuspected.Write(d.logger, event.Term(t.term), event.Suspects(suspects))
+		event.TasksSuspected.Write(d.logger, event.Term(applied.term), event.Suspects(suspects))
 	}
 }
 
-// logProbationsPassed tells of the tasks whose trial went well.
-func (l *leaderState) logProbationsPassed(logger *zap.Logger, over []*apiv1.RunRef) {
-	if len(over) == 0 {
+// logProbationsPassed logs the tasks whose probation succeeded.
+func (l *leaderState) logProbationsPassed(logger *zap.Logger, passed []*apiv1.RunRef) {
+	if len(passed) == 0 {
 		return
 	}
-	names := make([]string, 0, len(over))
-	for _, ref := range over {
+	names := make([]string, 0, len(passed))
+	for _, ref := range passed {
 		names = append(names, fmt.Sprintf("%s %d", jobqueue.TaskIDOf(ref.Task), ref.Run))
 	}
 	event.TrialsOver.Write(logger, event.Term(l.term), event.TrialsPassed(names))
--- a/dispatch/delayedreport_test.go
+++ b/dispatch/delayedreport_test.go
@@ -9,21 +9,22 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Symptom: jobs wait for twelve seconds beside free workers, and are not counted among
-// those that wait. Sequence: a host is cut off, and its worker goes silent meanwhile; after
-// the cut its agent reports that the worker's lease has run out, and the network then
-// delivers a report that was sent before the cut. Cause: the old report is taken for a new
-// one: the worker counts as in reach, is empty, and gets all that waits.
+// Guards against ordering work to an unresponsive worker because of a delayed report. Jobs waited
+// for twelve seconds next to idle workers and did not count as waiting. A host is partitioned, and
+// its worker becomes unresponsive meanwhile. After the partition the agent reports that the
+// worker's lease expired, and then the network delivers a report that was sent before the
+// partition. Taken for a new report, it makes the worker reachable and empty, and the worker gets
+// all waiting tasks.
 func TestReportDelayedByPartitionDoesNotMakeWorkerReachable(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.stopFaults()
 		s.sleep(3 * time.Second)
 		h := s.hosts[0]
 		h.mu.Lock()
-		delayed, silent := h.lastReport, h.worker.Announced().Id
+		delayed, workerName := h.lastReport, h.worker.Announced().Id
 		h.worker.Fault = func(string) fakes.OrderFault { return fakes.OrderFault{Lost: true} }
 		h.mu.Unlock()
-		// Long enough for the agent to be sure that the lease has run out, and to say so.
+		// Long enough for the agent to be sure that the lease has expired, and to report it.
 		s.sleep(10 * time.Second)
 		if _, err := s.dispatcher.Report(s.ctx, delayed); err != nil {
 			t.Fatal(err)
@@ -34,8 +35,8 @@
 		s.submitJob(spec)
 		s.sleep(200 * time.Millisecond)
 		s.replica.ReadState(func(m *state.Machine) {
-			if w := m.CallerJobs().Worker(silent); w != nil && len(w.Runs) > 0 {
-				t.Errorf("%d runs are ordered to a worker that gives no answer", len(w.Runs))
+			if w := m.CallerJobs().Worker(workerName); w != nil && len(w.Runs) > 0 {
+				t.Errorf("%d runs are ordered to an unresponsive worker", len(w.Runs))
 			}
 		})
 	})
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -1,7 +1,6 @@
-// Package dispatch is the control host's side of submitted jobs. On the leader it
-// counts the workers' leases, has the planner decide, commits what it decided and
-// hands the orders to the agents. On every replica it answers reads from state
-// that is confirmed to be the newest.
+// Package dispatch implements the control host's side of submitted jobs. On the leader it tracks
+// the workers' leases, runs the planner, commits its decisions and sends the orders to the agents.
+// On every replica it answers reads from state that is confirmed to be current.
 package dispatch
 
 import (
@@ -22,51 +21,53 @@
 
 const (
 	defaultLeaseDuration = 6 * time.Second
-	// defaultContactTimeout is an interval of an agent's reports, half a second, and
-	// some: what is ordered to a worker that is cut off waits for as long as the cut.
+	// defaultContactTimeout is somewhat longer than the half second between an agent's reports. An
+	// order to a worker behind a network partition waits until the partition ends, so a longer
+	// timeout would give such a worker new tasks.
 	defaultContactTimeout = 800 * time.Millisecond
-	// clockRateErrorPPM bounds how much faster this host's clock may run than an
-	// agent's, parts per million: far above what oscillators have.
+	// clockRateErrorPPM bounds how much faster this host's clock may run than an agent's, in parts
+	// per million. It is far above the error of real oscillators.
 	clockRateErrorPPM = 10_000
-	// leaseMargin is added for the granularity of timers.
+	// leaseMargin covers the granularity of timers.
 	leaseMargin = 50 * time.Millisecond
-	// idleRoundInterval is the time between rounds when nothing calls for one: due
-	// occurrences, leases that ran out and workers that come back are seen by it.
+	// idleRoundInterval is the time between rounds when no change triggers one. These rounds detect
+	// due occurrences, expired leases and workers that report again.
 	idleRoundInterval = 100 * time.Millisecond
-	// minRoundInterval spaces rounds out, so that what comes together is committed
-	// together.
+	// minRoundInterval is the minimum time from the end of a round to the next, so that changes
+	// that arrive together are committed together.
 	minRoundInterval = 4 * time.Millisecond
-	// proposalTimeout bounds the leader's own commands.
+	// proposalTimeout bounds the commit of the leader's own commands.
 	proposalTimeout = 3 * time.Second
 	// readTimeout bounds the confirmation of a read.
 	readTimeout = time.Second
-	// learnedSaveInterval is the time between two records of what was learnt of images: some
-	// reports' worth of it is lost with a leader.
+	// learnedSaveInterval is the time between two commits of what the planner learned about images.
+	// When a leader is lost, the reports since its last commit, at most a few per worker, are lost
+	// with it.
 	learnedSaveInterval = 2 * time.Second
-	// maxOrdersWait bounds how long an agent's call for orders is held.
+	// maxOrdersWait bounds how long an agent's request for orders is kept open.
 	maxOrdersWait = 2 * time.Second
 )
 
-// Dispatcher is the control host's side of submitted jobs.
+// Dispatcher implements the control host's side of submitted jobs.
 type Dispatcher struct {
 	opts         Options
 	logger       *zap.Logger
 	metrics      metricSet
 	wake         chan struct{}
 	stateChanged broadcast
-	// longRunningQuestions and questions are those that the advisor has not been asked yet: about
-	// long-running steps, and about others.
+	// longRunningQuestions and otherQuestions are the questions that have not been sent to the
+	// advisor yet, about long-running steps and about all others.
 	longRunningQuestions, otherQuestions chan pendingQuestion
 	advisorWatch                         *dependency.Watch
 	hostsWatch                           *dependency.Watch
 
-	// mu guards what the leader knows beside the log. It is taken before the
-	// replica's own lock.
+	// mu guards the leader's state outside the replicated log. It is acquired before the replica's
+	// own lock.
 	mu     sync.Mutex
 	leader *leaderState
 }
 
-// New returns a dispatcher; Run makes it work.
+// New returns a dispatcher, which does nothing until Run is called.
 func New(o Options) *Dispatcher {
 	o.LeaseDuration = cmp.Or(o.LeaseDuration, defaultLeaseDuration)
 	o.ContactTimeout = cmp.Or(o.ContactTimeout, defaultContactTimeout)
@@ -96,7 +97,7 @@
 	}
 }
 
-// Applied tells the dispatcher that the state changed. It does not block.
+// Applied notifies the dispatcher that the state changed. It does not block.
 func (d *Dispatcher) Applied() {
 	d.stateChanged.notify()
 	select {
@@ -105,12 +106,12 @@
 	}
 }
 
-// Run leads whenever this replica does, until ctx ends.
+// Run acts as the leader whenever this replica leads, until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	var beside conc.WaitGroup
-	defer beside.Wait()
-	beside.Go(func() { d.advisorLoop(ctx) })
-	beside.Go(func() { d.hostsLoop(ctx) })
+	var background conc.WaitGroup
+	defer background.Wait()
+	background.Go(func() { d.advisorLoop(ctx) })
+	background.Go(func() { d.hostsLoop(ctx) })
 	defer d.flushBatchedLog()
 	idle := time.NewTicker(idleRoundInterval)
 	defer idle.Stop()
@@ -128,7 +129,7 @@
 	}
 }
 
-// flushBatchedLog writes what was gathered when the process ends.
+// flushBatchedLog writes the collected entries when the process ends.
 func (d *Dispatcher) flushBatchedLog() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -137,19 +138,19 @@
 	}
 }
 
-// round decides and commits once.
+// round decides and commits one plan.
 func (d *Dispatcher) round(ctx context.Context) {
-	plan, lapsed := d.decide()
+	plan, expired := d.decide()
 	if plan == nil {
 		return
 	}
 	committed := d.commitPlan(ctx, plan)
-	if len(lapsed) > 0 {
-		d.finishExpiries(plan.Term, lapsed, committed)
+	if len(expired) > 0 {
+		d.finishExpiries(plan.Term, expired, committed)
 	}
 }
 
-// commitPlan reports whether a plan is surely committed and in force.
+// commitPlan reports whether a plan is known to be committed and accepted.
 func (d *Dispatcher) commitPlan(ctx context.Context, plan *apiv1.PlanRuns) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -162,8 +163,8 @@
 	return err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
 }
 
-// decide returns the plan to commit, nil when there is nothing to do.
-func (d *Dispatcher) decide() (plan *apiv1.PlanRuns, lapsed []string) {
+// decide returns the plan to commit, nil if there is nothing to do.
+func (d *Dispatcher) decide() (plan *apiv1.PlanRuns, expired []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	l := d.readyLeader()
@@ -171,7 +172,7 @@
 		return nil, nil
 	}
 	now := d.opts.Now()
-	began := time.Now()
+	started := time.Now()
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
 		plan = &apiv1.PlanRuns{Term: l.term}
@@ -193,7 +194,7 @@
 		l.prune(jobs)
 		l.batchedLog.flushIfDue(l.term, now)
 	})
-	d.metrics.planning.Since(began)
+	d.metrics.planning.Since(started)
 	if len(plan.Starts)+len(plan.Stops)+len(plan.Lapsed)+len(plan.TrialsOver) == 0 && plan.Learnt == nil {
 		return nil, nil
 	}
--- a/dispatch/expiry.go
+++ b/dispatch/expiry.go
@@ -9,9 +9,10 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// reportExpiry gives up what the log holds on a host, as its agent says that all of it has
-// ended. The agent names the lease that it was told of: a lapse that the network held up while
-// the lease was renewed must not give up runs that go on.
+// reportExpiry handles an agent's report that a worker's lease expired and that all its runs have
+// ended: it commits that the log's runs on this host are lost. The report names the lease that the
+// agent was last told of, so that a report that was delayed in the network while the lease was
+// renewed does not end runs that continue.
 func (d *Dispatcher) reportExpiry(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	term, plan := d.beginExpiry(r)
 	switch {
@@ -22,7 +23,7 @@
 		event.ReportOutdated.Write(d.logger, event.Term(term), event.Worker(r.Worker.GetId()))
 		return &apiv1.JobsReportResponse{Term: term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_STALE}, nil
 	}
-	// An agent that gives its call up must not leave the plan in doubt.
+	// An agent that cancels its call must not leave the plan in doubt.
 	committed := d.commitPlan(context.WithoutCancel(ctx), plan)
 	d.finishExpiries(term, plan.Lapsed, committed)
 	if !committed {
@@ -32,13 +33,13 @@
 	return &apiv1.JobsReportResponse{Term: term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}, nil
 }
 
-// notLeaderResponse answers in place of the leader.
+// notLeaderResponse refers the agent to the leader.
 func (d *Dispatcher) notLeaderResponse() *apiv1.JobsReportResponse {
 	return &apiv1.JobsReportResponse{NotLeader: true, LeaderAddress: d.opts.Replica.LeaderAddress()}
 }
 
-// beginExpiry returns the plan that gives the runs up, nil if the lease is another one by now. A
-// term of 0 says that this replica doesn't lead.
+// beginExpiry returns the plan that marks the runs lost, nil if the worker has a different lease
+// now. A term of 0 means that this replica does not lead.
 func (d *Dispatcher) beginExpiry(r *apiv1.JobsReportRequest) (term uint64, plan *apiv1.PlanRuns) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,8 +63,9 @@
 	return l.term, plan
 }
 
-// differentLease reports whether a lapse is not of the lease that the leader counts. An agent of
-// the release before names none; the order of its reports decides.
+// differentLease reports whether an expiry report is about another lease than the one that the
+// leader tracks. Agents of the previous release name no lease; for them the order of the reports
+// decides.
 func (l *leaderState) differentLease(m *jobqueue.Machine, r *apiv1.JobsReportRequest) bool {
 	if r.LeaseTerm == 0 {
 		return l.reports.outdated(m, r)
--- a/dispatch/expiry_test.go
+++ b/dispatch/expiry_test.go
@@ -49,19 +49,19 @@
 	r.report(&apiv1.JobsReportRequest{Running: []*apiv1.RunObservation{{Task: &apiv1.TaskRef{Job: "l1"}, Run: 1, Percent: 100}}})
 }
 
-// expiryReport returns the report of a lapse of the lease that the leader holds now.
+// expiryReport returns the report that the worker's current lease expired.
 func (r *expiryHarness) expiryReport() *apiv1.JobsReportRequest {
 	r.t.Helper()
-	held, err := r.s.dispatcher.Orders(r.s.ctx, &apiv1.JobsOrdersRequest{Host: "h1"})
-	if err != nil || held.LeaseWorker != "w1" {
-		r.t.Fatalf("the leader holds %v on the host, %v", held, err)
+	lease, err := r.s.dispatcher.Orders(r.s.ctx, &apiv1.JobsOrdersRequest{Host: "h1"})
+	if err != nil || lease.LeaseWorker != "w1" {
+		r.t.Fatalf("the leader reports %v on the host, error %v", lease, err)
 	}
 	return &apiv1.JobsReportRequest{
-		Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: "h1"}, Lapsed: true, LeaseTerm: held.Term, LeaseNumber: held.LeaseNumber,
+		Worker: &apiv1.JobWorker{Id: lease.LeaseWorker, Host: "h1"}, Lapsed: true, LeaseTerm: lease.Term, LeaseNumber: lease.LeaseNumber,
 	}
 }
 
-// loggedRunCount is how many runs the log holds on the worker.
+// loggedRunCount returns the number of runs that the log contains on the worker.
 func (r *expiryHarness) loggedRunCount() (n int) {
 	r.s.replica.ReadState(func(m *state.Machine) { n = len(m.CallerJobs().Worker("w1").Runs) })
 	return n
@@ -70,7 +70,7 @@
 func (r *expiryHarness) expectExpiry(q *apiv1.JobsReportRequest, outcome apiv1.JobOutcome, runs int) {
 	r.t.Helper()
 	if got := r.report(q); got.Outcome != outcome || r.loggedRunCount() != runs {
-		r.t.Errorf("the lapse is answered %v, and %d runs are left; want %v and %d", got, r.loggedRunCount(), outcome, runs)
+		r.t.Errorf("the report got outcome %v and left %d runs; want %v and %d", got, r.loggedRunCount(), outcome, runs)
 	}
 }
 
@@ -78,24 +78,24 @@
 	runExpirySim(t, func(r *expiryHarness) { r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0) })
 }
 
-// Guards against runs that go on and are given up, as the network held a lapse up while the
-// lease was renewed.
+// Guards against losing runs that continue, when an expiry report is delayed in the network while
+// the lease is renewed.
 func TestDelayedExpiryReportKeepsRunsOfRenewedLease(t *testing.T) {
 	runExpirySim(t, func(r *expiryHarness) {
-		late := r.expiryReport()
+		delayed := r.expiryReport()
 		r.renew()
-		r.expectExpiry(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
+		r.expectExpiry(delayed, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
 	})
 }
 
-// Guards against the same where another leader counts the leases since.
+// Guards against the same when a new leader has started to track the leases meanwhile.
 func TestExpiryReportForPreviousLeadersLeaseKeepsRuns(t *testing.T) {
 	runExpirySim(t, func(r *expiryHarness) {
-		late := r.expiryReport()
+		delayed := r.expiryReport()
 		r.s.log.Lose(100 * time.Millisecond)
 		r.s.dispatcher = dispatch.New(dispatch.Options{Replica: r.s.replica})
 		r.s.loops.Go(func() { r.s.dispatcher.Run(r.s.ctx) })
 		r.s.sleep(time.Second)
-		r.expectExpiry(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
+		r.expectExpiry(delayed, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
 	})
 }
--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -15,46 +15,46 @@
 )
 
 const (
-	// stateCheckInterval is the time between two looks at what a control host believes; a change
-	// gets a line no later.
+	// stateCheckInterval is the time between two checks of the group's state as this control host
+	// sees it, and so the longest delay of the line about a change.
 	stateCheckInterval = 250 * time.Millisecond
-	// stateRepeatInterval is the time between two lines that say the same.
+	// stateRepeatInterval is the time after which the same state is logged again.
 	stateRepeatInterval = 5 * time.Second
-	// stateRepeatBytes is what the process logs between two such lines at most: a third of
-	// what an incident's record keeps of a process, so that it always holds one.
+	// stateRepeatBytes bounds what the process logs between two such lines. It is a third of what
+	// an incident's record keeps of a process, so that the record always contains one.
 	stateRepeatBytes = 32 << 10
 )
 
-// groupState is what a control host believes.
+// groupState is the group's state as a control host sees it.
 type groupState struct {
 	term    uint64
 	leader  string
 	leads   bool
 	size    node.GroupSize
 	version uint64
-	// workers are those that may get work, reachable those heard of lately; the leader
-	// alone knows them.
+	// workers are those that may get work, reachable those that reported lately. Both are known to
+	// the leader only.
 	workers, reachable int
 }
 
-// StateReporter repeats what a control host believes, every some seconds and at each
-// change.
+// StateReporter logs the group's state as a control host sees it, periodically and at each change.
 //
-// What goes wrong without it: whoever gets only the last part of a process's lines
-// can't tell who led, how many voters were there and which configuration was in force,
-// as the lines of these changes are older than what he has.
+// Without the repetition, someone who has only the last part of a process's log can't tell who led,
+// how many voters there were and which configuration was in effect, because the lines about these
+// changes are older than that part.
 type StateReporter struct {
 	node             *node.Node
 	replica          *control.Replica
 	dispatcher       *Dispatcher
 	logger           *zap.Logger
 	configurationAge metrics.Gauge
-	// loggedBytes is what the process has logged so far.
+	// loggedBytes is the number of bytes that the process has logged.
 	loggedBytes metrics.Gauge
 
 	last groupState
-	// lastWritten is when the last line was written, loggedAt after how many bytes; leaderSince is
-	// since when leader and term are as they are, configurationSince the configuration.
+	// lastWritten is when the last line was written, and bytesAtLastWrite is loggedBytes at that
+	// time. leaderSince is when the leader or the term last changed, configurationSince when the
+	// configuration did.
 	lastWritten, leaderSince, configurationSince time.Time
 	bytesAtLastWrite                             int64
 }
@@ -87,33 +87,33 @@
 }
 
 func (s *StateReporter) check(now time.Time) {
-	standing := s.dispatcher.Status()
-	seen := groupState{
-		leader: s.node.LeaderAddress(), size: s.node.GroupSize(), workers: standing.Workers, reachable: standing.Reachable,
+	status := s.dispatcher.Status()
+	current := groupState{
+		leader: s.node.LeaderAddress(), size: s.node.GroupSize(), workers: status.Workers, reachable: status.Reachable,
 	}
-	seen.term, seen.leads = s.replica.Leading()
-	s.replica.ReadState(func(m *state.Machine) { seen.version = m.CallerJobs().Configuration().GetVersion() })
-	if seen.term != s.last.term || seen.leader != s.last.leader {
+	current.term, current.leads = s.replica.Leading()
+	s.replica.ReadState(func(m *state.Machine) { current.version = m.CallerJobs().Configuration().GetVersion() })
+	if current.term != s.last.term || current.leader != s.last.leader {
 		s.leaderSince = now
 	}
-	if seen.version != s.last.version {
+	if current.version != s.last.version {
 		s.configurationSince = now
 	}
 	s.configurationAge.Update(now.Sub(s.configurationSince).Milliseconds())
 	logged := s.loggedBytes.Value()
-	if !s.due(seen, now, logged) {
+	if !s.due(current, now, logged) {
 		return
 	}
-	s.last, s.lastWritten, s.bytesAtLastWrite = seen, now, logged
+	s.last, s.lastWritten, s.bytesAtLastWrite = current, now, logged
 	event.StateOfGroup.Write(s.logger,
-		event.Term(seen.term), event.LeaderAddress(seen.leader), event.Leads(seen.leads), event.Since(now.Sub(s.leaderSince)),
-		event.Voters(seen.size.Voters), event.Heard(seen.size.Heard), event.Spares(seen.size.Spares),
-		event.Version(seen.version), event.WorkerCount(seen.workers), event.Reachable(seen.reachable),
-		event.Waiting(standing.Waiting))
+		event.Term(current.term), event.LeaderAddress(current.leader), event.Leads(current.leads), event.Since(now.Sub(s.leaderSince)),
+		event.Voters(current.size.Voters), event.Heard(current.size.Heard), event.Spares(current.size.Spares),
+		event.Version(current.version), event.WorkerCount(current.workers), event.Reachable(current.reachable),
+		event.Waiting(status.Waiting))
 }
 
-// due reports whether a line is to be written: what is seen has changed, or the last
-// line is old, or so many bytes were logged after it.
-func (s *StateReporter) due(seen groupState, now time.Time, logged int64) bool {
-	return seen != s.last || now.Sub(s.lastWritten) >= stateRepeatInterval || logged-s.bytesAtLastWrite >= stateRepeatBytes
+// due reports whether a line is to be written: the state has changed, the last line is older than
+// stateRepeatInterval, or stateRepeatBytes were logged after it.
+func (s *StateReporter) due(current groupState, now time.Time, logged int64) bool {
+	return current != s.last || now.Sub(s.lastWritten) >= stateRepeatInterval || logged-s.bytesAtLastWrite >= stateRepeatBytes
 }
--- a/dispatch/kinds_test.go
+++ b/dispatch/kinds_test.go
@@ -11,7 +11,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// kinds of jobs that the simulation draws from.
+// Kinds of jobs that the simulation submits.
 const (
 	kindGang = iota
 	kindRecurring
@@ -24,7 +24,7 @@
 
 const specialLabel = "special"
 
-// jobOfKind returns the job of a number; its kind follows from the number.
+// jobOfKind returns the job with a number; its kind follows from the number.
 func jobOfKind(number int) *apiv1.JobSpec {
 	step := &apiv1.JobStep{Count: 3, CpuMilli: 800, MemoryMb: 500, EstimatedMs: 500}
 	spec := &apiv1.JobSpec{Id: fmt.Sprintf("job%d", number), Host: simHost, Steps: []*apiv1.JobStep{
@@ -49,8 +49,7 @@
 	return spec
 }
 
-// advisorAllows is the policy of the placement advisor: each job has one host that must
-// not run it.
+// advisorAllows is the policy of the placement advisor: each job has one host that must not run it.
 func advisorAllows(step jobqueue.StepID, worker string) bool {
 	return !strings.HasPrefix(worker, fmt.Sprintf("host%d-", jobNumber(step.Job)%4))
 }
@@ -63,21 +62,19 @@
 	return number
 }
 
-// drain has a worker leave: it says so, and its successor comes a while later.
-func (h *simulatedHost) drain(span time.Duration) {
+// drain drains a worker, which announces it, and starts its successor after downtime.
+func (h *simulatedHost) drain(downtime time.Duration) {
 	h.mu.Lock()
 	h.worker.Drain()
 	h.mu.Unlock()
-	time.AfterFunc(span, h.startWorker)
+	time.AfterFunc(downtime, h.startWorker)
 }
 
-// Symptom: a task starts where it must not: without the label, without the advisor's
-// ticket, too many of a step on one worker, a member of a gang under another run's
-// number, an occurrence before its time, or on a worker that leaves.
-// Sequence: jobs of all kinds come while agents are cut off, workers crash or drain,
-// leaders follow one another, the advisor fails now and then, and orders are lost or
-// carried out late.
-// Cause: any fault in how starts are judged, or tickets kept.
+// Guards against starts that violate a constraint: without the label, without the advisor's ticket,
+// too many tasks of a step on one worker, a gang member under another run's number, an occurrence
+// before its time, or on a draining worker. Any fault in the validation of starts or the handling
+// of tickets can cause this. Jobs of all kinds arrive while agents are partitioned, workers crash
+// or drain, leaders change, the advisor fails now and then, and orders are lost or executed late.
 func TestJobKindsUnderFaults(t *testing.T) {
 	runSeeds(t, 40, 4, runJobKindsUnderFaults)
 }
--- a/dispatch/leadership.go
+++ b/dispatch/leadership.go
@@ -11,44 +11,46 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// leaderState is what the leader of a term knows beside the log.
+// leaderState is what the leader of a term keeps outside the replicated log.
 type leaderState struct {
 	term uint64
-	// planInDoubt: a plan that gives runs up may still be committed. Nothing is decided until its
-	// fate is known.
+	// planInDoubt means that a plan that marks runs lost may still be committed. No plan is made
+	// until its outcome is known.
 	planInDoubt bool
 	planner     *schedule.Planner
 	leases      *leaseTable
 	reports     *reportOrder
 	observed    map[jobqueue.RunID]schedule.Observation
 	contacts    *contactTracker
-	// endsRecorded is the highest sequence number of each worker's ends that the planner knows.
+	// endsRecorded is the highest sequence number of each worker's ends that the planner has
+	// received.
 	endsRecorded map[string]uint64
-	// refusalsRecorded are the refused runs that the planner knows of and the log still holds.
+	// refusalsRecorded are the refused runs that the planner has received and the log still
+	// contains.
 	refusalsRecorded map[jobqueue.RunID]bool
-	// orderRevisions grow with each change of what is ordered to a worker beside the log.
+	// orderRevisions grow with each change of a worker's orders that is not in the log.
 	orderRevisions map[string]uint64
-	// waits are the steps that found no worker in the last round.
+	// waits are the steps for which the last round found no worker.
 	waits       []schedule.Wait
 	loggedWaits map[jobqueue.StepID]loggedWait
 	batchedLog  *batchedLog
-	// savedCheckpoints are the runs' last checkpoints; lossLoggedEpoch is the epoch of each worker in which
-	// the loss of its runs was told.
+	// savedCheckpoints are the runs' last checkpoints. lossLoggedEpoch is the epoch of each worker
+	// in which the loss of its runs was logged.
 	savedCheckpoints map[jobqueue.RunID]savedCheckpoint
 	lossLoggedEpoch  map[string]uint64
-	// unlogged are the runs that each worker listed last and the log does not hold there.
+	// unlogged are the runs that each worker listed last and the log does not contain there.
 	unlogged map[string][]jobqueue.RunID
-	// finishLogged are the jobs whose end was told.
+	// finishLogged are the jobs whose end was logged.
 	finishLogged map[string]bool
 	moves        *leaderMoves
 	outages      *outages
-	// learnedSavedAt is when a plan last carried what the planner has learnt, and reported is
-	// set once a worker reported since.
+	// learnedSavedAt is when a plan last carried what the planner learned, and reportedSinceSave is
+	// set once a worker has reported after that.
 	learnedSavedAt    time.Time
 	reportedSinceSave bool
 }
 
-// ensureLeading makes this replica ready to lead when it was elected.
+// ensureLeading makes this replica ready to lead if it was elected, and reports whether it leads.
 func (d *Dispatcher) ensureLeading(ctx context.Context) bool {
 	term, ok := d.opts.Replica.Leading()
 	d.mu.Lock()
@@ -72,16 +74,15 @@
 	return l.planInDoubt
 }
 
-// clearLeaderState forgets what the leader of a term knows; d.mu is held.
+// clearLeaderState discards the state of the leader of a term. The caller must hold d.mu.
 func (d *Dispatcher) clearLeaderState() {
 	d.leader.batchedLog.flush(d.leader.term, d.opts.Now())
 	d.leader = nil
 }
 
-// takeOver commits that this replica leads: once that is applied, everything of
-// earlier terms is, and nothing that an earlier leader decided is accepted any
-// more. Each worker's lease counts as renewed at that moment, since the earlier
-// leader may have renewed it until then.
+// takeOver commits that this replica leads. Once that entry is applied, all entries of earlier
+// terms are applied too, and no decision of an earlier leader is accepted any more. Each worker's
+// lease counts as renewed at that moment, since the previous leader may have renewed it until then.
 func (d *Dispatcher) takeOver(ctx context.Context, term uint64) bool {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -125,8 +126,8 @@
 	return true
 }
 
-// readyLeader returns what the leader of the current term knows, nil when this replica
-// is not ready to lead. d.mu is held.
+// readyLeader returns the leader's state in the current term, nil if this replica is not ready to
+// lead. The caller must hold d.mu.
 func (d *Dispatcher) readyLeader() *leaderState {
 	term, ok := d.opts.Replica.Leading()
 	if !ok || d.leader == nil || d.leader.term != term || d.leader.planInDoubt {
@@ -135,16 +136,16 @@
 	return d.leader
 }
 
-// resolveDoubt goes on leading after whatever became of a plan in doubt; d.mu is held. The leases
-// stay as they are: in this term nobody else has renewed one. What goes wrong otherwise: each
-// plan that is not committed puts off the end of a silent worker's lease by a whole one.
+// resolveDoubt continues to lead once the outcome of a plan in doubt is known. The caller must hold
+// d.mu. The leases stay as they are, since no other leader has renewed one in this term: if they
+// were renewed, each plan that is not committed would delay the expiry of an unresponsive worker's
+// lease by a whole lease.
 func (d *Dispatcher) resolveDoubt() {
 	d.opts.Replica.ReadState(func(m *state.Machine) { d.leader.leases.settleExpiries(m.CallerJobs().Worker) })
 	d.leader.planInDoubt = false
 }
 
-// learnedToSave returns what the planner has learnt, if it is time to keep it for the
-// next leader.
+// learnedToSave returns what the planner learned if it is time to commit it for the next leader.
 func (l *leaderState) learnedToSave(now time.Time) *apiv1.Learnt {
 	if !l.reportedSinceSave || now.Sub(l.learnedSavedAt) < learnedSaveInterval {
 		return nil
@@ -153,10 +154,10 @@
 	return l.planner.Learnt(now)
 }
 
-// finishExpiries lets the leases of lapsed workers be renewed again. A plan whose fate
-// is unknown may still be committed, and would give runs up under leases renewed
-// meanwhile: so this replica confirms anew that it leads, which ends after whatever
-// becomes of the plan.
+// finishExpiries lets the leases of workers whose runs are lost be renewed again. A plan whose
+// outcome is unknown may still be committed, and would then mark runs lost under leases that were
+// renewed meanwhile. In that case this replica confirms its leadership again: that entry commits
+// only after the outcome of the plan is settled.
 func (d *Dispatcher) finishExpiries(term uint64, workers []string, committed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -188,7 +189,7 @@
 	return list
 }
 
-// prune drops the observations of runs that are over.
+// prune drops what is kept of runs, workers and jobs that the log no longer contains.
 func (l *leaderState) prune(m *jobqueue.Machine) {
 	for id := range l.observed {
 		if m.Run(id) == nil {
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -8,11 +8,9 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Symptom: after each election the tails of serving tasks are over their objectives
-// for seconds, though the same images ran side by side before.
-// Sequence: a leader learns what a backfilling image does to a serving one, and
-// another leader follows.
-// Cause: what was learnt ended with the leader.
+// Guards against losing what a leader learned when the leader changes. The tail latencies of
+// serving tasks exceeded their objectives for seconds after each election, though the previous
+// leader had learned how a backfill image affects the serving image next to it.
 func TestLearnedPressuresSurviveLeaderChange(t *testing.T) {
 	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		worker := &apiv1.JobWorker{Id: "w1", Host: "h1", Pool: simPool, CpuMilli: 32_000, MemoryMb: 64_000}
@@ -41,15 +39,14 @@
 		s.replica.ReadState(func(m *state.Machine) {
 			pressures := m.CallerJobs().Learnt().GetPressures()
 			if len(pressures) != 1 || pressures[0].Mean < 0.1 {
-				t.Errorf("the next leader knows %v", pressures)
+				t.Errorf("the next leader learned pressures %v, want one with a mean of at least 0.1", pressures)
 			}
 		})
 	})
 }
 
-// Symptom: an operator asks why a job waits and gets no reason.
-// Sequence: one task of a step runs, another one finds no worker with the memory.
-// Cause: the reasons of the last round are not kept.
+// Guards against an explanation without reasons, because the reasons of the last round were not
+// kept: one task of a step runs, and no worker has the memory for the other one.
 func TestExplanationListsRunsAndWaits(t *testing.T) {
 	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		s.sleep(time.Second)
@@ -69,10 +66,10 @@
 		e := resp.GetExplanation()
 		running := e.GetJob().GetOccurrences()[0].GetSteps()[0].GetTasks()[0].GetRuns()
 		if len(running) != 1 || running[0].Worker != "w1" {
-			t.Errorf("the first task runs %v", running)
+			t.Errorf("the first task has the runs %v, want one on w1", running)
 		}
 		if len(e.GetWaits()) != 1 || e.Waits[0].Tasks != 1 || e.Waits[0].Workers != "memory 1" {
-			t.Errorf("the job waits for %v", e.GetWaits())
+			t.Errorf("the waits are %v, want one task for memory", e.GetWaits())
 		}
 	})
 }
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -6,14 +6,13 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// leaseTable counts the workers' leases on the leader.
+// leaseTable tracks the workers' leases on the leader.
 //
-// An agent counts a lease from the sending of its report, the leader from the
-// handling, which is later, and adds a bound on the clocks' rate error: so the
-// worker has always stopped before the leader gives its runs up. The leader
-// renews before it confirms that it still leads, and grants only after: so a
-// lease that a deposed leader grants was renewed before its successor began to
-// count.
+// An agent counts a lease from the time when it sends its report. The leader counts it from the
+// time when it handles the report, which is later, and adds a bound on the clocks' rate error. So
+// the worker has always stopped its runs before the leader counts them as lost. The leader renews a
+// lease before it confirms that it still leads and grants it only after that, so a lease that a
+// deposed leader grants was renewed before its successor started counting.
 type leaseTable struct {
 	duration       time.Duration
 	contactTimeout time.Duration
@@ -25,16 +24,16 @@
 	renewedAt time.Time
 	// number grows with each renewal.
 	number uint64
-	// reported is set by the first report; without one, nothing is known of the worker.
+	// reported is set by the first report; before that, nothing is known of the worker.
 	reported bool
-	// expiring: a plan that gives the worker's runs up is on its way into the log.
-	// The lease must not be renewed until its fate is known.
+	// expiring means that a plan that marks the worker's runs lost is being committed. The lease
+	// must not be renewed until the plan's outcome is known.
 	expiring bool
-	// epoch is the worker's when that plan was made.
+	// epoch is the worker's epoch when that plan was made.
 	epoch uint64
-	// expired: the runs were given up; the next report makes the worker usable again.
+	// expired means that the runs were marked lost; the next report makes the worker usable again.
 	expired bool
-	// duration is how long the lease was last granted for.
+	// duration is the duration of the last grant.
 	duration time.Duration
 }
 
@@ -51,9 +50,9 @@
 	return l
 }
 
-// renew counts a worker's lease from now on, and returns for how long; false while
-// the lease must not be renewed. A bound above 0 is what the agent promises to hold
-// at most, of earlier grants too.
+// renew restarts a worker's lease at now and returns its duration, false while the lease must not
+// be renewed. A bound above 0 is the longest lease that the agent promises to use, for earlier
+// grants too.
 func (t *leaseTable) renew(worker string, now time.Time, bound time.Duration) (time.Duration, bool) {
 	l := t.get(worker)
 	if l.expiring {
@@ -70,25 +69,25 @@
 	return l.duration, true
 }
 
-// expire returns the workers whose lease surely ran out and marks them.
+// expire returns the workers whose leases have certainly expired, and marks them as expiring.
 func (t *leaseTable) expire(workers []*jobqueue.Worker, now time.Time) []string {
-	var expired []string
+	var ids []string
 	for _, w := range workers {
 		l := t.get(w.Spec.Id)
 		wait := l.duration + l.duration*clockRateErrorPPM/1_000_000 + leaseMargin
-		// A run that was decided before a lapse and committed after it can't have begun: its
-		// start needs a lease that is granted after.
+		// A run that was decided before an expiry and committed after it can't have begun, since
+		// its start needs a lease that is granted after the expiry.
 		overdue := now.Sub(l.renewedAt) > wait && !l.expired || l.expired && len(w.Runs) > 0
 		if l.expiring || !overdue {
 			continue
 		}
 		t.beginExpiry(w)
-		expired = append(expired, w.Spec.Id)
+		ids = append(ids, w.Spec.Id)
 	}
-	return expired
+	return ids
 }
 
-// beginExpiry begins to give up the runs of a worker; false if that has begun already.
+// beginExpiry marks a worker's lease as expiring, and returns false if it is already.
 func (t *leaseTable) beginExpiry(w *jobqueue.Worker) bool {
 	l := t.get(w.Spec.Id)
 	if l.expiring {
@@ -98,8 +97,8 @@
 	return true
 }
 
-// settleExpiries ends the expiries whose plans were in doubt, by what became of them. Those that
-// came to nothing are due again.
+// settleExpiries ends the expiries whose plans were in doubt, according to their outcome. The
+// leases of plans that were not applied can expire again.
 func (t *leaseTable) settleExpiries(worker func(id string) *jobqueue.Worker) {
 	for id, l := range t.byWorker {
 		if !l.expiring {
@@ -111,7 +110,7 @@
 	}
 }
 
-// finishExpiry ends an expiry that is committed.
+// finishExpiry ends an expiry whose plan is committed.
 func (t *leaseTable) finishExpiry(worker string) {
 	l := t.get(worker)
 	l.expiring = false
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -8,11 +8,10 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Symptom: a long-running task is missing for twelve seconds though there is room.
-// Sequence: its worker says that it is about to leave; two seconds later the host is
-// gone with its agent, and nobody reports any more.
-// Cause: the leader waits for the end of a lease that is meant for agents that come
-// back, twice as long as the worker runs on by itself.
+// Guards against a long-running task that does not run for twelve seconds although there is free
+// capacity. Its worker announces that it is about to leave, and two seconds later the host is gone
+// with its agent, so there are no more reports. The leader must not wait for the whole lease, which
+// is meant for agents that return and is twice as long as the worker keeps running by itself.
 func TestLeaseOfDepartedHostIsNotAwaited(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.stopFaults()
@@ -37,27 +36,27 @@
 		h.stop()
 		h.worker.Crash()
 		h.mu.Unlock()
-		missing := time.Duration(0)
-		for missing < 20*time.Second && s.firstTaskWorker("serving") == worker {
+		outage := time.Duration(0)
+		for outage < 20*time.Second && s.firstTaskWorker("serving") == worker {
 			s.sleep(100 * time.Millisecond)
-			missing += 100 * time.Millisecond
+			outage += 100 * time.Millisecond
 		}
-		if missing > 7*time.Second {
-			t.Errorf("the task starts elsewhere after %v", missing)
+		if outage > 7*time.Second {
+			t.Errorf("the task started elsewhere after %v, want at most 7 s", outage)
 		}
-		for _, b := range s.watch.Broken() {
-			t.Error(b)
+		for _, violation := range s.watch.Broken() {
+			t.Error(violation)
 		}
 	})
 }
 
 // firstTaskWorker returns the worker of a job's first task.
 func (s *sim) firstTaskWorker(job string) string {
-	place := ""
+	worker := ""
 	s.replica.ReadState(func(m *state.Machine) {
 		for _, r := range m.CallerJobs().Job(job).Occurrences[0].Steps[0].Tasks[0].Runs {
-			place = r.Worker
+			worker = r.Worker
 		}
 	})
-	return place
+	return worker
 }
--- a/dispatch/lines_test.go
+++ b/dispatch/lines_test.go
@@ -21,18 +21,17 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// newLoggingSim is a simulation whose leader writes its lines as a daemon does, into a
-// buffer.
+// newLoggingSim returns a simulation whose leader logs into a buffer, in the format of a daemon.
 func newLoggingSim(ctx context.Context, t *testing.T, workers int, o dispatch.Options) (*sim, *bytes.Buffer, metrics.Registry) {
-	before, end := context.WithCancel(ctx)
-	s := newSim(before, t, 1, 0)
-	end()
+	initialCtx, stopInitial := context.WithCancel(ctx)
+	s := newSim(initialCtx, t, 1, 0)
+	stopInitial()
 	s.loops.Wait()
 	s.ctx, s.faultFree = ctx, true
-	lines, registry := &bytes.Buffer{}, metrics.NewRegistry()
+	buffer, registry := &bytes.Buffer{}, metrics.NewRegistry()
 	config := zap.NewProductionEncoderConfig()
 	config.NameKey, config.EncodeTime = "part", zapcore.RFC3339NanoTimeEncoder
-	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), zapcore.Lock(zapcore.AddSync(lines)), zap.InfoLevel)
+	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), zapcore.Lock(zapcore.AddSync(buffer)), zap.InfoLevel)
 	s.log.Lose(100 * time.Millisecond)
 	o.Replica, o.Logger, o.Metrics = s.replica, zap.New(core), registry
 	s.dispatcher = dispatch.New(o)
@@ -44,10 +43,10 @@
 		s.hosts = append(s.hosts, h)
 	}
 	s.loops.Go(s.announceLoop)
-	return s, lines, registry
+	return s, buffer, registry
 }
 
-// tracedRuns returns what a log says of each run, in order.
+// tracedRuns returns the events of each run in a log, in order.
 func tracedRuns(t *testing.T, log *bytes.Buffer) map[string][]string {
 	t.Helper()
 	lines, err := trace.Read(log, "leader")
@@ -64,11 +63,10 @@
 	return runs
 }
 
-// Symptom: the last part of a busy leader's log holds nothing but starts and ends, or a
-// run that was lost can't be found in it.
-// Sequence: a hundred jobs of three tasks within five seconds; then a worker crashes with a
-// run on it. Cause: a line for each start and end, and none for what is lost with a
-// worker.
+// Guards against a busy leader's log whose last part contains only starts and ends, and against a
+// lost run that can't be found in it. A line per start and end, and none for the losses with a
+// worker, caused this. A hundred jobs of three tasks arrive within five seconds; then a worker with
+// a run crashes.
 func TestRunsAreTracedFromBatchedLines(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -99,35 +97,35 @@
 		s.loops.Wait()
 
 		if n := strings.Count(log.String(), "\n"); n > 60 {
-			t.Errorf("%d lines for %d runs", n, jobs*tasks)
+			t.Errorf("%d lines for %d runs, want at most 60", n, jobs*tasks)
 		}
 		runs := tracedRuns(t, log)
 		for i := range jobs {
 			for index := range tasks {
 				run := fmt.Sprintf("job%d/0/0/%d 1", i, index)
 				if got := strings.Join(runs[run], ", "); got != "start, run ended" {
-					t.Errorf("run %s: %s", run, got)
+					t.Errorf("run %s has the events %s", run, got)
 				}
 			}
 		}
 		first, second := strings.Join(runs["long/0/0/0 1"], ", "), strings.Join(runs["long/0/0/0 2"], ", ")
 		if first != "start, worker crashed, run lost" || second != "start" {
-			t.Errorf("the run that was lost: %s; the one after it: %s", first, second)
+			t.Errorf("events of the lost run: %s; of the next run: %s", first, second)
 		}
 		lost := registry.Get("dispatch.work_lost_core_ms").(metrics.Counter).Count()
-		if lost <= 0 || lost > 3000 { // the stand-in saves a checkpoint each second
-			t.Errorf("%d core-milliseconds were lost, want those since the last checkpoint, until the loss was seen", lost)
+		if lost <= 0 || lost > 3000 { // the simulated worker saves a checkpoint each second
+			t.Errorf("%d core-milliseconds were lost, want those from the last checkpoint to the detection of the loss", lost)
 		}
 		if n := registry.Get("dispatch.ready_to_start_us").(metrics.Histogram).Count(); n < jobs*tasks {
-			t.Errorf("%d starts are timed", n)
+			t.Errorf("%d starts were timed", n)
 		}
 	})
 }
 
-// unreliablePlatform answers nothing until it is well.
+// unreliablePlatform answers no call until it is available.
 type unreliablePlatform struct{ available atomic.Bool }
 
-var errPlatformUnavailable = errors.New("the platform gives no answer")
+var errPlatformUnavailable = errors.New("the platform is unavailable")
 
 func (p *unreliablePlatform) Approve(context.Context, schedule.Question) (schedule.Advice, error) {
 	if !p.available.Load() {
@@ -151,10 +149,9 @@
 	return 0, errPlatformUnavailable
 }
 
-// Symptom: tasks of an advised queue and a wave of maintenance stand still, and nothing
-// says since when the platform has given no answer.
-// Sequence: its advisor and its list of hosts fail for ten seconds. Cause: a line for
-// each call, or none.
+// Guards against a log that does not show since when the platform has been unreachable, with a line
+// per call or none, while tasks of an advised queue and a maintenance wave make no progress. The
+// advisor and the host list fail for ten seconds.
 func TestUnreachablePlatformIsLoggedOnce(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -182,13 +179,13 @@
 					}
 				}
 				if n != 1 {
-					t.Errorf("%s: %q is told %d times", dependency, line, n)
+					t.Errorf("%s: %q is logged %d times, want 1", dependency, line, n)
 				}
 			}
 		}
 		for _, name := range []string{"advice_calls.unanswered", "advice_calls.answered", "host_lists.unanswered", "host_lists.answered"} {
 			if c, ok := registry.Get("dispatch." + name).(metrics.Counter); !ok || c.Count() == 0 {
-				t.Errorf("%s is not counted", name)
+				t.Errorf("%s was not counted", name)
 			}
 		}
 	})
@@ -198,11 +195,10 @@
 	s.submitJob(spec)
 }
 
-// Symptom: after a bad morning nobody can say which jobs ended late and which serving tasks
-// were over their objectives.
-// Sequence: a job ends after four times the time that it should have taken, beside a serving
-// task whose worker reports a tail over its objective, before it is at work and then at work.
-// Cause: lines told of runs, not of what callers got.
+// Guards against logs from which one can't find out which jobs finished late and which serving
+// tasks exceeded their objectives, since lines described runs but not the service that callers got.
+// A job takes four times its allowed time. Beside it, the worker of a serving task reports a tail
+// latency over its objective, first while the task starts up and then when it has started up.
 func TestLateJobsAndObjectiveMissesAreLogged(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -249,21 +245,21 @@
 			case "jobs are over":
 				took, allowed := l.Fields["took"].(time.Duration), l.Fields["allowed"].(time.Duration)
 				if l.Fields["job"] != "j1" || l.Fields["how"] != "succeeded" || took < 2*time.Second || allowed > took {
-					t.Errorf("job %v", l.Fields)
+					t.Errorf("finished job: %v", l.Fields)
 				}
 			case "tails are over their objectives":
 				if l.Fields["task"] != "l1/0/0/0" || l.Fields["percent"] != 150.0 {
-					t.Errorf("tail %v", l.Fields)
+					t.Errorf("objective miss: %v", l.Fields)
 				}
 			}
 		}
 		if seen["jobs are over"] != 1 || seen["tails are over their objectives"] != 2 {
-			t.Errorf("lines %v", seen)
+			t.Errorf("lines by event: %v", seen)
 		}
 	})
 }
 
-// Guards against a run that goes on beside another one and that nobody hears of.
+// Guards against a run that continues beside another run of its task without a log line.
 func TestUnloggedRunsAreReported(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -283,10 +279,10 @@
 		stop()
 		s.loops.Wait()
 		if got := strings.Join(tracedRuns(t, log)["j1/0/0/0 2"], ", "); got != "run is not in the log" {
-			t.Errorf("the run's lines: %q", got)
+			t.Errorf("the run's events are %q", got)
 		}
 		if n := registry.Get("dispatch.runs_unlogged").(metrics.Counter).Count(); n != 1 {
-			t.Errorf("%d runs are counted, want 1", n)
+			t.Errorf("%d unlogged runs were counted, want 1", n)
 		}
 	})
 }
--- a/dispatch/longrunning_test.go
+++ b/dispatch/longrunning_test.go
@@ -17,21 +17,22 @@
 )
 
 const (
-	// scriptedReportInterval is the time between two reports of a hand-made agent, reportRetryInterval that between
-	// two tries of one report.
+	// scriptedReportInterval is the time between two reports of a scripted agent,
+	// reportRetryInterval the time between two attempts to send one report.
 	scriptedReportInterval = 400 * time.Millisecond
 	reportRetryInterval    = 600 * time.Millisecond
 	// maxRestartTime is how long a task may be without a run once its end is in the log.
 	maxRestartTime = 1500 * time.Millisecond
 )
 
-// scriptedWorker is a worker whose reports a test makes up. It lists all runs that are ordered.
+// scriptedWorker is a worker whose reports the test generates. It lists all ordered runs.
 type scriptedWorker struct {
 	s    *sim
 	spec *apiv1.JobWorker
 	mu   sync.Mutex
 	ends []*apiv1.RunEnd
-	// unresponsive has it report nothing, blind list no runs; partial has it say that it can't list all.
+	// unresponsive stops the reports, omitRuns empties their list of runs, and partial marks them
+	// as incomplete.
 	unresponsive, omitRuns, partial atomic.Bool
 	sequence                        uint64
 }
@@ -76,14 +77,14 @@
 	}
 }
 
-// failRun has a run of the worker fail.
+// failRun reports a failure of a run.
 func (w *scriptedWorker) failRun(id jobqueue.RunID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ends = append(w.ends, &apiv1.RunEnd{Sequence: 1, Task: id.Task.Ref(), Run: id.Number, Kind: apiv1.RunEndKind_RUN_END_KIND_FAILED})
 }
 
-// runsOn returns the runs that the log has on a worker.
+// runsOn returns the runs that the log contains on a worker.
 func (s *sim) runsOn(worker string) (ids []jobqueue.RunID) {
 	s.replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(worker); w != nil {
@@ -93,7 +94,7 @@
 	return ids
 }
 
-// submitLongRunning hands a long-running job of one task in.
+// submitLongRunning submits a long-running job with one task.
 func (s *sim) submitLongRunning(queue, id string) {
 	s.t.Helper()
 	s.submitJob(&apiv1.JobSpec{Id: id, Host: simHost, Path: fmt.Sprintf("/%s/%s", queue, id), Steps: []*apiv1.JobStep{
@@ -101,11 +102,11 @@
 	}})
 }
 
-// waitForRun waits until a run of a job holds room that has at least a number, and returns how long that
-// took; at most for a minute.
+// waitForRun waits at most a minute until a job has a run with at least the given number, and
+// returns how long that took.
 func (s *sim) waitForRun(job string, number uint64) time.Duration {
-	began := time.Now()
-	for time.Since(began) < time.Minute {
+	started := time.Now()
+	for time.Since(started) < time.Minute {
 		found := false
 		s.replica.ReadState(func(m *state.Machine) {
 			if j := m.CallerJobs().Job(job); j != nil {
@@ -119,14 +120,14 @@
 		}
 		s.sleep(10 * time.Millisecond)
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
-// faultyLog commits late, or fails to.
+// faultyLog commits late or fails to commit.
 type faultyLog struct {
 	control.Log
 	commitDelay atomic.Int64
-	// failuresLeft are the plans that come to nothing, of those that match.
+	// failuresLeft is the number of matching plans that still fail.
 	failuresLeft atomic.Int64
 	matches      func(p *apiv1.PlanRuns) bool
 }
@@ -144,18 +145,19 @@
 	return l.Log.Propose(ctx, command)
 }
 
-// injectLogFaults puts the log in trouble: the first plans of those that match come to nothing.
-func (s *sim) injectLogFaults(fails int64, matches func(*apiv1.PlanRuns) bool) *faultyLog {
+// injectLogFaults makes the log fail the first plans that match.
+func (s *sim) injectLogFaults(failures int64, matches func(*apiv1.PlanRuns) bool) *faultyLog {
 	l := &faultyLog{Log: s.log, matches: matches}
-	l.failuresLeft.Store(fails)
+	l.failuresLeft.Store(failures)
 	s.replica.Attach(l)
 	return l
 }
 
-// Guards against one failed run that counts as several since its report is sent again while its commit is late.
+// Guards against one failed run that counts several times because its report is sent again while
+// its commit is delayed.
 func TestFailureReportedAgainBeforeCommitCountsOnce(t *testing.T) {
-	for tries := 1; tries <= 4; tries++ {
-		t.Run(fmt.Sprint(tries, " tries"), func(t *testing.T) {
+	for attempts := 1; attempts <= 4; attempts++ {
+		t.Run(fmt.Sprint(attempts, " tries"), func(t *testing.T) {
 			runSim(t, 1, 0, func(t *testing.T, s *sim) {
 				log := s.injectLogFaults(0, nil)
 				w := newScriptedWorker(s, "w1")
@@ -165,9 +167,9 @@
 				s.sleep(time.Second)
 				w.unresponsive.Store(true)
 				w.failRun(s.runsOn("w1")[0])
-				log.commitDelay.Store(int64(time.Duration(tries) * reportRetryInterval))
+				log.commitDelay.Store(int64(time.Duration(attempts) * reportRetryInterval))
 				r := w.nextReport()
-				for range tries {
+				for range attempts {
 					s.loops.Go(func() { w.send(r) })
 					s.sleep(reportRetryInterval)
 				}
@@ -177,21 +179,22 @@
 				}
 				w.unresponsive.Store(false)
 				if took := s.waitForRun("set", 2); took > maxRestartTime {
-					t.Errorf("after one failure whose report was sent %d times, the task started after %v", tries, took)
+					t.Errorf("after one failure reported %d times, the task started after %v", attempts, took)
 				}
 			})
 		})
 	}
 }
 
-// Guards against an order that stands for good though its worker, in reach, never lists the run.
+// Guards against an order that stays in effect forever although its worker, which is reachable,
+// never lists the run.
 func TestUnlistedLongRunningRunIsStopped(t *testing.T) {
-	for name, seenFirst := range map[string]bool{"never listed": false, "listed at first": true} {
+	for name, listedFirst := range map[string]bool{"never listed": false, "listed at first": true} {
 		t.Run(name, func(t *testing.T) {
 			runSim(t, 1, 0, func(t *testing.T, s *sim) {
 				w := newScriptedWorker(s, "w1")
 				newScriptedWorker(s, "w2")
-				w.omitRuns.Store(!seenFirst)
+				w.omitRuns.Store(!listedFirst)
 				s.sleep(time.Second)
 				s.submitLongRunning("q", "set")
 				s.waitForRun("set", 1)
@@ -206,13 +209,13 @@
 						return
 					}
 				}
-				t.Error("75 reports lacked the run, and it counts as running")
+				t.Error("75 reports did not list the run, and it still counts as running")
 			})
 		})
 	}
 }
 
-// Guards against a sound run that is stopped while what its worker reports does not show it.
+// Guards against stopping a healthy run while its worker's reports do not show it.
 func TestLongRunningRunIsKeptDuringIncompleteReports(t *testing.T) {
 	for name, hide := range map[string]func(s *sim, w *scriptedWorker){
 		"reports are partial for 10 s": func(s *sim, w *scriptedWorker) {
@@ -234,11 +237,11 @@
 			s.sleep(2 * time.Second)
 		},
 	} {
-		for seen, first := range map[string]bool{"never listed": false, "listed at first": true} {
-			t.Run(name+", "+seen, func(t *testing.T) {
+		for history, listedFirst := range map[string]bool{"never listed": false, "listed at first": true} {
+			t.Run(name+", "+history, func(t *testing.T) {
 				runSim(t, 1, 0, func(t *testing.T, s *sim) {
 					w := newScriptedWorker(s, "w1")
-					w.omitRuns.Store(!first)
+					w.omitRuns.Store(!listedFirst)
 					s.sleep(time.Second)
 					s.submitLongRunning("q", "set")
 					s.waitForRun("set", 1)
@@ -256,21 +259,22 @@
 	}
 }
 
-// firstRunEnding reports whether the first run of a job is over or being stopped.
-func (s *sim) firstRunEnding(job string) (stops bool) {
+// firstRunEnding reports whether the first run of a job is finished or being stopped.
+func (s *sim) firstRunEnding(job string) (ending bool) {
 	s.replica.ReadState(func(m *state.Machine) {
 		r := m.CallerJobs().Run(jobqueue.RunID{Task: jobqueue.TaskID{Job: job}, Number: 1})
-		stops = r == nil || r.Stopping
+		ending = r == nil || r.Stopping
 	})
-	return stops
+	return ending
 }
 
-// Guards against a lost run that waits for another whole lease since the plan that gave it up was not committed.
+// Guards against a lost run that waits for another whole lease because the plan that marks it lost
+// was not committed.
 func TestExpiryIsRetriedAtOnceAfterUncommittedPlan(t *testing.T) {
-	for fails := range int64(3) {
-		t.Run(fmt.Sprint(fails, " plans fail"), func(t *testing.T) {
+	for failures := range int64(3) {
+		t.Run(fmt.Sprint(failures, " plans fail"), func(t *testing.T) {
 			runSim(t, 2, 0, func(t *testing.T, s *sim) {
-				s.injectLogFaults(fails, func(p *apiv1.PlanRuns) bool { return len(p.Lapsed) > 0 })
+				s.injectLogFaults(failures, func(p *apiv1.PlanRuns) bool { return len(p.Lapsed) > 0 })
 				w := newScriptedWorker(s, "w1")
 				s.sleep(time.Second)
 				s.submitLongRunning("q", "set")
@@ -279,14 +283,14 @@
 				s.sleep(time.Second)
 				w.unresponsive.Store(true)
 				if took := s.waitForRun("set", 2); took > simLease(2)+maxRestartTime {
-					t.Errorf("after its worker went silent the task had no other run for %v, the lease is %v", took, simLease(2))
+					t.Errorf("the task had no other run for %v after its worker became unresponsive; the lease is %v", took, simLease(2))
 				}
 			})
 		})
 	}
 }
 
-// Guards against a long-running task that waits for advice behind the questions about batch steps.
+// Guards against a long-running task whose advice waits behind the questions about batch steps.
 func TestLongRunningAdvicePrecedesBatchAdvice(t *testing.T) {
 	for _, jobs := range []int{0, 8, 24, 48} {
 		t.Run(fmt.Sprint(jobs, " batch jobs"), func(t *testing.T) {
@@ -304,14 +308,14 @@
 				s.sleep(100 * time.Millisecond)
 				s.submitLongRunning("advised", "set")
 				if took := s.waitForRun("set", 1); took > maxRestartTime {
-					t.Errorf("it started after %v beside thirty nearly empty workers", took)
+					t.Errorf("the task started after %v with thirty nearly empty workers", took)
 				}
 			})
 		})
 	}
 }
 
-// Guards against a start that is not decided again after its plan came to nothing.
+// Guards against a start that is not decided again after its plan failed to commit.
 func TestStartIsRetriedAfterUncommittedPlan(t *testing.T) {
 	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		s.injectLogFaults(5, func(p *apiv1.PlanRuns) bool { return len(p.Starts) > 0 })
@@ -319,12 +323,12 @@
 		s.sleep(time.Second)
 		s.submitLongRunning("q", "set")
 		if took := s.waitForRun("set", 1); took > maxRestartTime {
-			t.Errorf("it started after %v", took)
+			t.Errorf("the task started after %v", took)
 		}
 	})
 }
 
-// Guards against workers that get no work since their reports come a little late.
+// Guards against workers that get no work because their reports arrive slightly late.
 func TestTaskStartsWithReportsEverySecond(t *testing.T) {
 	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		w := newScriptedWorker(s, "w1")
@@ -338,7 +342,7 @@
 		s.sleep(1900 * time.Millisecond)
 		s.submitLongRunning("q", "set")
 		if took := s.waitForRun("set", 1); took > maxRestartTime {
-			t.Errorf("it started after %v", took)
+			t.Errorf("the task started after %v", took)
 		}
 	})
 }
--- a/dispatch/losses.go
+++ b/dispatch/losses.go
@@ -8,7 +8,7 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// Why a worker's runs are lost.
+// Reasons for the loss of a worker's runs.
 const (
 	lostLeaseExpired       = "lease ran out"
 	lostWorkerUnresponsive = "worker gives no answer"
@@ -16,30 +16,30 @@
 	lostWorkerReplaced     = "worker was replaced"
 )
 
-// savedCheckpoint is how far a run's work is safe: its last checkpoint and when that was seen.
+// savedCheckpoint is a run's last checkpoint and when it was first reported.
 type savedCheckpoint struct {
 	checkpoint string
 	at         time.Time
 }
 
-// recordCheckpoint takes in a checkpoint that a run reports.
+// recordCheckpoint records a checkpoint that a run reports.
 func (l *leaderState) recordCheckpoint(id jobqueue.RunID, checkpoint string, now time.Time) {
 	if checkpoint != "" && l.savedCheckpoints[id].checkpoint != checkpoint {
 		l.savedCheckpoints[id] = savedCheckpoint{checkpoint, now}
 	}
 }
 
-// recordReportedLosses tells of the runs that a report ends without an end of their own.
+// recordReportedLosses logs the runs that a report ends without listing their ends.
 func (d *Dispatcher) recordReportedLosses(l *leaderState, m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) {
 	worker := m.Worker(r.Worker.GetId())
 	if worker == nil && r.Departed {
-		return // A life that the log does not know ends no other one.
+		return // An incarnation that the log does not contain ends no other one.
 	}
 	if crashed, worked := l.reportedCrash(m, r); crashed != nil && l.lossLoggedEpoch[crashed.Spec.Id] != crashed.Epoch {
 		d.logCrash(l, crashed, worked)
 	}
-	if before := m.WorkerOf(r.Worker.GetHost()); before != nil && (worker == nil || before != worker && !worker.Departed) {
-		d.recordLostRuns(l, before, lostWorkerReplaced, nil, now)
+	if previous := m.WorkerOf(r.Worker.GetHost()); previous != nil && (worker == nil || previous != worker && !worker.Departed) {
+		d.recordLostRuns(l, previous, lostWorkerReplaced, nil, now)
 	}
 	switch {
 	case worker == nil || worker.Departed:
@@ -48,9 +48,9 @@
 	}
 }
 
-// recordLostRuns counts and tells of a worker's runs that are lost, but for those whose end
-// is known; once in an epoch of the worker, since reports are repeated.
-func (d *Dispatcher) recordLostRuns(l *leaderState, w *jobqueue.Worker, why string, ends []*apiv1.RunEnd, now time.Time) {
+// recordLostRuns counts and logs a worker's lost runs, without those whose end is known. It does so
+// once per epoch of the worker, since reports are repeated.
+func (d *Dispatcher) recordLostRuns(l *leaderState, w *jobqueue.Worker, reason string, ends []*apiv1.RunEnd, now time.Time) {
 	if l.lossLoggedEpoch[w.Spec.Id] == w.Epoch {
 		return
 	}
@@ -63,7 +63,7 @@
 	for _, id := range w.SortedRuns() {
 		if !ended[id] {
 			lost = append(lost, runEntry{id, now})
-			l.outages.recordEnd(w.Runs[id], why, now)
+			l.outages.recordEnd(w.Runs[id], reason, now)
 			work += l.unsavedWork(w.Runs[id], now)
 		}
 	}
@@ -72,19 +72,19 @@
 	}
 	l.lossLoggedEpoch[w.Spec.Id] = w.Epoch
 	d.metrics.workLost.Inc(work.Milliseconds())
-	event.RunsLost.Write(d.logger, event.Term(l.term), event.Reason(why), event.CoreSeconds(work),
+	event.RunsLost.Write(d.logger, event.Term(l.term), event.Reason(reason), event.CoreSeconds(work),
 		event.Silent(now.Sub(l.leases.get(w.Spec.Id).renewedAt)),
 		event.Lost(formatRuns(map[string][]runEntry{w.Spec.Id: lost}, now)))
 }
 
-// unsavedWork is the processor time that a run's allotment came to since its start or
-// its last checkpoint: an upper bound, as a run may have used less.
+// unsavedWork returns the processor time reserved by a run since its start or its last checkpoint.
+// This is an upper bound, since a run may have used less.
 func (l *leaderState) unsavedWork(r *jobqueue.Run, now time.Time) time.Duration {
-	seen, known := l.observed[r.ID]
-	if !known {
+	observed, found := l.observed[r.ID]
+	if !found {
 		return 0
 	}
-	since := seen.FirstAt
+	since := observed.FirstAt
 	if s, ok := l.savedCheckpoints[r.ID]; ok {
 		since = s.at
 	}
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -13,34 +13,34 @@
 
 // Hosts is the platform's interface to the fleet's hosts.
 type Hosts interface {
-	// List returns all hosts by name. An error means that the list is not whole.
+	// List returns all hosts by name. An error means that the list is incomplete.
 	List(ctx context.Context) (map[string]schedule.HostView, error)
-	// Maintain takes a host down for its maintenance, and ends all that runs there. A
-	// call without an answer may have been carried out, or may be seconds later; it is
-	// repeated until it gets one. token is a fencing token.
+	// Maintain takes a host down for its maintenance, which ends everything that runs there. A call
+	// without a response may have been executed, or may be executed seconds later; it is repeated
+	// until a response arrives. token is a fencing token.
 	Maintain(ctx context.Context, token uint64, host string, wave uint64) (HostAnswer, error)
-	// Move ends all that runs on a host and has it join another pool. As with Maintain, a
-	// call without an answer may have been carried out, or may be seconds later.
+	// Move ends everything that runs on a host and adds the host to another pool. As with Maintain,
+	// a call without a response may have been executed, or may be executed seconds later.
 	Move(ctx context.Context, token uint64, host, pool string) (HostAnswer, error)
 }
 
-// HostAnswer is what the platform says to an order about a host.
+// HostAnswer is the platform's response to an order about a host.
 type HostAnswer int
 
-// The answers about a host.
+// The responses to an order about a host.
 const (
-	// HostDone: the order is carried out, or was before.
+	// HostDone means that the order is executed, now or by an earlier call.
 	HostDone HostAnswer = iota + 1
-	// HostFenced: another leader, of a higher term, gave an order about the host.
+	// HostFenced means that another leader, of a higher term, gave an order about the host.
 	HostFenced
-	// HostBusy: the host is not up or about to leave; nothing was done.
+	// HostBusy means that the host is not up or is about to leave; nothing was done.
 	HostBusy
-	// HostRefused: the platform knows no such host or wave, or the host is none of that
-	// pool's kind; nothing was done.
+	// HostRefused means that the platform does not know the host or the wave, or that the host is
+	// not of that pool's kind; nothing was done.
 	HostRefused
 )
 
-// String returns the answer's name in logs.
+// String returns the response's name in logs.
 func (a HostAnswer) String() string {
 	names := [...]string{"none", "done", "fenced", "busy", "refused"}
 	if a < 0 || int(a) >= len(names) {
@@ -50,31 +50,30 @@
 }
 
 const (
-	// hostCheckInterval is the time between two looks at the hosts while a wave or a move is
-	// open: a fraction of the two seconds that a maintenance takes at least.
+	// hostCheckInterval is the time between two checks of the hosts while a wave or a move is open.
+	// It is a fraction of the two seconds that a maintenance takes at least.
 	hostCheckInterval = 500 * time.Millisecond
 	// hostCallTimeout bounds one call about hosts.
 	hostCallTimeout = 2 * time.Second
 )
 
-// hostsLoop carries waves and moves out whenever this replica leads, until ctx ends.
+// hostsLoop executes waves and moves whenever this replica leads, until ctx ends.
 func (d *Dispatcher) hostsLoop(ctx context.Context) {
 	if d.opts.Hosts == nil {
 		return
 	}
 	for ctx.Err() == nil {
 		sleep(ctx, hostCheckInterval)
-		if look := d.pendingHostWork(); look.openWaves || look.pendingMoves {
-			d.advanceHosts(ctx, look)
+		if work := d.pendingHostWork(); work.openWaves || work.pendingMoves {
+			d.advanceHosts(ctx, work)
 		}
 	}
 }
 
-// hostWork says what there is to do about hosts; nothing when this replica does not
-// lead.
+// hostWork describes the pending work on hosts. It is empty if this replica does not lead.
 type hostWork struct {
 	term uint64
-	// openWaves: a wave is not over. moves: one is open, or is to begin.
+	// openWaves means that a wave is not finished, pendingMoves that a move is open or is to begin.
 	openWaves, pendingMoves bool
 }
 
@@ -85,32 +84,32 @@
 	if l == nil {
 		return hostWork{}
 	}
-	look := hostWork{term: l.term}
+	work := hostWork{term: l.term}
 	now := d.opts.Now()
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
 		for _, w := range jobs.Waves() {
-			look.openWaves = look.openWaves || !w.Over()
+			work.openWaves = work.openWaves || !w.Over()
 		}
-		look.pendingMoves = l.moves.updatePending(jobs, l.fleet(now), l.waits, now)
+		work.pendingMoves = l.moves.updatePending(jobs, l.fleet(now), l.waits, now)
 	})
-	return look
+	return work
 }
 
-// advanceHosts takes each host the step on that it can take. A host is noted as
-// ordered before the order goes out: whoever leads next repeats the order until it is
-// answered, so the bounds hold whatever becomes of a call.
-func (d *Dispatcher) advanceHosts(ctx context.Context, look hostWork) {
+// advanceHosts takes each host's maintenance or move to its next step if possible. The order is
+// committed before it is sent, and each later leader repeats it until it is answered: so the limits
+// on hosts that are down hold whatever the outcome of a call.
+func (d *Dispatcher) advanceHosts(ctx context.Context, work hostWork) {
 	hosts, err := d.listHosts(ctx)
 	if err != nil {
-		event.HostsUnlisted.Write(d.logger, event.Term(look.term), event.Err(err))
+		event.HostsUnlisted.Write(d.logger, event.Term(work.term), event.Err(err))
 		return
 	}
-	if look.openWaves {
-		d.advanceWaves(ctx, look.term, hosts)
+	if work.openWaves {
+		d.advanceWaves(ctx, work.term, hosts)
 	}
-	if look.pendingMoves {
-		d.advanceMoves(ctx, look.term, hosts)
+	if work.pendingMoves {
+		d.advanceMoves(ctx, work.term, hosts)
 	}
 }
 
@@ -124,21 +123,21 @@
 	return hosts, err
 }
 
-// resolveIncarnations gives the workers of a list, which names them by their ids, the names of their
-// newest lives in the log. What goes wrong without it: a worker that is back from its host's
-// maintenance under its id counts as the one before, and the wave never ends; and a worker
-// that is to leave gets work, since the log knows it by another name.
+// resolveIncarnations replaces the worker ids of a host list by the names of the workers' newest
+// incarnations in the log. Without it, a worker that has returned from its host's maintenance under
+// the same id would count as the previous incarnation, and the wave would never finish; and a
+// worker that is about to leave would get work, since the log knows it by another name.
 func resolveIncarnations(hosts map[string]schedule.HostView, m *jobqueue.Machine) {
-	lives := m.NewestIncarnations()
+	newest := m.NewestIncarnations()
 	for name, view := range hosts {
-		life, known := lives[view.Worker]
+		incarnation, known := newest[view.Worker]
 		if !known {
 			continue
 		}
-		if m.HasLeft(life) && m.Pool(view.Pool).GetStandby() {
-			life = ""
+		if m.HasLeft(incarnation) && m.Pool(view.Pool).GetStandby() {
+			incarnation = ""
 		}
-		view.Worker = life
+		view.Worker = incarnation
 		hosts[name] = view
 	}
 }
@@ -156,7 +155,7 @@
 	}
 }
 
-// commitMaintenanceStep commits a step and reports whether it is in force.
+// commitMaintenanceStep commits a step and reports whether it was accepted.
 func (d *Dispatcher) commitMaintenanceStep(ctx context.Context, term uint64, step *apiv1.MaintainHost) bool {
 	step.Term = term
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
@@ -164,16 +163,16 @@
 	res, err := d.opts.Replica.ProposeLocal(ctx, jobsCommand(&apiv1.JobsCommand{
 		Body: &apiv1.JobsCommand_Maintain{Maintain: step},
 	}))
-	taken := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
+	accepted := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
 	event.Maintenance.Write(d.logger, event.Term(term), event.Wave(step.Wave), event.Host(step.Host),
-		event.Worker(step.Worker), event.State(step.State), event.Taken(taken), event.Err(err))
-	return taken
+		event.Worker(step.Worker), event.State(step.State), event.Taken(accepted), event.Err(err))
+	return accepted
 }
 
-// orderedHost is a host whose order has no answer yet.
+// orderedHost is a host whose maintenance order is not answered yet.
 type orderedHost struct {
 	wave uint64
-	// token is that of its orders.
+	// token is the fencing token of its orders.
 	token uint64
 	jobqueue.WaveHost
 }
@@ -193,10 +192,10 @@
 	return ordered
 }
 
-// orderMaintenance orders a host's maintenance and notes what the platform answered.
+// orderMaintenance orders a host's maintenance and commits the platform's response.
 func (d *Dispatcher) orderMaintenance(ctx context.Context, term uint64, h orderedHost) {
-	calling, cancel := context.WithTimeout(ctx, hostCallTimeout)
-	answer, err := d.opts.Hosts.Maintain(calling, h.token, h.Name, h.wave)
+	callCtx, cancel := context.WithTimeout(ctx, hostCallTimeout)
+	answer, err := d.opts.Hosts.Maintain(callCtx, h.token, h.Name, h.wave)
 	cancel()
 	d.countCall("dispatch.host_orders", err)
 	event.MaintenanceOrder.Write(d.logger, event.Term(term), event.Wave(h.wave), event.Host(h.Name),
@@ -204,9 +203,8 @@
 	if err == nil && answer == HostFenced {
 		d.recordFenced(term, h.Name)
 	}
-	// A refusal tells nothing of an earlier call, which may still be carried out: so
-	// the host stays ordered, and counts as down, until an order is answered or the
-	// host leaves the fleet.
+	// A refusal says nothing about an earlier call, which may still be executed. So the host stays
+	// ordered, and counts as down, until an order is answered or the host leaves the fleet.
 	if err == nil && answer == HostDone {
 		d.commitMaintenanceStep(ctx, term, &apiv1.MaintainHost{
 			Wave: h.wave, Host: h.Name, Worker: h.Worker, State: apiv1.MaintenanceState_MAINTENANCE_STATE_BEGUN,
--- a/dispatch/metrics.go
+++ b/dispatch/metrics.go
@@ -10,13 +10,13 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// countByKind counts one more of a name that is known only when it comes up, as a reason or
+// countByKind increments the counter of a kind that is known only at run time, such as a reason or
 // a queue's name.
 func (d *Dispatcher) countByKind(name, kind string) {
 	metrics.GetOrRegisterCounter(name+"."+strings.ReplaceAll(kind, " ", "_"), d.opts.Metrics).Inc(1)
 }
 
-// countCall counts a call of the platform by what became of it.
+// countCall counts a call to the platform by whether it was answered.
 func (d *Dispatcher) countCall(name string, err error) {
 	if err != nil {
 		d.countByKind(name, "unanswered")
@@ -25,8 +25,8 @@
 	d.countByKind(name, "answered")
 }
 
-// countObjectiveMisses counts the reports of serving runs whose tail is over their objective, by
-// queue.
+// countObjectiveMisses counts the reports of serving runs whose tail latency exceeds their
+// objective, by queue.
 func (d *Dispatcher) countObjectiveMisses(m *jobqueue.Machine, running []*apiv1.RunObservation) {
 	for _, o := range running {
 		run := m.Run(jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run})
@@ -37,8 +37,8 @@
 	}
 }
 
-// countStart notes how long a task was ready before its start, as far as this leader
-// saw: since the first round that found no worker for its step.
+// countStart counts a start and records how long the task was ready before it, as far as this
+// leader knows: since the first round that found no worker for its step.
 func (d *Dispatcher) countStart(l *leaderState, s *apiv1.StartRun, now time.Time) {
 	d.metrics.starts.Inc(1)
 	waited := time.Duration(0)
--- a/dispatch/metricset.go
+++ b/dispatch/metricset.go
@@ -11,7 +11,7 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// metricSet are the dispatcher's metrics.
+// metricSet contains the dispatcher's metrics.
 type metricSet struct {
 	tasksWaiting  metrics.Gauge
 	planning      *hdrmetric.Histogram
@@ -21,21 +21,21 @@
 	refused       metrics.Counter
 	ends          metrics.Counter
 	advice        *hdrmetric.Histogram
-	// readyToStart is how long tasks were ready before they started, workLost the
-	// allotted processor time of lost runs in core-milliseconds.
+	// readyToStart is how long tasks were ready before they started. workLost is the reserved
+	// processor time of lost runs, in core-milliseconds.
 	readyToStart *hdrmetric.Histogram
 	workLost     metrics.Counter
 	// workerCrashes counts the workers that ended without notice.
 	workerCrashes metrics.Counter
-	// jobsAtCrashLimit counts the jobs that failed since their tasks crash their workers.
+	// jobsAtCrashLimit counts the jobs that failed because their tasks crash workers.
 	jobsAtCrashLimit metrics.Counter
 	paceOrders       metrics.Counter
-	// reportsOutdated counts the reports that came after newer ones of their worker.
+	// reportsOutdated counts the reports that arrived after newer ones of the same worker.
 	reportsOutdated metrics.Counter
-	// unloggedRuns counts the runs that workers listed and the log did not hold.
+	// unloggedRuns counts the runs that workers listed and the log did not contain.
 	unloggedRuns metrics.Counter
-	// longRunningNotRunning counts the long-running tasks that are not known to run, and
-	// longRunningOutage is how long each was away.
+	// longRunningNotRunning is the number of long-running tasks that are not known to run, and
+	// longRunningOutage is the length of each of their outages.
 	longRunningNotRunning metrics.Gauge
 	longRunningOutage     *hdrmetric.Histogram
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// logDecision tells of each start, stop and lost worker.
+// logDecision logs each start, each stop and each worker whose lease expired.
 func (d *Dispatcher) logDecision(m *jobqueue.Machine, l *leaderState, p *apiv1.PlanRuns, now time.Time) {
 	for _, s := range p.Starts {
 		d.countStart(l, s, now)
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	// lateCallBound is how long after an unanswered call the platform may still carry it
-	// out; late calls were seen to be carried out within ten seconds.
+	// lateCallBound is how long after an unanswered call the platform may still execute it. The
+	// latest execution seen was within ten seconds of the call.
 	lateCallBound = 30 * time.Second
-	// tokenTermShift is where the term begins in the fencing token of an order, in bits.
+	// tokenTermShift is the position of the term in the fencing token of an order, in bits.
 	tokenTermShift = 32
-	// maxHostListAge is how old a list of hosts may be that operators are shown: asking often
-	// must not use up the readings that the platform accepts.
+	// maxHostListAge is the age up to which a host list is reused for operators, so that frequent
+	// queries do not use up the rate of list calls that the platform accepts.
 	maxHostListAge = time.Second
 )
 
-// hostToken is the fencing token of an order about a host: the term, so that each new
-// leader's is higher, and the number of the order, so that a call that is carried out
-// late does not undo a later order of the same leader.
+// hostToken returns the fencing token of an order about a host. It contains the term, so that each
+// new leader's tokens are higher, and the number of the order, so that a call that is executed late
+// does not undo a later order of the same leader.
 func hostToken(term, order uint64) uint64 {
 	return term<<tokenTermShift | order&(1<<tokenTermShift-1)
 }
 
-// leaderMoves is what the leader of a term knows of moves beside the log. The
+// leaderMoves is what the leader of a term keeps of moves outside the replicated log. The
 // dispatcher's lock guards it.
 type leaderMoves struct {
 	mover *schedule.Mover
-	// fencedHosts are the hosts that another holder gave an order about, under a higher token.
+	// fencedHosts are the hosts about which another holder gave an order under a higher token.
 	fencedHosts map[string]bool
-	// unansweredAt says when a call about a host was last made that got no answer; the orders
-	// of earlier leaders count as made when this one began to lead.
+	// unansweredAt is when the last unanswered call about each host was made. The calls of previous
+	// leaders count as made when this leader's term began.
 	unansweredAt map[string]time.Time
-	// ownOrders are the hosts that this leader ordered away, with the number of the order.
+	// ownOrders are the numbers of this leader's own move orders, by host.
 	ownOrders map[string]uint64
 	startedAt time.Time
-	// hostList is the newest list of hosts, for operators.
+	// hostList is the newest host list for operators.
 	hostList map[string]schedule.HostView
 	listedAt time.Time
 }
@@ -56,28 +56,27 @@
 	}
 }
 
-// updatePending reports whether a move is open or is to begin.
+// updatePending updates the mover and reports whether a move is open or is to begin.
 func (l *leaderMoves) updatePending(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.Wait, now time.Time) bool {
 	l.mover.Note(m, fleet, waits, now)
-	goesOn := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayAdvance(m, v) })
-	return goesOn || l.mover.Wanted(m, now)
+	advances := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayAdvance(m, v) })
+	return advances || l.mover.Wanted(m, now)
 }
 
-// mayAdvance reports whether a list of hosts may tell that a move goes on: one whose worker
-// still has runs waits for them, and the platform need not be asked meanwhile.
+// mayAdvance reports whether a host list may show that a move can advance. A move whose worker
+// still has runs waits for them, and the platform need not be queried meanwhile.
 func mayAdvance(m *jobqueue.Machine, v jobqueue.Move) bool {
 	w := m.Worker(v.Worker)
 	return v.Down() || !v.Over() && (w == nil || len(w.Runs) == 0)
 }
 
-// callsSettled reports whether all calls of a move have been answered, or are too old to be
-// carried out.
+// callsSettled reports whether all calls of a move were answered or are too old to be executed.
 func (l *leaderMoves) callsSettled(v jobqueue.Move, now time.Time) bool {
-	doubt, in := l.unansweredAt[v.Host]
+	calledAt, unanswered := l.unansweredAt[v.Host]
 	if l.ownOrders[v.Host] != v.Order {
-		doubt, in = later(doubt, l.startedAt), true
+		calledAt, unanswered = later(calledAt, l.startedAt), true
 	}
-	return !in || now.Sub(doubt) >= lateCallBound
+	return !unanswered || now.Sub(calledAt) >= lateCallBound
 }
 
 func later(a, b time.Time) time.Time {
@@ -96,8 +95,8 @@
 	}
 }
 
-// isFenced reports whether orders about a host were refused since another holder has a
-// higher token, or this replica leads no more.
+// isFenced reports whether orders about a host were refused because another leader has a higher
+// token, or this replica no longer leads.
 func (d *Dispatcher) isFenced(term uint64, host string) bool {
 	fenced := true
 	d.withMoves(term, func(l *leaderMoves) { fenced = l.fencedHosts[host] })
@@ -109,7 +108,7 @@
 	event.HostFenced.Write(d.logger, event.Term(term), event.Host(host))
 }
 
-// advanceMoves takes the moves on, begins those that are due and gives the orders.
+// advanceMoves commits the next steps of the moves, begins the due ones and sends the orders.
 func (d *Dispatcher) advanceMoves(ctx context.Context, term uint64, hosts map[string]schedule.HostView) {
 	var steps []*apiv1.MoveHost
 	settled := false
@@ -126,13 +125,13 @@
 	}
 	for _, v := range d.orderedMoves() {
 		if !d.orderMove(ctx, term, v) {
-			// The platform is slow, or was asked too often: the next look goes on.
+			// The platform is slow or limits the rate of calls; the next check continues.
 			return
 		}
 	}
 }
 
-// commitMoveStep commits a step.
+// commitMoveStep commits a step of a move.
 func (d *Dispatcher) commitMoveStep(ctx context.Context, term uint64, step *apiv1.MoveHost) {
 	step.Term = term
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
@@ -140,15 +139,16 @@
 	res, err := d.opts.Replica.ProposeLocal(ctx, jobsCommand(&apiv1.JobsCommand{
 		Body: &apiv1.JobsCommand_MoveHost{MoveHost: step},
 	}))
-	taken := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
-	if taken && step.State == apiv1.MoveState_MOVE_STATE_ORDERED {
+	accepted := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
+	if accepted && step.State == apiv1.MoveState_MOVE_STATE_ORDERED {
 		d.recordOrdered(term, step.Host)
 	}
 	event.Move.Write(d.logger, event.Term(term), event.Host(step.Host), event.FromPool(step.From), event.Pool(step.Pool),
-		event.Worker(step.Worker), event.State(step.State), event.Taken(taken), event.Err(err))
+		event.Worker(step.Worker), event.State(step.State), event.Taken(accepted), event.Err(err))
 }
 
-// recordOrdered notes that no order of the host's move has gone out yet.
+// recordOrdered records that this leader ordered the host's move and has not called the platform
+// yet.
 func (d *Dispatcher) recordOrdered(term uint64, host string) {
 	d.withMoves(term, func(l *leaderMoves) {
 		d.opts.Replica.ReadState(func(m *state.Machine) {
@@ -160,7 +160,7 @@
 	})
 }
 
-// orderedMoves returns the moves whose orders have no answer yet.
+// orderedMoves returns the moves whose orders are not answered yet.
 func (d *Dispatcher) orderedMoves() []jobqueue.Move {
 	var ordered []jobqueue.Move
 	d.opts.Replica.ReadState(func(m *state.Machine) {
@@ -173,13 +173,13 @@
 	return ordered
 }
 
-// orderMove orders a move and notes what the platform answered; false when it gave no
-// answer. Once another holder used a higher token, nothing more is ordered.
+// orderMove orders a move and commits the platform's response. It returns false if there was no
+// response. Once another leader has used a higher token, nothing more is ordered.
 func (d *Dispatcher) orderMove(ctx context.Context, term uint64, v jobqueue.Move) bool {
 	answer, err := HostFenced, error(nil)
 	if !d.isFenced(term, v.Host) {
-		calling, cancel := context.WithTimeout(ctx, hostCallTimeout)
-		answer, err = d.opts.Hosts.Move(calling, hostToken(term, v.Order), v.Host, v.Pool)
+		callCtx, cancel := context.WithTimeout(ctx, hostCallTimeout)
+		answer, err = d.opts.Hosts.Move(callCtx, hostToken(term, v.Order), v.Host, v.Pool)
 		cancel()
 		d.countCall("dispatch.host_orders", err)
 		event.MoveOrder.Write(d.logger, event.Term(term), event.Host(v.Host), event.Pool(v.Pool), event.Order(v.Order),
@@ -188,12 +188,12 @@
 			d.recordFenced(term, v.Host)
 		}
 	}
-	certain := false
+	settled := false
 	d.withMoves(term, func(l *leaderMoves) {
 		if err != nil {
 			l.unansweredAt[v.Host] = d.opts.Now()
 		}
-		certain = l.callsSettled(v, d.opts.Now())
+		settled = l.callsSettled(v, d.opts.Now())
 	})
 	step := &apiv1.MoveHost{Host: v.Host, Pool: v.Pool, From: v.From, Worker: v.Worker}
 	switch {
@@ -201,18 +201,18 @@
 		return false
 	case answer == HostDone:
 		step.State = apiv1.MoveState_MOVE_STATE_BEGUN
-	case answer == HostRefused, certain:
+	case answer == HostRefused, settled:
 		step.State = apiv1.MoveState_MOVE_STATE_REFUSED
 	default:
-		// Busy or fenced tells nothing of an earlier call, which may still be carried out:
-		// the host stays ordered meanwhile.
+		// A busy or fenced response says nothing about an earlier call, which may still be
+		// executed: the host stays ordered meanwhile.
 		return true
 	}
 	d.commitMoveStep(ctx, term, step)
 	return true
 }
 
-// readHosts lists the hosts for operators; the leader alone answers.
+// readHosts lists the hosts for operators. Only the leader answers.
 func (d *Dispatcher) readHosts(ctx context.Context) *apiv1.JobsReadResponse {
 	if d.opts.Hosts == nil {
 		return &apiv1.JobsReadResponse{Outcome: apiv1.JobOutcome_JOB_OUTCOME_NO_HOSTS}
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -9,9 +9,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Symptom: a deployment that moves nothing pays for calls to the platform.
-// Sequence: all workers of the only pool are full for a minute.
-// Cause: hosts are listed before it is known whether there is anything to move.
+// Guards against platform calls in a deployment that moves no hosts: hosts were listed before it
+// was known whether any move was needed. All workers of the only pool are full for a minute.
 func TestSinglePoolMakesNoPlatformCalls(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -24,27 +23,25 @@
 		s.submitSpec(spec)
 		s.sleep(time.Minute)
 		if n := s.runCount("crowd"); n != 2 {
-			t.Errorf("%d tasks run", n)
+			t.Errorf("%d tasks run, want 2", n)
 		}
 		if all, _ := f.Calls(); all != 0 {
-			t.Errorf("%d calls", all)
+			t.Errorf("%d platform calls", all)
 		}
 	})
 }
 
-// Symptom: two holders give orders about one host by turns, or the host gets no work
-// any more.
-// Sequence: somebody else, with a higher token, orders about a host that is about to be
-// moved.
-// Cause: the refusal is taken for a lost answer, and the order repeated.
+// Guards against two holders that alternately give orders about one host, and against a host that
+// gets no more work. Another holder, with a higher token, gives an order about a host that is about
+// to be moved. The refusal must not be handled like a lost response, after which the order is
+// repeated.
 func TestRefusalByHigherTokenIsFinal(t *testing.T) {
 	checkRefusedMove(t, 1, func(f *fakes.Hosts) { f.Fence("host0") })
 }
 
-// Symptom: two holders give orders about one host by turns.
-// Sequence: the first call of a move gets no answer, and the next one is refused since
-// somebody else has a higher token.
-// Cause: the order is repeated for as long as the first call is in doubt.
+// Guards against two holders that alternately give orders about one host. The first call of a move
+// is not answered, and the next one is refused because another holder has a higher token. The order
+// must not be repeated for as long as the outcome of the first call is unknown.
 func TestNoOrderAfterHigherToken(t *testing.T) {
 	checkRefusedMove(t, 2, func(f *fakes.Hosts) {
 		f.Fence("host0")
@@ -52,14 +49,13 @@
 	})
 }
 
-// Symptom: a worker gets no work for good.
-// Sequence: the platform says that its host can't be moved.
-// Cause: the order is repeated without an end, and the host counts as on the move.
+// Guards against a worker that never gets work again because the platform reports that its host
+// can't be moved: the order was repeated forever, and the host counted as being moved.
 func TestBusyHostBecomesSchedulableAgain(t *testing.T) {
 	checkRefusedMove(t, 1, func(f *fakes.Hosts) { f.SetBusy("host0", true) })
 }
 
-// checkRefusedMove has a move refused, after some calls.
+// checkRefusedMove checks that a move is refused after a number of calls.
 func checkRefusedMove(t *testing.T, calls int, refuse func(*fakes.Hosts)) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -71,20 +67,19 @@
 			t.Errorf("the move is %v", s.moveOf("host0"))
 		}
 		if orders := f.Orders(); len(orders) != calls {
-			t.Errorf("ordered %v", orders)
+			t.Errorf("the orders are %v", orders)
 		}
 		leaving := true
 		s.replica.ReadState(func(m *state.Machine) { leaving = m.CallerJobs().Leaving(s.hostNamed("host0").incarnation()) })
 		if leaving {
-			t.Error("the worker gets no more work")
+			t.Error("the worker still counts as leaving")
 		}
 	})
 }
 
-// Symptom: tasks that got work on a host are ended by a move that was given up.
-// Sequence: the first call of a move gets no answer; the next one is refused as busy;
-// the first is carried out ten seconds later.
-// Cause: the refusal of one call is taken for that of the move.
+// Guards against ending tasks that were started on a host after its move was abandoned. The first
+// call of a move is not answered, the next one is refused as busy, and the first one is executed
+// ten seconds later. The refusal of one call must not be taken for a refusal of the move.
 func TestMoveWithUnansweredCallIsNotAbandoned(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -109,11 +104,10 @@
 	})
 }
 
-// Symptom: two leaders give orders about a host by turns or under one token, or a move is
-// given up that an earlier leader's call may still carry out.
-// Sequence: the leader is lost right after it has ordered the move, and its call gets no
-// answer; the next leader's first call is refused as busy.
-// Cause: the next leader takes the order for its own.
+// Guards against two leaders that alternately give orders about a host or use one token, and
+// against abandoning a move that a previous leader's call may still execute. The leader is lost
+// right after it ordered the move, and its call is not answered. The next leader's first call is
+// refused as busy. The next leader must not take the order for its own.
 func TestNextLeaderContinuesMove(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -139,9 +133,8 @@
 	})
 }
 
-// Symptom: the platform is asked for lists of hosts all the time.
-// Sequence: an operator moves a host whose serving task can't go elsewhere.
-// Cause: an open move is taken for one that a list may take on.
+// Guards against continuous calls for host lists. An operator moves a host whose serving task can't
+// run elsewhere, so a host list can't advance the open move.
 func TestMoveWaitingForTasksMakesNoPlatformCalls(t *testing.T) {
 	runSim(t, 1, 3, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -154,7 +147,7 @@
 		before, _ := f.Calls()
 		s.sleep(time.Minute)
 		if after, _ := f.Calls(); after != before || s.moveOf("host0").State != apiv1.MoveState_MOVE_STATE_LEAVING {
-			t.Errorf("%d calls, the move is %v", after-before, s.moveOf("host0"))
+			t.Errorf("%d platform calls, the move is %v", after-before, s.moveOf("host0"))
 		}
 		s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Cancel{Cancel: &apiv1.CancelJob{Id: "serving", Host: simHost, Path: "/q/serving"}}})
 		if !s.waitUntil(20*time.Second, func() bool { return s.moveOf("host0").State == apiv1.MoveState_MOVE_STATE_DONE }) {
@@ -163,10 +156,9 @@
 	})
 }
 
-// Symptom: operators who look at the hosts use up the readings that the platform
-// accepts, or see hosts without their moves.
-// Sequence: hosts are listed ten times in a row, and a second later once more.
-// Cause: each look asks the platform.
+// Guards against operators' queries that use up the rate of list calls that the platform accepts,
+// and against host lists without the hosts' moves. Hosts are listed ten times in a row, and once
+// more a second later; not each query may call the platform.
 func TestHostListIsCached(t *testing.T) {
 	runSim(t, 1, 2, func(t *testing.T, s *sim) {
 		s.disableFaults()
@@ -184,17 +176,17 @@
 			return resp
 		}
 		if h := list(10).Hosts[1]; h.Host != "host1" || h.Pool != reservePool || h.Up || h.Move != nil {
-			t.Errorf("listed %v", h)
+			t.Errorf("the host is listed as %v", h)
 		}
 		s.sleep(time.Second)
 		list(1)
 		if all, _ := f.Calls(); all != 2 {
-			t.Errorf("%d calls", all)
+			t.Errorf("%d platform calls", all)
 		}
 		s.requestMove("host1", simPool)
 		s.waitUntil(20*time.Second, func() bool { return s.moveOf("host1").Over() })
 		if h := list(1).Hosts[1]; h.Pool != simPool || !h.Up || h.Move.GetState() != apiv1.MoveState_MOVE_STATE_DONE {
-			t.Errorf("listed %v", h)
+			t.Errorf("the host is listed as %v", h)
 		}
 	})
 }
--- a/dispatch/movesharness_test.go
+++ b/dispatch/movesharness_test.go
@@ -13,15 +13,15 @@
 const (
 	otherPool   = "other"
 	reservePool = "reserve"
-	// hostCallsPerSecond is what the stand-in of the platform accepts.
+	// hostCallsPerSecond is the rate of calls that the platform's stand-in accepts.
 	hostCallsPerSecond = 12
-	// moverSettleTime is longer than a leader waits before it has hosts moved.
+	// moverSettleTime is longer than a new leader waits before it moves hosts.
 	moverSettleTime = 12 * time.Second
 )
 
-// setUpPools gives the simulation two pools with a queue each and one in standby, and puts
-// the hosts into them.
-func (s *sim) setUpPools(of map[string]string) *fakes.Hosts {
+// setUpPools configures two pools with a queue each and one standby pool, and assigns the hosts to
+// them.
+func (s *sim) setUpPools(poolByHost map[string]string) *fakes.Hosts {
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
 		Configuration: &apiv1.QueueConfiguration{
 			Version: 2, Pools: []*apiv1.WorkerPool{{Name: simPool}, {Name: otherPool}, {Name: reservePool, Standby: true}},
@@ -44,12 +44,12 @@
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if running := h.worker.Running(); len(running) > 0 {
-			s.t.Errorf("%v ran on %s when it went away", running, name)
+			s.t.Errorf("%v ran on %s when the host went down", running, name)
 		}
 		h.worker.Crash()
 		h.poweredOff = true
 	}
-	for name, pool := range of {
+	for name, pool := range poolByHost {
 		h := s.hostNamed(name)
 		h.setPool(pool)
 		h.startWorker()
@@ -76,13 +76,13 @@
 	return s.hosts[slices.IndexFunc(s.hosts, func(h *simulatedHost) bool { return h.name == name })]
 }
 
-// crashAndRestart has the worker of a host crash and come back at once, if it is there.
+// crashAndRestart crashes the worker of a host and restarts it at once, if the host is up.
 func (s *sim) crashAndRestart(f *fakes.Hosts, name string) {
 	h := s.hostNamed(name)
 	h.mu.Lock()
-	off := h.poweredOff
+	poweredOff := h.poweredOff
 	h.mu.Unlock()
-	if !off {
+	if !poweredOff {
 		h.startWorker()
 		f.Put(name, h.incarnation())
 	}
@@ -104,7 +104,7 @@
 	return v
 }
 
-// waitUntil waits in steps of 100 ms until a condition holds, at most for a while.
+// waitUntil checks a condition every 100 ms until it holds, for at most d.
 func (s *sim) waitUntil(d time.Duration, condition func() bool) bool {
 	for ; d > 0 && !condition(); d -= 100 * time.Millisecond {
 		s.sleep(100 * time.Millisecond)
@@ -116,7 +116,7 @@
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: host, Pool: pool}}})
 }
 
-// moveOrder is who gave an order that moves a host, and when.
+// moveOrder is an order that moves a host, with the term of the leader that gave it.
 type moveOrder struct {
 	host  string
 	token uint64
@@ -124,8 +124,7 @@
 	at    time.Time
 }
 
-// minHolderInterval is how long the platform has one holder give orders about a host before
-// another one does.
+// minHolderInterval is the minimum time between orders about a host by two different holders.
 const minHolderInterval = 3 * time.Second
 
 func (s *sim) recordMoveOrder(host string, token uint64) {
@@ -135,53 +134,52 @@
 	s.moveOrders = append(s.moveOrders, moveOrder{host, token, term, time.Now()})
 }
 
-// checkHolders checks that no token was used by two leaders, and that they did not give
-// orders about a host by turns.
+// checkHolders checks that no two leaders used the same token, and that they did not alternately
+// give orders about a host.
 func (s *sim) checkHolders(seed uint64) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	last := map[string]moveOrder{}
 	for _, o := range s.moveOrders {
-		before, known := last[o.host]
-		if known && before.term != o.term && (before.token >= o.token || o.at.Sub(before.at) < minHolderInterval) {
-			s.t.Errorf("seed %d: leaders order by turns: %+v, %+v", seed, before, o)
+		previous, known := last[o.host]
+		if known && previous.term != o.term && (previous.token >= o.token || o.at.Sub(previous.at) < minHolderInterval) {
+			s.t.Errorf("seed %d: leaders gave orders alternately: %+v, %+v", seed, previous, o)
 		}
 		last[o.host] = o
 	}
 }
 
-// checkOrders checks that no token stands for two orders or holders, that a host's
-// tokens never fall, that few hosts were away at once and that the platform's rates were
-// kept.
+// checkOrders checks that no token belongs to two orders or holders, that a host's tokens never
+// decrease, that few hosts were down at once and that the platform's rate limits were respected.
 func (s *sim) checkOrders(seed uint64, f *fakes.Hosts) {
 	s.t.Helper()
 	type key struct {
 		host  string
 		token uint64
 	}
-	meant := map[key]fakes.HostOrder{}
+	byToken := map[key]fakes.HostOrder{}
 	newest := map[string]uint64{}
 	for _, o := range f.Orders() {
 		k := key{o.Host, o.Token}
-		if before, known := meant[k]; known && before != o {
-			s.t.Errorf("seed %d: two orders under one token: %+v, %+v", seed, before, o)
+		if previous, known := byToken[k]; known && previous != o {
+			s.t.Errorf("seed %d: two orders used the same token: %+v, %+v", seed, previous, o)
 		}
 		if o.Token < newest[o.Host] {
-			s.t.Errorf("seed %d: an order under a lower token: %+v", seed, o)
+			s.t.Errorf("seed %d: an order used a lower token than an earlier one: %+v", seed, o)
 		}
-		meant[k], newest[o.Host] = o, o.Token
+		byToken[k], newest[o.Host] = o, o.Token
 	}
 	s.checkHolders(seed)
 	if n := f.MostAway(); n > jobqueue.MaxMovesAtOnce {
-		s.t.Errorf("seed %d: %d hosts were away at once", seed, n)
+		s.t.Errorf("seed %d: %d hosts were down at once", seed, n)
 	}
 	if all, refused := f.Calls(); refused > 0 {
-		s.t.Errorf("seed %d: %d of %d calls came too fast", seed, refused, all)
+		s.t.Errorf("seed %d: %d of %d calls exceeded the rate limit", seed, refused, all)
 	}
 }
 
-// fullWorkerJob is a job whose tasks fill a worker each and take a while.
+// fullWorkerJob returns a job whose tasks each fill a worker and run until they are canceled.
 func fullWorkerJob(id string, tasks uint32) *apiv1.JobSpec {
 	return &apiv1.JobSpec{Id: id, Host: simHost, Path: "/o/" + id, Steps: []*apiv1.JobStep{{
 		Count: tasks, CpuMilli: 4000, MemoryMb: 500, LongRunning: true,
--- a/dispatch/movesim_test.go
+++ b/dispatch/movesim_test.go
@@ -8,14 +8,12 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: a move ends tasks at work, is forgotten, is done twice or undone; a task
-// runs on a worker beyond its room.
-// Sequence: operators move hosts to and fro while batch and serving tasks run and
-// workers crash; leaders follow one another in the middle of a move; orders get no
-// answer and are carried out up to ten seconds late; lists of hosts are old.
-// Cause: a host that is ordered away before its tasks are elsewhere or while it may get
-// new ones, an order that is forgotten with its leader, or an old call or list that is
-// taken for a new one.
+// Guards against a move that ends running tasks, is forgotten, executed twice or undone, and
+// against a worker that runs more tasks than its capacity. This happens if a host is ordered away
+// before its tasks run elsewhere or while it may get new ones, if an order is lost with its leader,
+// or if an old call or list is taken for a new one. Operators move hosts back and forth while batch
+// and serving tasks run and workers crash. Leaders change during moves, orders are not answered and
+// are executed up to ten seconds late, and host lists are outdated.
 func TestMovesUnderFaults(t *testing.T) {
 	runSeeds(t, 30, 8, runMovesUnderFaults)
 }
@@ -30,8 +28,8 @@
 	s.sleep(3 * time.Second)
 	s.submitSpec(servingJob())
 	s.sleep(moverSettleTime)
-	asked := []string{"host0", "host1", "host2"}
-	for i, host := range asked {
+	requested := []string{"host0", "host1", "host2"}
+	for i, host := range requested {
 		s.requestMove(host, otherPool)
 		for k := range 4 {
 			s.submit(4*i + k)
@@ -46,12 +44,12 @@
 	}
 	s.disableFaults()
 	arrived := func() bool {
-		return !slices.ContainsFunc(asked, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Over() })
+		return !slices.ContainsFunc(requested, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Over() })
 	}
 	if !s.waitUntil(2*time.Minute, arrived) {
 		t.Errorf("seed %d: the moves are %v %v %v", seed, s.moveOf("host0"), s.moveOf("host1"), s.moveOf("host2"))
 	}
-	// And one of them back, as soon as it may.
+	// Move one of them back as soon as that is allowed.
 	s.sleep(31 * time.Second)
 	s.requestMove("host0", simPool)
 	if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Over() }) {
@@ -61,11 +59,10 @@
 	s.stopFaultsAndCheck(seed)
 }
 
-// Symptom: tasks wait for hosts though some are in standby, hosts are called that
-// nobody needs, or what was called stays for good.
-// Sequence: a pool fills up while leaders follow one another and orders get no answer;
-// later its jobs are cancelled.
-// Cause: no one calls hosts, each leader calls them anew, or forgets where they came from.
+// Guards against tasks that wait although standby hosts exist, against requests for hosts that are
+// not needed, and against hosts that never return to standby. Causes are leaders that request no
+// hosts, request them again, or forget where they came from. A pool fills up while leaders change
+// and orders are not answered; later its jobs are canceled.
 func TestStandbyHostsAreRequestedAndReturned(t *testing.T) {
 	runSeeds(t, 20, 6, runStandbyHosts)
 }
@@ -77,9 +74,9 @@
 	})
 	s.sleep(moverSettleTime)
 	if all, _ := f.Calls(); all != 0 {
-		t.Errorf("seed %d: %d calls while nothing waits", seed, all)
+		t.Errorf("seed %d: %d platform calls while no task waits", seed, all)
 	}
-	// One of the three tasks has room.
+	// There is free capacity for one of the three tasks.
 	s.submitSpec(fullWorkerJob("crowd", 3))
 	for range 5 {
 		if s.intN(3) == 0 {
@@ -97,17 +94,17 @@
 		return n
 	}
 	if !s.waitUntil(2*time.Minute, func() bool { return s.runCount("crowd") == 3 }) || inPool(otherPool) != 3 {
-		t.Errorf("seed %d: %d tasks run, %d hosts were called", seed, s.runCount("crowd"), inPool(otherPool)-1)
+		t.Errorf("seed %d: %d tasks run, %d hosts were added", seed, s.runCount("crowd"), inPool(otherPool)-1)
 	}
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Cancel{Cancel: &apiv1.CancelJob{Id: "crowd", Host: simHost, Path: "/o/crowd"}}})
 	if !s.waitUntil(3*time.Minute, func() bool { return inPool(reservePool) == 4 }) || inPool(simPool) != 1 {
-		t.Errorf("seed %d: %d hosts are in standby again", seed, inPool(reservePool))
+		t.Errorf("seed %d: %d hosts are in standby after the cancellation", seed, inPool(reservePool))
 	}
 	s.sleep(10 * time.Second)
 	before, _ := f.Calls()
 	s.sleep(time.Minute)
 	if after, _ := f.Calls(); after != before {
-		t.Errorf("seed %d: %d calls while nothing is to be moved", seed, after-before)
+		t.Errorf("seed %d: %d platform calls while no host needs to move", seed, after-before)
 	}
 	s.checkOrders(seed, f)
 	s.stopFaultsAndCheck(seed)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -9,9 +9,9 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Orders implements apiv1.Jobs: it answers once there are orders for the worker
-// that the agent does not have, or when the time is over. An answer holds all open
-// orders of the worker, so an agent that missed one has it with the next.
+// Orders implements apiv1.Jobs. It responds once there are orders for the worker that the agent
+// does not have, or when the requested time has passed. A response contains all open orders of the
+// worker, so an agent that missed an order gets it with the next response.
 func (d *Dispatcher) Orders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
 	wait := min(time.Duration(r.WaitMs)*time.Millisecond, maxOrdersWait)
 	timer := time.NewTimer(wait)
@@ -19,8 +19,8 @@
 	for {
 		changed := d.stateChanged.wait()
 		resp := d.orders(r)
-		news := resp.NotLeader || resp.Term != r.Term || resp.Sequence != r.Sequence
-		if news {
+		updated := resp.NotLeader || resp.Term != r.Term || resp.Sequence != r.Sequence
+		if updated {
 			return resp, nil
 		}
 		select {
@@ -33,7 +33,7 @@
 	}
 }
 
-// orders returns the open orders of a worker, and what is held of a host that is asked of.
+// orders returns the open orders of a worker, and the leader's records of a host if one is named.
 func (d *Dispatcher) orders(r *apiv1.JobsOrdersRequest) *apiv1.JobsOrdersResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -70,8 +70,8 @@
 		resp.Stops = append(resp.Stops, &apiv1.StopOrder{Task: r.ID.Task.Ref(), Run: r.ID.Number})
 		return
 	}
-	// A worker that has shrunk below what its runs reserve starts nothing until the surplus is
-	// taken back.
+	// A worker whose capacity shrank below what its runs reserve starts nothing until the surplus
+	// is released.
 	shrunk := !(jobqueue.Resources{}).Fits(w.Free())
 	if _, running := l.observed[r.ID]; !running && !shrunk {
 		resp.Starts = append(resp.Starts, &apiv1.StartOrder{
@@ -84,7 +84,7 @@
 	}
 }
 
-// addHost adds what the leader holds of a host.
+// addHost adds the newest incarnation and the current lease on a host.
 func (l *leaderState) addHost(resp *apiv1.JobsOrdersResponse, m *jobqueue.Machine, host string) {
 	resp.HostTold = true
 	resp.LastLife = l.reports.newestIncarnations[host].Name()
--- a/dispatch/outages.go
+++ b/dispatch/outages.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// outageCheckInterval is the time between two looks at all long-running tasks.
+	// outageCheckInterval is the time between two checks of all long-running tasks.
 	outageCheckInterval = time.Second
-	// outageLogInterval is how long a long-running task has been away when the first line says
-	// so, and the time between two such lines: most are back sooner.
+	// outageLogInterval is the time from the start of an outage to its first line, and between two
+	// lines about it. Most tasks run again sooner.
 	outageLogInterval = 2 * time.Second
 )
 
-// Why a long-running task is away, beside the reasons against the workers.
+// Reasons why a long-running task does not run, besides those that exclude workers.
 const (
 	outageOrdered            = "ordered, not begun"
 	outageWorkerUnresponsive = "no report of its worker"
@@ -27,22 +27,22 @@
 	outageUnplanned          = "no candidate"
 )
 
-// outage is the time that a long-running task is not known to run.
+// outage is the period in which a long-running task is not known to run.
 type outage struct {
 	since time.Time
-	// run is the last that the task had, worker where, and how says what ended it; empty
-	// while it has not ended.
+	// run is the task's last run, worker where it was, and endReason how it ended, empty while it
+	// has not ended.
 	run       uint64
 	worker    string
 	endReason string
 	loggedAt  time.Time
 }
 
-// outages are those of the long-running tasks.
+// outages are the outages of all long-running tasks.
 type outages struct {
 	checkedAt time.Time
 	byTask    map[jobqueue.TaskID]*outage
-	// lastEnds is how the last run of a task ended, until the task runs again.
+	// lastEnds is how the last run of each task ended, until the task runs again.
 	lastEnds map[jobqueue.TaskID]outage
 }
 
@@ -50,23 +50,24 @@
 	return &outages{byTask: map[jobqueue.TaskID]*outage{}, lastEnds: map[jobqueue.TaskID]outage{}}
 }
 
-// recordEnd notes how a run ended, or that it is given up.
+// recordEnd records how a run ended or that it is lost.
 func (o *outages) recordEnd(r *jobqueue.Run, how string, now time.Time) {
-	if told, known := o.lastEnds[r.ID.Task]; known && told.run == r.ID.Number {
-		return // A report may be taken in again.
+	if last, known := o.lastEnds[r.ID.Task]; known && last.run == r.ID.Number {
+		return // The same report may be applied again.
 	}
 	if r.Step.LongRunning && r.Job().Open() {
 		o.lastEnds[r.ID.Task] = outage{since: now, run: r.ID.Number, worker: r.Worker, endReason: how}
 	}
 }
 
-// longRunningTask is one that should be running.
+// longRunningTask is a task that should be running.
 type longRunningTask struct {
 	id   jobqueue.TaskID
 	task *jobqueue.Task
 }
 
-// longRunningTasks goes through the tasks of open jobs that should be running by now.
+// longRunningTasks iterates over the long-running tasks of open jobs that should be running at
+// wallMs.
 func longRunningTasks(m *jobqueue.Machine, wallMs int64) iter.Seq[longRunningTask] {
 	return func(yield func(longRunningTask) bool) {
 		for _, j := range m.Active() {
@@ -95,84 +96,85 @@
 	return true
 }
 
-// checkLongRunning notes which long-running tasks are not known to run, and tells of those
-// that have been away for long and of those that are back.
+// checkLongRunning records which long-running tasks are not known to run. It logs the outages that
+// are longer than outageLogInterval, and the ends of those that were logged.
 func (d *Dispatcher) checkLongRunning(l *leaderState, m *jobqueue.Machine, waits []schedule.Wait, now time.Time) {
 	o := l.outages
 	if now.Sub(o.checkedAt) < outageCheckInterval {
 		return
 	}
 	o.checkedAt = now
-	whyByStep := map[jobqueue.StepID]string{}
+	reasonByStep := map[jobqueue.StepID]string{}
 	for _, w := range waits {
-		whyByStep[w.Step] = w.Why()
+		reasonByStep[w.Step] = w.Why()
 	}
-	present := map[jobqueue.TaskID]bool{}
-	away := map[string][]string{}
-	back := map[string][]string{}
+	tracked := map[jobqueue.TaskID]bool{}
+	notRunning := map[string][]string{}
+	resumed := map[string][]string{}
 	for t := range longRunningTasks(m, now.UnixMilli()) {
 		if o.tracks(t.id) {
-			present[t.id] = true
+			tracked[t.id] = true
 		}
-		why, since := l.outageReason(t, whyByStep, now)
-		if why == "" {
-			d.endOutage(o, t, back, now)
+		reason, since := l.outageReason(t, reasonByStep, now)
+		if reason == "" {
+			d.endOutage(o, t, resumed, now)
 			continue
 		}
 		out := o.begin(t, since)
-		present[t.id] = true
+		tracked[t.id] = true
 		if now.Sub(out.since) >= outageLogInterval && now.Sub(out.loggedAt) >= outageLogInterval {
 			out.loggedAt = now
-			away[why] = append(away[why], out.describe(t.id, now))
+			notRunning[reason] = append(notRunning[reason], out.describe(t.id, now))
 		}
 	}
-	o.prune(present)
+	o.prune(tracked)
 	d.metrics.longRunningNotRunning.Update(int64(len(o.byTask)))
-	if len(away) > 0 {
-		event.LongRunningAway.Write(d.logger, event.Term(l.term), event.TasksAway(away))
+	if len(notRunning) > 0 {
+		event.LongRunningAway.Write(d.logger, event.Term(l.term), event.TasksAway(notRunning))
 	}
-	if len(back) > 0 {
-		event.LongRunningBack.Write(d.logger, event.Term(l.term), event.TasksBack(back))
+	if len(resumed) > 0 {
+		event.LongRunningBack.Write(d.logger, event.Term(l.term), event.TasksBack(resumed))
 	}
 }
 
-// outageReason says why a long-running task is not known to run, and since when; empty if it is
-// known to run.
-func (l *leaderState) outageReason(t longRunningTask, whyByStep map[jobqueue.StepID]string, now time.Time) (string, time.Time) {
+// outageReason returns why a long-running task is not known to run and since when, an empty reason
+// if it is known to run.
+func (l *leaderState) outageReason(t longRunningTask, reasonByStep map[jobqueue.StepID]string, now time.Time) (string, time.Time) {
 	if len(t.task.Runs) == 0 {
 		since := now
-		if ended, known := l.outages.lastEnds[t.id]; known {
+		if ended, found := l.outages.lastEnds[t.id]; found {
 			since = ended.since
 		}
-		if why := whyByStep[t.id.StepID()]; why != "" {
-			return why, since
+		if reason := reasonByStep[t.id.StepID()]; reason != "" {
+			return reason, since
 		}
 		return outageUnplanned, since
 	}
 	run := t.task.Runs[len(t.task.Runs)-1]
-	seen, known := l.observed[run.ID]
-	silent := now.Sub(l.leases.get(run.Worker).renewedAt)
+	observed, found := l.observed[run.ID]
+	sinceReport := now.Sub(l.leases.get(run.Worker).renewedAt)
 	switch {
-	case silent >= outageLogInterval:
-		return outageWorkerUnresponsive, now.Add(-silent)
-	case !known:
+	case sinceReport >= outageLogInterval:
+		return outageWorkerUnresponsive, now.Add(-sinceReport)
+	case !found:
 		return outageOrdered, now
-	case seen.At.Before(now.Add(-outageLogInterval)):
-		return outageUnlisted, seen.At
+	case observed.At.Before(now.Add(-outageLogInterval)):
+		return outageUnlisted, observed.At
 	}
 	return "", now
 }
 
-// begin returns the outage of a task, which began at a given time if it is not known yet.
+// begin returns the outage of a task. A new one starts at since, or earlier if its last run ended
+// earlier.
 func (o *outages) begin(t longRunningTask, since time.Time) *outage {
 	out := o.byTask[t.id]
 	if out == nil {
 		out = &outage{since: since, run: t.task.LastRun}
 		o.byTask[t.id] = out
 	}
-	if ended, known := o.lastEnds[t.id]; known {
-		out.run, out.worker, out.endReason = ended.run, ended.worker, ended.endReason
-		out.since = earlier(out.since, ended.since)
+	if last, known := o.lastEnds[t.id]; known {
+		out.run, out.worker, out.endReason = last.run, last.worker, last.endReason
+		out.since = earlier(out.since, last.since)
 	}
 	if len(t.task.Runs) > 0 {
 		run := t.task.Runs[len(t.task.Runs)-1]
@@ -188,8 +190,8 @@
 	return a
 }
 
-// endOutage ends the outage of a task that runs, if there was one.
-func (d *Dispatcher) endOutage(o *outages, t longRunningTask, back map[string][]string, now time.Time) {
+// endOutage ends the outage of a running task if there was one.
+func (d *Dispatcher) endOutage(o *outages, t longRunningTask, resumed map[string][]string, now time.Time) {
 	if !o.tracks(t.id) {
 		return
 	}
@@ -202,11 +204,11 @@
 	d.metrics.longRunningOutage.Observe(now.Sub(out.since))
 	if !out.loggedAt.IsZero() {
 		run := t.task.Runs[len(t.task.Runs)-1]
-		back[run.Worker] = append(back[run.Worker], fmt.Sprintf("%s %d %d", t.id, run.ID.Number, now.Sub(out.since).Milliseconds()))
+		resumed[run.Worker] = append(resumed[run.Worker], fmt.Sprintf("%s %d %d", t.id, run.ID.Number, now.Sub(out.since).Milliseconds()))
 	}
 }
 
-// tracks reports whether anything is kept of a task.
+// tracks reports whether an outage or a last end of the task is recorded.
 func (o *outages) tracks(id jobqueue.TaskID) bool {
 	if len(o.byTask)+len(o.lastEnds) == 0 {
 		return false
@@ -216,20 +218,20 @@
 }
 
 // prune drops the tasks that no longer have to run.
-func (o *outages) prune(present map[jobqueue.TaskID]bool) {
+func (o *outages) prune(tracked map[jobqueue.TaskID]bool) {
 	for id := range o.byTask {
-		if !present[id] {
+		if !tracked[id] {
 			delete(o.byTask, id)
 		}
 	}
 	for id := range o.lastEnds {
-		if !present[id] {
+		if !tracked[id] {
 			delete(o.lastEnds, id)
 		}
 	}
 }
 
-// describe writes "TASK RUN WORKER AWAY HOW", the time away in milliseconds.
+// describe formats an outage as "TASK RUN WORKER AWAY HOW", with its length so far in milliseconds.
 func (out *outage) describe(id jobqueue.TaskID, now time.Time) string {
 	text := fmt.Sprintf("%s %d %s %d", id, out.run, out.worker, now.Sub(out.since).Milliseconds())
 	if out.endReason != "" {
@@ -238,7 +240,7 @@
 	return text
 }
 
-// recordEnds notes how the runs of a report ended that the log still holds.
+// recordEnds records how the runs in a report ended, for those that the log still contains.
 func (o *outages) recordEnds(w *jobqueue.Worker, ends []*apiv1.RunEnd, refusals []*apiv1.RunRefusal, now time.Time) {
 	for _, e := range ends {
 		if run := w.Runs[jobqueue.RunID{Task: jobqueue.TaskIDOf(e.Task), Number: e.Run}]; run != nil {
--- a/dispatch/outages_internal_test.go
+++ b/dispatch/outages_internal_test.go
@@ -14,7 +14,8 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// BenchmarkCheckLongRunning looks at the long-running tasks of the target size, all at work.
+// BenchmarkCheckLongRunning checks the long-running tasks of a fleet of the design size,
+// all running.
 func BenchmarkCheckLongRunning(b *testing.B) {
 	const workers, tasksPerWorker, tasksPerJob, term = 3700, 6, 6, 1
 	m := jobqueue.New()
--- a/dispatch/outages_test.go
+++ b/dispatch/outages_test.go
@@ -15,7 +15,7 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// Guards against long-running tasks that are away without a line that says why.
+// Guards against long-running tasks that do not run without a line that states the reason.
 func TestLongRunningOutagesAreLogged(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -38,12 +38,12 @@
 		}})
 		s.sleep(500 * time.Millisecond)
 		report("w1", &apiv1.JobsReportRequest{Running: running(1)})
-		// The worker falls silent until its lease has run out, and there is no other.
+		// The worker is unresponsive until its lease has expired, and there is no other worker.
 		s.sleep(10 * time.Second)
 		report("w2", &apiv1.JobsReportRequest{})
 		for range 6 {
 			s.sleep(500 * time.Millisecond)
-			report("w2", &apiv1.JobsReportRequest{}) // the run is ordered and does not begin
+			report("w2", &apiv1.JobsReportRequest{}) // the run is ordered but does not begin
 		}
 		for range 4 {
 			report("w2", &apiv1.JobsReportRequest{Running: running(2)})
@@ -63,7 +63,7 @@
 			case "long-running tasks are back":
 				told = append(told, fmt.Sprint("back on ", l.Fields["worker"]))
 				if away := l.Fields["waited"].(time.Duration); away < 12*time.Second || away > 15*time.Second {
-					t.Errorf("away for %v", away)
+					t.Errorf("the outage lasted %v", away)
 				}
 			}
 		}
@@ -72,7 +72,7 @@
 			"no report of its worker; <nil>; w1", "unreachable 1; lease ran out; w1", "ordered, not begun; lease ran out; w2", "back on w2",
 		}
 		if !slices.Equal(told, want) {
-			t.Errorf("told %q, want %q", told, want)
+			t.Errorf("logged %q, want %q", told, want)
 		}
 		if n := registry.Get("dispatch.long_running_outage_us").(metrics.Histogram).Count(); n == 0 {
 			t.Error("no outage was measured")
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// logStart gathers the start of a run for the log.
+// logStart adds the start of a run to the batched log.
 func (l *leaderState) logStart(m *jobqueue.Machine, s *apiv1.StartRun, now time.Time) {
 	id := jobqueue.RunID{Task: jobqueue.TaskIDOf(s.Task), Number: s.Run}
 	if step := m.StepOf(id.Task); step != nil && step.LongRunning {
@@ -22,12 +22,12 @@
 const (
 	// startedUpPercent is the progress, in percent, of a long-running run that has started up.
 	startedUpPercent = 100
-	// fullObjectivePercent is a tail that is just as long as it may be.
+	// fullObjectivePercent is the percentage of a tail latency that just meets its objective.
 	fullObjectivePercent = 100
 )
 
-// logObjectiveMisses gathers for the log the serving runs of a report that are at work with tails over
-// their objectives.
+// logObjectiveMisses adds to the batched log the serving runs of a report that have started up and
+// whose tail latencies exceed their objectives.
 func (l *leaderState) logObjectiveMisses(w *jobqueue.Worker, running []*apiv1.RunObservation, now time.Time) {
 	if w == nil {
 		return
@@ -41,15 +41,15 @@
 	}
 }
 
-// openJob is a job that may end with a report: when it was due, and within which time it
-// should end.
+// openJob is a job that may finish with a report: when it was due, and the time that it is allowed
+// to take.
 type openJob struct {
 	dueMs   int64
 	allowed time.Duration
 }
 
-// openJobs returns the open jobs that a report may end. It is asked before the report is
-// committed, since a job that has ended no longer holds its steps.
+// openJobs returns the open jobs that a report may finish. It must be called before the report is
+// committed, since a finished job no longer contains its steps.
 func (l *leaderState) openJobs(m *jobqueue.Machine, r *apiv1.ReportWorker) map[string]openJob {
 	ids := map[string]bool{}
 	for _, e := range r.GetEnds() {
@@ -70,8 +70,8 @@
 	return open
 }
 
-// logFinishedJobs gathers for the log which of the given jobs have come to an end, each once: two
-// reports may have been on their way together.
+// logFinishedJobs adds those of the given jobs that have finished to the batched log. Each is
+// logged once: two reports that finish a job may be committed concurrently.
 func (l *leaderState) logFinishedJobs(m *jobqueue.Machine, open map[string]openJob, now time.Time) {
 	for id, o := range open {
 		j := m.Job(id)
@@ -86,19 +86,19 @@
 	}
 }
 
-// logReportOutcome tells of what a report that is committed now has changed: jobs that ended, and tasks
-// under which a worker crashed.
-func (d *Dispatcher) logReportOutcome(t appliedReport) {
-	if len(t.openJobs) == 0 {
+// logReportOutcome logs what a committed report has changed: finished jobs, and tasks that ran when
+// a worker crashed.
+func (d *Dispatcher) logReportOutcome(applied appliedReport) {
+	if len(applied.openJobs) == 0 {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leader == nil || d.leader.term != t.term {
+	if d.leader == nil || d.leader.term != applied.term {
 		return
 	}
 	d.opts.Replica.ReadState(func(m *state.Machine) {
-		d.logSuspects(m.CallerJobs(), t)
-		d.leader.logFinishedJobs(m.CallerJobs(), t.openJobs, d.opts.Now())
+		d.logSuspects(m.CallerJobs(), applied)
+		d.leader.logFinishedJobs(m.CallerJobs(), applied.openJobs, d.opts.Now())
 	})
 }
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -6,8 +6,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// adjustPaces has the planner learn from a worker's report and set the paces of
-// its backfilling runs; the worker's agent is told of a change, and true returned.
+// adjustPaces has the planner learn from a worker's report and set the paces of its backfill runs.
+// It reports whether a pace changed, and then marks the worker's orders as changed.
 func (l *leaderState) adjustPaces(w *jobqueue.Worker, now time.Time) bool {
 	l.reportedSinceSave = true
 	if w == nil || !l.planner.Observe(w, l.fleet(now), now) {
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -8,8 +8,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Read implements apiv1.Jobs: any replica answers, from state that holds all that
-// was committed before the call.
+// Read implements apiv1.Jobs. Any replica answers, from state that contains everything that was
+// committed before the call.
 func (d *Dispatcher) Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, readTimeout)
 	defer cancel()
@@ -27,7 +27,7 @@
 	return resp, nil
 }
 
-// explain returns a job with what the leader knows of why its tasks wait.
+// explain returns a job with the reasons why its tasks wait, as the leader knows them.
 func (d *Dispatcher) explain(id string) *apiv1.JobsReadResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/refused_test.go
+++ b/dispatch/refused_test.go
@@ -8,7 +8,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Guards against refusals that say nothing of the worker and keep its tasks waiting, and against ones that say so and don't.
+// Guards against refusals that say nothing about the worker but keep its tasks waiting, and against
+// refusals that concern the worker but do not pause it.
 func TestOnlyWorkerRefusalsPauseWorker(t *testing.T) {
 	const pause = 900 * time.Millisecond
 	for reason, pauses := range map[string]bool{
@@ -23,14 +24,14 @@
 				s.waitForRun("set", 1)
 				w.refuseStart(s.runsOn("w1")[0], reason)
 				if took := s.waitForRun("set", 2); pauses != (took > pause) {
-					t.Errorf("it was ordered again after %v", took)
+					t.Errorf("the task was ordered again after %v", took)
 				}
 			})
 		})
 	}
 }
 
-// refuseStart has the worker refuse a start.
+// refuseStart reports that the worker refuses a start.
 func (w *scriptedWorker) refuseStart(id jobqueue.RunID, reason string) {
 	r := w.nextReport()
 	r.Running = nil
--- a/dispatch/replaced_test.go
+++ b/dispatch/replaced_test.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// drainNotice is the time between a worker's notice and its end.
+	// drainNotice is the time from a worker's notice to its end.
 	drainNotice = 2 * time.Second
-	// lostResponseProbability is the share of the calls that are carried out and not answered.
+	// lostResponseProbability is the fraction of calls that are executed but not answered.
 	lostResponseProbability = 0.15
 )
 
-// Symptom: a permit comes twice, or never. Sequence: all workers are replaced one after the
-// other while jobs come, some at the same moment as the leader; many calls are carried out
-// at once and their answers are lost. Cause: a start that is repeated elsewhere because its
-// answer is missing, or a run of a replaced worker that is waited for or counted as a
-// failed attempt.
+// Guards against a permit that is issued twice or never. All workers are replaced one after the
+// other while jobs arrive, some at the same moment as a change of leader, and many calls are
+// executed at once without a response. The causes are a start that is repeated elsewhere because
+// its response is missing, and a run of a replaced worker that is waited for or counted as a failed
+// attempt.
 func TestReplacedWorkersAndLostResponses(t *testing.T) {
 	runSeeds(t, 30, 5, func(t *testing.T, s *sim, seed uint64) {
 		for _, h := range s.hosts {
@@ -44,13 +44,13 @@
 	})
 }
 
-// checkFailedAttempts reports attempts that count as failed; finished jobs forget theirs.
+// checkFailedAttempts reports failed attempts of unfinished jobs; finished jobs do not keep theirs.
 func (s *sim) checkFailedAttempts(seed uint64) {
 	for s.ctx.Err() == nil {
 		s.replica.ReadState(func(m *state.Machine) {
 			for _, j := range m.CallerJobs().Active() {
 				if n := failedAttempts(j); n > 0 {
-					s.t.Errorf("seed %d: %s counts %d failed attempts, and no run failed", seed, j.ID(), n)
+					s.t.Errorf("seed %d: %s has %d failed attempts, but no run failed", seed, j.ID(), n)
 				}
 			}
 		})
@@ -58,7 +58,7 @@
 	}
 }
 
-// drawLostResponse draws calls that are carried out at once and get no answer.
+// drawLostResponse selects calls that are executed at once but not answered.
 func (s *sim) drawLostResponse(string) fakes.OrderFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +68,7 @@
 	return fakes.OrderFault{Late: time.Nanosecond}
 }
 
-// replaceWorker has a worker give notice and puts another incarnation in its place.
+// replaceWorker drains a worker and replaces it by another incarnation.
 func (s *sim) replaceWorker(h *simulatedHost) {
 	h.mu.Lock()
 	h.worker.Drain()
@@ -82,7 +82,7 @@
 	s.sleep(time.Duration(s.intN(800)) * time.Millisecond)
 }
 
-// failedAttempts counts a job's failed attempts.
+// failedAttempts returns the number of a job's failed attempts.
 func failedAttempts(j *jobqueue.Job) int {
 	n := 0
 	for _, o := range j.Occurrences {
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -15,53 +15,53 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Report implements apiv1.Jobs: it records what an agent learnt of its worker and
-// renews the worker's lease.
+// Report implements apiv1.Jobs. It records what an agent reports about its worker and renews the
+// worker's lease.
 func (d *Dispatcher) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	if r.Lapsed {
 		return d.reportExpiry(ctx, r)
 	}
-	t := d.applyReport(r)
+	applied := d.applyReport(r)
 	switch {
-	case t.term == 0:
+	case applied.term == 0:
 		return d.notLeaderResponse(), nil
-	case t.outdated:
-		return &apiv1.JobsReportResponse{Term: t.term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_STALE}, nil
+	case applied.outdated:
+		return &apiv1.JobsReportResponse{Term: applied.term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_STALE}, nil
 	}
-	outcome, err := d.commitReport(ctx, t.command)
-	now, leads := d.opts.Replica.Leading()
-	if err != nil || !leads || now != t.term {
+	outcome, err := d.commitReport(ctx, applied.command)
+	term, leads := d.opts.Replica.Leading()
+	if err != nil || !leads || term != applied.term {
 		event.ReportUnproved.Write(d.logger, event.Worker(r.Worker.GetId()), event.Err(err))
 		return d.notLeaderResponse(), nil
 	}
-	resp := &apiv1.JobsReportResponse{Term: t.term, Outcome: outcome}
+	resp := &apiv1.JobsReportResponse{Term: applied.term, Outcome: outcome}
 	if outcome == apiv1.JobOutcome_JOB_OUTCOME_OK && !r.Departed {
-		resp.LeaseMs = t.grantedLease.Milliseconds()
+		resp.LeaseMs = applied.grantedLease.Milliseconds()
 	}
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(r.Worker.GetId()); w != nil {
 			resp.Acknowledged, resp.Epoch = w.Acknowledged, w.Epoch
 		}
 	})
-	d.logReportOutcome(t)
+	d.logReportOutcome(applied)
 	return resp, nil
 }
 
-// appliedReport is what a report comes to.
+// appliedReport is the result of applying a report to the leader's state.
 type appliedReport struct {
 	term uint64
-	// command records the report, nil when there is nothing new.
+	// command commits the report, nil if it contains nothing new.
 	command *apiv1.ReportWorker
-	// grantedLease is the lease to grant.
+	// grantedLease is the duration of the lease to grant.
 	grantedLease time.Duration
-	// openJobs are the jobs that may end with the report.
+	// openJobs are the jobs that may finish with the report.
 	openJobs map[string]openJob
-	// outdated: a newer report was taken in before, and nothing of this one was.
+	// outdated means that a newer report was applied earlier, and nothing of this one was.
 	outdated bool
 }
 
-// applyReport notes what the report says; a term of 0 says that this replica doesn't lead. The
-// lease is renewed here, before the commit or the barrier that confirms that this replica
+// applyReport applies a report to the leader's state. A term of 0 means that this replica does not
+// lead. The lease is renewed here, before the commit or the barrier that confirms that this replica
 // still leads.
 func (d *Dispatcher) applyReport(r *apiv1.JobsReportRequest) appliedReport {
 	d.mu.Lock()
@@ -72,7 +72,7 @@
 	}
 	var outdated bool
 	d.opts.Replica.ReadState(func(m *state.Machine) {
-		// A worker that has left has left, whatever was said after.
+		// A departure is final, so a departure report is never outdated.
 		jobs := m.CallerJobs()
 		outdated = !r.Departed && (l.contestsLiveWorker(jobs, r, d.opts.Now()) || l.reports.outdated(jobs, r))
 	})
@@ -81,9 +81,9 @@
 		event.ReportOutdated.Write(d.logger, event.Term(l.term), event.Worker(r.Worker.GetId()))
 		return appliedReport{term: l.term, outdated: true}
 	}
-	t := appliedReport{term: l.term}
+	applied := appliedReport{term: l.term}
 	now := d.opts.Now()
-	t.grantedLease, _ = l.leases.renew(r.Worker.GetId(), now, time.Duration(r.LeaseBoundMs)*time.Millisecond)
+	applied.grantedLease, _ = l.leases.renew(r.Worker.GetId(), now, time.Duration(r.LeaseBoundMs)*time.Millisecond)
 	l.contacts.recordReport(r, now)
 	for _, o := range r.Running {
 		l.recordObservation(o, now)
@@ -95,52 +95,53 @@
 		d.recordUnlogged(l, jobs, r, now)
 		d.countObjectiveMisses(jobs, r.Running)
 		l.logObjectiveMisses(jobs.Worker(r.Worker.GetId()), r.Running, now)
-		t.command = l.reportCommand(jobs, r)
-		t.openJobs = l.openJobs(jobs, t.command)
+		applied.command = l.reportCommand(jobs, r)
+		applied.openJobs = l.openJobs(jobs, applied.command)
 		if l.adjustPaces(jobs.Worker(r.Worker.GetId()), now) {
 			d.metrics.paceOrders.Inc(1)
 		}
 	})
-	return t
+	return applied
 }
 
-// takeoverTimeout is how long nothing has been heard of the worker of a host when a life that
-// does not say that it follows that one may take its place: some reports' worth.
+// takeoverTimeout is the time since a worker's last report after which an incarnation that does not
+// name it as its predecessor may replace it on the host. It covers several report intervals.
 const takeoverTimeout = 2 * time.Second
 
-// contestsLiveWorker reports whether a life that the log does not know would end one that was heard of
-// just now. Its agent says whom it follows; what the network held up does not.
+// contestsLiveWorker reports whether an incarnation that the log does not contain would end one
+// that reported recently. The agent of a real successor names its predecessors; a report that was
+// delayed in the network does not.
 func (l *leaderState) contestsLiveWorker(m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) bool {
 	id := r.Worker.GetId()
-	known := m.WorkerOf(r.Worker.GetHost())
-	if known == nil || known.Spec.Id == id || slices.Contains(r.Follows, known.Spec.Id) {
+	current := m.WorkerOf(r.Worker.GetHost())
+	if current == nil || current.Spec.Id == id || slices.Contains(r.Follows, current.Spec.Id) {
 		return false
 	}
-	lease := l.leases.get(known.Spec.Id)
+	lease := l.leases.get(current.Spec.Id)
 	return lease.reported && !lease.expired && now.Sub(lease.renewedAt) < takeoverTimeout
 }
 
-// recordObservation notes the state of a run.
+// recordObservation records the state of a run.
 func (l *leaderState) recordObservation(o *apiv1.RunObservation, now time.Time) {
 	id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
-	seen, known := l.observed[id]
+	observation, known := l.observed[id]
 	if !known {
-		seen.FirstAt = now
-		seen.ProgressAt = now
+		observation.FirstAt = now
+		observation.ProgressAt = now
 	}
-	if seen.Percent != o.Percent {
-		seen.ProgressAt = now
+	if observation.Percent != o.Percent {
+		observation.ProgressAt = now
 	}
-	seen.At, seen.Percent, seen.Figure = now, o.Percent, o.Figure
+	observation.At, observation.Percent, observation.Figure = now, o.Percent, o.Figure
 	if o.Checkpoint != "" {
-		seen.Checkpoint = o.Checkpoint
+		observation.Checkpoint = o.Checkpoint
 		l.recordCheckpoint(id, o.Checkpoint, now)
 	}
-	l.observed[id] = seen
+	l.observed[id] = observation
 }
 
-// recordEnds tells the planner of ends that are new. A report is sent again until it is committed:
-// what goes wrong without a note of what was learnt is that one failed run counts as several.
+// recordEnds passes new ends to the planner. A report is sent again until it is committed, so the
+// ends already passed are recorded: otherwise one failed run would count several times.
 func (d *Dispatcher) recordEnds(l *leaderState, m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) {
 	w := m.Worker(r.Worker.GetId())
 	if w == nil {
@@ -148,10 +149,10 @@
 	}
 	l.outages.recordEnds(w, r.Ends, r.Refusals, now)
 	d.recordRefusals(l, w, r.Refusals, now)
-	known := max(w.Acknowledged, l.endsRecorded[w.Spec.Id])
+	passed := max(w.Acknowledged, l.endsRecorded[w.Spec.Id])
 	for _, e := range r.Ends {
 		run := w.Runs[jobqueue.RunID{Task: jobqueue.TaskIDOf(e.Task), Number: e.Run}]
-		if e.Sequence <= known || run == nil {
+		if e.Sequence <= passed || run == nil {
 			continue
 		}
 		l.endsRecorded[w.Spec.Id] = max(l.endsRecorded[w.Spec.Id], e.Sequence)
@@ -172,7 +173,7 @@
 	}
 }
 
-// recordRefusals tells the planner of starts that were refused, each once.
+// recordRefusals passes refused starts to the planner, each once.
 func (d *Dispatcher) recordRefusals(l *leaderState, w *jobqueue.Worker, refusals []*apiv1.RunRefusal, now time.Time) {
 	for _, refusal := range refusals {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(refusal.Task), Number: refusal.Run}
@@ -190,17 +191,17 @@
 	}
 }
 
-// workerUnable reports whether a refusal says that the worker can take no task for now.
+// workerUnable reports whether a refusal means that the worker can't start any task for now.
 func workerUnable(reason string) bool {
 	return reason == jobqueue.RefusedForRoom || reason == jobqueue.RefusedUnwilling
 }
 
-// endKindName is a kind of end in logs.
+// endKindName returns the name of a kind of end in logs.
 func endKindName(k apiv1.RunEndKind) string {
 	return strings.ToLower(strings.TrimPrefix(k.String(), "RUN_END_KIND_"))
 }
 
-// reportCommand returns what of a report the log does not hold yet.
+// reportCommand returns the part of a report that the log does not contain yet.
 func (l *leaderState) reportCommand(m *jobqueue.Machine, r *apiv1.JobsReportRequest) *apiv1.ReportWorker {
 	w := m.Worker(r.Worker.GetId())
 	command := &apiv1.ReportWorker{Worker: r.Worker, Refusals: r.Refusals, Departed: r.Departed}
@@ -230,8 +231,7 @@
 	return command
 }
 
-// commitReport commits the command, or confirms without one that this replica
-// still leads.
+// commitReport commits the command, or without one confirms that this replica still leads.
 func (d *Dispatcher) commitReport(ctx context.Context, command *apiv1.ReportWorker) (apiv1.JobOutcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
--- a/dispatch/reportorder.go
+++ b/dispatch/reportorder.go
@@ -7,21 +7,21 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// maxPreviousSessions bounds the sessions of a worker that are remembered as over: an agent
-// has a new one after each restart.
+// maxPreviousSessions bounds the previous sessions that are remembered per worker. An agent starts
+// a new session at each restart.
 const maxPreviousSessions = 64
 
-// reportOrder tells reports that the network held up from new ones.
+// reportOrder detects reports that are older than ones already received.
 //
-// A cut holds what was sent before it for as long as it lasts, and delivers it after its
-// sender has given it up. What goes wrong without a look at the order: an agent says that
-// its worker's lease ran out, then its report of seconds ago arrives; the worker counts as
-// in reach and empty, and all tasks that wait are ordered to a worker that never answers.
-// A session of which nothing was heard while it lasted is told from a new one by its
-// beginning: else its late report would end the new session, whose worker gets no work then.
+// A network partition can delay a message until it ends, after the sender has given up on the
+// message. Without this check, an agent reports that its worker's lease expired and then its report
+// of seconds ago arrives: the worker counts as reachable and empty, and all waiting tasks are
+// ordered to a worker that never responds. A session whose reports all arrive late is told from a
+// newer one by its start time: otherwise its late report would end the newer session, and that
+// worker would get no work.
 type reportOrder struct {
 	byWorker map[string]*sessionState
-	// newestIncarnations are the newest incarnations that were heard of, by their host.
+	// newestIncarnations are the newest reported incarnations, by host.
 	newestIncarnations map[string]jobqueue.Incarnation
 }
 
@@ -29,16 +29,17 @@
 	return &reportOrder{byWorker: map[string]*sessionState{}, newestIncarnations: map[string]jobqueue.Incarnation{}}
 }
 
-// sessionState is the newest report of a worker, and the sessions before its own.
+// sessionState is the newest report of a worker and the sessions before its own.
 type sessionState struct {
 	session, sequence uint64
-	// startedMs is when the session began, by the worker's clock; 0 when it did not say.
+	// startedMs is when the session began by the worker's clock, 0 if the report did not include
+	// it.
 	startedMs int64
 	previous  map[uint64]bool
 }
 
-// outdated reports whether a newer report of the worker was taken in before this one, and
-// notes it otherwise. The same report may come twice, through two control hosts.
+// outdated reports whether a newer report of the worker was recorded before this one, and records
+// it otherwise. The same report may arrive twice, through two control hosts.
 func (o *reportOrder) outdated(m *jobqueue.Machine, r *apiv1.JobsReportRequest) bool {
 	if o.fromPreviousIncarnation(m, r) {
 		return true
@@ -46,48 +47,48 @@
 	if r.Session == 0 {
 		return false
 	}
-	seen := o.byWorker[r.Worker.GetId()]
-	if seen == nil {
-		seen = &sessionState{session: r.Session, startedMs: r.SessionBeganMs, previous: map[uint64]bool{}}
-		o.byWorker[r.Worker.GetId()] = seen
+	state := o.byWorker[r.Worker.GetId()]
+	if state == nil {
+		state = &sessionState{session: r.Session, startedMs: r.SessionBeganMs, previous: map[uint64]bool{}}
+		o.byWorker[r.Worker.GetId()] = state
 	}
-	if seen.previous[r.Session] {
+	if state.previous[r.Session] {
 		return true
 	}
-	if seen.session != r.Session {
-		if r.SessionBeganMs != 0 && r.SessionBeganMs < seen.startedMs {
+	if state.session != r.Session {
+		if r.SessionBeganMs != 0 && r.SessionBeganMs < state.startedMs {
 			return true
 		}
-		seen.startSession(r)
+		state.startSession(r)
 	}
-	if r.Sequence < seen.sequence {
+	if r.Sequence < state.sequence {
 		return true
 	}
-	seen.sequence = r.Sequence
+	state.sequence = r.Sequence
 	return false
 }
 
-// fromPreviousIncarnation reports whether a later life of the worker is known on its host. What goes
-// wrong without it: a life that ended soon is heard of for the first time when its successor
-// is at work, and ends that one in the log; the successor's tasks run on and start elsewhere
-// as well, and it gets no work any more.
+// fromPreviousIncarnation reports whether a later incarnation of the worker is known on its host.
+// Without this check, the first report of a short-lived incarnation could arrive while its
+// successor is running and end the successor in the log. The successor's tasks would then run on
+// and also start elsewhere, and the successor would get no more work.
 func (o *reportOrder) fromPreviousIncarnation(m *jobqueue.Machine, r *apiv1.JobsReportRequest) bool {
 	host := r.Worker.GetHost()
-	life := jobqueue.ParseIncarnation(r.Worker.GetId())
-	before := func(later jobqueue.Incarnation) bool {
-		return life.Precedes(later) && !slices.Contains(r.Follows, later.Name())
+	incarnation := jobqueue.ParseIncarnation(r.Worker.GetId())
+	precedes := func(later jobqueue.Incarnation) bool {
+		return incarnation.Precedes(later) && !slices.Contains(r.Follows, later.Name())
 	}
-	if known := m.WorkerOf(host); known != nil && before(jobqueue.ParseIncarnation(known.Spec.Id)) {
+	if worker := m.WorkerOf(host); worker != nil && precedes(jobqueue.ParseIncarnation(worker.Spec.Id)) {
 		return true
 	}
-	if last := o.newestIncarnations[host]; before(last) && !m.HasLeft(last.Name()) {
+	if last := o.newestIncarnations[host]; precedes(last) && !m.HasLeft(last.Name()) {
 		return true
 	}
-	o.newestIncarnations[host] = life
+	o.newestIncarnations[host] = incarnation
 	return false
 }
 
-// startSession notes that another session has followed.
+// startSession records that another session has replaced the current one.
 func (s *sessionState) startSession(r *apiv1.JobsReportRequest) {
 	if len(s.previous) >= maxPreviousSessions {
 		clear(s.previous)
@@ -96,10 +97,10 @@
 	s.session, s.startedMs, s.sequence = r.Session, r.SessionBeganMs, 0
 }
 
-// endSession notes that the session of a worker is over: its agent says that the worker's lease
-// ran out, and numbers what it reports after that as another session.
+// endSession records that a worker's session has ended: its agent reports that the worker's lease
+// expired, and sends later reports under a new session.
 func (o *reportOrder) endSession(worker string) {
-	if seen := o.byWorker[worker]; seen != nil {
-		seen.previous[seen.session] = true
+	if state := o.byWorker[worker]; state != nil {
+		state.previous[state.session] = true
 	}
 }
--- a/dispatch/reportorder_test.go
+++ b/dispatch/reportorder_test.go
@@ -7,10 +7,10 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Symptom: what an agent said seconds ago is believed, or an agent that was restarted is
-// never heard again. Sequence: reports of one worker come twice, late, from an agent that
-// has been restarted and from the one before it, and from one that numbers none. Cause: an
-// order that knows one session only, or takes a repeated report for an old one.
+// Guards against outdated reports that are applied, and against a restarted agent whose reports are
+// ignored from then on. Reports of one worker arrive twice, late, from a restarted agent and from
+// the agent before it, and from an agent that does not number its reports. An order that knows only
+// one session, or takes a repeated report for an outdated one, fails here.
 func TestReportOrder(t *testing.T) {
 	order, m := newReportOrder(), jobqueue.New()
 	for i, step := range []struct {
@@ -21,10 +21,10 @@
 		{"w1", 7, 1, false},
 		{"w1", 7, 3, false},
 		{"w1", 7, 2, true},
-		{"w1", 7, 3, false}, // The same once more, through another control host.
+		{"w1", 7, 3, false}, // The same report again, through another control host.
 		{"w2", 9, 1, false},
 		{"w1", 8, 1, false}, // The agent was restarted.
-		{"w1", 7, 4, true},  // From the agent before it.
+		{"w1", 7, 4, true},  // From the previous agent.
 		{"w1", 8, 2, false},
 		{"w1", 0, 0, false}, // From an agent that does not number its reports.
 		{"w1", 8, 1, true},
@@ -37,23 +37,22 @@
 	}
 }
 
-// Symptom: the leader's memory grows with each restart of an agent. Cause: sessions that
-// are remembered for good.
+// Guards against memory that grows with each restart of an agent because sessions are remembered
+// forever.
 func TestPreviousSessionsAreBounded(t *testing.T) {
 	order, m := newReportOrder(), jobqueue.New()
 	for session := range uint64(10 * maxPreviousSessions) {
 		order.outdated(m, &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{Id: "w1"}, Session: session + 1, Sequence: 1})
 	}
 	if n := len(order.byWorker["w1"].previous); n > maxPreviousSessions {
-		t.Errorf("%d former sessions are remembered, at most %d", n, maxPreviousSessions)
+		t.Errorf("%d previous sessions are remembered, want at most %d", n, maxPreviousSessions)
 	}
 }
 
-// Symptom: a worker that is well gets no work any more, and its agent is told without end
-// that the worker left.
-// Sequence: an agent is cut off, so that no report of its session arrives; it is restarted,
-// and the new session is heard; then the network delivers a report of the old one.
-// Cause: a session that is heard of for the first time counts as newer than the one before.
+// Guards against a healthy worker that gets no more work and whose agent is told again and again
+// that the worker left. An agent is partitioned, so that no report of its session arrives. It is
+// restarted, and reports of the new session arrive; then the network delivers a report of the old
+// session. A session whose first report arrives last must not count as the newer one.
 func TestSessionFirstReportedLateIsOutdated(t *testing.T) {
 	order, m := newReportOrder(), jobqueue.New()
 	for i, step := range []struct {
@@ -61,10 +60,10 @@
 		outdated                 bool
 	}{
 		{8, 2000, 1, false},
-		{7, 1000, 1, true}, // Held up by the cut.
+		{7, 1000, 1, true}, // Delayed by the partition.
 		{8, 2000, 2, false},
 		{7, 1000, 2, true},
-		{9, 3000, 1, false}, // The agent was restarted once more.
+		{9, 3000, 1, false}, // The agent was restarted again.
 		{8, 2000, 3, true},
 		{9, 3000, 2, false},
 	} {
--- a/dispatch/runsim_test.go
+++ b/dispatch/runsim_test.go
@@ -9,9 +9,10 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// runSim runs a test on a simulation in virtual time, and ends the simulation after it.
+// runSim runs a test on a simulation in virtual time and stops the simulation after the test.
 func runSim(t *testing.T, seed uint64, workers int, test func(t *testing.T, s *sim)) {
-	// The library's clock for all meters must not belong to one test's virtual time.
+	// The ticker that the library shares between all meters must not belong to one test's virtual
+	// time.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -22,7 +23,7 @@
 	})
 }
 
-// runSeeds runs a test once for each of the first seeds.
+// runSeeds runs a test once for each seed from 0 to seeds-1.
 func runSeeds(t *testing.T, seeds uint64, workers int, test func(t *testing.T, s *sim, seed uint64)) {
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -27,7 +27,7 @@
 const (
 	simHost = "queues.example"
 	simPool = "pool"
-	// incarnationsPerID is how many lives of a worker have one id.
+	// incarnationsPerID is the number of incarnations of a worker that have the same id.
 	incarnationsPerID = 3
 )
 
@@ -38,29 +38,29 @@
 	ctx     context.Context
 	log     *controltest.Log
 	replica *control.Replica
-	// dispatcher is replaced when another leader follows.
+	// dispatcher is replaced when the leader changes.
 	dispatcher *dispatch.Dispatcher
 	watch      *fakes.RunWatch
 	advisor    *fakes.Advisor
-	// hostFleet takes hosts down for their maintenance, where a test has waves.
+	// hostFleet takes hosts down for their maintenance in tests with waves.
 	hostFleet atomic.Pointer[fakes.Hosts]
 	// moveOrders are the orders that move hosts, with the term of the leader that gave them.
 	moveOrders []moveOrder
-	// longRunningJob is the job whose tasks work until they are stopped.
+	// longRunningJob is the job whose tasks run until they are stopped.
 	longRunningJob string
-	// requireTickets has the workers refuse advised steps without a valid ticket.
+	// requireTickets makes the workers refuse advised steps without a valid ticket.
 	requireTickets bool
 	hosts          []*simulatedHost
 	submitted      []*apiv1.JobSpec
 	faultFree      bool
 	mu             sync.Mutex
 	loops          sync.WaitGroup
-	// logBuffer is what all parts logged, shown when something broke.
+	// logBuffer contains the logs of all components, printed when a check failed.
 	logBuffer *bytes.Buffer
 	logger    *zap.Logger
 }
 
-// simulatedHost is a worker's host: worker, agent and the link to the leader.
+// simulatedHost is a worker's host: the worker, its agent and the link to the leader.
 type simulatedHost struct {
 	*runstest.Link
 	s            *sim
@@ -73,13 +73,13 @@
 	clockRatePPM int64
 	labels       []string
 	pool         string
-	// poweredOff: the host is switched off, so its worker announces nothing.
+	// poweredOff means that the host is switched off, so its worker announces nothing.
 	poweredOff bool
-	// lastReport is the last report of what the worker said.
+	// lastReport is the last report that was not an expiry report.
 	lastReport *apiv1.JobsReportRequest
 }
 
-// newSimulatedHost returns a host whose network holds some reports up when it is cut off.
+// newSimulatedHost returns a host whose network delays some reports while it is partitioned.
 func newSimulatedHost(s *sim, name string) *simulatedHost {
 	h := &simulatedHost{s: s, name: name, pool: simPool}
 	h.Link = &runstest.Link{
@@ -107,7 +107,7 @@
 	h.pool, h.poweredOff = pool, false
 }
 
-// startWorker puts a new incarnation on the host.
+// startWorker starts a new incarnation of the worker on the host.
 func (h *simulatedHost) startWorker() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -115,10 +115,10 @@
 		h.worker.Crash()
 	}
 	h.incarnations++
-	// Most lives have the id of the one before.
-	life := jobqueue.Incarnation{WorkerID: fmt.Sprintf("%s-%d", h.name, h.incarnations/incarnationsPerID), StartedMs: int64(h.incarnations)}
+	// Most incarnations have the same id as the previous one.
+	incarnation := jobqueue.Incarnation{WorkerID: fmt.Sprintf("%s-%d", h.name, h.incarnations/incarnationsPerID), StartedMs: int64(h.incarnations)}
 	h.worker = fakes.NewRunWorker(&apiv1.JobWorker{
-		Id: life.Name(), Host: h.name, Pool: h.pool, CpuMilli: 4000, MemoryMb: 8000,
+		Id: incarnation.Name(), Host: h.name, Pool: h.pool, CpuMilli: 4000, MemoryMb: 8000,
 		Labels: h.labels,
 	}, h.s.watch)
 	h.worker.ClockRatePPM = h.clockRatePPM
@@ -140,7 +140,7 @@
 	h.s.loops.Go(func() { driver.Run(ctx) })
 }
 
-// currentWorker calls whichever incarnation is on the host.
+// currentWorker calls the incarnation that is on the host.
 type currentWorker struct{ h *simulatedHost }
 
 func (w currentWorker) current() *fakes.RunWorker {
@@ -165,12 +165,12 @@
 	return w.current().Renew(ctx, o, r)
 }
 
-// announce has the worker tell its agent that it is there.
+// announce announces the worker to its agent.
 func (h *simulatedHost) announce(sequence uint64) {
 	h.mu.Lock()
-	worker, driver, off := h.worker, h.driver, h.poweredOff
+	worker, driver, poweredOff := h.worker, h.driver, h.poweredOff
 	h.mu.Unlock()
-	if off {
+	if poweredOff {
 		return
 	}
 	if err := driver.Announce(runs.Announcement{Worker: worker.Announced(), Sequence: sequence}); err != nil {
@@ -178,14 +178,14 @@
 	}
 }
 
-// intN draws a number; faults are drawn meanwhile by others.
+// intN draws a number under the lock, since faults are drawn concurrently.
 func (s *sim) intN(n int) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.rand.IntN(n)
 }
 
-// drawFault draws what goes wrong with a call of a worker.
+// drawFault selects the fault of a call to a worker.
 func (s *sim) drawFault(string) fakes.OrderFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -245,7 +245,7 @@
 	return s
 }
 
-// simLease is the worker's own longest lease, or twice that.
+// simLease returns the longest lease that a worker uses by itself, or twice that.
 func simLease(seed uint64) time.Duration { return time.Duration(6+6*(seed%2)) * time.Second }
 
 func (s *sim) announceLoop() {
@@ -264,20 +264,20 @@
 	}
 }
 
-// propose commits a command, whoever leads by then.
+// propose commits a command, whichever replica leads.
 func (s *sim) propose(c *apiv1.JobsCommand) {
 	s.t.Helper()
 	controltest.Propose(s.ctx, s.t, s.replica, c)
 }
 
-// stopFaults ends what goes wrong with calls of workers.
+// stopFaults stops the faults in calls to workers.
 func (s *sim) stopFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faultFree = true
 }
 
-// submitJob hands a job in; the judge of runs is told of it first.
+// submitJob registers a job with the checker of runs and submits it.
 func (s *sim) submitJob(spec *apiv1.JobSpec) {
 	s.t.Helper()
 	s.watch.Submitted(spec)
@@ -294,50 +294,49 @@
 	s.submitJob(spec)
 }
 
-// injectFault does one thing that goes wrong.
+// injectFault injects one random fault.
 func (s *sim) injectFault() {
 	h := s.hosts[s.intN(len(s.hosts))]
-	span := time.Duration(500+s.intN(8000)) * time.Millisecond
+	duration := time.Duration(500+s.intN(8000)) * time.Millisecond
 	switch s.intN(4) {
 	case 0:
 		h.SetCut(true)
-		time.AfterFunc(span, func() { h.SetCut(false) })
+		time.AfterFunc(duration, func() { h.SetCut(false) })
 	case 1:
 		h.mu.Lock()
 		worker := h.worker
 		h.mu.Unlock()
 		worker.Crash()
-		time.AfterFunc(span/4, h.startWorker)
+		time.AfterFunc(duration/4, h.startWorker)
 	case 2:
 		h.mu.Lock()
 		h.stop()
 		h.mu.Unlock()
 		h.startAgent()
 	case 3:
-		s.loops.Go(func() { s.log.Lose(span / 4) })
+		s.loops.Go(func() { s.log.Lose(duration / 4) })
 	}
 }
 
 func (s *sim) finished() bool {
-	whole := true
+	allSucceeded := true
 	s.replica.ReadState(func(m *state.Machine) {
 		for _, spec := range s.submitted {
 			if j := m.CallerJobs().Job(spec.Id); j == nil || j.State != apiv1.JobState_JOB_STATE_SUCCEEDED {
-				whole = false
+				allSucceeded = false
 			}
 		}
 	})
-	return whole
+	return allSucceeded
 }
 
-// Symptom: a task runs in two places, after it was done, or beyond a worker's room;
-// or a job that was accepted never ends.
-// Sequence: jobs come while agents are cut off and restarted, workers crash and
-// come back, leaders follow one another, and orders are lost or carried out ten
-// seconds late.
-// Cause: any fault in leases, fencing, numbers of runs, ends or their order.
+// Guards against a task that runs in two places, after it was finished, or beyond a worker's
+// capacity, and against an accepted job that never finishes. Any fault in leases, fencing, run
+// numbers, ends or their order can cause this. Jobs arrive while agents are partitioned and
+// restarted, workers crash and return, leaders change, and orders are lost or executed ten seconds
+// late.
 func TestJobsUnderFaults(t *testing.T) {
-	// The library's goroutine for meters would else belong to the first test's time.
+	// The library's goroutine for meters would otherwise belong to the first test's virtual time.
 	runSeeds(t, 60, 4, runJobsUnderFaults)
 }
 
@@ -353,7 +352,8 @@
 	s.stopFaultsAndCheck(seed)
 }
 
-// stopFaultsAndCheck has the calm return, and checks that all jobs end and nothing broke.
+// stopFaultsAndCheck stops the faults and checks that all jobs finish and no invariant was
+// violated.
 func (s *sim) stopFaultsAndCheck(seed uint64) {
 	s.t.Helper()
 	t := s.t
@@ -361,8 +361,8 @@
 	for i := 0; i < 600 && !s.finished(); i++ {
 		s.sleep(100 * time.Millisecond)
 	}
-	for _, b := range s.watch.Broken() {
-		t.Errorf("seed %d: %s", seed, b)
+	for _, violation := range s.watch.Broken() {
+		t.Errorf("seed %d: %s", seed, violation)
 	}
 	if !s.finished() {
 		s.replica.ReadState(func(m *state.Machine) {
--- a/dispatch/status.go
+++ b/dispatch/status.go
@@ -2,16 +2,16 @@
 
 import "github.com/cairnlift/cairnlift/state"
 
-// Status sums up what the leader sees of workers and tasks.
+// Status summarizes the workers and tasks as the leader sees them.
 type Status struct {
-	// Workers are known and may run tasks; Reachable are those of them that an order
-	// would reach soon.
+	// Workers is the number of workers that may run tasks, Reachable the number of those that an
+	// order would reach soon.
 	Workers, Reachable int
-	// Waiting is the number of tasks that found no worker in the last round.
+	// Waiting is the number of tasks for which the last round found no worker.
 	Waiting int
 }
 
-// Status returns zeros where this replica does not lead.
+// Status returns a summary of workers and tasks, all zero on a replica that does not lead.
 func (d *Dispatcher) Status() Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/dispatch/unlogged.go
+++ b/dispatch/unlogged.go
@@ -9,17 +9,18 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// recordUnlogged notes which runs a worker lists that the log does not hold there, and tells of
-// those that it listed for the first time. They were given up, refused or never ordered; the task
-// may run elsewhere, and nothing counts the room that they take, so their worker is ordered to stop them.
+// recordUnlogged records which runs a worker lists that the log does not contain there, and logs
+// those that are listed for the first time. They were lost, refused or never ordered. Their tasks
+// may run elsewhere, and the capacity that they use is not accounted for, so the worker is ordered
+// to stop them.
 func (d *Dispatcher) recordUnlogged(l *leaderState, m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) {
 	worker := r.Worker.GetId()
 	w := m.Worker(worker)
 	if w == nil {
-		return // Its next report is compared with what this one brings into the log.
+		return // This report adds the worker to the log; the next one is compared with the log.
 	}
 	var unlogged []jobqueue.RunID
-	var news []runEntry
+	var added []runEntry
 	for _, o := range r.Running {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
 		if w.Runs[id] != nil {
@@ -27,10 +28,10 @@
 		}
 		unlogged = append(unlogged, id)
 		if !slices.Contains(l.unlogged[worker], id) {
-			news = append(news, runEntry{id, now})
+			added = append(added, runEntry{id, now})
 		}
 	}
-	if len(unlogged) != len(l.unlogged[worker]) || len(news) > 0 {
+	if len(unlogged) != len(l.unlogged[worker]) || len(added) > 0 {
 		l.orderRevisions[worker]++
 	}
 	if len(unlogged) == 0 {
@@ -38,10 +39,10 @@
 		return
 	}
 	l.unlogged[worker] = unlogged
-	if len(news) == 0 {
+	if len(added) == 0 {
 		return
 	}
-	d.metrics.unloggedRuns.Inc(int64(len(news)))
+	d.metrics.unloggedRuns.Inc(int64(len(added)))
 	event.UnloggedRuns.Write(d.logger, event.Term(l.term), event.Worker(worker),
-		event.Unlogged(formatRuns(map[string][]runEntry{worker: news}, now)))
+		event.Unlogged(formatRuns(map[string][]runEntry{worker: added}, now)))
 }
--- a/dispatch/unlogged_test.go
+++ b/dispatch/unlogged_test.go
@@ -6,18 +6,19 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Guards against a run that goes on though the log does not hold it: its task may run elsewhere too.
+// Guards against a run that continues though the log does not contain it: its task may also run
+// elsewhere.
 func TestUnloggedRunsAreStopped(t *testing.T) {
 	runExpirySim(t, func(r *expiryHarness) {
 		r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
 		r.renew()
 		if stops := r.orders().Stops; len(stops) != 1 || stops[0].Run != 1 {
-			t.Errorf("stops %v, want that of run 1", stops)
+			t.Errorf("the stops are %v, want the stop of run 1", stops)
 		}
-		before := r.orders().Sequence
+		sequenceBefore := r.orders().Sequence
 		r.report(&apiv1.JobsReportRequest{})
-		if o := r.orders(); len(o.Stops) != 0 || o.Sequence == before {
-			t.Errorf("stops %v once nothing is listed, as sequence %d after %d", o.Stops, o.Sequence, before)
+		if o := r.orders(); len(o.Stops) != 0 || o.Sequence == sequenceBefore {
+			t.Errorf("the stops are %v once no run is listed, with sequence %d after %d", o.Stops, o.Sequence, sequenceBefore)
 		}
 	})
 }
--- a/dispatch/waits.go
+++ b/dispatch/waits.go
@@ -7,15 +7,14 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// waitLogInterval is the time between two notes on one step that waits.
+// waitLogInterval is the time between two log entries about one waiting step.
 const waitLogInterval = 2 * time.Second
 
-// loggedWait is since when a step has waited in every round, and when the last line
-// said so.
+// loggedWait is since when a step has waited in every round, and when it was last logged.
 type loggedWait struct{ since, loggedAt time.Time }
 
-// recordWaits counts and notes for the log the steps whose tasks found no worker; each step at
-// most once in an interval, since rounds come many times a second.
+// recordWaits counts the steps for whose tasks no worker was found, and logs each at most once per
+// waitLogInterval, since there are many rounds per second.
 func (d *Dispatcher) recordWaits(l *leaderState, waits []schedule.Wait, now time.Time) {
 	l.waits = waits
 	tasks := 0
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -18,12 +18,13 @@
 const (
 	waveNumber = 7
 	waveCap    = 2
-	// servingTasks of one step may miss unavailableBudget at once by orders.
+	// servingTasks is the number of tasks of the serving step; orders may take unavailableBudget of
+	// them down at once.
 	servingTasks      = 3
 	unavailableBudget = 1
 )
 
-// simHosts asks the simulation's fleet, once there is one.
+// simHosts queries the simulation's fleet once there is one.
 type simHosts struct{ s *sim }
 
 var errNoFleet = errors.New("no fleet")
@@ -60,7 +61,7 @@
 	return 0, errNoFleet
 }
 
-// newFleet has the simulation's hosts go down and come back for their maintenance.
+// newFleet returns a fleet of the simulation's hosts that go down and return for their maintenance.
 func (s *sim) newFleet() *fakes.Hosts {
 	f := &fakes.Hosts{Takes: 2 * time.Second, Fault: s.drawFault}
 	host := func(name string) *simulatedHost {
@@ -72,7 +73,7 @@
 		defer h.mu.Unlock()
 		for _, task := range h.worker.Running() {
 			if task.Job == "serving" {
-				s.t.Errorf("%v was at work on %s when it went down for its maintenance", task, name)
+				s.t.Errorf("%v was running on %s when the host went down for maintenance", task, name)
 			}
 		}
 		h.worker.Crash()
@@ -97,7 +98,7 @@
 	return h.worker.Spec.Id
 }
 
-// servingJob runs until it is cancelled, within an availability budget.
+// servingJob returns a job that runs until it is canceled, with an availability budget.
 func servingJob() *apiv1.JobSpec {
 	return &apiv1.JobSpec{Id: "serving", Host: simHost, Path: "/q/serving", Steps: []*apiv1.JobStep{{
 		Count: servingTasks, CpuMilli: 1000, MemoryMb: 500, LongRunning: true, MaxPerWorker: 1,
@@ -105,13 +106,11 @@
 	}}}
 }
 
-// Symptom: more hosts are down for maintenance than the operator allowed, a host is
-// left out of a wave that is said to be over, or serving tasks end with a host that
-// goes down.
-// Sequence: a wave goes over all hosts while batch and serving tasks run; leaders
-// follow one another; orders to the platform get no answer and are carried out late.
-// Cause: an order that is forgotten with its leader or counted wrongly, or a host
-// that goes down before its tasks are elsewhere.
+// Guards against more hosts down for maintenance than the operator allowed, a host that is left out
+// of a finished wave, and serving tasks that end with a host that goes down. The causes are an
+// order that is lost with its leader or counted wrongly, and a host that goes down before its tasks
+// run elsewhere. A wave passes over all hosts while batch and serving tasks run, leaders change,
+// and orders to the platform are not answered and are executed late.
 func TestWavesUnderFaults(t *testing.T) {
 	runSeeds(t, 30, 5, runWaveUnderFaults)
 }
@@ -139,22 +138,22 @@
 	}
 	if !s.waveFinished() {
 		s.replica.ReadState(func(m *state.Machine) {
-			t.Errorf("seed %d: the wave is not over: %v", seed, m.CallerJobs().Wave(waveNumber).Record())
+			t.Errorf("seed %d: the wave is not finished: %v", seed, m.CallerJobs().Wave(waveNumber).Record())
 		})
 	}
-	if most := fleet.MostDown(waveNumber); most > waveCap {
-		t.Errorf("seed %d: %d hosts were down at once", seed, most)
+	if maxDown := fleet.MostDown(waveNumber); maxDown > waveCap {
+		t.Errorf("seed %d: %d hosts were down at once", seed, maxDown)
 	}
 	for _, h := range s.hosts {
 		if !fleet.Begun(h.name, waveNumber) {
-			t.Errorf("seed %d: %s had no maintenance", seed, h.name)
+			t.Errorf("seed %d: %s got no maintenance", seed, h.name)
 		}
 	}
 	s.stopFaultsAndCheck(seed)
 }
 
 func (s *sim) waveFinished() bool {
-	over := false
-	s.replica.ReadState(func(m *state.Machine) { over = m.CallerJobs().Wave(waveNumber).Over() })
-	return over
+	finished := false
+	s.replica.ReadState(func(m *state.Machine) { finished = m.CallerJobs().Wave(waveNumber).Over() })
+	return finished
 }
