--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -80,14 +80,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
-	asked := d.opts.Now()
+	sentAt := d.opts.Now()
 	advice, err := d.opts.Advisor.Approve(ctx, q.Question)
 	now := d.opts.Now()
-	d.metrics.advice.Observe(now.Sub(asked))
+	d.metrics.advice.Observe(now.Sub(sentAt))
 	d.advisorWatch.Note(err)
 	d.countCall("dispatch.advice_calls", err)
 	event.PlacementAdvice.Write(d.logger, event.Term(q.term), event.Step(q.Step), event.Asked(len(q.Workers)),
-		event.Approved(len(advice.Tickets)), event.Took(now.Sub(asked)), event.Err(err))
+		event.Approved(len(advice.Tickets)), event.Took(now.Sub(sentAt)), event.Err(err))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader == nil || d.leader.term != q.term {
@@ -97,7 +97,7 @@
 		d.leader.planner.Unadvised(q.Question, now)
 		return
 	}
-	d.leader.planner.Advised(q.Question, advice, asked)
+	d.leader.planner.Advised(q.Question, advice, sentAt)
 	select {
 	case d.wake <- struct{}{}:
 	default:
--- a/dispatch/groupstate_internal_test.go
+++ b/dispatch/groupstate_internal_test.go
@@ -29,7 +29,7 @@
 		"new version":        {groupState{term: 2, leader: leads.leader, leads: true, version: 1}, 0, 10_000, true},
 	} {
 		if got := s.due(c.seen, now.Add(c.after), c.logged); got != c.due {
-			t.Errorf("%s: due %v, want %v", name, got, c.due)
+			t.Errorf("%s: due is %v", name, got)
 		}
 	}
 }
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -51,7 +51,7 @@
 
 const (
 	// hostCheckInterval is the time between two checks of the hosts while a wave or a move is open.
-	// It is a fraction of the two seconds that a maintenance takes at least.
+	// It is a fraction of the shortest maintenance, two seconds.
 	hostCheckInterval = 500 * time.Millisecond
 	// hostCallTimeout bounds one call about hosts.
 	hostCallTimeout = 2 * time.Second
@@ -96,7 +96,7 @@
 	return work
 }
 
-// advanceHosts takes each host's maintenance or move to its next step if possible. The order is
+// advanceHosts advances each host's maintenance or move by one step if possible. The order is
 // committed before it is sent, and each later leader repeats it until it is answered: so the limits
 // on hosts that are down hold whatever the outcome of a call.
 func (d *Dispatcher) advanceHosts(ctx context.Context, work hostWork) {
--- a/dispatch/outages_test.go
+++ b/dispatch/outages_test.go
@@ -51,7 +51,7 @@
 		}
 		stop()
 		s.loops.Wait()
-		var told []string
+		var got []string
 		lines, err := trace.Read(log, "leader")
 		if err != nil {
 			t.Fatal(err)
@@ -59,20 +59,20 @@
 		for _, l := range lines {
 			switch l.Event {
 			case "long-running tasks are away":
-				told = append(told, fmt.Sprint(l.Fields["reason"], "; ", l.Fields["how"], "; ", l.Fields["worker"]))
+				got = append(got, fmt.Sprint(l.Fields["reason"], "; ", l.Fields["how"], "; ", l.Fields["worker"]))
 			case "long-running tasks are back":
-				told = append(told, fmt.Sprint("back on ", l.Fields["worker"]))
-				if away := l.Fields["waited"].(time.Duration); away < 12*time.Second || away > 15*time.Second {
-					t.Errorf("the outage lasted %v", away)
+				got = append(got, fmt.Sprint("back on ", l.Fields["worker"]))
+				if gap := l.Fields["waited"].(time.Duration); gap < 12*time.Second || gap > 15*time.Second {
+					t.Errorf("the outage lasted %v", gap)
 				}
 			}
 		}
-		told = slices.Compact(told)
+		got = slices.Compact(got)
 		want := []string{
 			"no report of its worker; <nil>; w1", "unreachable 1; lease ran out; w1", "ordered, not begun; lease ran out; w2", "back on w2",
 		}
-		if !slices.Equal(told, want) {
-			t.Errorf("logged %q, want %q", told, want)
+		if !slices.Equal(got, want) {
+			t.Errorf("logged %q, want %q", got, want)
 		}
 		if n := registry.Get("dispatch.long_running_outage_us").(metrics.Histogram).Count(); n == 0 {
 			t.Error("no outage was measured")
--- a/dispatch/reportorder.go
+++ b/dispatch/reportorder.go
@@ -13,12 +13,12 @@
 
 // reportOrder detects reports that are older than ones already received.
 //
-// A network partition can delay a message until it ends, after the sender has given up on the
-// message. Without this check, an agent reports that its worker's lease expired and then its report
-// of seconds ago arrives: the worker counts as reachable and empty, and all waiting tasks are
-// ordered to a worker that never responds. A session whose reports all arrive late is told from a
-// newer one by its start time: otherwise its late report would end the newer session, and that
-// worker would get no work.
+// A network partition can delay a message until the partition ends, after the sender has given up
+// on it. Without this check, a report from before the partition could arrive after the agent's
+// report that the worker's lease expired: the worker would count as reachable and empty, and all
+// waiting tasks would be ordered to a worker that never responds. A session whose reports all arrive
+// late is distinguished from a newer one by its start time: otherwise its late report would end the
+// newer session, and that worker would get no work.
 type reportOrder struct {
 	byWorker map[string]*sessionState
 	// newestIncarnations are the newest reported incarnations, by host.
--- a/dispatch/reportorder_test.go
+++ b/dispatch/reportorder_test.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// Guards against a healthy worker that gets no more work and whose agent is told again and again
+// Guards against a healthy worker that gets no more work and whose agent is notified repeatedly
 // that the worker left. An agent is partitioned, so that no report of its session arrives. It is
 // restarted, and reports of the new session arrive; then the network delivers a report of the old
 // session. A session whose first report arrives last must not count as the newer one.
