--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// isFenced reports whether orders about a host were refused because another leader has a higher
-// token, or this replica no longer leads.
+// isFenced reports whether orders about a host were refused because another holder has a
+// higher token, or this replica no longer leads.
 func (d *Dispatcher) isFenced(term uint64, host string) bool {
 	fenced := true
 	d.withMoves(term, func(l *leaderMoves) { fenced = l.fencedHosts[host] })
@@ -174,7 +174,7 @@
 }
 
 // orderMove orders a move and commits the platform's response. It returns false if there was no
-// response. Once another leader has used a higher token, nothing more is ordered.
+// response. Once another holder has used a higher token, nothing more is ordered.
 func (d *Dispatcher) orderMove(ctx context.Context, term uint64, v jobqueue.Move) bool {
 	answer, err := HostFenced, error(nil)
 	if !d.isFenced(term, v.Host) {
