--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -11,7 +11,7 @@
 // Advisor is the external placement policy that decides which workers may run a step. An error
 // means that no decision was received; the question is sent again.
 type Advisor interface {
-	Approve(ctx context.Context, q schedule.Question) (schedule.Advice, error)
+	Approve(ctx context.Context, q schedule.AdviceRequest) (schedule.Advice, error)
 }
 
 const (
@@ -24,13 +24,13 @@
 
 // pendingQuestion is a question to the advisor, with the term of the leader that asked it.
 type pendingQuestion struct {
-	schedule.Question
+	schedule.AdviceRequest
 	term uint64
 }
 
 // enqueueQuestions queues questions for the advisor. A question that does not fit is returned to
 // the planner, which asks it again later. The caller must hold d.mu.
-func (d *Dispatcher) enqueueQuestions(l *leaderState, questions []schedule.Question, now time.Time) {
+func (d *Dispatcher) enqueueQuestions(l *leaderState, questions []schedule.AdviceRequest, now time.Time) {
 	for _, q := range questions {
 		queue := d.otherQuestions
 		if q.LongRunning {
@@ -39,7 +39,7 @@
 		select {
 		case queue <- pendingQuestion{q, l.term}:
 		default:
-			l.planner.Unadvised(q, now)
+			l.planner.RecordAdviceFailure(q, now)
 		}
 	}
 }
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithTimeout(ctx, adviceTimeout)
 	defer cancel()
 	sentAt := d.opts.Now()
-	advice, err := d.opts.Advisor.Approve(ctx, q.Question)
+	advice, err := d.opts.Advisor.Approve(ctx, q.AdviceRequest)
 	now := d.opts.Now()
 	d.metrics.advice.Observe(now.Sub(sentAt))
 	d.advisorWatch.Note(err)
@@ -94,10 +94,10 @@
 		return
 	}
 	if err != nil {
-		d.leader.planner.Unadvised(q.Question, now)
+		d.leader.planner.RecordAdviceFailure(q.AdviceRequest, now)
 		return
 	}
-	d.leader.planner.Advised(q.Question, advice, sentAt)
+	d.leader.planner.RecordAdvice(q.AdviceRequest, advice, sentAt)
 	select {
 	case d.wake <- struct{}{}:
 	default:
--- a/dispatch/batchedlog.go
+++ b/dispatch/batchedlog.go
@@ -56,7 +56,7 @@
 
 // waitEntry is a step with tasks for which the planner found no worker.
 type waitEntry struct {
-	wait   schedule.Wait
+	wait   schedule.UnplacedStep
 	waited time.Duration
 	at     time.Time
 }
@@ -100,8 +100,8 @@
 	g.entryAdded(term, now)
 }
 
-func (g *batchedLog) addWait(term uint64, w schedule.Wait, waited time.Duration, now time.Time) {
-	reason := w.Why()
+func (g *batchedLog) addWait(term uint64, w schedule.UnplacedStep, waited time.Duration, now time.Time) {
+	reason := w.ReasonSummary()
 	g.waits[reason] = append(g.waits[reason], waitEntry{w, waited, now})
 	g.entryAdded(term, now)
 }
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -15,7 +15,7 @@
 // nil if there is none. A crash is a departure without notice, or the first report of an
 // incarnation whose predecessor did not give notice.
 func (l *leaderState) reportedCrash(m *jobqueue.Machine, r *apiv1.JobsReportRequest) (*jobqueue.Worker, []*apiv1.RunWork) {
-	worker, previous := m.Worker(r.Worker.GetId()), m.WorkerOf(r.Worker.GetHost())
+	worker, previous := m.Worker(r.Worker.GetId()), m.WorkerOnHost(r.Worker.GetHost())
 	switch {
 	case worker != nil && r.Departed:
 		if !r.Crashed || worker.Spec.Draining {
@@ -37,7 +37,7 @@
 		byRun[jobqueue.RunID{Task: jobqueue.TaskIDOf(t.Task), Number: t.Run}] = t
 	}
 	var list []*apiv1.RunWork
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		work := byRun[id]
 		if o, seen := l.observed[id]; seen {
 			work = cmp.Or(work, unknownWork(id))
@@ -51,7 +51,7 @@
 			list = append(list, work)
 		}
 	}
-	for _, id := range w.GivenUp() {
+	for _, id := range w.LostRuns() {
 		if work := cmp.Or(byRun[id], unknownWork(id)); !work.NeverSent {
 			list = append(list, work)
 		}
@@ -93,7 +93,7 @@
 			event.JobGivenUp.Write(d.logger, event.Term(applied.term), event.Task(id), event.Run(w.Run))
 		}
 		if task := m.Task(id); task != nil && task.Crashes.Suspect {
-			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.InRow, task.Crashes.Alone))
+			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.Consecutive, task.Crashes.SoleCause))
 		}
 	}
 	if len(suspects) > 0 {
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -181,16 +181,16 @@
 			plan.Checkpoints = append(plan.Checkpoints, l.checkpoints(jobs.Worker(id))...)
 		}
 		decision := l.planner.Plan(jobs, l.fleet(now), now, now.UnixMilli())
-		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.TrialsOver
-		for _, w := range decision.Paced {
+		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.EndedProbations
+		for _, w := range decision.RepacedWorkers {
 			l.orderRevisions[w]++
 			d.metrics.paceOrders.Inc(1)
 		}
 		plan.Learnt = l.learnedToSave(now)
-		d.checkLongRunning(l, jobs, decision.Waits, now)
+		d.checkLongRunning(l, jobs, decision.Unplaced, now)
 		d.logDecision(jobs, l, plan, now)
-		d.recordWaits(l, decision.Waits, now)
-		d.enqueueQuestions(l, decision.Questions, now)
+		d.recordWaits(l, decision.Unplaced, now)
+		d.enqueueQuestions(l, decision.AdviceRequests, now)
 		l.prune(jobs)
 		l.batchedLog.flushIfDue(l.term, now)
 	})
--- a/dispatch/leadership.go
+++ b/dispatch/leadership.go
@@ -31,7 +31,7 @@
 	// orderRevisions grow with each change of a worker's orders that is not in the log.
 	orderRevisions map[string]uint64
 	// waits are the steps for which the last round found no worker.
-	waits       []schedule.Wait
+	waits       []schedule.UnplacedStep
 	loggedWaits map[jobqueue.StepID]loggedWait
 	batchedLog  *batchedLog
 	// savedCheckpoints are the runs' last checkpoints. lossLoggedEpoch is the epoch of each worker
@@ -101,7 +101,7 @@
 	}
 	now := d.opts.Now()
 	planner := schedule.New()
-	d.opts.Replica.ReadState(func(m *state.Machine) { planner.Resume(m.CallerJobs().Learnt(), now) })
+	d.opts.Replica.ReadState(func(m *state.Machine) { planner.RestoreLearned(m.CallerJobs().Learned(), now) })
 	d.leader = &leaderState{
 		term:             term,
 		planner:          planner,
@@ -151,7 +151,7 @@
 		return nil
 	}
 	l.learnedSavedAt, l.reportedSinceSave = now, false
-	return l.planner.Learnt(now)
+	return l.planner.Learned(now)
 }
 
 // finishExpiries lets the leases of workers whose runs are lost be renewed again. A plan whose
@@ -181,7 +181,7 @@
 		return nil
 	}
 	var list []*apiv1.RunCheckpoint
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		if o := l.observed[id]; o.Checkpoint != "" {
 			list = append(list, &apiv1.RunCheckpoint{Task: id.Task.Ref(), Run: id.Number, Checkpoint: o.Checkpoint})
 		}
@@ -229,8 +229,8 @@
 // Reachable implements schedule.Fleet.
 func (v fleetView) Reachable(worker string) bool { return v.l.leases.reachable(worker, v.now) }
 
-// HeardSince implements schedule.Fleet.
-func (v fleetView) HeardSince(worker string) (time.Time, bool) {
+// ReportingSince implements schedule.Fleet.
+func (v fleetView) ReportingSince(worker string) (time.Time, bool) {
 	return v.l.contacts.since(worker, v.now)
 }
 
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -37,7 +37,7 @@
 		}
 		s.log.Lose(time.Second)
 		s.replica.ReadState(func(m *state.Machine) {
-			pressures := m.CallerJobs().Learnt().GetPressures()
+			pressures := m.CallerJobs().Learned().GetPressures()
 			if len(pressures) != 1 || pressures[0].Mean < 0.1 {
 				t.Errorf("the next leader learned pressures %v, want one with a mean of at least 0.1", pressures)
 			}
--- a/dispatch/lines_test.go
+++ b/dispatch/lines_test.go
@@ -127,7 +127,7 @@
 
 var errPlatformUnavailable = errors.New("the platform is unavailable")
 
-func (p *unreliablePlatform) Approve(context.Context, schedule.Question) (schedule.Advice, error) {
+func (p *unreliablePlatform) Approve(context.Context, schedule.AdviceRequest) (schedule.Advice, error) {
 	if !p.available.Load() {
 		return schedule.Advice{}, errPlatformUnavailable
 	}
--- a/dispatch/longrunning_test.go
+++ b/dispatch/longrunning_test.go
@@ -88,7 +88,7 @@
 func (s *sim) runsOn(worker string) (ids []jobqueue.RunID) {
 	s.replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(worker); w != nil {
-			ids = w.SortedRuns()
+			ids = w.SortedRunIDs()
 		}
 	})
 	return ids
--- a/dispatch/losses.go
+++ b/dispatch/losses.go
@@ -38,7 +38,7 @@
 	if crashed, worked := l.reportedCrash(m, r); crashed != nil && l.lossLoggedEpoch[crashed.Spec.Id] != crashed.Epoch {
 		d.logCrash(l, crashed, worked)
 	}
-	if previous := m.WorkerOf(r.Worker.GetHost()); previous != nil && (worker == nil || previous != worker && !worker.Departed) {
+	if previous := m.WorkerOnHost(r.Worker.GetHost()); previous != nil && (worker == nil || previous != worker && !worker.Departed) {
 		d.recordLostRuns(l, previous, lostWorkerReplaced, nil, now)
 	}
 	switch {
@@ -60,7 +60,7 @@
 	}
 	var lost []runEntry
 	var work time.Duration
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		if !ended[id] {
 			lost = append(lost, runEntry{id, now})
 			l.outages.recordEnd(w.Runs[id], reason, now)
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -89,7 +89,7 @@
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
 		for _, w := range jobs.Waves() {
-			work.openWaves = work.openWaves || !w.Over()
+			work.openWaves = work.openWaves || !w.Finished()
 		}
 		work.pendingMoves = l.moves.updatePending(jobs, l.fleet(now), l.waits, now)
 	})
@@ -134,7 +134,7 @@
 		if !known {
 			continue
 		}
-		if m.HasLeft(incarnation) && m.Pool(view.Pool).GetStandby() {
+		if m.HasDeparted(incarnation) && m.Pool(view.Pool).GetStandby() {
 			incarnation = ""
 		}
 		view.Worker = incarnation
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -57,17 +57,17 @@
 }
 
 // updatePending updates the mover and reports whether a move is open or is to begin.
-func (l *leaderMoves) updatePending(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.Wait, now time.Time) bool {
-	l.mover.Note(m, fleet, waits, now)
+func (l *leaderMoves) updatePending(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.UnplacedStep, now time.Time) bool {
+	l.mover.Update(m, fleet, waits, now)
 	advances := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayAdvance(m, v) })
-	return advances || l.mover.Wanted(m, now)
+	return advances || l.mover.NeedsHostList(m, now)
 }
 
 // mayAdvance reports whether a host list may show that a move can advance. A move whose worker
 // still has runs waits for them, and the platform need not be queried meanwhile.
 func mayAdvance(m *jobqueue.Machine, v jobqueue.Move) bool {
 	w := m.Worker(v.Worker)
-	return v.Down() || !v.Over() && (w == nil || len(w.Runs) == 0)
+	return v.InTransit() || !v.Finished() && (w == nil || len(w.Runs) == 0)
 }
 
 // callsSettled reports whether all calls of a move were answered or are too old to be executed.
@@ -114,8 +114,8 @@
 	settled := false
 	d.withMoves(term, func(l *leaderMoves) {
 		now := d.opts.Now()
-		settled = l.mover.Settled(now)
-		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.Next(m.CallerJobs(), hosts, now) })
+		settled = l.mover.Ready(now)
+		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.NextSteps(m.CallerJobs(), hosts, now) })
 	})
 	for _, step := range steps {
 		d.commitMoveStep(ctx, term, step)
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -98,7 +98,7 @@
 		s.submitSpec(&apiv1.JobSpec{Id: "serving", Host: simHost, Path: "/q/serving", Steps: []*apiv1.JobStep{{
 			Count: 2, CpuMilli: 4000, MemoryMb: 500, LongRunning: true,
 		}}})
-		if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Over() }) {
+		if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Finished() }) {
 			t.Errorf("the move is %v", s.moveOf("host0"))
 		}
 	})
@@ -123,7 +123,7 @@
 		}
 		s.sleep(moverSettleTime)
 		s.requestMove("host0", otherPool)
-		if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Over() }) {
+		if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == otherPool && s.moveOf("host0").Finished() }) {
 			t.Errorf("the move is %v", s.moveOf("host0"))
 		}
 		if term, _ := s.log.Leading(); term < 2 || len(f.Orders()) < 3 {
@@ -184,7 +184,7 @@
 			t.Errorf("%d platform calls", all)
 		}
 		s.requestMove("host1", simPool)
-		s.waitUntil(20*time.Second, func() bool { return s.moveOf("host1").Over() })
+		s.waitUntil(20*time.Second, func() bool { return s.moveOf("host1").Finished() })
 		if h := list(1).Hosts[1]; h.Pool != simPool || !h.Up || h.Move.GetState() != apiv1.MoveState_MOVE_STATE_DONE {
 			t.Errorf("the host is listed as %v", h)
 		}
--- a/dispatch/movesharness_test.go
+++ b/dispatch/movesharness_test.go
@@ -171,7 +171,7 @@
 		byToken[k], newest[o.Host] = o, o.Token
 	}
 	s.checkHolders(seed)
-	if n := f.MostAway(); n > jobqueue.MaxMovesAtOnce {
+	if n := f.MostAway(); n > jobqueue.MaxConcurrentMoves {
 		s.t.Errorf("seed %d: %d hosts were down at once", seed, n)
 	}
 	if all, refused := f.Calls(); refused > 0 {
--- a/dispatch/movesim_test.go
+++ b/dispatch/movesim_test.go
@@ -44,7 +44,7 @@
 	}
 	s.disableFaults()
 	arrived := func() bool {
-		return !slices.ContainsFunc(requested, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Over() })
+		return !slices.ContainsFunc(requested, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Finished() })
 	}
 	if !s.waitUntil(2*time.Minute, arrived) {
 		t.Errorf("seed %d: the moves are %v %v %v", seed, s.moveOf("host0"), s.moveOf("host1"), s.moveOf("host2"))
@@ -52,7 +52,7 @@
 	// Move one of them back as soon as that is allowed.
 	s.sleep(31 * time.Second)
 	s.requestMove("host0", simPool)
-	if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Over() }) {
+	if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Finished() }) {
 		t.Errorf("seed %d: the move back is %v", seed, s.moveOf("host0"))
 	}
 	s.checkOrders(seed, f)
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -55,7 +55,7 @@
 			CpuMilli: w.Spec.CpuMilli, MemoryMb: w.Spec.MemoryMb, Accelerators: w.Spec.Accelerators,
 		}
 		resp.Sequence = w.Revision + l.orderRevisions[r.Worker]
-		for _, id := range w.SortedRuns() {
+		for _, id := range w.SortedRunIDs() {
 			l.addOrder(resp, w, w.Runs[id])
 		}
 		for _, id := range l.unlogged[r.Worker] {
@@ -88,7 +88,7 @@
 func (l *leaderState) addHost(resp *apiv1.JobsOrdersResponse, m *jobqueue.Machine, host string) {
 	resp.HostTold = true
 	resp.LastLife = l.reports.newestIncarnations[host].Name()
-	w := m.WorkerOf(host)
+	w := m.WorkerOnHost(host)
 	if w == nil {
 		return
 	}
--- a/dispatch/outages.go
+++ b/dispatch/outages.go
@@ -81,7 +81,7 @@
 func yieldTasks(j *jobqueue.Job, wallMs int64, yield func(longRunningTask) bool) bool {
 	for k, o := range j.Occurrences {
 		for i, s := range o.Steps {
-			if !s.Spec.LongRunning || !j.Due(k, wallMs) || !o.Ready(i) {
+			if !s.Spec.LongRunning || !j.Due(k, wallMs) || !o.StepReady(i) {
 				continue
 			}
 			id := jobqueue.TaskID{Job: j.ID(), Occurrence: uint32(k), Step: uint32(i)}
@@ -98,7 +98,7 @@
 
 // checkLongRunning records which long-running tasks are not known to run. It logs the outages that
 // are longer than outageLogInterval, and the ends of those that were logged.
-func (d *Dispatcher) checkLongRunning(l *leaderState, m *jobqueue.Machine, waits []schedule.Wait, now time.Time) {
+func (d *Dispatcher) checkLongRunning(l *leaderState, m *jobqueue.Machine, waits []schedule.UnplacedStep, now time.Time) {
 	o := l.outages
 	if now.Sub(o.checkedAt) < outageCheckInterval {
 		return
@@ -106,7 +106,7 @@
 	o.checkedAt = now
 	reasonByStep := map[jobqueue.StepID]string{}
 	for _, w := range waits {
-		reasonByStep[w.Step] = w.Why()
+		reasonByStep[w.Step] = w.ReasonSummary()
 	}
 	tracked := map[jobqueue.TaskID]bool{}
 	notRunning := map[string][]string{}
--- a/dispatch/outcomes.go
+++ b/dispatch/outcomes.go
@@ -12,7 +12,7 @@
 // logStart adds the start of a run to the batched log.
 func (l *leaderState) logStart(m *jobqueue.Machine, s *apiv1.StartRun, now time.Time) {
 	id := jobqueue.RunID{Task: jobqueue.TaskIDOf(s.Task), Number: s.Run}
-	if step := m.StepOf(id.Task); step != nil && step.LongRunning {
+	if step := m.StepSpec(id.Task); step != nil && step.LongRunning {
 		l.batchedLog.addLongRunningStart(l.term, s.Worker, id, now)
 		return
 	}
@@ -65,7 +65,7 @@
 			continue
 		}
 		last := len(j.Occurrences) - 1
-		open[j.ID()] = openJob{j.DueMs(last), l.planner.Allowed(m.QueueOf(j), j.Occurrences[last])}
+		open[j.ID()] = openJob{j.DueMs(last), l.planner.AllowedTime(m.QueueOf(j), j.Occurrences[last])}
 	}
 	return open
 }
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -48,7 +48,7 @@
 	for _, w := range l.waits {
 		if w.Step.Job == id {
 			resp.Explanation.Waits = append(resp.Explanation.Waits, &apiv1.StepWait{
-				Occurrence: w.Step.Occurrence, Step: w.Step.Step, Tasks: uint32(w.Tasks), Workers: w.Why(),
+				Occurrence: w.Step.Occurrence, Step: w.Step.Step, Tasks: uint32(w.Tasks), Workers: w.ReasonSummary(),
 			})
 		}
 	}
--- a/dispatch/refused_test.go
+++ b/dispatch/refused_test.go
@@ -13,7 +13,7 @@
 func TestOnlyWorkerRefusalsPauseWorker(t *testing.T) {
 	const pause = 900 * time.Millisecond
 	for reason, pauses := range map[string]bool{
-		jobqueue.RefusedForRoom: true, jobqueue.RefusedUnwilling: true,
+		jobqueue.RefusedNoCapacity: true, jobqueue.RefusedUnwilling: true,
 		"stopped before it began": false, "worker drains": false, "no ticket": false,
 	} {
 		t.Run(reason, func(t *testing.T) {
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -113,7 +113,7 @@
 // delayed in the network does not.
 func (l *leaderState) contestsLiveWorker(m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) bool {
 	id := r.Worker.GetId()
-	current := m.WorkerOf(r.Worker.GetHost())
+	current := m.WorkerOnHost(r.Worker.GetHost())
 	if current == nil || current.Spec.Id == id || slices.Contains(r.Follows, current.Spec.Id) {
 		return false
 	}
@@ -157,13 +157,13 @@
 		}
 		l.endsRecorded[w.Spec.Id] = max(l.endsRecorded[w.Spec.Id], e.Sequence)
 		d.metrics.ends.Inc(1)
-		ended := schedule.Ended{
+		ended := schedule.EndedRun{
 			Worker: w.Spec.Id, Kind: e.Kind, Step: run.Step, At: now, Resumed: run.Checkpoint != "",
 		}
 		if o, seen := l.observed[run.ID]; seen {
-			ended.Took = now.Sub(o.FirstAt)
+			ended.Duration = now.Sub(o.FirstAt)
 		}
-		l.planner.RunEnded(ended)
+		l.planner.RecordRunEnd(ended)
 		if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE {
 			l.batchedLog.addEnd(l.term, w.Spec.Id, run.ID, now)
 			continue
@@ -183,8 +183,8 @@
 		l.refusalsRecorded[id] = true
 		d.metrics.refused.Inc(1)
 		d.countByKind("dispatch.starts_refused", refusal.Reason)
-		l.planner.StartRefused(schedule.Refusal{
-			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, Unable: workerUnable(refusal.Reason),
+		l.planner.RecordRefusal(schedule.RefusedStart{
+			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, WorkerUnavailable: workerUnable(refusal.Reason),
 		})
 		event.StartRefused.Write(d.logger, event.Worker(w.Spec.Id), event.Reason(refusal.Reason), event.Task(id.Task),
 			event.Run(id.Number))
@@ -193,7 +193,7 @@
 
 // workerUnable reports whether a refusal means that the worker can't start any task for now.
 func workerUnable(reason string) bool {
-	return reason == jobqueue.RefusedForRoom || reason == jobqueue.RefusedUnwilling
+	return reason == jobqueue.RefusedNoCapacity || reason == jobqueue.RefusedUnwilling
 }
 
 // endKindName returns the name of a kind of end in logs.
@@ -210,7 +210,7 @@
 	}
 	if w == nil {
 		command.Ends = r.Ends
-		command.Checkpoints = l.checkpoints(m.WorkerOf(r.Worker.GetHost()))
+		command.Checkpoints = l.checkpoints(m.WorkerOnHost(r.Worker.GetHost()))
 		return command
 	}
 	for _, e := range r.Ends {
@@ -224,7 +224,7 @@
 	if r.Departed {
 		command.Checkpoints = l.checkpoints(w)
 	}
-	same := proto.Equal(w.Spec, r.Worker) && len(w.GivenUp()) == 0
+	same := proto.Equal(w.Spec, r.Worker) && len(w.LostRuns()) == 0
 	if same && !r.Departed && len(command.Ends)+len(command.Refusals) == 0 {
 		return nil
 	}
--- a/dispatch/reportorder.go
+++ b/dispatch/reportorder.go
@@ -78,10 +78,10 @@
 	precedes := func(later jobqueue.Incarnation) bool {
 		return incarnation.Precedes(later) && !slices.Contains(r.Follows, later.Name())
 	}
-	if worker := m.WorkerOf(host); worker != nil && precedes(jobqueue.ParseIncarnation(worker.Spec.Id)) {
+	if worker := m.WorkerOnHost(host); worker != nil && precedes(jobqueue.ParseIncarnation(worker.Spec.Id)) {
 		return true
 	}
-	if last := o.newestIncarnations[host]; precedes(last) && !m.HasLeft(last.Name()) {
+	if last := o.newestIncarnations[host]; precedes(last) && !m.HasDeparted(last.Name()) {
 		return true
 	}
 	o.newestIncarnations[host] = incarnation
--- a/dispatch/waits.go
+++ b/dispatch/waits.go
@@ -15,7 +15,7 @@
 
 // recordWaits counts the steps for whose tasks no worker was found, and logs each at most once per
 // waitLogInterval, since there are many rounds per second.
-func (d *Dispatcher) recordWaits(l *leaderState, waits []schedule.Wait, now time.Time) {
+func (d *Dispatcher) recordWaits(l *leaderState, waits []schedule.UnplacedStep, now time.Time) {
 	l.waits = waits
 	tasks := 0
 	logged := map[jobqueue.StepID]loggedWait{}
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -154,6 +154,6 @@
 
 func (s *sim) waveFinished() bool {
 	finished := false
-	s.replica.ReadState(func(m *state.Machine) { finished = m.CallerJobs().Wave(waveNumber).Over() })
+	s.replica.ReadState(func(m *state.Machine) { finished = m.CallerJobs().Wave(waveNumber).Finished() })
 	return finished
 }
