--- a/place/bench_test.go
+++ b/place/bench_test.go
@@ -8,7 +8,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// benchmarkSnapshot has 1,000 queued tasks and 12 running ones per worker.
+// benchmarkSnapshot returns a snapshot with 1,000 queued tasks and 12 running ones per worker.
 func benchmarkSnapshot(workers int) *Snapshot {
 	s := &Snapshot{Services: map[string]*apiv1.Service{}, Teams: map[string]*Team{}}
 	for i := range 20 {
@@ -38,8 +38,8 @@
 	return s
 }
 
-// BenchmarkPlan times one round with 1,000 queued tasks; ns/decision is what one
-// of them costs, the building of the round's indices included.
+// BenchmarkPlan measures one round with 1,000 queued tasks. ns/decision is the time per queued
+// task, including the round's indices.
 func BenchmarkPlan(b *testing.B) {
 	for _, workers := range []int{11, 110, 1100, 3700} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -59,7 +59,7 @@
 	}
 }
 
-// BenchmarkObserve times one heartbeat of a worker with 12 tasks and two reports.
+// BenchmarkObserve measures one heartbeat of a worker with 12 tasks and two latency reports.
 func BenchmarkObserve(b *testing.B) {
 	s := newHarness(1, "bookings", "certificates")
 	for i := range 12 {
--- a/place/config.go
+++ b/place/config.go
@@ -4,7 +4,7 @@
 
 // Config holds the tunables of a Placer. Zero fields take the defaults below.
 type Config struct {
-	// Seed of the only random source, which breaks ties between equal workers.
+	// Seed initializes the only random source, which breaks ties between equal workers.
 	Seed int64
 	// MaxGrants bounds the grants of one round.
 	MaxGrants int
@@ -12,15 +12,15 @@
 	SampleSize int
 	// MaxRejections bounds Decision.Rejections.
 	MaxRejections int
-	// BatchFloor: of this many grants in a row, at least one is batch.
+	// BatchFloor is the number of consecutive grants of which at least one is for a batch task.
 	BatchFloor int
-	// StarveAfter is how long a batch task waits before it goes ahead of fair shares.
+	// StarveAfter is how long a batch task is queued before it takes precedence over fair shares.
 	StarveAfter time.Duration
-	// DecayTime is the time constant with which learnt interference is forgotten.
+	// DecayTime is the time constant with which learned interference decays to its prior.
 	DecayTime time.Duration
-	// MinProcessorFraction is the smallest part of its declared processors that a task
-	// is granted when its kind was seen to use less. 1, the default, grants at
-	// least what was declared.
+	// MinProcessorFraction is the smallest fraction of the declared processors that is granted to
+	// a task of a kind that was observed to use less. The default of 1 grants at least the
+	// declared amount.
 	MinProcessorFraction float64
 }
 
@@ -34,7 +34,6 @@
 	DefaultDecayTime     = 6 * time.Hour
 )
 
-// withDefaults fills in zero fields.
 func (c Config) withDefaults() Config {
 	setDefault(&c.MaxGrants, DefaultMaxGrants)
 	setDefault(&c.SampleSize, DefaultSampleSize)
--- a/place/decide.go
+++ b/place/decide.go
@@ -2,8 +2,7 @@
 
 import "fmt"
 
-// decide takes one queued task through the stages feasible, filter, score and
-// reserve.
+// decide runs one queued task through the stages feasible, filter, score and reserve.
 func (r *round) decide(t *Task) Decision {
 	c, d := r.newCandidate(t)
 	if c == nil {
@@ -25,7 +24,8 @@
 	return d
 }
 
-// newCandidate takes a task through the task filters; nil when one refuses it.
+// newCandidate runs a task through the task filters. It returns nil if one of them refuses the
+// task.
 func (r *round) newCandidate(t *Task) (*candidate, Decision) {
 	d := Decision{Task: t.ID, Attempt: t.Attempt + 1}
 	c := &candidate{Task: t, size: r.grantSize(t)}
@@ -37,7 +37,7 @@
 	return c, d
 }
 
-// keepQueued keeps a task queued, and tries to get room for it.
+// keepQueued records why a task stays queued and tries to reclaim capacity for it.
 func (r *round) keepQueued(c *candidate, key taskClass, d *Decision) {
 	d.Reason = r.refusalReason()
 	if reason := r.reclaimCapacity(c); reason != "" {
@@ -50,19 +50,19 @@
 }
 
 func (r *round) refusalReason() string {
-	return fmt.Sprintf("no worker of %d can take it now", len(r.hosts))
+	return fmt.Sprintf("none of %d workers can run it now", len(r.hosts))
 }
 
-// grantSize is what a task is to be granted: what its kind was learnt to need,
-// never less than declared, and no more than some worker and its team's quota hold.
+// grantSize returns the size to grant: the size that the task's kind was learned to need, at least
+// the declared one, and at most what fits some worker and the team's quota.
 func (r *round) grantSize(t *Task) Resources {
 	want := r.p.usage.size(t.Kind, t.Size)
 	if want == t.Size {
 		return want
 	}
 	halfway := t.Size.midpoint(want)
-	// Memory that is short kills the task, processors only slow it down: when
-	// both can't grow, memory does.
+	// A memory shortage kills the task, a processor shortage only slows it down. If both cannot
+	// grow, memory is preferred.
 	memory, halfMemory := t.Size, t.Size
 	memory.MemoryBytes, halfMemory.MemoryBytes = want.MemoryBytes, halfway.MemoryBytes
 	for _, size := range [...]Resources{want, halfway, memory, halfMemory} {
@@ -74,8 +74,8 @@
 	return t.Size
 }
 
-// pickHost returns the best worker for a task, nil when every one is refused. It
-// starts at a random worker and stops after SampleSize candidates.
+// pickHost returns the worker with the best score, nil if every worker is refused. It starts at a
+// random worker and stops after SampleSize candidates.
 func (r *round) pickHost(c *candidate, d *Decision) *host {
 	n, start := len(r.hosts), 0
 	if !r.dryRun {
--- a/place/eviction.go
+++ b/place/eviction.go
@@ -6,18 +6,18 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Parts of an eviction's cost.
+// Factors of the cost of an eviction.
 const (
-	// restartOverhead is what stopping, queueing and resuming costs any task.
+	// restartOverhead is the time that any task loses by stopping, queueing and resuming.
 	restartOverhead = 20 * time.Second
-	// nearEndWeight weighs a task that is almost done: what is evicted at 95% was
-	// about to free its room anyway.
+	// nearEndWeight raises the cost of a task that is almost finished. A task evicted at 95% was
+	// about to free its capacity anyway.
 	nearEndWeight = 3.0
 )
 
-// evictionCost is the work lost by evicting a task: processor-seconds since its
-// last checkpoint, weighed by its kind's cost, by how near its end is, and by
-// how often it was evicted before, so that one task does not pay every time.
+// evictionCost returns the work lost by evicting a task in processor-seconds since its last
+// checkpoint, weighted by its kind's cost, its progress and the number of its previous evictions,
+// so that the same task is not evicted every time.
 func (r *round) evictionCost(t *Task) float64 {
 	lost := max(r.now.Sub(t.lastSavedAt()), 0) + restartOverhead
 	const processor = 1000
@@ -27,8 +27,8 @@
 	return cost * float64(1+t.Evictions)
 }
 
-// lastSavedAt is since when work of a running attempt would be lost: its last
-// checkpoint, or its grant while it has made none.
+// lastSavedAt returns the time since which work of a running attempt would be lost: its last
+// checkpoint, or its grant if it has made none.
 func (t *Task) lastSavedAt() time.Time {
 	if t.CheckpointedAt.Before(t.GrantedAt) {
 		return t.GrantedAt
@@ -36,8 +36,8 @@
 	return t.CheckpointedAt
 }
 
-// progress is the share of the work done, 0 to 1: as reported, or from the
-// learnt run time.
+// progress returns the completed fraction of the work, from 0 to 1, as reported or estimated from
+// the learned run time.
 func (r *round) progress(t *Task) float64 {
 	const whole = 1000
 	if t.ProgressMilli > 0 {
@@ -50,8 +50,8 @@
 	return min(float64(r.now.Sub(t.GrantedAt))/float64(expected), 1)
 }
 
-// evictable reports whether the planner may end an attempt: it runs, is not
-// urgent, and is not among those this round ends already.
+// evictable reports whether the planner may evict an attempt: it is running, not urgent, and not
+// already evicted in this round.
 func (r *round) evictable(t *Task) bool {
 	return t.State == apiv1.TaskState_TASK_STATE_GRANTED &&
 		t.Priority != apiv1.Priority_PRIORITY_URGENT &&
--- a/place/feasible.go
+++ b/place/feasible.go
@@ -6,9 +6,9 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// feasibleFilter sets aside tasks that no worker could hold even when empty.
-// Left in the queue they would look like work that waits for room, and nobody
-// would learn that it never comes.
+// feasibleFilter rejects tasks that would not fit on any worker even without other tasks there,
+// and reports their jobs as unplaceable. Without this filter they would look like tasks that wait
+// for free capacity, and callers would never learn that they cannot run.
 type feasibleFilter struct{}
 
 func (feasibleFilter) Name() string { return "feasible" }
@@ -18,21 +18,21 @@
 		return r.unplaceable(c, "its size is negative")
 	}
 	if len(r.hosts) == 0 {
-		return pipeline.Rejected("no worker is known")
+		return pipeline.Rejected("no worker is registered")
 	}
 	if r.fitsSomeWorker(c.Task.Size) {
 		return r.withinQuotaAlone(c)
 	}
-	return r.unplaceable(c, fmt.Sprintf("no worker could hold %v even when empty", c.Task.Size))
+	return r.unplaceable(c, fmt.Sprintf("%v exceeds every worker's allocatable capacity", c.Task.Size))
 }
 
-// withinQuotaAlone rejects a task that is larger than its team's whole quota.
+// withinQuotaAlone rejects a task that exceeds its team's whole quota.
 func (r *round) withinQuotaAlone(c *candidate) pipeline.Status {
 	team := r.snapshot.Teams[c.Team]
 	if team == nil || c.Task.Size.withinLimit(team.Quota) {
 		return pipeline.Status{}
 	}
-	return r.unplaceable(c, fmt.Sprintf("one task is larger than the quota %v of team %s", team.Quota, c.Team))
+	return r.unplaceable(c, fmt.Sprintf("one task exceeds the quota %v of team %s", team.Quota, c.Team))
 }
 
 func (r *round) unplaceable(c *candidate, reason string) pipeline.Status {
@@ -43,7 +43,7 @@
 	return pipeline.Rejected(reason)
 }
 
-// fitsSomeWorker reports whether some known worker could hold the size when empty.
+// fitsSomeWorker reports whether the size fits the allocatable capacity of some registered worker.
 func (r *round) fitsSomeWorker(size Resources) bool {
 	if known, ok := r.fitCache[size]; ok {
 		return known
--- a/place/filter.go
+++ b/place/filter.go
@@ -2,46 +2,46 @@
 
 import "github.com/cairnlift/cairnlift/pipeline"
 
-// candidate is a queued task on its way through the stages.
+// candidate is a queued task for which a worker is sought.
 type candidate struct {
 	*Task
-	// size is what the task is to be granted.
+	// size is the size to grant.
 	size Resources
-	// hasOtherWorker: a worker that the task did not fail on could hold it.
+	// hasOtherWorker reports that the task fits on a usable worker on which it has not failed.
 	hasOtherWorker bool
 }
 
-// hostFilter judges one worker for one task. Explain is only called after a
-// refusal that is reported, so that a refusal by the thousand costs no text.
+// hostFilter decides whether a worker may run a task. Explain is called only for refusals that are
+// reported, because formatting a reason for each of thousands of refusals would be expensive.
 type hostFilter interface {
 	Name() string
 	Allows(r *round, c *candidate, h *host) bool
 	Explain(r *round, c *candidate, h *host) string
 }
 
-// taskFilter judges a task before any worker is looked at.
+// taskFilter decides on a task before any worker is considered.
 type taskFilter interface {
 	Name() string
 	// Check returns a pass or a rejection with its reason.
 	Check(r *round, c *candidate) pipeline.Status
 }
 
-// refusingFilter runs a worker through the filters and returns the one that refused it.
+// refusingFilter returns the first filter that refuses the worker, nil if all allow it.
 func (r *round) refusingFilter(c *candidate, h *host) hostFilter {
 	return r.refusingFilterExcept(c, h, nil)
 }
 
-// refusingFilterExcept leaves one filter out.
-func (r *round) refusingFilterExcept(c *candidate, h *host, but hostFilter) hostFilter {
+// refusingFilterExcept is refusingFilter without one of the filters.
+func (r *round) refusingFilterExcept(c *candidate, h *host, except hostFilter) hostFilter {
 	for _, f := range r.p.hostFilters {
-		if f != but && !f.Allows(r, c, h) {
+		if f != except && !f.Allows(r, c, h) {
 			return f
 		}
 	}
 	return nil
 }
 
-// checkTask runs a task through the task filters.
+// checkTask runs a task through the task filters and returns the first rejection.
 func (r *round) checkTask(c *candidate) pipeline.Status {
 	for _, f := range r.p.taskFilters {
 		st := f.Check(r, c)
--- a/place/filter_alive.go
+++ b/place/filter_alive.go
@@ -1,6 +1,6 @@
 package place
 
-// aliveFilter refuses workers whose leases were not renewed lately.
+// aliveFilter refuses workers whose leases were not renewed recently.
 type aliveFilter struct{}
 
 func (aliveFilter) Name() string { return "alive" }
@@ -8,10 +8,10 @@
 func (aliveFilter) Allows(_ *round, _ *candidate, h *host) bool { return h.Alive }
 
 func (aliveFilter) Explain(*round, *candidate, *host) string {
-	return "its leases were not renewed lately"
+	return "its leases were not renewed recently"
 }
 
-// drainingFilter refuses workers that are to be emptied.
+// drainingFilter refuses workers that are being drained.
 type drainingFilter struct{}
 
 func (drainingFilter) Name() string { return "draining" }
--- a/place/filter_backoff.go
+++ b/place/filter_backoff.go
@@ -7,8 +7,8 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// backoffFilter keeps a task queued until its own retry time, and every task of
-// a job that failed on distinct workers until the job's.
+// backoffFilter keeps a task queued until its own retry time, and all tasks of a poison job until
+// the job's backoff ends.
 type backoffFilter struct{}
 
 func (backoffFilter) Name() string { return "backoff" }
@@ -24,11 +24,11 @@
 	}
 	if r.now.Before(j.notBefore) {
 		wait := j.notBefore.Sub(r.now).Round(time.Second)
-		return pipeline.Rejected(fmt.Sprintf("its job failed on %d workers; tried again in %v", distinctCounterparts(j.failures), wait))
+		return pipeline.Rejected(fmt.Sprintf("its job failed on %d workers; retried in %v", distinctCounterparts(j.failures), wait))
 	}
-	// After the wait one task of the job is tried, not all of them.
+	// After the backoff, one task of the job is retried before the others.
 	if r.jobRetries[c.Job] > 0 {
-		return pipeline.Rejected("its job failed on several workers; one task is tried first")
+		return pipeline.Rejected("its job failed on several workers; one task is retried first")
 	}
 	return pipeline.Status{}
 }
--- a/place/filter_capacity.go
+++ b/place/filter_capacity.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// capacityFilter refuses workers without room for the grant, the reservations of
-// this round included.
+// capacityFilter refuses workers without enough free capacity after this round's reservations. Its
+// outer name is "room".
 type capacityFilter struct{}
 
 func (capacityFilter) Name() string { return "room" }
@@ -14,7 +14,7 @@
 
 func (capacityFilter) Explain(r *round, c *candidate, h *host) string {
 	if h.overcommitted {
-		return "its grants exceed what it has"
+		return "its grants exceed its capacity"
 	}
 	return fmt.Sprintf("needs %v, has %v free", c.size, r.freeCapacity(c, h))
 }
--- a/place/filter_interference.go
+++ b/place/filter_interference.go
@@ -7,7 +7,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// protectionFilter gives no new neighbour to a service that is over its objective.
+// protectionFilter refuses workers on which a service exceeds its objective. Its outer name is
+// "guard".
 type protectionFilter struct{}
 
 func (protectionFilter) Name() string { return "guard" }
@@ -27,30 +28,30 @@
 func (protectionFilter) Explain(r *round, _ *candidate, h *host) string {
 	for _, t := range r.predictedTails(h) {
 		if t.exceeded {
-			return "the p99 of " + t.service + " is over its objective there"
+			return "the p99 of " + t.service + " exceeds its objective there"
 		}
 	}
 	return ""
 }
 
-// urgentOverdue reports whether an urgent task has waited so long that it is started
-// wherever it disturbs least.
+// urgentOverdue reports whether an urgent task has waited so long that it starts on any worker
+// with free capacity, preferably where it slows services down least.
 func (r *round) urgentOverdue(t *Task) bool {
 	return t.Priority == apiv1.Priority_PRIORITY_URGENT && r.now.Sub(t.QueuedAt) >= urgentMaxWait
 }
 
-// Patience with the perfect neighbour.
+// Limits on the wait for a worker without interference.
 const (
 	urgentMaxWait = 3 * time.Second
-	// batchMaxWaitFactor is how many times StarveAfter a batch task waits before it
-	// goes beside a service that it disturbs, one such task to a worker.
+	// batchMaxWaitFactor is the multiple of StarveAfter after which a batch task may run beside a
+	// service that it slows down, one such task per worker.
 	batchMaxWaitFactor = 3
 )
 
-// interferenceFilter refuses a worker where the task is expected to push a
-// service's tail over what the policy allows. After batchMaxWaitFactor it passes where
-// no other task is held down: waiting for a harmless place that never comes
-// would be starvation under another name.
+// interferenceFilter refuses a worker if the task is expected to raise a service's tail latency
+// above placementThreshold. After batchMaxWaitFactor times StarveAfter the task is admitted where
+// the present neighbours add no significant slowdown, because otherwise it could wait for a
+// suitable worker without end.
 type interferenceFilter struct{}
 
 func (interferenceFilter) Name() string { return "interference" }
@@ -60,11 +61,12 @@
 	if t == nil || r.urgentOverdue(c.Task) {
 		return true
 	}
-	patient := r.now.Sub(c.QueuedAt) < batchMaxWaitFactor*r.p.cfg.StarveAfter
-	return !patient && t.neighbourSlowdown < significantSlowdown
+	mayWait := r.now.Sub(c.QueuedAt) < batchMaxWaitFactor*r.p.cfg.StarveAfter
+	return !mayWait && t.neighbourSlowdown < significantSlowdown
 }
 
-// worst returns the first service that would be pushed over.
+// worst returns the first service whose tail latency would exceed the threshold, nil if there is
+// none.
 func (interferenceFilter) worst(r *round, c *candidate, h *host) *predictedTail {
 	for _, t := range r.predictedTails(h) {
 		if t.objective == 0 || !t.measured {
@@ -84,5 +86,5 @@
 		return ""
 	}
 	ms, _ := r.predictWithTask(t, c.Kind)
-	return fmt.Sprintf("kind %s may bring the p99 of %s to %.0f ms of %.0f ms", c.Kind, t.service, ms, t.objective)
+	return fmt.Sprintf("kind %s may raise the p99 of %s to %.0f ms, its objective is %.0f ms", c.Kind, t.service, ms, t.objective)
 }
--- a/place/filter_probing.go
+++ b/place/filter_probing.go
@@ -5,29 +5,30 @@
 	"time"
 )
 
-// Bounds of probing.
+// Limits of probing.
 const (
-	// probeDuration is how long a probe keeps others of its pair away when no report
-	// settles the pair; a service without requests would block it for ever. Who
-	// ran that long beside a service that is not over its objective has passed.
+	// probeDuration is how long after its grant a probing task blocks others of its pair while no
+	// report makes the pair certain. Without this limit a service without requests would block the
+	// pair indefinitely. A task that ran this long beside a service that does not exceed its
+	// objective counts as passed.
 	probeDuration = 60 * time.Second
-	// workersPerProbe is the number of workers per probe of one pair at a time.
+	// workersPerProbe is the number of workers per concurrent probe of a pair.
 	workersPerProbe = 100
 )
 
-// probe is where a pair that is not known yet is being tried.
+// probe counts the tasks that probe a pair of service and kind whose interference is uncertain.
 type probe struct {
 	running int
-	// passed counts the tasks that were tried without harm. Each lets one more be
-	// tried at a time: where no reports come, a kind would else start one task in
-	// each probeDuration for ever.
+	// passed counts the tasks that ran for probeDuration without harm. Each of them allows one
+	// more concurrent probe. Otherwise a kind would start only one task per probeDuration where no
+	// reports arrive.
 	passed int
 	racks  map[string]bool
 }
 
-// probingFilter tries an unknown pair of service and kind a few at a time, one
-// to a rack, until reports tell what it does. Starting all tasks of a new kind at
-// once would disturb every worker before the first late report arrives.
+// probingFilter limits an uncertain pair of service and kind to a few probing tasks, one per rack,
+// until reports show its interference. If all tasks of a new kind started at once, they would slow
+// services down on every worker before the first delayed report arrives.
 type probingFilter struct{}
 
 func (probingFilter) Name() string { return "probing" }
@@ -36,7 +37,8 @@
 	return r.urgentOverdue(c.Task) || f.blockedService(r, c, h) == ""
 }
 
-// blockedService returns the service whose pair with the task is being tried elsewhere.
+// blockedService returns a service whose pair with the task is already being probed on other
+// workers, "" if there is none.
 func (probingFilter) blockedService(r *round, c *candidate, h *host) string {
 	for _, t := range r.predictedTails(h) {
 		if t.objective == 0 || !uncertain(r.slowdown(t.service, c.Kind, t.bucket).variance) {
@@ -51,10 +53,10 @@
 }
 
 func (f probingFilter) Explain(r *round, c *candidate, h *host) string {
-	return fmt.Sprintf("kind %s beside %s is being tried on another worker first", c.Kind, f.blockedService(r, c, h))
+	return fmt.Sprintf("kind %s beside %s is being probed on another worker first", c.Kind, f.blockedService(r, c, h))
 }
 
-// probeFor counts, when first asked for a pair, the tasks that try it.
+// probeFor returns the probe of a pair, counting its tasks at the first call of a round.
 func (r *round) probeFor(service, kind string) *probe {
 	key := interferenceKey{service: service, kind: kind}
 	if pr := r.probes[key]; pr != nil {
@@ -83,13 +85,13 @@
 	return pr
 }
 
-// objectiveExceeded reports whether a service is over its objective on a host.
+// objectiveExceeded reports whether a service exceeds its objective on a host.
 func (r *round) objectiveExceeded(h *host, service string) bool {
 	w := r.worstLatency(h, service)
 	return w != nil && w.exceeded()
 }
 
-// recordProbe notes a task placed beside services that it is not known with.
+// recordProbe records a task placed beside services with which its interference is uncertain.
 func (r *round) recordProbe(c *candidate, h *host) {
 	for _, t := range r.predictedTails(h) {
 		if uncertain(r.slowdown(t.service, c.Kind, t.bucket).variance) {
--- a/place/filter_quarantine.go
+++ b/place/filter_quarantine.go
@@ -1,7 +1,7 @@
 package place
 
-// quarantineFilter keeps tasks off workers that failed distinct jobs, and gives
-// workers on probation one task at a time.
+// quarantineFilter refuses quarantined workers, and limits workers on probation to one task at a
+// time.
 type quarantineFilter struct{}
 
 func (quarantineFilter) Name() string { return "quarantine" }
@@ -20,8 +20,8 @@
 	return h.health.describe(r.now)
 }
 
-// grantedOnProbation counts the tasks granted since the quarantine ended. Those
-// from before it are long running; they do not hold the trial up.
+// grantedOnProbation counts the tasks granted since the quarantine ended. Tasks from before the
+// quarantine run long and must not delay the probation.
 func (h *host) grantedOnProbation() int {
 	n := h.granted
 	for _, t := range h.Running {
--- a/place/filter_quota.go
+++ b/place/filter_quota.go
@@ -6,7 +6,7 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// quotaFilter holds a team's running tasks under its quota.
+// quotaFilter limits a team's running tasks to its quota.
 type quotaFilter struct{}
 
 func (quotaFilter) Name() string { return "quota" }
@@ -20,5 +20,5 @@
 	if ok && sum.withinLimit(team.Quota) {
 		return pipeline.Status{}
 	}
-	return pipeline.Rejected(fmt.Sprintf("team %s holds %v of its quota %v", c.Team, r.teamUsage[c.Team], team.Quota))
+	return pipeline.Rejected(fmt.Sprintf("team %s uses %v of its quota %v", c.Team, r.teamUsage[c.Team], team.Quota))
 }
--- a/place/filter_retry.go
+++ b/place/filter_retry.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// retryFilter sends a task that failed elsewhere, as long as there is a worker
-// it has not failed on. When every worker that could hold it is on its list the
-// list is void, or the task would wait for ever in a small deployment.
+// retryFilter refuses the workers on which the task failed, as long as it fits on another one. If
+// it failed on every worker that it fits, all are allowed again; otherwise it would never run in a
+// small deployment.
 type retryFilter struct{}
 
 func (retryFilter) Name() string { return "retry-elsewhere" }
@@ -20,7 +20,7 @@
 	return "an attempt of the task failed on it"
 }
 
-// hasOtherWorker reports whether a worker could take the task that it did not fail on.
+// hasOtherWorker reports whether the task fits on a usable worker on which it has not failed.
 func (r *round) hasOtherWorker(c *candidate) bool {
 	for _, h := range r.hosts {
 		usable := h.Alive && !h.Draining && c.size.Fits(h.allocatable)
--- a/place/health.go
+++ b/place/health.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Bounds of quarantine and backoff.
+// Limits of quarantine and backoff.
 const (
-	// failureWindow is how far back failures count.
+	// failureWindow is how long a failure counts.
 	failureWindow = 10 * time.Minute
-	// quarantineJobs is how many distinct jobs fail on a worker, with no success
-	// between, before it is quarantined.
+	// quarantineJobs is the number of distinct jobs that fail on a worker, without a success in
+	// between, at which it is quarantined.
 	quarantineJobs     = 3
 	minQuarantine      = 2 * time.Minute
 	maxQuarantine      = 10 * time.Minute
 	probationSuccesses = 2
-	// probationRunTime is how long a task on probation runs before that counts as a
-	// success: long-running watchers would keep a worker on probation for ever.
+	// probationRunTime is how long a task on probation runs before it counts as a success. Without
+	// this limit, long-running watchers would keep a worker on probation indefinitely.
 	probationRunTime = 2 * time.Minute
-	// poisonWorkers is how many distinct workers fail a job, with no success
-	// between, before the job is backed off.
+	// poisonWorkers is the number of distinct workers on which a job fails, without a success in
+	// between, at which it counts as a poison job and is backed off.
 	poisonWorkers = 3
 	minBackoff    = 30 * time.Second
 	maxBackoff    = 30 * time.Minute
@@ -35,7 +35,7 @@
 	probation
 )
 
-// String names the condition for operators.
+// String returns the name of the condition as shown to operators.
 func (c condition) String() string {
 	switch c {
 	case quarantined:
@@ -46,13 +46,14 @@
 	return "healthy"
 }
 
-// failure is one failed attempt, seen from the worker or from the job.
+// failure is one failed attempt in the record of a worker or of a job. The counterpart is the job
+// in a worker's record and the worker in a job's record.
 type failure struct {
 	counterpart string
 	at          time.Time
 }
 
-// workerHealth is what failures say about one worker.
+// workerHealth is the failure record and condition of one worker.
 type workerHealth struct {
 	condition        condition
 	failures         []failure // by job
@@ -61,11 +62,11 @@
 	successes        int
 }
 
-// isHealthy reports whether nothing is held against a worker, nil being one of which
-// nothing is known.
+// isHealthy reports whether the worker may run any number of tasks. A nil worker has no record and
+// is healthy.
 func (w *workerHealth) isHealthy() bool { return w == nil || w.condition == healthy }
 
-// jobHealth is what failures say about one job.
+// jobHealth is the failure record and backoff of one job.
 type jobHealth struct {
 	failures      []failure // by worker
 	notBefore     time.Time
@@ -73,10 +74,10 @@
 	succeeded     bool
 }
 
-// health tells a worker that fails everything from a job that fails everywhere.
-// Failures of distinct jobs on one worker speak against the worker; failures of
-// one job on distinct workers speak against the job. A failure that is already
-// explained by the one does not count against the other.
+// health distinguishes workers on which every job fails from jobs that fail on every worker.
+// Failures of distinct jobs on one worker count against the worker; failures of one job on
+// distinct workers count against the job. A failure already attributed to the one does not count
+// against the other.
 type health struct {
 	workers map[string]*workerHealth
 	jobs    map[string]*jobHealth
@@ -104,8 +105,8 @@
 	return j
 }
 
-// loadFailures takes in the failures that the replicated state remembers. Without it
-// each new leader would pay for a worker that fails everything afresh.
+// loadFailures records the failures kept in the replicated state. Without it, each new leader
+// would lose several attempts on a failing worker before quarantining it again.
 func (h *health) loadFailures(now time.Time, s *Snapshot) {
 	for _, t := range s.Queued {
 		for _, w := range t.FailedWorkers {
@@ -114,7 +115,7 @@
 	}
 }
 
-// recordFailure takes in a failed attempt.
+// recordFailure records a failed attempt.
 func (h *health) recordFailure(now time.Time, worker, job string) {
 	w, j := h.worker(worker), h.job(job)
 	if w.condition == healthy {
@@ -127,14 +128,14 @@
 	w.recordFailure(now, job)
 }
 
-// clearJobFailures takes the failures of a poisonous job off its workers' records.
+// clearJobFailures removes the failures of a poison job from the workers' records.
 func (h *health) clearJobFailures(job string) {
 	for _, w := range h.workers {
 		w.failures = slices.DeleteFunc(w.failures, func(f failure) bool { return f.counterpart == job })
 	}
 }
 
-// recordSuccess takes in an attempt that ended well, or ran long on probation.
+// recordSuccess records an attempt that succeeded, or that ran for probationRunTime on probation.
 func (h *health) recordSuccess(worker, job string) {
 	w := h.worker(worker)
 	w.failures = w.failures[:0]
@@ -149,8 +150,8 @@
 	}
 }
 
-// recordLongRun takes in that an attempt has run since a time. A long run on probation
-// counts as a success; one from before the probation proves nothing.
+// recordLongRun counts an attempt that has been running since the given time as a success if it
+// ran for probationRunTime on probation. An attempt from before the probation does not count.
 func (h *health) recordLongRun(now time.Time, worker, job string, since time.Time) {
 	w := h.workers[worker]
 	if w == nil || w.condition != probation || since.Before(w.until) {
@@ -178,7 +179,7 @@
 	w.successes = 0
 }
 
-// advance moves a worker whose quarantine is over to probation.
+// advance moves a worker whose quarantine ended to probation.
 func (w *workerHealth) advance(now time.Time) {
 	if w.condition != quarantined || now.Before(w.until) {
 		return
@@ -217,7 +218,7 @@
 	return n
 }
 
-// prune forgets jobs whose last failure is long past.
+// prune removes jobs whose failures and backoff are older than failureWindow.
 func (h *health) prune(now time.Time) {
 	for name, j := range h.jobs {
 		recent := slices.ContainsFunc(j.failures, func(f failure) bool { return now.Sub(f.at) <= failureWindow })
@@ -227,11 +228,11 @@
 	}
 }
 
-// describe says why a worker takes nothing or little.
+// describe explains to operators why a worker receives no tasks or one at a time.
 func (w *workerHealth) describe(now time.Time) string {
 	if w.condition == quarantined {
-		return fmt.Sprintf("quarantined for %v more after failures of %d jobs",
+		return fmt.Sprintf("quarantined for another %v after failures of %d jobs",
 			w.until.Sub(now).Round(time.Second), distinctCounterparts(w.failures))
 	}
-	return fmt.Sprintf("on probation: one task at a time, %d of %d ended well", w.successes, probationSuccesses)
+	return fmt.Sprintf("on probation: one task at a time, %d of %d succeeded", w.successes, probationSuccesses)
 }
--- a/place/health_test.go
+++ b/place/health_test.go
@@ -8,8 +8,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// failTask starts a task of a job on a worker and reports its failure, twice, as
-// workers repeat ends until they are acknowledged.
+// failTask starts a task of a job on a worker and reports its failure twice, because workers
+// repeat ends until they are acknowledged.
 func (s *harness) failTask(worker, job string) {
 	task := s.queue(fmt.Sprint(job, "-", worker, "-", s.sequence), "k", job)
 	s.run(worker, task, task.Size)
@@ -24,14 +24,13 @@
 
 func (s *harness) completeTask(worker string, task *Task) {
 	s.end(worker, task.ID)
-	for range 2 { // ends are repeated until they are acknowledged
+	for range 2 { // workers repeat ends until they are acknowledged
 		s.heartbeat(worker, &apiv1.WorkerHeartbeat{Tasks: []*apiv1.TaskStatus{status(task.ID, task.Attempt, apiv1.TaskPhase_TASK_PHASE_SUCCEEDED)}})
 	}
 }
 
-// Symptom: tasks fail one after the other. Sequence: one worker fails everything
-// it starts, and is emptiest for that. Cause: failures of distinct jobs are not
-// held against the worker.
+// Guards against tasks failing one after another on a worker that fails everything it starts and
+// so has the most free capacity. Failures of distinct jobs must count against the worker.
 func TestWorkerThatFailsEverythingIsQuarantined(t *testing.T) {
 	s := newHarness(2)
 	s.failTask("w0", "a")
@@ -47,17 +46,17 @@
 	}
 	for _, g := range s.plan().Grants {
 		if g.Worker == "w0" {
-			t.Fatal("a quarantined worker was given a task")
+			t.Fatal("a quarantined worker received a task")
 		}
 	}
 	s.now = s.now.Add(minQuarantine)
 	s.worker("w1").Draining = true
-	for trial := range probationSuccesses {
-		s.queue(fmt.Sprint("z", trial), "k", "z")
-		s.queue(fmt.Sprint("wait", trial), "k", "z")
+	for attempt := range probationSuccesses {
+		s.queue(fmt.Sprint("z", attempt), "k", "z")
+		s.queue(fmt.Sprint("wait", attempt), "k", "z")
 		plan := s.plan()
 		if len(plan.Grants) != 1 || len(s.plan().Grants) != 0 {
-			t.Fatalf("trial %d: %d starts on probation", trial, len(plan.Grants))
+			t.Fatalf("attempt %d: %d grants on probation", attempt, len(plan.Grants))
 		}
 		s.snapshot.Queued = nil
 		s.now = s.now.Add(time.Second)
@@ -67,9 +66,9 @@
 		s.queue(fmt.Sprint("after", i), "k", "z")
 	}
 	if n := len(s.plan().Grants); n < 3 {
-		t.Fatalf("%d starts after probation", n)
+		t.Fatalf("%d grants after probation", n)
 	}
-	// A failure on probation quarantines at once, for longer.
+	// A failure on probation quarantines the worker at once and for longer.
 	for _, job := range []string{"a", "b", "c"} {
 		s.failTask("w0", job)
 	}
@@ -81,9 +80,9 @@
 	}
 }
 
-// Symptom: healthy workers are quarantined. Sequence: one job fails wherever it
-// goes, while others fail once. Cause: failures of a poisonous job are held
-// against the workers; or the job is tried on and on.
+// Guards against quarantining healthy workers for the failures of a poison job, which fails on
+// every worker while each other job fails once, and against retrying the poison job without a
+// backoff.
 func TestPoisonousJobIsBackedOff(t *testing.T) {
 	s := newHarness(6)
 	for i := range poisonWorkers {
@@ -105,14 +104,14 @@
 	}
 	s.now = s.now.Add(minBackoff)
 	if n := len(s.plan().Grants); n != 1 {
-		t.Fatalf("%d tasks of the job are tried after the wait", n)
+		t.Fatalf("%d tasks of the job are retried after the backoff", n)
 	}
 }
 
-// Symptom: a task that failed on a worker goes back there, or waits for ever.
-// Sequence: it is queued again, with another worker there and with none. Cause:
-// the failed worker is the best by score; or it is refused though it is the only one.
-func TestFailedTaskGoesElsewhereIfItCan(t *testing.T) {
+// Guards against a failed task that runs on the same worker again although another one could take
+// it, because the failed worker has the best score, and against a task that is never retried
+// because it failed on the only worker.
+func TestFailedTaskAvoidsItsFailedWorkers(t *testing.T) {
 	for workers, want := range map[int]string{1: "w0", 2: "w1"} {
 		s := newHarness(workers)
 		s.queue("t", "k", "j").FailedWorkers = []string{"w0"}
@@ -122,9 +121,9 @@
 	}
 }
 
-// Symptom: after a change of leader a worker that fails everything gets new tasks.
-// Sequence: a new leader plans with a state in which tasks of several jobs failed
-// on that worker. Cause: only what the old leader had in memory counts.
+// Guards against a new leader that gives tasks to a worker on which tasks of several jobs failed,
+// because the failures were only in the previous leader's memory and not taken from the replicated
+// state.
 func TestNewLeaderKnowsFailingWorker(t *testing.T) {
 	s := newHarness(2)
 	for i := range quarantineJobs {
@@ -133,7 +132,7 @@
 	s.queue("fresh", "k", "fresh")
 	for _, g := range s.plan().Grants {
 		if g.Worker == "w0" {
-			t.Fatalf("%s goes to the failing worker", g.Task.ID)
+			t.Fatalf("%s was placed on the failing worker", g.Task.ID)
 		}
 	}
 }
--- a/place/hold.go
+++ b/place/hold.go
@@ -9,8 +9,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// hold keeps room on a worker for one task: one that evictions make room for, or
-// one that has starved while smaller tasks took every hole that opened.
+// hold keeps free capacity on a worker for one task: an urgent task for which others are evicted,
+// or a starved task whose capacity smaller tasks would otherwise take as it becomes free.
 type hold struct {
 	worker string
 	size   Resources
@@ -19,7 +19,7 @@
 	urgent bool
 }
 
-// before orders the holds on a worker: urgent ones first, then the older.
+// before orders the holds on a worker: urgent ones first, then by age.
 func (hd *hold) before(o *hold) bool {
 	if hd.urgent != o.urgent {
 		return hd.urgent
@@ -27,17 +27,17 @@
 	return hd.since.Before(o.since)
 }
 
-// Bounds of holds.
+// Limits of holds.
 const (
 	starvedHoldDuration = 10 * time.Minute
-	// workersPerHold is the number of workers per starving task that one is held for.
+	// workersPerHold is the number of workers per hold of a starved task.
 	workersPerHold = 10
-	// workersPerUrgentHold is the same for urgent tasks.
+	// workersPerUrgentHold is the number of workers per hold of an urgent task.
 	workersPerUrgentHold = 2
 )
 
-// applyHolds books the standing holds against their workers' room and drops
-// those whose task or worker is gone.
+// applyHolds subtracts the holds in effect from their workers' free capacity and removes those
+// that expired or whose task or worker is no longer eligible.
 func (r *round) applyHolds() {
 	if len(r.p.holds) == 0 {
 		return
@@ -66,10 +66,10 @@
 	}
 }
 
-// freeCapacity is what a task may take on a host: what is free and not held for others.
-// A task with a hold there leaves only the holds before its own alone. If it left
-// all of them, two tasks that wait for one worker would each keep the other out
-// of room that is enough for one, until a hold runs out.
+// freeCapacity returns the capacity that a task may take on a host: what is free and not held for
+// other tasks. A task with a hold on the host respects only the holds ordered before its own. If
+// it respected all of them, two tasks waiting for the same worker would keep each other from
+// capacity that suffices for one, until a hold expires.
 func (r *round) freeCapacity(c *candidate, h *host) Resources {
 	if h.held.IsZero() {
 		return h.free
@@ -78,17 +78,18 @@
 	if own == nil || own.worker != h.Name {
 		return h.free.Sub(h.held)
 	}
-	room := h.free
+	free := h.free
 	for id, hd := range r.p.holds {
 		if id != c.ID && hd.worker == h.Name && hd.before(own) {
-			room = room.Sub(hd.size)
+			free = free.Sub(hd.size)
 		}
 	}
-	return room
+	return free
 }
 
-// reclaimCapacity is tried when no worker has room: an urgent task may have batch
-// evicted, and a starved one has the room held that opens soonest.
+// reclaimCapacity is called if no worker has enough free capacity. It preempts batch tasks for an
+// urgent task, or holds capacity for an urgent or starved task where it is expected to become free
+// earliest. It returns what the task waits for, "" if it did nothing.
 func (r *round) reclaimCapacity(c *candidate) string {
 	if r.dryRun || r.p.holds[c.ID] != nil {
 		return ""
@@ -105,33 +106,34 @@
 	return ""
 }
 
-// holdEarliest holds room on the worker where it is expected to open first.
+// holdEarliest holds capacity on the worker where it is expected to become free earliest.
 func (r *round) holdEarliest(c *candidate) string {
-	per := workersPerHold
+	workers := workersPerHold
 	if c.Priority == apiv1.Priority_PRIORITY_URGENT {
-		per = workersPerUrgentHold
+		workers = workersPerUrgentHold
 	}
-	if len(r.p.holds) > len(r.hosts)/per {
+	if len(r.p.holds) > len(r.hosts)/workers {
 		return ""
 	}
 	var best *host
-	soonest := time.Duration(math.MaxInt64)
+	earliest := time.Duration(math.MaxInt64)
 	for _, h := range r.hosts {
 		if h.overcommitted || !c.size.Fits(h.allocatable.Sub(h.held)) || r.refusingFilterExcept(c, h, capacityFilter{}) != nil {
 			continue
 		}
-		if d, ok := r.timeUntilFit(c, h); ok && d < soonest {
-			best, soonest = h, d
+		if d, ok := r.timeUntilFit(c, h); ok && d < earliest {
+			best, earliest = h, d
 		}
 	}
 	if best == nil {
 		return ""
 	}
 	r.addHold(c, best, starvedHoldDuration)
-	return fmt.Sprintf("room is held on %s, expected in %v", best.Name, soonest.Round(time.Second))
+	return fmt.Sprintf("capacity is held on %s, expected to be free in %v", best.Name, earliest.Round(time.Second))
 }
 
-// timeUntilFit is when enough tasks on a host are expected to have ended.
+// timeUntilFit returns the time until enough tasks on a host are expected to have ended, and false
+// if the task does not fit even after all of them.
 func (r *round) timeUntilFit(c *candidate, h *host) (time.Duration, bool) {
 	type end struct {
 		in   time.Duration
@@ -142,22 +144,22 @@
 		ends = append(ends, end{r.remaining(t), t.Size})
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return int(a.in/time.Millisecond - b.in/time.Millisecond) })
-	room := r.freeCapacity(c, h)
+	free := r.freeCapacity(c, h)
 	in := time.Duration(0)
 	for _, e := range ends {
-		if c.size.Fits(room) {
+		if c.size.Fits(free) {
 			break
 		}
-		sum, ok := room.Add(e.size)
+		sum, ok := free.Add(e.size)
 		if !ok {
 			return 0, false
 		}
-		room, in = sum, e.in
+		free, in = sum, e.in
 	}
-	return in, c.size.Fits(room)
+	return in, c.size.Fits(free)
 }
 
-// remaining is how long a task is expected to run on.
+// remaining returns how long a task is expected to keep running.
 func (r *round) remaining(t *Task) time.Duration {
 	expected := r.p.usage.runTime(t.Kind, t.ExpectedRun)
 	return time.Duration(float64(expected) * (1 - r.progress(t)))
--- a/place/interference.go
+++ b/place/interference.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// interferenceKey is what a slowdown is learnt for. An empty kind stands for the service's
-// own latency without neighbours.
+// interferenceKey identifies an estimated slowdown. An empty kind identifies the service's own
+// latency without neighbours.
 type interferenceKey struct {
 	service, kind string
 	// share is the task's throttle share in thousandths.
@@ -17,60 +17,60 @@
 // belief is a normal distribution over the natural logarithm of a factor.
 type belief struct {
 	mean, variance float64
-	// prior is what the belief drifts back to without reports.
+	// prior is the mean to which the belief decays without reports.
 	prior, priorVariance float64
-	// growth of the variance per hour.
+	// growth is the increase of the variance per hour.
 	growth  float64
 	at      time.Time
 	samples int
 }
 
-// interference learns how much each kind of task slows each service down, per
-// load bucket, from reports about several neighbours at once. The model is
+// interference estimates how much each kind of task slows each service down, per load bucket, from
+// reports that cover several neighbours at once. The model is
 //
-//	log p99 = own(service, bucket) + sum of amount(kind) * slowdown(service, kind, bucket)
+//	log p99 = baseline(service, bucket) + sum of amount(kind) * slowdown(service, kind, bucket)
 //
-// and each report is one step of a Kalman filter with a diagonal covariance, as
-// in TrueSkill (Herbrich et al., NIPS 2006): the surprise is shared out by how
-// unsure each part was, so a new neighbour takes the blame before a known one.
-// Between reports a slowdown's mean relaxes to its prior with time constant
-// drift, and its variance grows at a steady rate up to the prior's, since
-// interference shifts over time.
+// and each report is one step of a Kalman filter with a diagonal covariance, as in TrueSkill
+// (Herbrich et al., NIPS 2006): the innovation is distributed by the variance of each term, so a new
+// neighbour's estimate changes more than a known one's. Between reports a slowdown's mean decays to
+// its prior with the time constant decayTime, and its variance grows at a constant rate up to the
+// prior's, because interference changes over time.
 type interference struct {
 	decayTime time.Duration
 	beliefs   map[interferenceKey]*belief
 }
 
-// Priors, on the log scale.
+// Priors and noise, on the log scale.
 const (
 	priorSlowdown         = 0.03
 	priorSlowdownVariance = 0.30 * 0.30
 	priorBaselineVariance = 1.0
 	slowdownGrowth        = 0.12 * 0.12
-	// baselineGrowth is small: a service alone changes slowly, and a baseline that
-	// follows fast takes the blame for neighbours that are always there.
+	// baselineGrowth is small because a service's own latency changes slowly. A baseline that
+	// follows reports fast would absorb the slowdown by neighbours that are always present.
 	baselineGrowth = 0.03 * 0.03
-	// bucketVariance is added to what is taken over from a neighbouring bucket.
+	// bucketVariance is added per step to a belief copied from another bucket.
 	bucketVariance = 0.08 * 0.08
-	// throttleVariance is added to what is taken over for a throttled task.
+	// throttleVariance is added to a throttled task's belief derived from the full share.
 	throttleVariance = 0.10 * 0.10
-	// uncertainDeviation is the standard deviation above which a pair is unknown.
+	// uncertainDeviation is the standard deviation above which a pair needs probing.
 	uncertainDeviation = 0.22
-	// noiseVariance of a report's log p99, besides what few requests add.
+	// noiseVariance is the variance of a report's log p99 in addition to that from few requests.
 	noiseVariance = 0.12 * 0.12
-	// innovationLimit bounds a report's pull, in standard deviations.
+	// innovationLimit bounds the effect of one report, in standard deviations.
 	innovationLimit = 3.0
-	// maxBucketDistance is how far an unknown bucket looks for a known one.
+	// maxBucketDistance is the greatest distance of a bucket whose belief stands in for a missing
+	// one.
 	maxBucketDistance = 6
 )
 
-func newInterference(drift time.Duration) *interference {
-	return &interference{decayTime: drift, beliefs: make(map[interferenceKey]*belief)}
+func newInterference(decayTime time.Duration) *interference {
+	return &interference{decayTime: decayTime, beliefs: make(map[interferenceKey]*belief)}
 }
 
-// loadBucket maps a request rate to a bucket; each is a factor of sqrt(2) wide.
-// The rate is used, not the requests in flight: a slowdown itself raises those,
-// and would pass for load.
+// loadBucket maps a request rate to a bucket. Each bucket spans a factor of sqrt(2). The rate is
+// used and not the number of requests in flight, because a slowdown itself raises the latter and
+// would be mistaken for load.
 func loadBucket(perSecond float64) int {
 	if perSecond < 1 {
 		return 0
@@ -78,20 +78,20 @@
 	return 1 + int(2*math.Log2(perSecond))
 }
 
-// atTime returns the belief as it stands at a time, without changing the model.
-func (b *belief) atTime(now time.Time, drift time.Duration) (mean, variance float64) {
-	gap := now.Sub(b.at)
-	if gap <= 0 {
+// atTime returns the belief decayed to a time without changing it.
+func (b *belief) atTime(now time.Time, decayTime time.Duration) (mean, variance float64) {
+	elapsed := now.Sub(b.at)
+	if elapsed <= 0 {
 		return b.mean, b.variance
 	}
-	keep := math.Exp(-float64(gap) / float64(drift))
+	keep := math.Exp(-float64(elapsed) / float64(decayTime))
 	mean = b.prior + (b.mean-b.prior)*keep
-	grown := b.variance + b.growth*gap.Hours()
+	grown := b.variance + b.growth*elapsed.Hours()
 	return mean, max(b.variance, min(grown, b.priorVariance))
 }
 
-// lookup returns what is believed about a pair: its own belief, or one taken
-// over from the nearest bucket, or the prior.
+// lookup returns the belief about a pair: the pair's own, that of the nearest bucket, or the
+// prior.
 func (m *interference) lookup(now time.Time, p interferenceKey) (mean, variance float64) {
 	if b := m.beliefs[p]; b != nil {
 		return b.atTime(now, m.decayTime)
@@ -131,8 +131,8 @@
 	return mean * part, variance*part*part + throttleVariance
 }
 
-// update takes in one report about a service: its log latency, who was there
-// when it was measured, and the variance of the measurement.
+// update applies one report about a service: its log latency, the tasks present during the
+// measurement, and the variance of the measurement.
 func (m *interference) update(at time.Time, service string, bucket int, present []presence, logLatency, noise float64) {
 	parts := make([]*belief, 0, len(present)+1)
 	amounts := make([]float64, 0, len(present)+1)
@@ -142,28 +142,28 @@
 		parts = append(parts, m.neighbourBelief(at, service, bucket, n))
 		amounts = append(amounts, n.amount)
 	}
-	predicted, spread := 0.0, noise+noiseVariance
+	predicted, variance := 0.0, noise+noiseVariance
 	for i, b := range parts {
 		predicted += amounts[i] * b.mean
-		spread += amounts[i] * amounts[i] * b.variance
+		variance += amounts[i] * amounts[i] * b.variance
 	}
-	limit := innovationLimit * math.Sqrt(spread)
-	surprise := min(max(logLatency-predicted, -limit), limit)
+	limit := innovationLimit * math.Sqrt(variance)
+	innovation := min(max(logLatency-predicted, -limit), limit)
 	for i, b := range parts {
-		gain := amounts[i] * b.variance / spread
-		b.mean += gain * surprise
+		gain := amounts[i] * b.variance / variance
+		b.mean += gain * innovation
 		b.variance -= gain * amounts[i] * b.variance
 		b.samples++
 		if i > 0 {
-			// A neighbour speeds nothing up; without this bound noise in one
-			// kind's belief is paid for by the kind beside it.
+			// A neighbour never speeds a service up. Without this bound, noise that lowers one
+			// kind's slowdown would raise that of the kind next to it.
 			b.mean = max(b.mean, 0)
 		}
 	}
 }
 
-// baselineBelief returns the stored belief about a service alone, brought up to a time.
-// The very first one starts from the report itself.
+// baselineBelief returns the stored belief about a service without neighbours, decayed to a time.
+// The first one takes its mean from the report itself.
 func (m *interference) baselineBelief(at time.Time, service string, bucket int, logLatency float64) *belief {
 	p := interferenceKey{service: service, bucket: bucket}
 	b := m.beliefs[p]
@@ -175,7 +175,7 @@
 		b = &belief{mean: mean, variance: variance, prior: mean, priorVariance: variance, growth: baselineGrowth, at: at}
 		m.beliefs[p] = b
 	}
-	// Its own latency drifts in place: there is no prior to fall back to.
+	// The baseline has no fixed prior: its mean stays and only its variance grows.
 	b.prior = b.mean
 	b.advance(at, m.decayTime)
 	return b
@@ -198,26 +198,27 @@
 	return b
 }
 
-func (b *belief) advance(at time.Time, drift time.Duration) {
+func (b *belief) advance(at time.Time, decayTime time.Duration) {
 	if !at.After(b.at) {
 		return
 	}
-	b.mean, b.variance = b.atTime(at, drift)
+	b.mean, b.variance = b.atTime(at, decayTime)
 	b.at = at
 }
 
-// prune forgets what was not reported on for long: it has drifted to its prior.
+// prune removes beliefs without a report for several decay times, which have decayed to their
+// priors.
 func (m *interference) prune(now time.Time) {
-	const drifts = 4
+	const decayTimes = 4
 	for p, b := range m.beliefs {
-		if now.Sub(b.at) > drifts*m.decayTime {
+		if now.Sub(b.at) > decayTimes*m.decayTime {
 			delete(m.beliefs, p)
 		}
 	}
 }
 
-// expectedLogTail returns the log tail of a service with its neighbours, by what is
-// believed, and false when nothing is known about the service.
+// expectedLogTail returns the expected log tail latency of a service with its neighbours, and
+// false if no report about the service was recorded.
 func (m *interference) expectedLogTail(at time.Time, service string, bucket int, present []presence) (float64, bool) {
 	sum, variance := m.lookup(at, interferenceKey{service: service, bucket: bucket})
 	if variance >= priorBaselineVariance {
@@ -230,8 +231,8 @@
 	return sum, true
 }
 
-// upperBound is the upper confidence bound of a belief, z standard deviations up.
+// upperBound returns the upper confidence bound of a belief, z standard deviations above the mean.
 func upperBound(mean, variance, z float64) float64 { return mean + z*math.Sqrt(variance) }
 
-// uncertain reports whether too little is known to place a kind freely.
+// uncertain reports whether a pair's variance is too large to place its kind without probing.
 func uncertain(variance float64) bool { return variance > uncertainDeviation*uncertainDeviation }
--- a/place/learn_test.go
+++ b/place/learn_test.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// harness drives a Placer over workers w0, w1, ... that carry out its plans at once.
+// harness runs a Placer over workers w0, w1, ... that carry out its plans at once.
 type harness struct {
 	*Placer
 	now      time.Time
@@ -31,7 +31,7 @@
 	return s
 }
 
-// queue adds a task of one processor with its own job, or the named one.
+// queue adds a queued batch task of one processor that belongs to a job.
 func (s *harness) queue(id, kind, job string) *Task {
 	t := &Task{ID: id, Kind: kind, Job: job, Size: Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30}, QueuedAt: s.now,
 		Priority: apiv1.Priority_PRIORITY_BATCH, State: apiv1.TaskState_TASK_STATE_QUEUED, ExpectedRun: time.Hour}
@@ -39,7 +39,7 @@
 	return t
 }
 
-// plan carries out a plan's grants and evictions.
+// plan runs a planning round and carries out its grants and evictions.
 func (s *harness) plan() Plan {
 	plan := s.Plan(s.now, s.snapshot)
 	for _, g := range plan.Grants {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// heartbeat sends the heartbeat of a worker with extra parts.
+// heartbeat sends a heartbeat of a worker with the given reports.
 func (s *harness) heartbeat(worker string, extra *apiv1.WorkerHeartbeat) {
 	s.sequence++
 	hb := &apiv1.WorkerHeartbeat{Worker: worker, Incarnation: 1, Sequence: s.sequence,
@@ -94,7 +94,7 @@
 	s.Observe(s.now, hb)
 }
 
-// advance lets time pass with a heartbeat of w0 every 5 s, the first at once.
+// advance lets time pass with a heartbeat of w0 every 5 s, starting at once.
 func (s *harness) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(5 * time.Second) {
 		s.heartbeat("w0", nil)
@@ -105,7 +105,8 @@
 	return &apiv1.TaskStatus{Task: &apiv1.TaskAttempt{Task: task, Attempt: attempt}, Phase: phase}
 }
 
-// latency is a report about the last 10 s before age, at 100 requests a second.
+// latency returns a heartbeat with a report on the 10 s that ended age ago, at 100 requests a
+// second.
 func latency(worker, service string, ms int64, age time.Duration) *apiv1.WorkerHeartbeat {
 	return &apiv1.WorkerHeartbeat{Latency: []*apiv1.LatencyReport{{
 		Target: worker + service, Service: service, P50Us: ms * 400, P99Us: ms * 1000, Requests: 1000,
@@ -123,11 +124,10 @@
 	return worst
 }
 
-// Symptom: a harmless kind is believed to be harmful, and the harmful one is not.
-// Sequence: a task disturbs a service and leaves; another comes; then the report
-// about the first one's time arrives. Cause: the report is matched with who is
-// there on its arrival.
-func TestLateReportBlamesWhoWasThere(t *testing.T) {
+// Guards against attributing a slowdown to the wrong kind. A task slows a service down and ends,
+// another one starts, then the delayed report on the first one's time arrives. The report must be
+// matched with the tasks present in its window, not with those present on its arrival.
+func TestLateReportIsAttributedToTasksInItsWindow(t *testing.T) {
 	s := newHarness(1, "bookings")
 	s.plan()
 	s.heartbeat("w0", nil)
@@ -144,14 +144,14 @@
 	s.advance(20 * time.Second)
 	s.heartbeat("w0", latency("w0", "bookings", 95, 24*time.Second))
 	if noisy, quiet := s.learnedSlowdown("noisy"), s.learnedSlowdown("quiet"); noisy < 1.3 || quiet > 1.01 {
-		t.Fatalf("noisy is believed to slow by %.2f, quiet by %.2f", noisy, quiet)
+		t.Fatalf("estimated slowdown: noisy %.2f, quiet %.2f", noisy, quiet)
 	}
 }
 
-// Symptom: one slow spell costs a task per report. Sequence: the tail crosses the
-// objective, the guard acts, and reports about the time before the action keep
-// arriving for 30 s. Cause: each of them is answered with another action.
-func TestReportsFromBeforeAnActionCauseNoOther(t *testing.T) {
+// Guards against one action per delayed report. The tail exceeds the objective, the protection
+// acts, and reports on the time before the action keep arriving for 30 s. None of them may cause
+// another action.
+func TestReportsFromBeforeAnActionCauseNoFurtherAction(t *testing.T) {
 	const lag = 30 * time.Second
 	s := newHarness(1, "bookings")
 	s.plan()
@@ -174,19 +174,19 @@
 			continue
 		}
 		if wait := s.now.Sub(acted); !acted.IsZero() && wait < lag+10*time.Second {
-			t.Fatalf("acted again after %v, though nothing measured since can have arrived", wait)
+			t.Fatalf("acted again after %v, before any report on a later window can have arrived", wait)
 		}
 		acted = s.now
 	}
 	if acted.IsZero() {
-		t.Fatal("the guard never acted")
+		t.Fatal("the protection never acted")
 	}
 }
 
-// Symptom: a service suffers although its neighbour is held down. Sequence: the
-// neighbour is throttled to the least share, the tail stays. Cause: its harm does
-// not come from processors, so it has to go; a harmless one must not go instead.
-func TestGuardThrottlesThenEvictsTheCulprit(t *testing.T) {
+// Guards against a service that stays slow beside a task throttled to the smallest share. If the
+// slowdown does not come from processors, the tail stays high and that task must be evicted, not a
+// harmless one.
+func TestHarmfulTaskIsThrottledThenEvicted(t *testing.T) {
 	s := newHarness(2, "bookings")
 	s.plan()
 	s.heartbeat("w0", nil)
@@ -215,13 +215,12 @@
 			return
 		}
 	}
-	t.Fatal("the culprit was never evicted")
+	t.Fatal("the harmful task was never evicted")
 }
 
-// Symptom: grants are far too small, or larger than any worker. Sequence: tasks
-// of a kind use three times what they declare. Cause: declared sizes are believed;
-// or the learnt size is granted without looking at what workers have.
-func TestLearntSizesGrowWithinCapacity(t *testing.T) {
+// Guards against grants that stay at the declared size although tasks of the kind use three times
+// as much, and against grants of the learned size that exceed every worker.
+func TestLearnedSizesGrowWithinCapacity(t *testing.T) {
 	s := newHarness(2)
 	for i := range minSamples {
 		task := s.queue(fmt.Sprint("t", i), "greedy", "j")
@@ -258,23 +257,23 @@
 	}
 }
 
-// Symptom: a task is killed for want of memory it declared. Sequence: tasks of a
-// kind use far less than they declare, and the next one's size is asked for. Cause:
-// memory is reclaimed like processors; or processors are, without the option.
+// Guards against a task killed for lack of memory that it declared. Tasks of a kind use far less
+// than declared, which may reduce the processors of the next grant, and only with the option, but
+// never its memory.
 func TestReclaimTakesProcessorsOnly(t *testing.T) {
 	declared := Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30}
-	for least, want := range map[float64]int64{0: 1000, 0.5: 500} {
-		u := New(Config{MinProcessorFraction: least}).usage
+	for minimum, want := range map[float64]int64{0: 1000, 0.5: 500} {
+		u := New(Config{MinProcessorFraction: minimum}).usage
 		for range minSamples {
 			u.addSamples(&attemptUsage{peak: Resources{MilliProcessors: 100, MemoryBytes: 1 << 20}}, &taskInfo{kind: "k", declared: declared})
 		}
 		if got := u.size("k", declared); got != (Resources{want, 1 << 30, 0}) {
-			t.Fatalf("least %v: %v", least, got)
+			t.Fatalf("minimum fraction %v: %v", minimum, got)
 		}
 	}
 }
 
-// interferenceSamples counts what reports have taught about interference.
+// interferenceSamples returns the number of report samples in all interference beliefs.
 func (s *harness) interferenceSamples() int {
 	n := 0
 	for _, b := range s.interference.beliefs {
@@ -283,11 +282,11 @@
 	return n
 }
 
-// Symptom: a task that should be held down runs at full share, or a task is
-// blamed for a time it was not seen in. Sequence: the leader is replaced for a
-// while and comes back, with its memory of before; its last orders are lost.
-// Cause: orders are given once; the history bridges the silence.
-func TestLeaderThatComesBack(t *testing.T) {
+// Guards against a task that should be throttled but runs at full share, and against slowdowns
+// attributed to a task for a time without heartbeats. A leader is replaced for a while and returns
+// with its earlier memory, and its last orders are lost. It must repeat its throttles, and its
+// occupancy history must not bridge the gap.
+func TestReturningLeaderRepeatsThrottles(t *testing.T) {
 	s := newHarness(1, "bookings")
 	s.run("w0", s.queue("t", "noisy", "j"), Resources{MilliProcessors: 1000})
 	s.plan()
@@ -297,18 +296,18 @@
 		s.heartbeat("w0", latency("w0", "bookings", 300, 0))
 		s.plan()
 	}
-	held := s.Learned(s.now).Throttled
-	if len(held) != 1 {
-		t.Fatalf("held down: %v", held)
+	throttled := s.Learned(s.now).Throttled
+	if len(throttled) != 1 {
+		t.Fatalf("throttled: %v", throttled)
 	}
 	before := s.interferenceSamples()
 	s.now = s.now.Add(2 * time.Minute)
 	s.heartbeat("w0", latency("w0", "bookings", 50, 30*time.Second))
 	if s.interferenceSamples() != before {
-		t.Fatal("learnt from a window that nobody watched")
+		t.Fatal("learned from a window without heartbeats")
 	}
 	plan := s.Plan(s.now, s.snapshot)
-	if len(plan.Throttles) != 1 || plan.Throttles[0].ShareMilli != held[0].ShareMilli {
-		t.Fatalf("throttles after the return: %v", plan.Throttles)
+	if len(plan.Throttles) != 1 || plan.Throttles[0].ShareMilli != throttled[0].ShareMilli {
+		t.Fatalf("throttles after the leader returned: %v", plan.Throttles)
 	}
 }
--- a/place/learned.go
+++ b/place/learned.go
@@ -7,48 +7,48 @@
 	"time"
 )
 
-// PairEstimate is what is believed about one kind of task beside one service.
+// PairEstimate is the estimated slowdown of one service by one kind of task.
 type PairEstimate struct {
 	Service, Kind string
-	// ShareMilli is the throttle share of the tasks, 1000 when not held down.
+	// ShareMilli is the throttle share of the tasks, 1000 if they are not throttled.
 	ShareMilli int32
-	// Bucket is the load bucket; request rates of a bucket lie within a factor
-	// of the square root of two.
+	// Bucket is the load bucket. The request rates of a bucket lie within a factor of the square
+	// root of two.
 	Bucket int
-	// Slowdown is the factor on the service's p99 per task, Upper its bound at
-	// one standard deviation.
+	// Slowdown is the factor on the service's p99 per task, UpperBound its bound at one standard
+	// deviation.
 	Slowdown, UpperBound float64
 	Samples              int
 }
 
-// KindEstimate is what tasks of a kind were seen to need, as factors of what
-// they declared; 1 when nothing is known.
+// KindEstimate is the observed usage of tasks of a kind as factors of what they declared, 1 if
+// nothing was observed.
 type KindEstimate struct {
 	Kind                        string
 	Processors, Memory, RunTime float64
 	Attempts                    int
 }
 
-// WorkerCondition is a worker that failures speak against.
+// WorkerCondition is a worker that is quarantined or on probation.
 type WorkerCondition struct {
 	Worker, Condition, Reason string
 }
 
-// JobCondition is a job that failures speak against.
+// JobCondition is a poison job: one that failed on several workers.
 type JobCondition struct {
 	Job           string
 	FailedWorkers int
 	NotBefore     time.Time
 }
 
-// ThrottledTask is a task whose processors are held down.
+// ThrottledTask is a task whose processors are throttled.
 type ThrottledTask struct {
 	Worker, Task string
 	Attempt      uint64
 	ShareMilli   int32
 }
 
-// Learned is a copy of what a Placer has learnt, in a fixed order.
+// Learned is a copy of the data that a Placer has learned, in a fixed order.
 type Learned struct {
 	Pairs     []PairEstimate
 	Kinds     []KindEstimate
@@ -59,7 +59,7 @@
 	EvictionBudget float64
 }
 
-// Learned returns what was learnt, as it stands at now.
+// Learned returns the learned data as of now.
 func (p *Placer) Learned(now time.Time) Learned {
 	return Learned{
 		Pairs:          p.learnedPairs(now),
@@ -135,9 +135,8 @@
 	return out
 }
 
-// Explain tells what would become of a queued task now, with every worker
-// looked at. It changes nothing. The second result is false when the task is
-// not queued in the snapshot.
+// Explain returns the decision that a queued task would receive now, considering every worker. It
+// changes nothing. The second result is false if the task is not queued in the snapshot.
 func (p *Placer) Explain(now time.Time, s *Snapshot, task string) (Decision, bool) {
 	i := slices.IndexFunc(s.Queued, func(t *Task) bool { return t.ID == task })
 	if i < 0 {
--- a/place/observe.go
+++ b/place/observe.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// workerState is what a Placer remembers about one worker.
+// workerState is the state kept for one worker.
 type workerState struct {
 	incarnation      uint64
 	sequence         uint64
@@ -17,19 +17,20 @@
 	protection       *protectionState
 	overrunEvictedAt time.Time
 	heartbeatAt      time.Time
-	// ended holds attempts whose end was taken in: ends are repeated until
-	// they are acknowledged.
+	// ended holds attempts whose end was recorded, because workers repeat ends until they are
+	// acknowledged.
 	ended map[attemptID]time.Time
 }
 
-// taskInfo is what reports need to know about a running attempt; heartbeats
-// name tasks only.
+// taskInfo is the data about a running attempt that reports need; heartbeats contain only task
+// names.
 type taskInfo struct {
 	job, kind   string
 	declared    Resources
 	expectedRun time.Duration
 	grantedAt   time.Time
-	// resumed: it started from a checkpoint, so its run time is not a whole run.
+	// resumed reports that the attempt started from a checkpoint, so its run time is not that of a
+	// whole run.
 	resumed  bool
 	lastSeen time.Time
 }
@@ -37,17 +38,18 @@
 const (
 	historyLength = 3 * time.Minute
 	historyLimit  = 512
-	// maxHeartbeatGap is the longest silence over which the history goes on. What
-	// came and went in a longer one, such as under another leader, is not known.
+	// maxHeartbeatGap is the longest time between two heartbeats over which the occupancy history
+	// continues. Tasks that came and went in a longer gap, for example under another leader, are
+	// not known.
 	maxHeartbeatGap = 10 * time.Second
 	endRetention    = 10 * time.Minute
-	// minRequests is how many requests a p99 needs to say anything.
+	// minRequests is the smallest number of requests for which a p99 is meaningful.
 	minRequests = 20
 	microsecond = 1000.0
 )
 
-// Observe learns from a worker's heartbeat that arrived at now. Heartbeats that
-// come late or twice change nothing.
+// Observe records a worker's heartbeat that arrived at now. Duplicate and reordered heartbeats
+// have no effect.
 func (p *Placer) Observe(now time.Time, hb *apiv1.WorkerHeartbeat) {
 	w := p.state(now, hb)
 	if w == nil {
@@ -82,7 +84,7 @@
 	w.prune(now)
 }
 
-// state returns the worker's memory, or nil for a heartbeat that is overtaken.
+// state returns the worker's state, or nil if a later heartbeat was already recorded.
 func (p *Placer) state(now time.Time, hb *apiv1.WorkerHeartbeat) *workerState {
 	w := p.workers[hb.GetWorker()]
 	if w != nil && hb.GetIncarnation() == w.incarnation {
@@ -154,42 +156,43 @@
 	}
 }
 
-// observeLatency matches a report with who was there when it was measured.
+// observeLatency records a latency report and attributes it to the tasks present in its window.
 func (p *Placer) observeLatency(now time.Time, w *workerState, l *apiv1.LatencyReport) {
 	to := now.Add(-time.Duration(max(l.GetAgeMs(), 0)) * time.Millisecond)
 	window := time.Duration(max(l.GetWindowMs(), 1)) * time.Millisecond
 	from := to.Add(-window)
-	known := w.protection.latencies[l.GetTarget()]
-	if known != nil && to.Before(known.to.Add(window/2)) {
+	latency := w.protection.latencies[l.GetTarget()]
+	if latency != nil && to.Before(latency.to.Add(window/2)) {
 		return // the same window again, or an older one
 	}
 	if l.GetRequests() < minRequests || l.GetP99Us() <= 0 {
 		return
 	}
-	if known == nil {
-		known = &targetLatency{target: l.GetTarget()}
-		w.protection.latencies[l.GetTarget()] = known
-	}
-	known.service = l.GetService()
-	known.p99 = float64(l.GetP99Us()) / microsecond
-	known.bucket = loadBucket(float64(l.GetRequests()) / window.Seconds())
-	previous := known.from
-	known.from, known.to = from, to
-	known.compare(p.protectionThreshold(l.GetService()))
-	known.updateMean(w.protection.settled(known) && !w.protection.settledBefore(previous))
-	p.buckets[known.service] = known.bucket
+	if latency == nil {
+		latency = &targetLatency{target: l.GetTarget()}
+		w.protection.latencies[l.GetTarget()] = latency
+	}
+	latency.service = l.GetService()
+	latency.p99 = float64(l.GetP99Us()) / microsecond
+	latency.bucket = loadBucket(float64(l.GetRequests()) / window.Seconds())
+	previous := latency.from
+	latency.from, latency.to = from, to
+	latency.compare(p.protectionThreshold(l.GetService()))
+	latency.updateMean(w.protection.settled(latency) && !w.protection.settledBefore(previous))
+	p.buckets[latency.service] = latency.bucket
 	present, covered := w.occupancy.during(from, to)
 	if !covered {
 		return
 	}
-	if expected, ok := p.interference.expectedLogTail(to, known.service, known.bucket, present); ok {
-		known.residual += smoothing * (math.Log(known.p99) - expected - known.residual)
+	if expected, ok := p.interference.expectedLogTail(to, latency.service, latency.bucket, present); ok {
+		latency.residual += smoothing * (math.Log(latency.p99) - expected - latency.residual)
 	}
 	noise := 1 / float64(l.GetRequests())
-	p.interference.update(to, known.service, known.bucket, present, math.Log(known.p99), noise)
+	p.interference.update(to, latency.service, latency.bucket, present, math.Log(latency.p99), noise)
 }
 
-// protectionThreshold is the tail in milliseconds above which the guard acts, 0 for none.
+// protectionThreshold returns the tail latency in milliseconds above which a service is protected,
+// 0 if it has no objective.
 func (p *Placer) protectionThreshold(service string) float64 {
 	return float64(p.objectives[service]) * protectionThreshold
 }
--- a/place/occupancy.go
+++ b/place/occupancy.go
@@ -8,7 +8,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// fullShare is an unthrottled task's share in thousandths.
+// fullShare is the share of an unthrottled task in thousandths.
 const fullShare = 1000
 
 // attemptID names one attempt as a map key.
@@ -19,21 +19,21 @@
 
 func idOf(a *apiv1.TaskAttempt) attemptID { return attemptID{a.GetTask(), a.GetAttempt()} }
 
-// occupancyInterval is one attempt's time on a worker at one throttle share.
+// occupancyInterval is a period during which one attempt ran on a worker at one throttle share.
 type occupancyInterval struct {
 	id    attemptID
 	kind  string
 	share int32
 	from  time.Time
-	// to is zero while the attempt is still there.
+	// to is zero while the interval is open.
 	to time.Time
 }
 
-// occupancy is the bounded history of who was on a worker when. Reports arrive
-// late; matched with who is there now they would blame a task that came after
-// the measurement, and clear the one that has left.
+// occupancy is the bounded history of the attempts on a worker. Reports arrive late; if they were
+// matched with the present tasks, their latency would be attributed to a task that started after
+// the measurement and not to one that ended since.
 type occupancy struct {
-	// since is the first moment the history covers.
+	// since is the start of the time that the history covers.
 	since  time.Time
 	open   map[attemptID]*occupancyInterval
 	closed []occupancyInterval
@@ -43,14 +43,14 @@
 	return &occupancy{since: now, open: make(map[attemptID]*occupancyInterval)}
 }
 
-// enter notes that an attempt is on the worker from now on.
+// enter opens an interval for an attempt unless one is open.
 func (o *occupancy) enter(now time.Time, id attemptID, kind string, share int32) {
 	if o.open[id] == nil {
 		o.open[id] = &occupancyInterval{id: id, kind: kind, share: share, from: now}
 	}
 }
 
-// closeAbsent ends the stays of attempts that are not among those running.
+// closeAbsent closes the intervals of attempts that are not running.
 func (o *occupancy) closeAbsent(now time.Time, running map[attemptID]bool) {
 	for id, s := range o.open {
 		if !running[id] {
@@ -59,7 +59,7 @@
 	}
 }
 
-// throttle starts a new stay of the same attempt at another share.
+// throttle closes an attempt's interval and opens one at another share.
 func (o *occupancy) throttle(now time.Time, id attemptID, share int32) {
 	s := o.open[id]
 	if s == nil || s.share == share {
@@ -75,7 +75,7 @@
 	delete(o.open, s.id)
 }
 
-// prune forgets stays that ended before a time, and the oldest above a limit.
+// prune removes closed intervals that ended before a time, and the oldest ones above a limit.
 func (o *occupancy) prune(before time.Time, limit int) {
 	o.closed = slices.DeleteFunc(o.closed, func(s occupancyInterval) bool { return s.to.Before(before) })
 	if extra := len(o.closed) - limit; extra > 0 {
@@ -87,19 +87,19 @@
 	}
 }
 
-// presence is how much of a kind was beside a service in a window: the sum over
-// its tasks at one throttle share of the part of the window that each was there.
+// presence is the amount of a kind beside a service in a window: the sum, over its tasks at one
+// throttle share, of the fraction of the window during which each was present.
 type presence struct {
 	kind   string
 	share  int32
 	amount float64
 }
 
-// minOverlap is the least part of a window that counts as having been there.
+// minOverlap is the smallest fraction of a window that counts as presence.
 const minOverlap = 0.05
 
-// during returns who was there in a window, ordered by kind, and false when the
-// history does not reach back to its start.
+// during returns the presences in a window, ordered by kind, and false if the history does not
+// cover the window's start.
 func (o *occupancy) during(from, to time.Time) ([]presence, bool) {
 	if from.Before(o.since) {
 		return nil, false
@@ -116,7 +116,8 @@
 	for _, s := range o.open {
 		add(s)
 	}
-	// Sorted by amount too, so that the sums come out alike in every run.
+	// Sorting by amount makes the order of the floating-point sums, and so their results,
+	// deterministic.
 	slices.SortFunc(parts, func(a, b presence) int {
 		return cmp.Or(cmp.Compare(a.kind, b.kind), cmp.Compare(a.share, b.share), cmp.Compare(a.amount, b.amount))
 	})
@@ -131,7 +132,7 @@
 	return out, true
 }
 
-// overlap is the part of a window that the stay covers, 0 to 1.
+// overlap returns the fraction of a window that the interval covers, from 0 to 1.
 func (s *occupancyInterval) overlap(from, to time.Time) float64 {
 	start, end := s.from, s.to
 	if start.Before(from) {
@@ -147,7 +148,7 @@
 	return float64(end.Sub(start)) / float64(window)
 }
 
-// presentInWindow reports whether an attempt covered at least half of a window.
+// presentInWindow reports whether an attempt was present for at least half of a window.
 func (o *occupancy) presentInWindow(id attemptID, from, to time.Time) bool {
 	const half = 0.5
 	covered := 0.0
--- a/place/overcommit.go
+++ b/place/overcommit.go
@@ -8,8 +8,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// reduceOvercommit evicts from workers that hold more than they have: because they
-// announced less than was granted, or because tasks use more than their grants.
+// reduceOvercommit evicts tasks from workers whose capacity is exceeded, either by the grants
+// because the capacity shrank, or because tasks use more memory than their grants.
 func (r *round) reduceOvercommit() {
 	for _, h := range r.hosts {
 		if h.overcommitted {
@@ -20,8 +20,8 @@
 	}
 }
 
-// evictOvercommitted evicts the least costly tasks until the rest fits. It is not bound by the
-// budget: no worker may be left with more than it has.
+// evictOvercommitted evicts the least costly tasks until the rest fits the capacity. The eviction
+// budget does not limit it, because no worker may stay overcommitted.
 func (r *round) evictOvercommitted(h *host) {
 	var tasks []*Task
 	used := h.Reserved
@@ -38,7 +38,7 @@
 			return
 		}
 		used = used.Sub(t.Size)
-		r.evict(t, h, "the worker has less than it was granted")
+		r.evict(t, h, "the worker's capacity shrank below its grants")
 	}
 }
 
@@ -51,18 +51,19 @@
 	})
 }
 
-// overrunEvictionInterval keeps a worker's usage reports, which lag, from being answered twice.
+// overrunEvictionInterval is the time after an eviction during which a worker's delayed usage
+// reports cause no further one.
 const overrunEvictionInterval = 60 * time.Second
 
-// evictMemoryOverrun evicts one task that uses more memory than its grant when the worker's
-// memory runs out. It comes back with a grant of the learnt size: growing in
-// place would give away memory that others were granted.
+// evictMemoryOverrun evicts one task that uses more memory than its grant when the worker's memory
+// is exhausted. The task is queued again and granted the learned size. Growing its grant in place
+// would give away memory granted to others.
 func (r *round) evictMemoryOverrun(h *host) {
 	if h.state == nil || r.now.Sub(h.state.overrunEvictedAt) < overrunEvictionInterval {
 		return
 	}
 	used := h.Reserved.MemoryBytes
-	var beyond []*Task
+	var overrunning []*Task
 	for _, t := range h.Running {
 		a := r.p.usage.attempts[attemptID{t.ID, t.Attempt}]
 		if a == nil {
@@ -71,13 +72,13 @@
 		}
 		used += a.latest.MemoryBytes
 		if a.latest.MemoryBytes > t.Size.MemoryBytes && r.evictable(t) {
-			beyond = append(beyond, t)
+			overrunning = append(overrunning, t)
 		}
 	}
-	if used <= h.Capacity.MemoryBytes || len(beyond) == 0 || !r.p.budget.take() {
+	if used <= h.Capacity.MemoryBytes || len(overrunning) == 0 || !r.p.budget.take() {
 		return
 	}
-	r.cheapestFirst(beyond)
-	r.evict(beyond[0], h, "uses more memory than its grant and the worker has no more")
+	r.cheapestFirst(overrunning)
+	r.evict(overrunning[0], h, "uses more memory than its grant and the worker's memory is exhausted")
 	h.state.overrunEvictedAt = r.now
 }
--- a/place/placer.go
+++ b/place/placer.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Placer turns snapshots into plans and learns from workers' reports. It is not
-// safe for concurrent use: its owner calls it from one goroutine.
+// Placer turns snapshots into plans and learns from workers' reports. It is not safe for
+// concurrent use; its owner calls it from one goroutine.
 type Placer struct {
 	cfg         Config
 	rand        *rand.Rand
@@ -18,24 +18,24 @@
 	usage        *usage
 	health       *health
 	budget       budget
-	// preemption is the budget of evictions for urgent tasks.
+	// preemption limits the evictions that free capacity for urgent tasks.
 	preemption budget
 	workers    map[string]*workerState
 	tasks      map[attemptID]*taskInfo
 	holds      map[string]*hold
-	// evicting remembers evictions until the snapshot shows them.
+	// evicting maps attempts to the time of their eviction until the snapshot shows it.
 	evicting map[attemptID]time.Time
-	// objectives in milliseconds and weights, as of the last snapshot.
+	// objectives (in milliseconds, by service) and weights are those of the last snapshot.
 	objectives map[string]int64
 	weights    weights
-	// buckets is the load bucket last reported for each service.
+	// buckets holds the last reported load bucket of each service.
 	buckets  map[string]int
 	syncedAt time.Time
-	// throttlesRepeatedAt is when the throttles in force were last ordered again.
+	// throttlesRepeatedAt is when the throttles in effect were last sent again.
 	throttlesRepeatedAt time.Time
 }
 
-// New returns a Placer that has learnt nothing yet.
+// New returns a Placer without learned data.
 func New(cfg Config) *Placer {
 	cfg = cfg.withDefaults()
 	return &Placer{
@@ -60,13 +60,13 @@
 	}
 }
 
-// Forget drops what was learnt about a worker that is gone for good.
+// Forget discards the learned data of a worker that was removed.
 func (p *Placer) Forget(worker string) {
 	delete(p.workers, worker)
 	delete(p.health.workers, worker)
 }
 
-// Plan decides one round. The snapshot is only read.
+// Plan runs one planning round. It does not modify the snapshot.
 func (p *Placer) Plan(now time.Time, s *Snapshot) Plan {
 	p.sync(now, s)
 	r := p.gather(now, s)
@@ -80,7 +80,7 @@
 	return r.plan
 }
 
-// placeQueued takes queued tasks in order until the round's grants are used up.
+// placeQueued decides on the queued tasks in order until the round has MaxGrants grants.
 func (r *round) placeQueued() {
 	q := r.newQueue()
 	for t := q.next(); t != nil; t = q.next() {
@@ -95,11 +95,12 @@
 	}
 }
 
-// syncInterval is how often running tasks are taken in from the snapshot. The
-// Placer knows its own grants at once; others only follow a change of leader.
+// syncInterval is the time between two readings of the running tasks from the snapshot. The Placer
+// records its own grants at once; grants of another leader appear only after a leader change.
 const syncInterval = 2 * time.Second
 
-// sync takes in policy, objectives and, now and then, the running tasks.
+// sync applies the policy and the objectives of the snapshot, and at most once per syncInterval
+// its running tasks.
 func (p *Placer) sync(now time.Time, s *Snapshot) {
 	p.weights = weightsOf(s.Policy)
 	clear(p.objectives)
@@ -136,7 +137,7 @@
 	info.lastSeen = now
 }
 
-// recordPlan keeps what the plan does until the snapshot shows it.
+// recordPlan records the plan's grants and evictions until the snapshot shows them.
 func (p *Placer) recordPlan(now time.Time, plan *Plan) {
 	for _, g := range plan.Grants {
 		p.recordTask(now, attemptID{g.Task.ID, g.Task.Attempt + 1}, g.Task, now)
@@ -146,14 +147,14 @@
 	}
 }
 
-// Memory of what is on its way or gone.
+// Retention times of evictions after they were ordered, and of tasks after they were last seen.
 const (
 	evictionRetention = 30 * time.Second
 	taskRetention     = 5 * time.Minute
 )
 
-// evictionPending reports whether an eviction of the attempt is on its way. It is
-// not ordered again until that had time to show.
+// evictionPending reports whether an eviction of the attempt was ordered less than
+// evictionRetention ago. It is not ordered again until the snapshot had time to show it.
 func (p *Placer) evictionPending(now time.Time, t *Task) bool {
 	at, ok := p.evicting[attemptID{t.ID, t.Attempt}]
 	return ok && now.Sub(at) < evictionRetention
--- a/place/plan_test.go
+++ b/place/plan_test.go
@@ -12,8 +12,8 @@
 
 var epoch = time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC)
 
-// randomSnapshot makes workers, running and queued tasks with hostile values
-// among them: dead and draining workers, shrunken ones, sizes near overflow.
+// randomSnapshot returns workers and running and queued tasks, including dead, draining and
+// shrunken workers and sizes near overflow.
 func randomSnapshot(rng *rand.Rand) *Snapshot {
 	s := &Snapshot{Teams: map[string]*Team{
 		"a": {Name: "a", Weight: 2},
@@ -53,7 +53,7 @@
 	return s
 }
 
-// floatSum adds up in floating point, where nothing wraps around.
+// floatSum adds up in floating point, which does not wrap around.
 type floatSum struct{ processors, memory, accelerators float64 }
 
 func (s *floatSum) add(r Resources) {
@@ -66,7 +66,7 @@
 	return s.processors > float64(r.MilliProcessors) || s.memory > float64(r.MemoryBytes) || s.accelerators > float64(r.Accelerators)
 }
 
-// checkCapacity fails when running tasks and grants exceed a worker or a quota.
+// checkCapacity fails if running tasks and grants exceed a worker's capacity or a quota.
 func checkCapacity(t *testing.T, s *Snapshot, plan Plan) {
 	t.Helper()
 	held, workers, teams := map[string]*floatSum{}, map[string]*Worker{}, map[string]float64{}
@@ -83,17 +83,17 @@
 		held[g.Worker].add(g.Resources)
 		teams[g.Task.Team] += float64(g.Resources.MilliProcessors)
 		if held[g.Worker].exceeds(w.Capacity) || !w.Alive || w.Draining {
-			t.Fatalf("%s with %v holds %v after %s", w.Name, w.Capacity, *held[w.Name], g.Task.ID)
+			t.Fatalf("%s with capacity %v has %v allocated after %s", w.Name, w.Capacity, *held[w.Name], g.Task.ID)
 		}
 		if quota := s.Teams[g.Task.Team].Quota.MilliProcessors; quota > 0 && teams[g.Task.Team] > float64(quota) {
-			t.Fatalf("team %s holds %v", g.Task.Team, teams[g.Task.Team])
+			t.Fatalf("team %s uses %v", g.Task.Team, teams[g.Task.Team])
 		}
 	}
 }
 
-// Symptom: a worker or a team holds more than it may. Sequence: one round places
-// several tasks on one worker, sizes near overflow among them. Cause: room
-// judged from the snapshot alone, or a sum that wraps around.
+// Guards against exceeding a worker's capacity or a team's quota when one round places several
+// tasks on one worker, including sizes near overflow. Possible causes are free capacity computed
+// from the snapshot alone, and a sum that wraps around.
 func TestPlanKeepsCapacityAndQuota(t *testing.T) {
 	for seed := range int64(500) {
 		s := randomSnapshot(rand.New(rand.NewSource(seed)))
--- a/place/policy.go
+++ b/place/policy.go
@@ -6,19 +6,20 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// TailLatencyPolicy weighs tail latency most, as Wrekinford does: the morning
-// rush is short.
+// TailLatencyPolicy returns the policy that weighs tail latency most. Wrekinford uses it because
+// its morning traffic peak is short.
 func TailLatencyPolicy() *apiv1.Policy {
 	return &apiv1.Policy{TailLatency: 60, Evictions: 20, BatchThroughput: 20}
 }
 
-// EvictionsPolicy weighs evictions most, then batch throughput, as the auction
-// house does.
+// EvictionsPolicy returns the policy that weighs evictions most, then batch throughput. The
+// auction house uses it.
 func EvictionsPolicy() *apiv1.Policy {
 	return &apiv1.Policy{TailLatency: 20, Evictions: 50, BatchThroughput: 30}
 }
 
-// weights are a policy's parts as shares of 1, and what follows from them.
+// weights holds the weights of a policy, normalized to a sum of 1. Its methods derive the
+// planner's limits from them.
 type weights struct {
 	tail, evictions, batch float64
 }
@@ -35,50 +36,55 @@
 	return weights{tail / sum, evictions / sum, batch / sum}
 }
 
-// boundDeviations is how many standard deviations an interference bound lies above the mean.
+// boundDeviations returns the distance of the upper confidence bound of interference from the
+// mean, in standard deviations.
 func (w weights) boundDeviations() float64 { return 0.4 + w.tail }
 
-// Levels, as parts of an objective. The weights act through the caution of the
-// bounds, the suspicion, the patience and the budgets, not through these.
+// Latency thresholds as fractions of an objective. The policy's weights do not change them; they
+// act through boundDeviations, suspectSlowdown, maxThrottleTime and the budgets.
 const (
-	// placementThreshold is what a predicted tail may reach before a worker is refused
-	// to a new neighbour.
+	// placementThreshold is the predicted tail latency above which a worker is refused for a
+	// further task.
 	placementThreshold = 0.85
-	// protectionThreshold is where the guard acts. It lies above 1: a service that is at
-	// its objective by the rush alone would have harmless neighbours held down.
+	// protectionThreshold is the tail latency above which tasks are throttled or evicted. It
+	// exceeds 1 because otherwise a service that reaches its objective through peak traffic alone
+	// would cause harmless tasks to be throttled.
 	protectionThreshold = 1.12
 )
 
-// suspectSlowdown is the least believed slowdown (log) that makes a suspect of a neighbour.
+// suspectSlowdown returns the smallest estimated slowdown (log) that makes a neighbouring task a
+// suspect.
 func (w weights) suspectSlowdown() float64 { return 0.12 - 0.1*w.tail }
 
-// maxThrottleTime is how long a task is held down before it is evicted instead.
+// maxThrottleTime returns how long a task stays throttled before it is evicted instead.
 func (w weights) maxThrottleTime() time.Duration {
 	return time.Duration((0.4 + 3.2*w.evictions) * float64(time.Minute))
 }
 
-// maxWorkLoss is the longest time since its checkpoint that a task held down may
-// lose when it is evicted.
+// maxWorkLoss returns the largest age of its last checkpoint at which a throttled task may be
+// evicted.
 func (w weights) maxWorkLoss() time.Duration {
 	return time.Duration((1 - w.evictions) * float64(10*time.Minute))
 }
 
-// evictionsPerMinute is the rate at which the eviction budget refills. It counts
-// workers too: when the rush finds a harmful task on each of them, few may run.
+// evictionsPerMinute returns the refill rate of the eviction budget. It also depends on the number
+// of workers, because at peak traffic each of them may run a harmful task while few tasks run in
+// total.
 func (w weights) evictionsPerMinute(running, workers int) float64 {
 	const perRunning, perWorker = 0.04, 0.4
 	return max(2, float64(running)*perRunning, float64(workers)*perWorker) * (1 - w.evictions)
 }
 
-// preemptionsPerMinute is the rate for evictions that make room for urgent tasks.
-// It is apart, so that a noisy hour cannot use up what urgent work needs.
+// preemptionsPerMinute returns the refill rate of the budget for evictions that free capacity for
+// urgent tasks. The budget is separate so that evictions due to interference cannot use up what
+// urgent tasks need.
 func (w weights) preemptionsPerMinute(running int) float64 {
 	const perRunning, least = 0.10, 30
 	return max(least, float64(running)*perRunning) * (1 - w.evictions/2)
 }
 
-// budget is a token bucket of evictions: when everything looks wrong at once,
-// evicting without a bound would throw away the fleet's work.
+// budget is a token bucket of evictions. Without this limit, wrong or bad measurements on many
+// workers at once would evict most of the fleet's running work.
 type budget struct {
 	tokens float64
 	at     time.Time
@@ -97,7 +103,7 @@
 	b.at = now
 }
 
-// take spends one eviction if there is one.
+// take removes one token and reports whether there was one.
 func (b *budget) take() bool {
 	if b.tokens < 1 {
 		return false
--- a/place/probe_test.go
+++ b/place/probe_test.go
@@ -6,16 +6,15 @@
 	"time"
 )
 
-// Symptom: all workers' services are slow at once. Sequence: twenty tasks of a
-// new kind are queued and all start before the first late report. Cause: an
-// unknown pair is placed as freely as a known one.
-func TestUnknownPairIsTriedOnceThenSpread(t *testing.T) {
+// Guards against slowing down the services of all workers at once. Twenty tasks of a new kind are
+// queued and must not all start before the first delayed report arrives.
+func TestUnknownPairIsProbedBeforeSpreading(t *testing.T) {
 	s := newHarness(6, "bookings")
 	for i := range 20 {
 		s.queue(fmt.Sprint("t", i), "new", "j")
 	}
 	if n := len(s.plan().Grants); n != 1 {
-		t.Fatalf("%d tasks of an unknown kind start at once", n)
+		t.Fatalf("%d tasks of an unknown kind started at once", n)
 	}
 	for range 12 {
 		s.now = s.now.Add(10 * time.Second)
@@ -25,14 +24,13 @@
 		s.plan()
 	}
 	if n := len(s.snapshot.Queued); n > 0 {
-		t.Fatalf("%d tasks of a harmless kind still wait", n)
+		t.Fatalf("%d tasks of a harmless kind are still queued", n)
 	}
 }
 
-// Symptom: with an idle service batch waits although workers are empty. Sequence:
-// twenty tasks of a new kind, no requests, so no report ever settles the pair.
-// Cause: a probe that ended without harm counts for nothing, and each probe time
-// starts one task.
+// Guards against batch tasks that stay queued beside an idle service although workers have free
+// capacity. Without requests no report makes the pair of a new kind certain, so each probe without
+// harm must allow a further one; otherwise only one task would start per probeDuration.
 func TestProbeWithoutReportsCountsAsEvidence(t *testing.T) {
 	s := newHarness(6, "bookings")
 	for i := range 20 {
@@ -46,14 +44,14 @@
 		}
 	}
 	if n := len(s.snapshot.Queued); n > 0 {
-		t.Fatalf("%d tasks still wait after seven probe times", n)
+		t.Fatalf("%d tasks are still queued after seven times probeDuration", n)
 	}
 }
 
-// Symptom: every worker's service suffers from a new kind. Sequence: a task is
-// tried, the first report is over the objective, which alone settles nothing, and
-// the probe time ends. Cause: the probe counts as passed because it is over.
-func TestProbeBesideSufferingServiceDoesNotPass(t *testing.T) {
+// Guards against a new kind that slows services down on every worker. A task is probed, and the
+// first report exceeds the objective, which alone does not make the pair certain. The probe must
+// not count as passed only because probeDuration has elapsed.
+func TestProbeBesideSlowServiceDoesNotPass(t *testing.T) {
 	s := newHarness(6, "bookings")
 	s.plan()
 	s.run("w0", s.queue("t", "new", "j"), Resources{MilliProcessors: 1000})
--- a/place/protection.go
+++ b/place/protection.go
@@ -6,16 +6,17 @@
 	"time"
 )
 
-// Bounds of the guard.
+// Limits of the protection.
 const (
-	// throttleGoal is the part of the guard level that throttling aims for.
+	// throttleGoal is the fraction of the protection threshold to which throttling aims to reduce
+	// the tail.
 	throttleGoal = 0.9
 	minShare     = 100
 	middleShare  = 300
 )
 
-// protectServices protects services whose tails are over their objectives, and eases
-// throttles where they have been calm.
+// protectServices throttles or evicts tasks beside services that exceed their objectives, and
+// relaxes throttles where no service does.
 func (r *round) protectServices() {
 	r.repeatThrottles()
 	for _, h := range r.hosts {
@@ -27,23 +28,23 @@
 }
 
 func (r *round) protectHost(h *host) {
-	g := h.state.protection
+	ps := h.state.protection
 	worst := r.worstExceeded(h)
 	if worst == nil {
 		r.relaxThrottles(h)
 		r.evictLongThrottled(h)
 		return
 	}
-	if !g.settled(worst) {
+	if !ps.settled(worst) {
 		return
 	}
 	suspects := r.suspects(h, worst)
 	if len(suspects) == 0 {
 		return
 	}
-	if !g.relaxedAt.IsZero() && r.now.Sub(g.relaxedAt) < 2*g.relaxDelay {
-		g.relaxDelay = min(2*g.relaxDelay, maxRelaxDelay)
-		g.relaxedAt = time.Time{}
+	if !ps.relaxedAt.IsZero() && r.now.Sub(ps.relaxedAt) < 2*ps.relaxDelay {
+		ps.relaxDelay = min(2*ps.relaxDelay, maxRelaxDelay)
+		ps.relaxedAt = time.Time{}
 	}
 	if suspects[0].share > minShare {
 		r.throttleSuspects(h, worst, suspects)
@@ -52,12 +53,12 @@
 	r.evictSuspects(h, worst, suspects)
 }
 
-// throttleRepeatInterval is how often throttles in force are ordered again.
+// throttleRepeatInterval is the time between two transmissions of the throttles in effect.
 const throttleRepeatInterval = 10 * time.Second
 
-// repeatThrottles orders the throttles in force again. An order may be lost with a leader
-// that came back a moment later; the task would then run at full share while its
-// harm is learnt, and eased, as that of a task held down.
+// repeatThrottles sends the throttles in effect again. An order may be lost with a leader that is
+// replaced and returns shortly after. The task would then run at full share while its slowdown is
+// learned, and relaxed, as that of a throttled task.
 func (r *round) repeatThrottles() {
 	if r.now.Sub(r.p.throttlesRepeatedAt) < throttleRepeatInterval {
 		return
@@ -77,25 +78,25 @@
 	}
 }
 
-// worstExceeded returns the service furthest over its objective, nil when none is.
+// worstExceeded returns the measurement that exceeds its threshold by the largest factor, nil if
+// none does.
 func (r *round) worstExceeded(h *host) *targetLatency {
 	var worst *targetLatency
 	for _, name := range sortedKeys(h.state.protection.latencies) {
-		w := h.state.protection.latencies[name]
-		if !w.recent(r.now) || !w.exceeded() {
+		l := h.state.protection.latencies[name]
+		if !l.recent(r.now) || !l.exceeded() {
 			continue
 		}
-		if worst == nil || w.p99/w.threshold > worst.p99/worst.threshold {
-			worst = w
+		if worst == nil || l.p99/l.threshold > worst.p99/worst.threshold {
+			worst = l
 		}
 	}
 	return worst
 }
 
-// throttleSuspects holds down as many suspects as it takes to bring the tail
-// back, by what is believed of them.
-func (r *round) throttleSuspects(h *host, w *targetLatency, suspects []suspect) {
-	need := w.smoothed - math.Log(w.threshold*throttleGoal)
+// throttleSuspects throttles as many suspects as are estimated to bring the tail back to its goal.
+func (r *round) throttleSuspects(h *host, l *targetLatency, suspects []suspect) {
+	need := l.smoothed - math.Log(l.threshold*throttleGoal)
 	for _, s := range suspects {
 		if need <= 0 {
 			break
@@ -107,14 +108,14 @@
 		if s.share <= middleShare || need > s.slowdown {
 			next = minShare
 		}
-		need -= s.slowdown - r.attributedSlowdown(w.service, s.task.Kind, next, w.bucket)
-		reason := fmt.Sprintf("p99 of %s at %.0f ms over %.0f ms", w.service, w.p99, w.threshold)
+		need -= s.slowdown - r.attributedSlowdown(l.service, s.task.Kind, next, l.bucket)
+		reason := fmt.Sprintf("p99 of %s is %.0f ms, above %.0f ms", l.service, l.p99, l.threshold)
 		r.throttle(h, s.task, next, reason)
 		h.state.protection.actedAt = r.now
 	}
 }
 
-// throttle adds a throttle to the plan and remembers it.
+// throttle adds a throttle to the plan and records it.
 func (r *round) throttle(h *host, t *Task, share int32, reason string) {
 	id := attemptID{t.ID, t.Attempt}
 	h.state.protection.setShare(id, share, r.now)
@@ -124,16 +125,16 @@
 	})
 }
 
-// evictSuspects ends as many throttled suspects as it takes, first those that
-// lose least work for the relief they bring, as far as the budget allows.
-func (r *round) evictSuspects(h *host, w *targetLatency, suspects []suspect) {
-	need := w.smoothed - math.Log(w.threshold*throttleGoal)
+// evictSuspects evicts as many throttled suspects as needed, in the order of lost work per
+// reduction of the tail, within the eviction budget.
+func (r *round) evictSuspects(h *host, l *targetLatency, suspects []suspect) {
+	need := l.smoothed - math.Log(l.threshold*throttleGoal)
 	for need > 0 {
 		s := r.cheapestSuspect(suspects)
 		if s == nil || !r.p.budget.take() {
 			return
 		}
-		reason := fmt.Sprintf("p99 of %s at %.0f ms over %.0f ms, throttled already", w.service, w.p99, w.threshold)
+		reason := fmt.Sprintf("p99 of %s is %.0f ms, above %.0f ms, although the task is throttled", l.service, l.p99, l.threshold)
 		r.evict(s.task, h, reason)
 		h.state.protection.actedAt = r.now
 		need -= s.slowdown
--- a/place/protection_state.go
+++ b/place/protection_state.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Bounds of the guard's memory.
+// Delays of the protection.
 const (
-	// actionDelay is how long an order takes to reach its worker and show.
+	// actionDelay is the time from ordering an action until its effect shows on the worker.
 	actionDelay   = 2 * time.Second
 	minRelaxDelay = 30 * time.Second
 	maxRelaxDelay = 2 * time.Minute
 )
 
-// protectionState is the guard's memory about one worker.
+// protectionState is the state of the protection on one worker.
 type protectionState struct {
 	latencies map[string]*targetLatency
-	// actedAt is the last action. A report whose window began before the action
-	// showed says nothing about its effect: acting on it again would answer a
-	// lag of N seconds with N seconds of evictions.
+	// actedAt is the time of the last action. A report whose window began before the action took
+	// effect says nothing about its effect. If such reports caused further actions, a reporting
+	// lag of N seconds would lead to N seconds of evictions.
 	actedAt time.Time
 	shares  map[attemptID]int32
-	// throttledSince is when a task's share was first below the full one.
+	// throttledSince is when a task's share was first reduced.
 	throttledSince map[attemptID]time.Time
-	// relaxDelay is how long a service must be calm before a throttle is eased. It
-	// doubles when easing brought the tail back.
+	// relaxDelay is how long no service may exceed its objective before a throttle is relaxed. It
+	// doubles if the tail rises again after relaxing.
 	relaxDelay time.Duration
 	relaxedAt  time.Time
 }
@@ -36,32 +36,33 @@
 }
 
 // settled reports whether a measured window lies wholly after the last action.
-func (g *protectionState) settled(w *targetLatency) bool { return g.settledBefore(w.from) }
+func (ps *protectionState) settled(w *targetLatency) bool { return ps.settledBefore(w.from) }
 
-// settledBefore reports whether a window that began at a time does.
-func (g *protectionState) settledBefore(from time.Time) bool {
-	return g.actedAt.IsZero() || !from.Before(g.actedAt.Add(actionDelay))
+// settledBefore reports whether a window that began at the given time lies wholly after the last
+// action.
+func (ps *protectionState) settledBefore(from time.Time) bool {
+	return ps.actedAt.IsZero() || !from.Before(ps.actedAt.Add(actionDelay))
 }
 
-func (g *protectionState) shareOf(id attemptID) int32 {
-	if s, ok := g.shares[id]; ok {
+func (ps *protectionState) shareOf(id attemptID) int32 {
+	if s, ok := ps.shares[id]; ok {
 		return s
 	}
 	return fullShare
 }
 
-func (g *protectionState) setShare(id attemptID, share int32, now time.Time) {
+func (ps *protectionState) setShare(id attemptID, share int32, now time.Time) {
 	if share >= fullShare {
-		g.drop(id)
+		ps.drop(id)
 		return
 	}
-	if _, held := g.shares[id]; !held {
-		g.throttledSince[id] = now
+	if _, held := ps.shares[id]; !held {
+		ps.throttledSince[id] = now
 	}
-	g.shares[id] = share
+	ps.shares[id] = share
 }
 
-func (g *protectionState) drop(id attemptID) {
-	delete(g.shares, id)
-	delete(g.throttledSince, id)
+func (ps *protectionState) drop(id attemptID) {
+	delete(ps.shares, id)
+	delete(ps.throttledSince, id)
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -7,8 +7,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// queue hands out the queued tasks in the order in which they are placed:
-// urgent before batch, with a floor for batch; starved batch before fair shares.
+// queue returns the queued tasks in the order of placement: urgent before batch, with a minimum
+// share for batch, and starved batch before fair shares.
 type queue struct {
 	urgent, batch    []*Task
 	urgentSinceBatch int
@@ -38,8 +38,8 @@
 
 // next returns the next task, nil at the end.
 func (q *queue) next() *Task {
-	due := q.urgentSinceBatch >= q.batchFloor-1 && len(q.batch) > 0
-	if len(q.urgent) > 0 && !due {
+	batchDue := q.urgentSinceBatch >= q.batchFloor-1 && len(q.batch) > 0
+	if len(q.urgent) > 0 && !batchDue {
 		t := q.urgent[0]
 		q.urgent = q.urgent[1:]
 		return t
@@ -52,7 +52,7 @@
 	return t
 }
 
-// recordGrant tells the queue what was placed, for the batch floor.
+// recordGrant records a grant for the minimum share of batch.
 func (q *queue) recordGrant(t *Task) {
 	if t.Priority == apiv1.Priority_PRIORITY_URGENT {
 		q.urgentSinceBatch++
@@ -61,9 +61,8 @@
 	q.urgentSinceBatch = 0
 }
 
-// sortBatch puts starved tasks first, oldest first, and the others in the order
-// of weighted fair shares: each team's next task counts as if those of the same
-// team before it were placed already.
+// sortBatch puts starved tasks first, by age, and the others in the order of weighted fair shares:
+// each task of a team counts as if the team's tasks before it were already placed.
 func (r *round) sortBatch(q *queue) {
 	slices.SortFunc(q.batch, oldestFirst)
 	starved := 0
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -8,9 +8,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: nothing starts any more. Sequence: a job that no worker could hold is
-// at the head of the queue, urgent, before others. Cause: the queue waits for it.
-func TestJobThatCanNeverRunBlocksNothing(t *testing.T) {
+// Guards against a blocked queue. An urgent job that does not fit on any worker is at the head of
+// the queue, and the tasks behind it must start.
+func TestUnplaceableJobBlocksNothing(t *testing.T) {
 	s := newHarness(1)
 	s.snapshot.Teams = map[string]*Team{"small": {Quota: Resources{MilliProcessors: 500}}}
 	for _, size := range []Resources{{MilliProcessors: 9000}, {MilliProcessors: 1, Accelerators: 1}, {MilliProcessors: -1}} {
@@ -26,13 +26,12 @@
 	s.worker("w0").Alive = false
 	s.queue("later", "k", "later")
 	if plan = s.plan(); len(plan.Unplaceable) != 4 || len(plan.Grants) != 0 {
-		t.Fatalf("while the worker is away: unplaceable %v, grants %v", plan.Unplaceable, plan.Grants)
+		t.Fatalf("while the worker is unreachable: unplaceable %v, grants %v", plan.Unplaceable, plan.Grants)
 	}
 }
 
-// Symptom: a large task never starts. Sequence: small tasks arrive all the time
-// and take every hole that opens. Cause: no room is held for the one that has
-// waited longest.
+// Guards against a large task that never starts because small tasks arrive all the time and take
+// all capacity that becomes free. Capacity must be held for the task that has waited longest.
 func TestLargeTaskStartsWithinBound(t *testing.T) {
 	s := newHarness(3)
 	const step, longest = 5 * time.Second, 3 * time.Minute
@@ -59,12 +58,13 @@
 			}
 		}
 		if waited := s.now.Sub(large.QueuedAt); i >= 30 && waited > DefaultStarveAfter+2*longest {
-			t.Fatalf("still waits after %v", waited)
+			t.Fatalf("the large task is still queued after %v", waited)
 		}
 	}
 }
 
-// Symptom: urgent tasks wait behind batch, or batch waits for ever behind urgent.
+// Guards against urgent tasks that wait behind batch, and against batch that never starts behind
+// urgent tasks.
 func TestUrgentFirstWithBatchFloor(t *testing.T) {
 	s := newHarness(2)
 	for i := range 40 {
@@ -77,15 +77,15 @@
 			urgent++
 		}
 		if i == 0 && urgent != 1 {
-			t.Fatal("the first start is batch")
+			t.Fatal("the first grant is batch")
 		}
 	}
-	if urgent != 15 { // 16 places, one in DefaultBatchFloor is batch
-		t.Fatalf("%d of 16 starts are urgent", urgent)
+	if urgent != 15 { // 16 tasks fit, one in DefaultBatchFloor is batch
+		t.Fatalf("%d of 16 grants are urgent", urgent)
 	}
 }
 
-// Symptom: one team fills the workers. Cause: the queue is served by age alone.
+// Guards against one team taking all capacity because the queue is served by age alone.
 func TestFairSharesByWeight(t *testing.T) {
 	s := newHarness(3)
 	s.snapshot.Teams = map[string]*Team{"a": {Weight: 2}, "b": {Weight: 1}}
@@ -101,14 +101,14 @@
 		got[g.Task.Team]++
 	}
 	if got["a"] != 16 || got["b"] != 8 {
-		t.Fatalf("starts per team %v, weights 2 to 1", got)
+		t.Fatalf("grants per team %v, weights 2 to 1", got)
 	}
 }
 
-// Symptom: an urgent task waits although batch could give way; or several tasks
-// are evicted for it, and batch takes the room that was made. Sequence: the
-// eviction is confirmed some rounds later. Cause: the room is not held.
-func TestUrgentTaskGetsTheRoomMadeForIt(t *testing.T) {
+// Guards against an urgent task that waits although batch could be evicted, against evicting more
+// tasks than needed, and against batch taking the freed capacity. The evictions are confirmed some
+// rounds later, so the capacity must be held until then.
+func TestUrgentTaskGetsPreemptedCapacity(t *testing.T) {
 	s := newHarness(1)
 	for i := range 8 {
 		task := s.queue(fmt.Sprint("b", i), "k", "b")
@@ -129,10 +129,10 @@
 		}
 		for _, e := range plan.Evictions {
 			if e.Task != "b3" && e.Task != "b4" {
-				t.Fatalf("evicted %s, which loses more", e.Task)
+				t.Fatalf("evicted %s, which loses more work", e.Task)
 			}
 		}
-		if round == 2 { // the first stop is confirmed: room for the rival only
+		if round == 2 { // the first stop is confirmed: capacity for the rival only
 			s.end("w0", "b3")
 		}
 		if len(plan.Grants) != 0 {
@@ -142,13 +142,13 @@
 	}
 	s.end("w0", "b4")
 	if plan := s.plan(); len(plan.Grants) != 1 || plan.Grants[0].Task.ID != "urgent" {
-		t.Fatalf("the room went to %v", plan.Grants)
+		t.Fatalf("the capacity was granted to %v", plan.Grants)
 	}
 }
 
-// Symptom: urgent tasks wait although their worker has room for one of them.
-// Sequence: a starved task and two urgent ones have room held on one worker, and
-// it opens for one urgent task only. Cause: each leaves the others' holds alone.
+// Guards against urgent tasks that wait although their worker has free capacity for one of them. A
+// starved task and two urgent ones have holds on one worker, and capacity for one urgent task
+// becomes free. Each task must not respect all the others' holds.
 func TestHoldsOnOneWorkerDoNotBlockEachOther(t *testing.T) {
 	s := newHarness(1)
 	for i := range 8 {
@@ -176,13 +176,13 @@
 	}
 }
 
-// Symptom: the eviction that loses most work is chosen. Each case makes one task
-// cheaper than the other.
+// Guards against evicting the task that loses the most work. Each case makes one task cost more
+// than the other.
 func TestEvictionCostOrders(t *testing.T) {
 	s := newHarness(1)
 	base := Task{GrantedAt: epoch, CheckpointedAt: epoch.Add(5 * time.Minute), ExpectedRun: time.Hour, Size: Resources{MilliProcessors: 2000}}
 	now := epoch.Add(10 * time.Minute)
-	for name, dearer := range map[string]func(*Task){
+	for name, raiseCost := range map[string]func(*Task){
 		"old checkpoint":   func(x *Task) { x.CheckpointedAt = epoch.Add(time.Minute) },
 		"no checkpoint":    func(x *Task) { x.CheckpointedAt = time.Time{} },
 		"kind's cost":      func(x *Task) { x.EvictionCost = 5 },
@@ -191,19 +191,19 @@
 		"more processors":  func(x *Task) { x.Size.MilliProcessors = 4000 },
 		"short run, later": func(x *Task) { x.ExpectedRun = 11 * time.Minute },
 	} {
-		cheap, dear := base, base
-		dearer(&dear)
+		cheap, costly := base, base
+		raiseCost(&costly)
 		r := s.gather(now, s.snapshot)
-		if r.evictionCost(&dear) <= r.evictionCost(&cheap) {
+		if r.evictionCost(&costly) <= r.evictionCost(&cheap) {
 			t.Errorf("%s does not cost more", name)
 		}
 	}
 }
 
-// Symptom: a worker holds more than it has, or loses more tasks than it must.
-// Sequence: it comes back with less; the stops take several rounds to confirm.
-// Cause: the excess is not evicted, or again in each round until it has stopped.
-func TestShrunkenWorkerShedsOnce(t *testing.T) {
+// Guards against a worker that stays overcommitted or loses more tasks than needed. It returns
+// with less capacity, and the stops take several rounds to be confirmed. The excess must be
+// evicted once, not again in each round.
+func TestShrunkenWorkerEvictsOnce(t *testing.T) {
 	s := newHarness(1)
 	for i := range 8 {
 		task := s.queue(fmt.Sprint("b", i), "k", "b")
@@ -219,7 +219,7 @@
 	}
 }
 
-// Symptom: asking why a task waits changes what is planned, or names no reason.
+// Guards against explanations that change what is planned or name no reason.
 func TestExplainNamesFiltersAndChangesNothing(t *testing.T) {
 	plans := [2]Plan{}
 	for i := range plans {
--- a/place/relax.go
+++ b/place/relax.go
@@ -6,40 +6,40 @@
 	"time"
 )
 
-// relaxThrottles gives held-down tasks more processors where no service is over its
-// objective: at once to those that turned out to be harmless, and one step to one
-// other after the hold time, if its services are expected to bear it.
+// relaxThrottles raises the shares of throttled tasks where no service exceeds its objective: at
+// once for those found to be harmless, and by one step for one other task after relaxDelay, if its
+// services are expected to tolerate it.
 func (r *round) relaxThrottles(h *host) {
-	g := h.state.protection
-	if len(g.shares) == 0 || !r.measuredSinceAction(h) {
+	ps := h.state.protection
+	if len(ps.shares) == 0 || !r.measuredSinceAction(h) {
 		return
 	}
 	var next *Task
 	least := math.Inf(1)
 	for _, t := range h.Running {
-		if g.shareOf(attemptID{t.ID, t.Attempt}) == fullShare || !r.evictable(t) {
+		if ps.shareOf(attemptID{t.ID, t.Attempt}) == fullShare || !r.evictable(t) {
 			continue
 		}
 		if r.harmlessOn(h, t) {
-			r.throttle(h, t, fullShare, "it turned out to be harmless")
+			r.throttle(h, t, fullShare, "the task was found to be harmless")
 			continue
 		}
 		if b := r.fullShareSlowdown(h, t); b < least {
 			next, least = t, b
 		}
 	}
-	if next == nil || r.now.Sub(g.actedAt) < g.relaxDelay {
+	if next == nil || r.now.Sub(ps.actedAt) < ps.relaxDelay {
 		return
 	}
-	share := nextShare(g.shareOf(attemptID{next.ID, next.Attempt}))
+	share := nextShare(ps.shareOf(attemptID{next.ID, next.Attempt}))
 	if !r.tolerated(h, next, share) {
 		return
 	}
-	r.throttle(h, next, share, "the services beside it are expected to bear it")
-	g.actedAt, g.relaxedAt = r.now, r.now
+	r.throttle(h, next, share, "its neighbouring services are expected to tolerate it")
+	ps.actedAt, ps.relaxedAt = r.now, r.now
 }
 
-// shareSteps are the shares that tasks are held down to and eased through.
+// shareSteps are the shares to which tasks are throttled and through which throttles are relaxed.
 var shareSteps = [...]int32{minShare, middleShare, fullShare}
 
 func nextShare(share int32) int32 {
@@ -50,54 +50,55 @@
 	return shareSteps[i]
 }
 
-// measuredSinceAction reports whether every watched service was measured wholly after
-// the last action.
+// measuredSinceAction reports whether every measured service was measured wholly after the last
+// action.
 func (r *round) measuredSinceAction(h *host) bool {
-	for _, w := range h.state.protection.latencies {
-		if w.recent(r.now) && !h.state.protection.settled(w) {
+	for _, l := range h.state.protection.latencies {
+		if l.recent(r.now) && !h.state.protection.settled(l) {
 			return false
 		}
 	}
 	return true
 }
 
-// harmlessOn reports whether a kind is known to disturb none of the services
-// that are measured on a host.
+// harmlessOn reports whether a task's kind is known to be harmless to all services measured on a
+// host.
 func (r *round) harmlessOn(h *host, t *Task) bool {
-	for _, w := range h.state.protection.latencies {
-		if !r.slowdown(w.service, t.Kind, w.bucket).harmless() {
+	for _, l := range h.state.protection.latencies {
+		if !r.slowdown(l.service, t.Kind, l.bucket).harmless() {
 			return false
 		}
 	}
 	return true
 }
 
-// fullShareSlowdown is the largest slowdown that a task at full share is believed to bring.
+// fullShareSlowdown returns the largest estimated slowdown of a service on the host by the task at
+// full share.
 func (r *round) fullShareSlowdown(h *host, t *Task) float64 {
 	worst := 0.0
-	for _, w := range h.state.protection.latencies {
-		worst = max(worst, r.attributedSlowdown(w.service, t.Kind, fullShare, w.bucket))
+	for _, l := range h.state.protection.latencies {
+		worst = max(worst, r.attributedSlowdown(l.service, t.Kind, fullShare, l.bucket))
 	}
 	return worst
 }
 
-// tolerated reports whether every tail is expected to stay under its level if a
-// task goes from its share to a larger one.
+// tolerated reports whether every tail is expected to stay below its threshold if a task's share
+// is raised.
 func (r *round) tolerated(h *host, t *Task, share int32) bool {
 	now := h.state.protection.shareOf(attemptID{t.ID, t.Attempt})
-	for _, w := range h.state.protection.latencies {
-		if !w.recent(r.now) || w.threshold <= 0 {
+	for _, l := range h.state.protection.latencies {
+		if !l.recent(r.now) || l.threshold <= 0 {
 			continue
 		}
-		more := r.attributedSlowdown(w.service, t.Kind, share, w.bucket) - r.attributedSlowdown(w.service, t.Kind, now, w.bucket)
-		if w.smoothed+max(more, 0) > math.Log(w.threshold) {
+		more := r.attributedSlowdown(l.service, t.Kind, share, l.bucket) - r.attributedSlowdown(l.service, t.Kind, now, l.bucket)
+		if l.smoothed+max(more, 0) > math.Log(l.threshold) {
 			return false
 		}
 	}
 	return true
 }
 
-// throttledFor is how long a task has been held down, 0 when it is not.
+// throttledFor returns how long a task has been throttled, 0 if it is not.
 func (r *round) throttledFor(h *host, t *Task) time.Duration {
 	since, held := h.state.protection.throttledSince[attemptID{t.ID, t.Attempt}]
 	if !held {
--- a/place/resources.go
+++ b/place/resources.go
@@ -7,7 +7,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// FromProto converts the wire form; nil is nothing.
+// FromProto converts the wire form. Nil converts to zero resources.
 func FromProto(r *apiv1.Resources) Resources {
 	return Resources{
 		MilliProcessors: r.GetMilliProcessors(),
@@ -16,7 +16,7 @@
 	}
 }
 
-// Add returns the sum, and false when a field overflows.
+// Add returns the sum, and false if a field overflows.
 func (r Resources) Add(o Resources) (Resources, bool) {
 	sum := Resources{
 		MilliProcessors: r.MilliProcessors + o.MilliProcessors,
@@ -53,11 +53,11 @@
 	return a - b
 }
 
-// Fits reports whether every field is at most that of room.
-func (r Resources) Fits(room Resources) bool {
-	return r.MilliProcessors <= room.MilliProcessors &&
-		r.MemoryBytes <= room.MemoryBytes &&
-		r.Accelerators <= room.Accelerators
+// Fits reports whether no field exceeds that of the capacity.
+func (r Resources) Fits(capacity Resources) bool {
+	return r.MilliProcessors <= capacity.MilliProcessors &&
+		r.MemoryBytes <= capacity.MemoryBytes &&
+		r.Accelerators <= capacity.Accelerators
 }
 
 // Valid reports whether no field is negative.
@@ -68,14 +68,14 @@
 // IsZero reports whether every field is zero.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// String prints the fields with units for reasons and logs.
+// String formats the fields with units for reasons and logs.
 func (r Resources) String() string {
 	const mebibyte = 1 << 20
 	return fmt.Sprintf("%dm processors, %d MiB, %d accelerators",
 		r.MilliProcessors, r.MemoryBytes/mebibyte, r.Accelerators)
 }
 
-// withinLimit reports whether r respects a limit whose zero fields are unlimited.
+// withinLimit reports whether r does not exceed a limit whose zero fields are unlimited.
 func (r Resources) withinLimit(limit Resources) bool {
 	return underLimit(r.MilliProcessors, limit.MilliProcessors) &&
 		underLimit(r.MemoryBytes, limit.MemoryBytes) &&
@@ -84,8 +84,8 @@
 
 func underLimit(v, limit int64) bool { return limit == 0 || v <= limit }
 
-// dominantShare is the largest of the three shares of total, the measure of
-// Dominant Resource Fairness (Ghodsi et al., NSDI 2011).
+// dominantShare returns the largest of the three fractions of total, the measure of Dominant
+// Resource Fairness (Ghodsi et al., NSDI 2011).
 func (r Resources) dominantShare(total Resources) float64 {
 	return max(
 		ratio(r.MilliProcessors, total.MilliProcessors),
@@ -101,8 +101,8 @@
 	return float64(part) / float64(whole)
 }
 
-// scale multiplies processors and memory by factors; accelerators are exact.
-// A product that does not fit stays at the largest integer, which fits nowhere.
+// scale multiplies processors and memory by factors and leaves accelerators unchanged. A product
+// that overflows becomes the largest integer, which fits on no worker.
 func (r Resources) scale(processors, memory float64) Resources {
 	return Resources{
 		MilliProcessors: scaled(r.MilliProcessors, processors),
@@ -119,7 +119,7 @@
 	return int64(f)
 }
 
-// midpoint is the middle between a size and a larger one.
+// midpoint returns the middle between a size and a larger one, for processors and memory.
 func (r Resources) midpoint(larger Resources) Resources {
 	r.MilliProcessors += (larger.MilliProcessors - r.MilliProcessors) / 2
 	r.MemoryBytes += (larger.MemoryBytes - r.MemoryBytes) / 2
--- a/place/round.go
+++ b/place/round.go
@@ -8,19 +8,20 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// host is a worker with what this round has already reserved on it.
+// host is a worker together with the reservations made on it in this round.
 type host struct {
 	*Worker
-	// allocatable is what tasks could take if none ran.
+	// allocatable is the capacity available to tasks if none were running.
 	allocatable Resources
 	free        Resources
-	// held is room kept for tasks that wait for it.
+	// held is the capacity kept for queued tasks that have a hold on the worker.
 	held Resources
-	// overcommitted: the grants exceed what the worker has, after it shrank.
+	// overcommitted reports that the grants exceed the worker's capacity, after the capacity
+	// shrank.
 	overcommitted bool
-	// granted counts this round's grants.
+	// granted is the number of grants in this round.
 	granted int
-	// health is nil for a worker that never failed anything.
+	// health is nil if no failure or success was recorded on the worker.
 	health *workerHealth
 	// state is nil until the worker's first heartbeat.
 	state          *workerState
@@ -29,7 +30,7 @@
 
 func (h *host) serves(service string) bool { return slices.Contains(h.Services, service) }
 
-// domainLevel is a kind of place that a job's tasks are spread over.
+// domainLevel is a level of failure domain over which a job's tasks are spread.
 type domainLevel int
 
 const (
@@ -38,48 +39,48 @@
 	zoneDomain
 )
 
-// jobDomain names a place that holds tasks of a job.
+// jobDomain identifies a failure domain in which tasks of a job run.
 type jobDomain struct {
 	job   string
 	level domainLevel
 	name  string
 }
 
-// round is the working state of one planning round: indices over the snapshot
-// that make one decision cheap, and the reservations made so far.
+// round is the working state of one planning round: indices over the snapshot that make each
+// decision cheap, and the reservations made so far.
 type round struct {
 	p        *Placer
 	now      time.Time
 	snapshot *Snapshot
 	weights  weights
-	// scoreWeights are the scorers' weights under the round's policy.
+	// scoreWeights holds the scorers' weights under the policy of the snapshot.
 	scoreWeights []float64
 	hosts        []*host
 	hostsByName  map[string]*host
 	total        Resources
 	running      int
 	teamUsage    map[string]Resources
-	// tasksPerDomain counts tasks of queued jobs, hostsByKind lists where queued kinds run;
-	// what no queued task asks for is not indexed.
+	// tasksPerDomain counts the tasks of queued jobs and hostsByKind lists the hosts that run
+	// queued kinds. Jobs and kinds without a queued task are not indexed.
 	tasksPerDomain map[jobDomain]int
 	hostsByKind    map[string][]*host
 	queuedJobs     map[string]bool
-	// jobRetries counts tasks of poisonous jobs started after their backoff.
+	// jobRetries counts the tasks of poison jobs that started after the job's backoff.
 	jobRetries map[string]int
 	estimates  map[interferenceKey]estimate
 	probes     map[interferenceKey]*probe
 	evicted    map[string]bool
-	// refusedClasses remembers classes of tasks that no worker has room for. Room only
-	// shrinks within a round, so the verdict holds to its end.
+	// refusedClasses holds the classes of tasks that every worker refused. Free capacity only
+	// shrinks within a round, so a refusal stays valid to its end.
 	refusedClasses map[taskClass]*Decision
-	// fitCache caches whether some worker could hold a size when empty.
+	// fitCache caches for each size whether it fits the allocatable capacity of some worker.
 	fitCache map[Resources]bool
-	// dryRun: the round explains and changes nothing.
+	// dryRun is set when the round explains a decision and must not change the Placer.
 	dryRun bool
 	plan   Plan
 }
 
-// taskClass groups queued tasks that every worker judges alike.
+// taskClass identifies queued tasks for which the filters decide alike on every worker.
 type taskClass struct {
 	kind, team string
 	priority   apiv1.Priority
@@ -115,7 +116,7 @@
 	return r
 }
 
-// indexQueued notes which jobs and kinds are queued.
+// indexQueued records which jobs and kinds have queued tasks.
 func (r *round) indexQueued() {
 	r.queuedJobs = make(map[string]bool)
 	for _, t := range r.snapshot.Queued {
@@ -151,13 +152,14 @@
 	r.hosts = append(r.hosts, h)
 	r.hostsByName[w.Name] = h
 	r.running += len(w.Running)
-	// Totals only weigh fair shares; a sum that overflows keeps the last good value.
+	// The total only weighs fair shares, so a worker whose capacity would overflow the sum is left
+	// out.
 	if sum, fits := r.total.Add(h.allocatable); fits {
 		r.total = sum
 	}
 }
 
-// indexTask books a task in the round's indices by team, place and kind.
+// indexTask adds a task to the indices by team, failure domain and kind.
 func (r *round) indexTask(t *Task, size Resources, granted time.Time, h *host) {
 	if sum, ok := r.teamUsage[t.Team].Add(size); ok {
 		r.teamUsage[t.Team] = sum
@@ -176,7 +178,7 @@
 	}
 }
 
-// reserve takes room on a host for a task and adds the grant to the plan.
+// reserve reserves capacity on a host for a task and adds the grant to the plan.
 func (r *round) reserve(c *candidate, h *host) {
 	r.recordProbe(c, h)
 	h.free = h.free.Sub(c.size)
--- a/place/score.go
+++ b/place/score.go
@@ -3,12 +3,12 @@
 // scorer rates a worker that passed every filter, from 0 (worst) to 1.
 type scorer interface {
 	Name() string
-	// Weight is what the scorer counts under a policy.
+	// Weight returns the scorer's weight under a policy.
 	Weight(w weights) float64
 	Score(r *round, c *candidate, h *host) float64
 }
 
-// score is the weighted mean of the scorers.
+// score returns the weighted sum of the scores.
 func (r *round) score(c *candidate, h *host) float64 {
 	sum := 0.0
 	for i, s := range r.p.scorers {
@@ -19,8 +19,8 @@
 	return sum
 }
 
-// spreadScore spreads a job's tasks over workers, racks and zones, so that one
-// loss takes few of them.
+// spreadScore spreads a job's tasks over workers, racks and zones, so that the loss of one of them
+// affects few tasks.
 type spreadScore struct{}
 
 func (spreadScore) Name() string { return "spread" }
@@ -29,14 +29,14 @@
 
 func (spreadScore) Score(r *round, c *candidate, h *host) float64 {
 	const hostWeight, rackWeight, zoneWeight = 1.0, 0.7, 0.3
-	near := hostWeight*float64(r.tasksPerDomain[jobDomain{c.Job, hostDomain, h.Name}]) +
+	colocated := hostWeight*float64(r.tasksPerDomain[jobDomain{c.Job, hostDomain, h.Name}]) +
 		rackWeight*float64(r.tasksPerDomain[jobDomain{c.Job, rackDomain, h.Rack}]) +
 		zoneWeight*float64(r.tasksPerDomain[jobDomain{c.Job, zoneDomain, h.AvailabilityZone}])
-	return 1 / (1 + near)
+	return 1 / (1 + colocated)
 }
 
-// interferenceScore prefers workers whose services the task disturbs least, by
-// the upper confidence bound, and among those the ones with the most headroom.
+// interferenceScore prefers workers on which the task slows services down least, by the upper
+// confidence bound, and among those the ones with the most headroom.
 type interferenceScore struct{}
 
 func (interferenceScore) Name() string { return "interference" }
@@ -57,8 +57,8 @@
 	return worst
 }
 
-// fitScore fills workers that are full already, which leaves big holes for big
-// tasks, and keeps accelerators for tasks that need them.
+// fitScore prefers nearly full workers, which leaves large free capacity for large tasks, and
+// keeps accelerators for tasks that need them.
 type fitScore struct{}
 
 func (fitScore) Name() string { return "fit" }
@@ -71,6 +71,6 @@
 	if c.size.Accelerators > 0 || h.allocatable.Accelerators == 0 {
 		return full
 	}
-	const spared = 0.5
-	return full * (1 - spared*ratio(left.Accelerators, h.allocatable.Accelerators))
+	const acceleratorPenalty = 0.5
+	return full * (1 - acceleratorPenalty*ratio(left.Accelerators, h.allocatable.Accelerators))
 }
--- a/place/suspect.go
+++ b/place/suspect.go
@@ -6,34 +6,35 @@
 	"slices"
 )
 
-// Bounds of blame.
+// Thresholds of estimated slowdowns.
 const (
-	// significantSlowdown is the least believed slowdown (log) that makes a suspect.
+	// significantSlowdown is the slowdown (log) of a service by its present neighbours from which
+	// the interference filter admits no further task that slows it down.
 	significantSlowdown = 0.05
-	// minSuspectFraction is the part of the first suspect's blame below which others
-	// are left alone.
+	// minSuspectFraction is the fraction of the first suspect's slowdown below which other
+	// suspects are not acted on.
 	minSuspectFraction = 0.5
 )
 
-// suspect is a neighbour that may be the cause.
+// suspect is a task that may cause a service to exceed its objective.
 type suspect struct {
 	task  *Task
 	share int32
-	// slowdown is the believed slowdown, log scale, with some of the doubt added.
+	// slowdown is the estimated slowdown (log) plus a fraction of its standard deviation.
 	slowdown float64
 }
 
-// suspects returns the neighbours that were there when the tail was measured,
-// the likeliest cause first.
-func (r *round) suspects(h *host, w *targetLatency) []suspect {
+// suspects returns the tasks that were present when the tail was measured, in the order of
+// decreasing estimated slowdown.
+func (r *round) suspects(h *host, l *targetLatency) []suspect {
 	var out []suspect
 	for _, t := range h.Running {
 		id := attemptID{t.ID, t.Attempt}
-		if !r.evictable(t) || !h.state.occupancy.presentInWindow(id, w.from, w.to) {
+		if !r.evictable(t) || !h.state.occupancy.presentInWindow(id, l.from, l.to) {
 			continue
 		}
 		share := h.state.protection.shareOf(id)
-		if b := r.attributedSlowdown(w.service, t.Kind, share, w.bucket); b >= r.weights.suspectSlowdown() {
+		if b := r.attributedSlowdown(l.service, t.Kind, share, l.bucket); b >= r.weights.suspectSlowdown() {
 			out = append(out, suspect{t, share, b})
 		}
 	}
@@ -52,8 +53,8 @@
 	return upperBound(e.mean, e.variance, doubt)
 }
 
-// cheapestSuspect returns the throttled suspect with the least cost per relief,
-// nil when there is none.
+// cheapestSuspect returns the throttled suspect with the least eviction cost per slowdown, nil if
+// there is none.
 func (r *round) cheapestSuspect(suspects []suspect) *suspect {
 	var best *suspect
 	least := math.Inf(1)
--- a/place/target_latency.go
+++ b/place/target_latency.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// Bounds of a watch.
+// Limits of latency measurements.
 const (
-	// clearExcessFactor is the factor over the guard level at which one report is
-	// enough; a smaller excess has to be seen twice.
+	// clearExcessFactor is the factor above the protection threshold at which one report suffices;
+	// a smaller excess must be seen in two reports.
 	clearExcessFactor = 1.25
-	// smoothing is the weight of a new report in a watch's running means.
+	// smoothing is the weight of a new report in the running means.
 	smoothing    = 0.4
 	reportMaxAge = 2 * time.Minute
 )
 
-// targetLatency is what is known about one target's tail.
+// targetLatency is the latest latency measurement of one target, with its running means.
 type targetLatency struct {
 	target, service string
 	p99             float64 // milliseconds
@@ -24,47 +24,48 @@
 	// smoothed is the running mean of the log p99 since the last action.
 	smoothed float64
 	reports  int
-	// residual is the running mean of what neither the service's own latency nor
-	// its neighbours explain (log), such as a slower worker.
+	// residual is the running mean of the log p99 that neither the service's baseline nor its
+	// neighbours explain, for example because of a slower worker.
 	residual float64
-	// consecutiveExceeded counts reports in a row above the guard level.
+	// consecutiveExceeded counts consecutive reports above the protection threshold.
 	consecutiveExceeded int
-	threshold           float64 // guard level it was judged by, milliseconds
+	threshold           float64 // protection threshold at the last report, milliseconds
 }
 
-// exceeded reports whether the service is over its objective.
-func (w *targetLatency) exceeded() bool {
-	if w.consecutiveExceeded == 0 {
+// exceeded reports whether the target exceeds its protection threshold by clearExcessFactor, or in
+// two consecutive reports and on average.
+func (l *targetLatency) exceeded() bool {
+	if l.consecutiveExceeded == 0 {
 		return false
 	}
-	return w.p99 > w.threshold*clearExcessFactor || w.consecutiveExceeded >= 2 && w.smoothed > math.Log(w.threshold)
+	return l.p99 > l.threshold*clearExcessFactor || l.consecutiveExceeded >= 2 && l.smoothed > math.Log(l.threshold)
 }
 
-// recent reports whether the watch still describes the worker.
-func (w *targetLatency) recent(now time.Time) bool { return now.Sub(w.to) <= reportMaxAge }
+// recent reports whether the measurement is recent enough to act on.
+func (l *targetLatency) recent(now time.Time) bool { return now.Sub(l.to) <= reportMaxAge }
 
-// compare takes a new measurement against a level in milliseconds.
-func (w *targetLatency) compare(level float64) {
-	w.threshold = level
-	if level <= 0 {
-		w.consecutiveExceeded = 0
+// compare compares a new measurement with a threshold in milliseconds, 0 for none.
+func (l *targetLatency) compare(threshold float64) {
+	l.threshold = threshold
+	if threshold <= 0 {
+		l.consecutiveExceeded = 0
 		return
 	}
-	if w.p99 > level {
-		w.consecutiveExceeded++
+	if l.p99 > threshold {
+		l.consecutiveExceeded++
 		return
 	}
-	w.consecutiveExceeded = 0
+	l.consecutiveExceeded = 0
 }
 
-// updateMean takes a new measurement into the running mean, afresh when the window
-// is the first that lies after an action.
-func (w *targetLatency) updateMean(fresh bool) {
-	logP99 := math.Log(w.p99)
-	if fresh || w.reports == 0 {
-		w.smoothed, w.reports = logP99, 1
+// updateMean adds a new measurement to the running mean, and restarts the mean if the window is
+// the first after an action.
+func (l *targetLatency) updateMean(restart bool) {
+	logP99 := math.Log(l.p99)
+	if restart || l.reports == 0 {
+		l.smoothed, l.reports = logP99, 1
 		return
 	}
-	w.reports++
-	w.smoothed += smoothing * (logP99 - w.smoothed)
+	l.reports++
+	l.smoothed += smoothing * (logP99 - l.smoothed)
 }
--- a/place/types.go
+++ b/place/types.go
@@ -1,7 +1,7 @@
-// Package place decides which task runs on which worker, and which has to give
-// way. It does no I/O: a Placer learns from workers' reports and turns a
-// read-only snapshot of the state into a plan. The replicated state checks each
-// part of a plan again when it is applied.
+// Package place decides which worker runs each task and which running tasks are throttled or
+// evicted. It does no I/O: a Placer learns from workers' reports and turns a read-only snapshot of
+// the state into a plan. The replicated state validates each part of a plan again when it is
+// applied.
 package place
 
 import (
@@ -10,14 +10,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Resources counts a worker's goods in whole units, so that sums are exact.
+// Resources is an amount of processors, memory and accelerators in whole units, so that sums are
+// exact.
 type Resources struct {
 	MilliProcessors int64
 	MemoryBytes     int64
 	Accelerators    int64
 }
 
-// Worker is a worker as the snapshot shows it.
+// Worker is the state of a worker in a Snapshot.
 type Worker struct {
 	Name             string
 	Incarnation      uint64
@@ -25,18 +26,19 @@
 	AvailabilityZone string
 	Rack             string
 	Capacity         Resources
-	// Reserved is what targets on the worker take.
+	// Reserved is the capacity set aside for the targets on the worker.
 	Reserved Resources
 	Draining bool
-	// Alive: its leases were renewed lately; nothing new goes to one that is not.
+	// Alive reports that the worker's leases were renewed recently. A worker that is not alive
+	// receives no new tasks.
 	Alive bool
-	// Services with a target on the worker.
+	// Services lists the services that have a target on the worker.
 	Services []string
-	// Running holds the granted attempts, stopping ones included.
+	// Running lists the granted attempts, including those that are stopping.
 	Running []*Task
 }
 
-// Task is a task as the snapshot shows it.
+// Task is the state of a task in a Snapshot.
 type Task struct {
 	ID       string
 	Job      string
@@ -45,9 +47,9 @@
 	Priority apiv1.Priority
 	State    apiv1.TaskState
 	Attempt  uint64
-	// Size is what a queued task declares and what a running one was granted.
+	// Size is the declared size of a queued task and the granted size of a running one.
 	Size Resources
-	// Declared is what a running task declared, Size when zero.
+	// Declared is the declared size of a running task. If it is zero, Size is used.
 	Declared      Resources
 	Worker        string
 	Checkpoint    string
@@ -59,31 +61,31 @@
 	GrantedAt     time.Time
 	NotBefore     time.Time
 	FailedWorkers []string
-	// CheckpointedAt is when the last durable checkpoint was seen, zero when never.
+	// CheckpointedAt is the time of the last durable checkpoint, zero if there is none.
 	CheckpointedAt time.Time
-	// ProgressMilli is the share of the work done, in thousandths, 0 when unknown.
+	// ProgressMilli is the completed fraction of the work in thousandths, 0 if unknown.
 	ProgressMilli int32
 }
 
-// Team is a team with its limit and share.
+// Team is a team with its quota and its fair-share weight.
 type Team struct {
 	Name   string
 	Quota  Resources // zero fields are unlimited
 	Weight int32
 }
 
-// Snapshot is the input of one planning round. Nothing in it is changed.
+// Snapshot is the input of one planning round. The Placer does not modify it.
 type Snapshot struct {
 	Workers []*Worker
-	// Queued tasks whose dependencies are ready, in any order.
+	// Queued lists the tasks whose dependencies are ready, in any order.
 	Queued []*Task
 	Teams  map[string]*Team
-	// Services by name, for objectives.
+	// Services maps service names to the services, which carry the latency objectives.
 	Services map[string]*apiv1.Service
 	Policy   *apiv1.Policy
 }
 
-// Grant gives a task room on a worker.
+// Grant assigns capacity on a worker to a task.
 type Grant struct {
 	Task              *Task
 	Worker            string
@@ -99,11 +101,11 @@
 	Reason  string
 }
 
-// ReasonStillInEffect marks a throttle that is ordered again so that a worker that
-// lost it takes it up; nothing new was decided.
-const ReasonStillInEffect = "still in force"
+// ReasonStillInEffect marks a throttle that is sent again without a new decision, so that a worker
+// that lost it applies it again.
+const ReasonStillInEffect = "still in effect"
 
-// Throttle holds an attempt's processors down; share 1000 ends it.
+// Throttle limits an attempt to a share of its processors. A share of 1000 removes the limit.
 type Throttle struct {
 	Task       string
 	Attempt    uint64
@@ -112,23 +114,24 @@
 	Reason     string
 }
 
-// Rejection says which filter refused which worker for a task.
+// Rejection is the refusal of one worker for a task by one filter.
 type Rejection struct {
 	Worker string
 	Filter string
 	Reason string
 }
 
-// Decision is what became of one queued task in a round; one log line each.
+// Decision is the outcome for one queued task in a round. Each is logged as one line.
 type Decision struct {
 	Task    string
 	Attempt uint64
-	// Worker is empty when the task stays queued.
+	// Worker is empty if the task stays queued.
 	Worker     string
 	Reason     string
 	Candidates int
 	Score      float64
-	// Rejections is bounded; Refused counts workers per filter in full.
+	// Rejections lists at most Config.MaxRejections workers. Refused counts all refused workers by
+	// filter.
 	Rejections []Rejection
 	Refused    map[string]int
 }
@@ -138,7 +141,8 @@
 	Grants    []Grant
 	Evictions []Eviction
 	Throttles []Throttle
-	// Unplaceable jobs could not run on any worker even when it is empty: job to reason.
+	// Unplaceable maps each job that would not fit on any worker, even without other tasks there,
+	// to the reason.
 	Unplaceable map[string]string
 	Decisions   []Decision
 }
--- a/place/usage.go
+++ b/place/usage.go
@@ -13,12 +13,12 @@
 
 const (
 	sampleLimit = 64
-	// minSamples is how many ended or long-running attempts a kind needs before
-	// what it was seen to use counts.
+	// minSamples is the number of ended or long-running attempts from which a kind's observed
+	// usage counts.
 	minSamples = 4
-	// sizeQuantile is the part of attempts that must fit a grant.
+	// sizeQuantile is the fraction of attempts whose usage must fit the grant.
 	sizeQuantile = 0.9
-	// sizeMargin is added to the quantile.
+	// sizeMargin is the factor applied to the quantile.
 	sizeMargin = 1.05
 )
 
@@ -31,7 +31,8 @@
 	s.next = (s.next + 1) % sampleLimit
 }
 
-// quantile returns the value below which a part q of the samples lies.
+// quantile returns the value below which a fraction q of the samples lies, and false if there are
+// fewer than minSamples.
 func (s *samples) quantile(q float64) (float64, bool) {
 	if len(s.values) < minSamples {
 		return 0, false
@@ -41,13 +42,14 @@
 	return sorted[int(q*float64(len(sorted)-1)+0.5)], true
 }
 
-// kindUsage is what tasks of one kind were seen to use and how long they ran,
-// as factors of what was declared.
+// kindUsage holds the observed usage and run times of tasks of one kind as factors of the declared
+// values.
 type kindUsage struct {
 	processors, memory, runTime samples
-	// minProcessorFactor is the smallest factor of a grant's processors.
+	// minProcessorFactor is the smallest factor of granted to declared processors.
 	minProcessorFactor float64
-	// Quantiles are kept until the samples change: they are read per decision.
+	// cached reports whether the factors below are those of the present samples. They are cached
+	// because every decision reads them.
 	cached                        bool
 	processorFactor, memoryFactor float64
 	runFactor                     float64
@@ -66,20 +68,20 @@
 	}
 }
 
-// grantFactor is the factor of a grant on the declared size, at least least.
-func grantFactor(s *samples, least float64) float64 {
+// grantFactor returns the factor of a grant to the declared size, at least the given minimum.
+func grantFactor(s *samples, minimum float64) float64 {
 	q, ok := s.quantile(sizeQuantile)
 	if !ok {
 		return 1
 	}
-	return max(least, q*sizeMargin)
+	return max(minimum, q*sizeMargin)
 }
 
-// attemptUsage is the peak use of one running attempt.
+// attemptUsage is the usage of one running attempt.
 type attemptUsage struct {
 	peak   Resources
 	latest Resources
-	// counted: the peak has entered the kind's samples.
+	// counted reports that the peak was added to the kind's samples.
 	counted bool
 	since   time.Time
 }
@@ -88,9 +90,9 @@
 type usage struct {
 	kinds    map[string]*kindUsage
 	attempts map[attemptID]*attemptUsage
-	// minProcessorFactor is below 1 when processors that a kind does not use are
-	// left to others. Memory is never granted below what was declared: a task
-	// that comes to need it would be killed.
+	// minProcessorFactor is below 1 if processors that a kind does not use are granted to others.
+	// Memory is never granted below the declared amount, because a task that later needs it would
+	// be killed.
 	minProcessorFactor float64
 }
 
@@ -111,11 +113,11 @@
 	return k
 }
 
-// minObservedTime is how long an attempt runs before its peak counts although it
-// has not ended: long-running watchers would teach nothing otherwise.
+// minObservedTime is how long an attempt runs before its peak counts although it has not ended.
+// Without it nothing would be learned from long-running watchers.
 const minObservedTime = 60 * time.Second
 
-// recordUsage takes in what an attempt was seen to use.
+// recordUsage records the reported usage of an attempt.
 func (u *usage) recordUsage(now time.Time, id attemptID, info *taskInfo, used Resources) {
 	a := u.attempts[id]
 	if a == nil {
@@ -130,7 +132,7 @@
 	}
 }
 
-// recordEnd closes an attempt; its peak counts if it says anything.
+// recordEnd removes an ended attempt and adds its peak to the samples if it is not yet counted.
 func (u *usage) recordEnd(id attemptID, info *taskInfo) {
 	a := u.attempts[id]
 	if a == nil {
@@ -154,7 +156,7 @@
 	k.cached = false
 }
 
-// recordRunTime notes how long a whole, uninterrupted run took.
+// recordRunTime records the run time of a whole, uninterrupted run.
 func (u *usage) recordRunTime(info *taskInfo, took time.Duration) {
 	if info.expectedRun <= 0 || took <= 0 {
 		return
@@ -164,7 +166,7 @@
 	k.cached = false
 }
 
-// size returns what a task of a kind is to be granted for a declared size.
+// size returns the size to grant to a task of a kind for a declared size.
 func (u *usage) size(kind string, declared Resources) Resources {
 	k := u.kinds[kind]
 	if k == nil {
@@ -174,7 +176,7 @@
 	return declared.scale(k.processorFactor, k.memoryFactor)
 }
 
-// runTime returns how long a task of a kind is expected to run.
+// runTime returns the expected run time of a task of a kind.
 func (u *usage) runTime(kind string, declared time.Duration) time.Duration {
 	k := u.kinds[kind]
 	if k == nil {
