--- a/place/placebench/deployment.go
+++ b/place/placebench/deployment.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// deployment is one of the two sizes of the brief.
+// deployment is one of the two reference deployments.
 type deployment struct {
 	name       string
 	zones      int
@@ -18,10 +18,10 @@
 	services   []serviceModel
 }
 
-// serviceModel is a service with a target on every worker from first on.
+// serviceModel is a service with one target on each of the first workers.
 type serviceModel struct {
 	name string
-	// meanServiceTime service time without neighbours, milliseconds.
+	// meanServiceTime is the mean service time without neighbours in milliseconds.
 	meanServiceTime float64
 	workers         int
 }
@@ -39,17 +39,18 @@
 	{"auction", 4, 64, 250, []serviceModel{{"valuations", 30, 11}, {"bids", 50, 5}}},
 }
 
-// kindModel is the hidden truth about one kind of task.
+// kindModel is the true behaviour of one kind of task, hidden from the policies.
 type kindModel struct {
 	name     string
 	declared place.Resources
-	// sizeFactor is what tasks use in terms of what they declare.
+	// sizeFactor is the ratio of used to declared resources.
 	sizeFactor   float64
 	run          time.Duration // declared
 	runFactor    float64
 	checkpoint   time.Duration
 	evictionCost int32
-	// harm per service, and the load above which it shows, 0 for always.
+	// harm is the slowdown per service. loadThreshold is the load above which it appears, 0 if it
+	// is always present.
 	harm          map[string]float64
 	loadThreshold map[string]float64
 	driftPhase    float64
@@ -57,7 +58,7 @@
 
 const kindCount = 12
 
-// newKinds draws the hidden truth of a seed.
+// newKinds draws the kinds of a seed.
 func newKinds(d deployment, harmful float64, rng *rand.Rand) []*kindModel {
 	kinds := make([]*kindModel, kindCount)
 	for i := range kinds {
@@ -74,7 +75,7 @@
 			evictionCost: 1, harm: map[string]float64{}, loadThreshold: map[string]float64{},
 			driftPhase: rng.Float64() * 2 * math.Pi,
 		}
-		if i%4 == 0 { // checks and watchers: dear to evict
+		if i%4 == 0 { // checks and watchers, which are costly to evict
 			k.evictionCost = 5
 			k.checkpoint = 10 * time.Minute
 		}
@@ -86,8 +87,8 @@
 	return kinds
 }
 
-// drawHarm: most pairs are harmless, some mild, some harmful under load only, a
-// few always.
+// drawHarm draws the harm of one kind to one service. Most pairs are harmless, some are mild, some
+// are harmful only under load, and a few always.
 func drawHarm(harmful float64, rng *rand.Rand) (harm, threshold float64) {
 	switch p := rng.Float64(); {
 	case p < 0.75*(1-harmful):
@@ -100,21 +101,21 @@
 	return 0.3 + 0.3*rng.Float64(), 0
 }
 
-// slowdown is what one task of the kind adds to a service's time.
+// slowdown returns the slowdown that one task of the kind adds to a service.
 func (k *kindModel) slowdown(service string, load, share float64, t time.Duration) float64 {
 	harm := k.harm[service]
 	if th := k.loadThreshold[service]; th > 0 {
 		harm /= 1 + math.Exp(-(load-th)/0.05)
 	}
-	// A quarter of the harm (memory, caches) stays when processors are held down.
+	// A quarter of the harm (memory, caches) remains if processors are throttled.
 	harm *= 0.25 + 0.75*share
 	drift := 1 + 0.3*math.Sin(2*math.Pi*t.Minutes()/90+k.driftPhase)
 	size := float64(k.declared.MilliProcessors) / (4 * milli)
 	return harm * drift * math.Sqrt(size)
 }
 
-// trafficRate is the service's request rate over the run as a part of the peak: quiet,
-// then the morning rush from a third to two thirds of the run, with short bursts.
+// trafficRate returns the request rate at a time of the run as a fraction of the peak: low at
+// first, then the morning peak from one third to two thirds of the run, with short bursts.
 func trafficRate(t, length time.Duration, rng *rand.Rand) float64 {
 	const quiet, width = 0.4, 0.04
 	x := float64(t) / float64(length)
--- a/place/placebench/faults.go
+++ b/place/placebench/faults.go
@@ -8,13 +8,14 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// reached reports whether a part of the run's length is reached at this tick.
+// reached reports whether this tick is the one at a fraction of the run's length.
 func (r *run) reached(part float64) bool {
 	return r.now.Equal(r.start.Add(time.Duration(part * float64(r.length)).Truncate(tick)))
 }
 
-// injectFaults are the same for every policy: a noisy wave, jobs that can never run, a
-// worker that fails everything, a host and a rack lost, a wave of cancellations.
+// injectFaults injects the same faults for every policy: jobs that can never run, a worker on
+// which everything fails, a burst of noisy jobs, cancellations, and the loss of a worker and of a
+// rack.
 func (r *run) injectFaults() {
 	switch {
 	case r.reached(0.05):
@@ -38,18 +39,18 @@
 	}
 }
 
-// cancelJobs ends every fourth job, queued or running.
+// cancelJobs cancels every fourth job, queued or running.
 func (r *run) cancelJobs() {
 	const every = 4
-	gone := func(t *task) bool {
+	canceled := func(t *task) bool {
 		var n int
 		_, _ = fmt.Sscanf(t.Job, "job-%d", &n)
 		return n%every == 0
 	}
-	r.queued = slices.DeleteFunc(r.queued, gone)
+	r.queued = slices.DeleteFunc(r.queued, canceled)
 	for _, w := range r.workers {
 		for _, t := range w.tasks {
-			if gone(t) {
+			if canceled(t) {
 				t.canceled = true
 				r.stop(t)
 			}
@@ -57,7 +58,8 @@
 	}
 }
 
-// failWorkers takes workers away; their leases run out before their tasks come back.
+// failWorkers makes workers unreachable. Their tasks are queued again only after their leases
+// expire.
 func (r *run) failWorkers(workers ...*worker) {
 	for _, w := range workers {
 		w.down, w.Alive = true, false
--- a/place/placebench/fleet.go
+++ b/place/placebench/fleet.go
@@ -11,17 +11,17 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// task is a task of the stand-in with its hidden truth.
+// task is a simulated task with its true behaviour.
 type task struct {
 	place.Task
 	kind         *kindModel
-	usageFactor  float64 // use of processors and memory over the declared size
+	usageFactor  float64 // ratio of used to declared processors and memory
 	runTime      time.Duration
 	progress     time.Duration
 	checkpointed time.Duration
 	share        float64
 	poison       bool
-	// stopAt is when an ordered stop is confirmed, zero when none is.
+	// stopAt is when an ordered stop is confirmed, zero if none was ordered.
 	stopAt   time.Time
 	canceled bool
 	firstRun time.Time
@@ -35,12 +35,12 @@
 	}
 }
 
-// processorSeconds is the task's whole work in processor-seconds.
+// processorSeconds returns the work done in a run time, in processor-seconds.
 func (t *task) processorSeconds(d time.Duration) float64 {
 	return d.Seconds() * float64(t.kind.declared.MilliProcessors) / milli * t.usageFactor
 }
 
-// worker is a stand-in for a platform worker with its targets.
+// worker simulates a platform worker with its targets.
 type worker struct {
 	place.Worker
 	targets  []*target
@@ -49,7 +49,7 @@
 	failing  bool
 	down     bool
 	sequence uint64
-	// pending reports wait for their lag to pass.
+	// pending holds the reports that have not yet arrived.
 	pending []delayedReport
 }
 
@@ -83,7 +83,7 @@
 	return out
 }
 
-// processorContention is by how much tasks want more processors than there are, at least 1.
+// processorContention returns the ratio of wanted to available processors, at least 1.
 func (w *worker) processorContention() float64 {
 	used := w.Reserved.MilliProcessors
 	for _, t := range w.tasks {
@@ -92,7 +92,8 @@
 	return max(1, float64(used)/float64(w.Capacity.MilliProcessors))
 }
 
-// memoryKillVictim ends the task furthest over its grant while memory is short, as a kernel does.
+// memoryKillVictim returns the task that exceeds its grant most if the worker's memory is
+// exhausted, like a kernel that kills a process; nil otherwise.
 func (w *worker) memoryKillVictim() *task {
 	used := w.Reserved.MemoryBytes
 	var worst *task
@@ -114,7 +115,7 @@
 	w.tasks = slices.DeleteFunc(w.tasks, func(o *task) bool { return o == t })
 }
 
-// heartbeat is the worker's message with the reports whose lag has passed.
+// heartbeat returns the worker's heartbeat with the reports that have arrived.
 func (w *worker) heartbeat(now time.Time) *apiv1.WorkerHeartbeat {
 	w.sequence++
 	hb := &apiv1.WorkerHeartbeat{Worker: w.Name, Incarnation: w.Incarnation, Sequence: w.sequence, Tasks: w.ended}
@@ -142,12 +143,12 @@
 	return hb
 }
 
-// reportLag is how late a report arrives.
+// reportLag returns the random delay of a report.
 func reportLag(rng *rand.Rand) time.Duration {
 	return 5*time.Second + time.Duration(rng.Int63n(int64(25*time.Second)))
 }
 
-// report queues the usage and latency reports of a window that ends now.
+// report adds the usage and latency reports of a window that ends now to the pending reports.
 func (w *worker) report(now time.Time, window time.Duration, rng *rand.Rand) {
 	for _, t := range w.targets {
 		if r := t.report(window); r != nil {
--- a/place/placebench/latency.go
+++ b/place/placebench/latency.go
@@ -11,26 +11,27 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// target is a stand-in for a target: its times are drawn from a queue of the
-// M/M/c kind whose service time the neighbours stretch.
+// target simulates a target: its latencies are drawn from an M/M/c queue whose service time is
+// stretched by the neighbours.
 type target struct {
 	name     string
 	service  serviceModel
 	window   []float64
 	requests float64
-	// load is the last second's rate as a part of what the target is sized for.
+	// load is the request rate of the last second as a fraction of the rate that the target is
+	// sized for.
 	load float64
 }
 
 const (
-	// samplesPerTick is how many requests of a second are drawn.
+	// samplesPerTick is the number of sampled requests per second.
 	samplesPerTick       = 24
 	serviceTimeDeviation = 0.35
-	// maxUtilization is the load above which requests are refused at once.
+	// maxUtilization is the utilization above which requests are refused at once.
 	maxUtilization = 0.95
 )
 
-// outcome sums up what callers of one service saw.
+// outcome accumulates the latencies and refusals that callers of one service experience.
 type outcome struct {
 	histogram    *hdrhistogram.Histogram
 	objective    float64
@@ -44,7 +45,7 @@
 	return &outcome{histogram: hdrhistogram.New(1, longestMicros, digits), objective: objective}
 }
 
-// serve draws a second of requests at a rate and a slowdown.
+// serve simulates one second of requests at a rate and a slowdown.
 func (t *target) serve(perSecond, slowdown float64, out *outcome, rng *rand.Rand) {
 	capacity := slots * milli / (t.service.meanServiceTime * slowdown)
 	served := min(perSecond, capacity*maxUtilization)
@@ -72,7 +73,7 @@
 	}
 }
 
-// erlangC is the part of requests that wait in an M/M/c queue.
+// erlangC returns the fraction of requests that wait in an M/M/c queue.
 func erlangC(c int, rho float64) float64 {
 	a := float64(c) * rho
 	term, sum := 1.0, 0.0
@@ -84,7 +85,8 @@
 	return last / (sum + last)
 }
 
-// report sums up the window and starts the next, nil when there was nothing.
+// report returns the latency report of the window and starts the next one; nil if there were no
+// requests.
 func (t *target) report(window time.Duration) *apiv1.LatencyReport {
 	if len(t.window) == 0 {
 		return nil
@@ -101,7 +103,7 @@
 	return r
 }
 
-// baselineP99 is the p99 without neighbours at a load, from which objectives are set.
+// baselineP99 returns the p99 without neighbours at a load. Objectives are derived from it.
 func baselineP99(s serviceModel, load float64) float64 {
 	rng := rand.New(rand.NewSource(1))
 	t := &target{service: s}
--- a/place/placebench/main.go
+++ b/place/placebench/main.go
@@ -1,7 +1,6 @@
-// Command placebench measures placement policies against each other: the two
-// deployments of the brief at virtual time, with small stand-ins for workers and
-// targets whose interference is hidden from the policies, fixed seeds, and the
-// same faults for all. It prints a Markdown table.
+// Command placebench compares placement policies in two reference deployments at virtual time. It
+// uses simulated workers and targets whose interference is hidden from the policies, fixed seeds,
+// and the same faults for every policy. It prints a Markdown table.
 package main
 
 import (
@@ -17,23 +16,23 @@
 	"github.com/sourcegraph/conc/pool"
 )
 
-// seedSets keeps the seeds for tuning, for checking and for the final table apart.
+// seedSets separates the seeds for tuning, for checking and for the final table.
 var seedSets = map[string][]int64{
 	"tune":  {11, 12, 13, 14, 15, 16},
 	"check": {2101, 2102, 2103},
 	"final": {471101, 471102, 471103},
-	// used was the final set before; its misses led to changes.
+	// used was the final set until the goals it missed led to changes of the policies.
 	"used": {90001, 90002, 90003},
 }
 
 func main() {
 	app := kingpin.New("placebench", "Measure placement policies at virtual time.")
 	set := app.Flag("seeds", "Seed set: tune, check, final or used.").Default("tune").Enum("tune", "check", "final", "used")
-	loads := app.Flag("loads", "Loads as parts of capacity, comma separated.").Default("0.8").String()
+	loads := app.Flag("loads", "Loads as fractions of capacity, comma separated.").Default("0.8").String()
 	only := app.Flag("policy", "Only policies whose name contains this.").String()
-	harmful := app.Flag("harmful", "Part of the pairs of kind and service that harm.").Default("0.2").Float64()
+	harmful := app.Flag("harmful", "Fraction of harmful pairs of kind and service.").Default("0.2").Float64()
 	hours := app.Flag("hours", "Virtual hours of a run.").Default("2").Float64()
-	parallel := app.Flag("parallel", "Runs at a time.").Default("4").Int()
+	parallel := app.Flag("parallel", "Number of concurrent runs.").Default("4").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
 	var cells []*tableRow
@@ -59,7 +58,7 @@
 	printTable(cells)
 }
 
-// tableRow is one line of the table: the runs of all seeds.
+// tableRow is one row of the table with the runs of all seeds.
 type tableRow struct {
 	deployment deployment
 	load       float64
@@ -75,7 +74,7 @@
 	}
 }
 
-// line sums the seeds up: the first service's histogram merged, counts per hour.
+// line formats the row over all seeds: the first service's merged histogram, and counts per hour.
 func (c *tableRow) line() string {
 	h := hdrhistogram.New(1, 120_000_000, 3)
 	var late, served, refused, finished, hours, lost float64
--- a/place/placebench/policies.go
+++ b/place/placebench/policies.go
@@ -9,13 +9,13 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// policy is what a run drives: the Placer or a baseline.
+// policy is a placement policy under test: the Placer or a baseline.
 type policy interface {
 	Observe(now time.Time, hb *apiv1.WorkerHeartbeat)
 	Plan(now time.Time, s *place.Snapshot) place.Plan
 }
 
-// policies by the names in the table.
+// policyNames lists the policies as the table names them.
 var policyNames = []string{"cairnlift", "cairnlift, reclaiming", "first fit", "best fit", "best fit, eager guard", "no batch", "services ignored"}
 
 func newPolicy(name string, seed int64) policy {
@@ -38,13 +38,14 @@
 	panic("no such policy: " + name)
 }
 
-// noBatch places nothing: the limit for latency.
+// noBatch places nothing, which gives the lower bound of latency.
 type noBatch struct{}
 
 func (noBatch) Observe(time.Time, *apiv1.WorkerHeartbeat)         {}
 func (noBatch) Plan(time.Time, *place.Snapshot) (none place.Plan) { return none }
 
-// serviceBlind is the Placer blind to services: the limit for batch.
+// serviceBlind is the Placer without knowledge of services, which gives the upper bound of batch
+// throughput.
 type serviceBlind struct{ *place.Placer }
 
 func (p serviceBlind) Plan(now time.Time, s *place.Snapshot) place.Plan {
@@ -61,10 +62,10 @@
 
 // baseline places urgent tasks first, then the oldest, by declared size.
 type baseline struct {
-	// bestFit takes the fullest worker with room instead of the first.
+	// bestFit selects the fullest worker with enough free capacity instead of the first one.
 	bestFit bool
-	// eager evicts the newest batch task of a worker for each late report of a
-	// tail over its objective.
+	// eager evicts the newest batch task of a worker for each delayed report that exceeds the
+	// service's objective.
 	eager      bool
 	objectives map[string]int64
 	exceededAt map[string]time.Time
--- a/place/placebench/run.go
+++ b/place/placebench/run.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// Timings of a run.
+// Durations and limits of a run.
 const (
 	tick                = time.Second
 	reportWindow        = 10 * time.Second
@@ -18,19 +18,19 @@
 	failureDelay        = 3 * time.Second
 	starvationThreshold = 30 * time.Minute
 	maxFailures         = 6
-	// peakUtilization is how busy slots are at the peak that targets are sized for,
-	// which is load 1.
+	// peakUtilization is the utilization of slots at the peak for which targets are sized, which
+	// is load 1.
 	peakUtilization = 0.85
 )
 
-// result is what one run measured.
+// result holds the measurements of one run.
 type result struct {
 	outcomes     []*outcome
 	finishedWork float64 // processor-hours of finished tasks
 	tasks        int
 	evictions    int
 	lostWork     float64 // processor-hours lost to evictions
-	memoryKills  int     // tasks killed for want of memory
+	memoryKills  int     // tasks killed because the worker's memory was exhausted
 	throttles    int
 	starved      int
 	urgent       []time.Duration
@@ -38,7 +38,7 @@
 	hours        float64
 }
 
-// run is one deployment, load, policy and seed at virtual time.
+// run simulates one deployment, load, policy and seed at virtual time.
 type run struct {
 	deployment deployment
 	policy     policy
@@ -113,7 +113,8 @@
 	}
 }
 
-// serve spreads each service's requests over its targets, away from slow ones.
+// serve distributes each service's requests over its targets in inverse proportion to their
+// slowdown.
 func (r *run) serve() {
 	elapsed := r.now.Sub(r.start)
 	peak := trafficRate(elapsed, r.length, r.traffic)
@@ -201,7 +202,7 @@
 	r.requeue(t)
 }
 
-// stopped confirms a stop. What was done since the last checkpoint is lost.
+// stopped confirms a stop. The work since the last checkpoint is lost.
 func (r *run) stopped(w *worker, t *task) {
 	r.end(w, t, apiv1.TaskPhase_TASK_PHASE_STOPPED)
 	if t.canceled {
@@ -223,7 +224,6 @@
 	r.queued = append(r.queued, t)
 }
 
-// sendHeartbeats sends the workers' heartbeats.
 func (r *run) sendHeartbeats() {
 	window := r.now.Sub(r.start)%reportWindow == 0
 	for _, w := range r.workers {
@@ -237,7 +237,7 @@
 	}
 }
 
-// plan builds the snapshot and carries the plan out.
+// plan builds the snapshot and carries out the plan.
 func (r *run) plan() {
 	s := r.snapshot
 	s.Workers, s.Queued = s.Workers[:0], s.Queued[:0]
@@ -291,7 +291,7 @@
 		used, _ = used.Add(o.Size)
 	}
 	if !used.Fits(w.Capacity) {
-		panic("a worker was granted more than it has: " + w.Name)
+		panic("the grants exceed the capacity of worker " + w.Name)
 	}
 	if t.firstRun.IsZero() {
 		t.firstRun = r.now
@@ -301,7 +301,7 @@
 	}
 }
 
-// countStarved counts tasks that could run and waited longer than the bound.
+// countStarved counts the tasks that could run and have been queued for starvationThreshold.
 func (r *run) countStarved() {
 	for _, t := range r.queued {
 		if !t.poison && !r.result.unplaceable[t.Job] && t.Size.MemoryBytes < 1<<40 && r.now.Sub(t.QueuedAt) >= starvationThreshold {
--- a/place/placebench/workload.go
+++ b/place/placebench/workload.go
@@ -16,15 +16,15 @@
 	maxJobTasks    = 8
 	poisonFraction = 0.01
 	burstTasks     = 40
-	// unplaceableJobs can never run.
+	// unplaceableJobs is the number of jobs that can never run.
 	unplaceableJobs = 3
 )
 
-// workload makes jobs whose true demand is a part of what tasks can have.
+// workload generates jobs whose true demand is a fraction of the capacity available to tasks.
 type workload struct {
 	rng           *rand.Rand
 	kinds         []*kindModel
-	jobsPerSecond float64 // jobs a second
+	jobsPerSecond float64
 	lastJob       int
 }
 
@@ -46,7 +46,7 @@
 	return &workload{rng: rng, kinds: kinds, jobsPerSecond: tasks / meanTasks}
 }
 
-// arrivals returns the tasks that are submitted in one second.
+// arrivals returns the tasks submitted in one second.
 func (l *workload) arrivals(now time.Time) []*task {
 	var out []*task
 	for range poisson(l.jobsPerSecond, l.rng) {
@@ -83,7 +83,7 @@
 	return out
 }
 
-// burst is a burst of the noisiest kind.
+// burst returns a burst of jobs of the kind that slows the service down most.
 func (l *workload) burst(now time.Time, service string) []*task {
 	noisiest := l.kinds[0]
 	for _, k := range l.kinds {
@@ -98,7 +98,7 @@
 	return out
 }
 
-// unplaceable are jobs that no worker could hold.
+// unplaceable returns jobs that do not fit on any worker.
 func (l *workload) unplaceable(now time.Time) []*task {
 	var out []*task
 	for range unplaceableJobs {
