--- a/place/interference.go
+++ b/place/interference.go
@@ -142,15 +142,15 @@
 		parts = append(parts, m.neighbourBelief(at, service, bucket, n))
 		amounts = append(amounts, n.amount)
 	}
-	predicted, variance := 0.0, noise+noiseVariance
+	predicted, predictionVariance := 0.0, noise+noiseVariance
 	for i, b := range parts {
 		predicted += amounts[i] * b.mean
-		variance += amounts[i] * amounts[i] * b.variance
+		predictionVariance += amounts[i] * amounts[i] * b.variance
 	}
-	limit := innovationLimit * math.Sqrt(variance)
+	limit := innovationLimit * math.Sqrt(predictionVariance)
 	innovation := min(max(logLatency-predicted, -limit), limit)
 	for i, b := range parts {
-		gain := amounts[i] * b.variance / variance
+		gain := amounts[i] * b.variance / predictionVariance
 		b.mean += gain * innovation
 		b.variance -= gain * amounts[i] * b.variance
 		b.samples++
--- a/place/placebench/faults.go
+++ b/place/placebench/faults.go
@@ -42,15 +42,15 @@
 // cancelJobs cancels every fourth job, queued or running.
 func (r *run) cancelJobs() {
 	const every = 4
-	canceled := func(t *task) bool {
+	selected := func(t *task) bool {
 		var n int
 		_, _ = fmt.Sscanf(t.Job, "job-%d", &n)
 		return n%every == 0
 	}
-	r.queued = slices.DeleteFunc(r.queued, canceled)
+	r.queued = slices.DeleteFunc(r.queued, selected)
 	for _, w := range r.workers {
 		for _, t := range w.tasks {
-			if canceled(t) {
+			if selected(t) {
 				t.canceled = true
 				r.stop(t)
 			}
--- a/place/placebench/run.go
+++ b/place/placebench/run.go
@@ -48,7 +48,7 @@
 	workers    []*worker
 	workload   *workload
 	queued     []*task
-	tasks      map[string]*task
+	tasksByID  map[string]*task
 	start      time.Time
 	now        time.Time
 	length     time.Duration
@@ -59,13 +59,13 @@
 func newRun(d deployment, name string, load, harmful float64, length time.Duration, seed int64) *run {
 	r := &run{
 		deployment: d, load: load, length: length,
-		policy:  newPolicy(name, seed),
-		rng:     rand.New(rand.NewSource(seed)),
-		traffic: rand.New(rand.NewSource(seed + 1)),
-		workers: newWorkers(d),
-		tasks:   map[string]*task{},
-		start:   time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC),
-		result:  result{unplaceable: map[string]bool{}, hours: length.Hours()},
+		policy:    newPolicy(name, seed),
+		rng:       rand.New(rand.NewSource(seed)),
+		traffic:   rand.New(rand.NewSource(seed + 1)),
+		workers:   newWorkers(d),
+		tasksByID: map[string]*task{},
+		start:     time.Date(2026, 3, 2, 8, 0, 0, 0, time.UTC),
+		result:    result{unplaceable: map[string]bool{}, hours: length.Hours()},
 	}
 	r.now = r.start
 	kinds := newKinds(d, harmful, rand.New(rand.NewSource(seed+2)))
@@ -102,7 +102,7 @@
 func (r *run) submit(tasks []*task) {
 	for _, t := range tasks {
 		r.queued = append(r.queued, t)
-		r.tasks[t.ID] = t
+		r.tasksByID[t.ID] = t
 	}
 }
 
@@ -187,7 +187,7 @@
 	r.end(w, t, apiv1.TaskPhase_TASK_PHASE_SUCCEEDED)
 	r.result.tasks++
 	r.result.finishedWork += t.processorSeconds(t.runTime) / time.Hour.Seconds()
-	delete(r.tasks, t.ID)
+	delete(r.tasksByID, t.ID)
 }
 
 func (r *run) failed(w *worker, t *task) {
@@ -196,7 +196,7 @@
 	t.FailedWorkers = append(t.FailedWorkers, w.Name)
 	t.NotBefore = r.now.Add(5 * time.Second << min(t.Failures, 6))
 	if t.Failures >= maxFailures {
-		delete(r.tasks, t.ID)
+		delete(r.tasksByID, t.ID)
 		return
 	}
 	r.requeue(t)
@@ -206,7 +206,7 @@
 func (r *run) stopped(w *worker, t *task) {
 	r.end(w, t, apiv1.TaskPhase_TASK_PHASE_STOPPED)
 	if t.canceled {
-		delete(r.tasks, t.ID)
+		delete(r.tasksByID, t.ID)
 		return
 	}
 	if !w.down {
@@ -258,12 +258,12 @@
 		r.result.unplaceable[job] = true
 	}
 	for _, e := range plan.Evictions {
-		if t := r.tasks[e.Task]; t != nil && t.Attempt == e.Attempt {
+		if t := r.tasksByID[e.Task]; t != nil && t.Attempt == e.Attempt {
 			r.stop(t)
 		}
 	}
 	for _, th := range plan.Throttles {
-		if t := r.tasks[th.Task]; t != nil && t.Attempt == th.Attempt {
+		if t := r.tasksByID[th.Task]; t != nil && t.Attempt == th.Attempt {
 			share := float64(th.ShareMilli) / milli
 			if share != t.share {
 				r.result.throttles++
@@ -281,7 +281,7 @@
 
 func (r *run) grant(g place.Grant) {
 	i := slices.IndexFunc(r.workers, func(w *worker) bool { return w.Name == g.Worker })
-	w, t := r.workers[i], r.tasks[g.Task.ID]
+	w, t := r.workers[i], r.tasksByID[g.Task.ID]
 	t.Attempt++
 	t.State, t.Worker, t.Size, t.GrantedAt = apiv1.TaskState_TASK_STATE_GRANTED, w.Name, g.Resources, r.now
 	t.Declared = t.kind.declared
