--- a/place/health_test.go
+++ b/place/health_test.go
@@ -83,7 +83,7 @@
 // Guards against quarantining healthy workers for the failures of a poison job, which fails on
 // every worker while each other job fails once, and against retrying the poison job without a
 // backoff.
-func TestPoisonousJobIsBackedOff(t *testing.T) {
+func TestPoisonJobIsBackedOff(t *testing.T) {
 	s := newHarness(6)
 	for i := range poisonWorkers {
 		w := fmt.Sprint("w", i)
--- a/place/protection.go
+++ b/place/protection.go
@@ -57,8 +57,8 @@
 const throttleRepeatInterval = 10 * time.Second
 
 // repeatThrottles sends the throttles in effect again. An order may be lost with a leader that is
-// replaced and returns shortly after. The task would then run at full share while its slowdown is
-// learned, and relaxed, as that of a throttled task.
+// replaced and returns shortly after. The task would then run at full share, while its slowdown is
+// learned and its share relaxed as if it were throttled.
 func (r *round) repeatThrottles() {
 	if r.now.Sub(r.p.throttlesRepeatedAt) < throttleRepeatInterval {
 		return
--- a/place/protection_state.go
+++ b/place/protection_state.go
@@ -56,7 +56,7 @@
 		ps.drop(id)
 		return
 	}
-	if _, held := ps.shares[id]; !held {
+	if _, throttled := ps.shares[id]; !throttled {
 		ps.throttledSince[id] = now
 	}
 	ps.shares[id] = share
--- a/place/relax.go
+++ b/place/relax.go
@@ -100,8 +100,8 @@
 
 // throttledFor returns how long a task has been throttled, 0 if it is not.
 func (r *round) throttledFor(h *host, t *Task) time.Duration {
-	since, held := h.state.protection.throttledSince[attemptID{t.ID, t.Attempt}]
-	if !held {
+	since, throttled := h.state.protection.throttledSince[attemptID{t.ID, t.Attempt}]
+	if !throttled {
 		return 0
 	}
 	return r.now.Sub(since)
