--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -26,13 +26,13 @@
 	return jobs
 }
 
-// loadedMachine is a machine with n workers and twice the tasks that they hold, one half
-// granted.
+// loadedMachine is a machine with benchTasksPerWorker granted tasks on each worker and as
+// many more queued.
 type loadedMachine struct {
 	*Machine
 	workers int
 	jobs    []*apiv1.Job
-	// nextJobs is an equal copy of jobs, as a submission that was decoded anew brings.
+	// nextJobs is an equal copy of jobs, since each submission is decoded into new messages.
 	nextJobs []*apiv1.Job
 }
 
@@ -98,7 +98,7 @@
 	}}}
 }
 
-// BenchmarkApply times one command of each kind against the number of workers.
+// BenchmarkApply measures one command of each kind for several numbers of workers.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range benchSizes {
 		kinds := map[string]func(g *loadedMachine, i int){
@@ -131,7 +131,7 @@
 	}
 }
 
-// BenchmarkSnapshot times snapshot and restore, and reports the size.
+// BenchmarkSnapshot measures encoding and restoring a snapshot, and reports its size.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range benchSizes {
 		g := newLoadedMachine(n)
@@ -155,7 +155,7 @@
 	}
 }
 
-// BenchmarkHeap reports the heap that one more of each kind takes.
+// BenchmarkHeap reports the heap bytes per record of each kind.
 func BenchmarkHeap(b *testing.B) {
 	const count = 20000
 	for kind, f := range map[string]func(m *Machine){
--- a/state/claims.go
+++ b/state/claims.go
@@ -8,20 +8,22 @@
 )
 
 const (
-	// DefaultClaimWindow holds for claims that name no window.
+	// DefaultClaimWindow applies to claims that specify no window.
 	DefaultClaimWindow = 24 * time.Hour
-	// MaxClaimWindow bounds how long a claim can ask to be remembered.
+	// MaxClaimWindow bounds the window that a claim may request, from the claim to
+	// the expiry of its key.
 	MaxClaimWindow = 7 * 24 * time.Hour
-	// MaxClaims bounds the claims remembered; a claim above it is refused, which
-	// is a truthful "not run". A settled claim takes some 550 bytes beside its
-	// response, so the bound keeps claims near 110 MB. Claims come at most at
-	// MaxClaims in two windows: a host with more takes a shorter window.
+	// MaxClaims bounds the number of retained claims. A claim above it is refused,
+	// and the entry can correctly report the request as not run. A settled claim takes
+	// about 550 bytes without its response, so this bound limits claims to about
+	// 110 MB. A claim is retained for two windows, so at most MaxClaims claims can be
+	// made in that time; a host with a higher rate needs a shorter window.
 	MaxClaims = 200_000
-	// MaxResponseBytes bounds one stored response, headers and body. The outcome
-	// of a request with a larger one is stored without it.
+	// MaxResponseBytes bounds the headers and body of one stored response. For a
+	// larger response only the outcome of the request is stored.
 	MaxResponseBytes = 256 << 10
-	// MaxTotalResponseBytes bounds all stored responses together. The oldest
-	// are dropped first; their outcomes stay.
+	// MaxTotalResponseBytes bounds all stored responses together. The responses that
+	// were stored first are dropped first; their outcomes are kept.
 	MaxTotalResponseBytes = 64 << 20
 )
 
@@ -33,32 +35,32 @@
 	return w
 }
 
-// claim binds a key to one request. Only one attempt per key is ever open, and
-// the answer says whether it is the asker's.
+// claim binds a key to one request. At most one attempt per key is open at any time,
+// and the result reports whether it is the claimant's.
 func (m *Machine) claim(c *apiv1.Claim) *apiv1.Result {
 	if c.GetKey() == "" || c.GetRequestId() == "" || c.GetAttempt() == 0 {
 		return refuseClaim(apiv1.Reason_REASON_BAD_REQUEST, nil)
 	}
-	standing := m.claims.byKey[claimKey{c.Service, c.Key}]
-	if standing != nil && standing.deletionTime() <= m.timeMs {
-		// Clean-up is behind; the key counts as forgotten already.
-		m.claims.remove(standing)
-		standing = nil
+	existing := m.claims.byKey[claimKey{c.Service, c.Key}]
+	if existing != nil && existing.deletionTime() <= m.timeMs {
+		// The clean-up has not reached this claim, which is already due for deletion.
+		m.claims.remove(existing)
+		existing = nil
 	}
-	if standing == nil {
+	if existing == nil {
 		return m.claimNewKey(c)
 	}
-	return m.claimKnownKey(standing.record, c)
+	return m.claimKnownKey(existing.record, c)
 }
 
 func (m *Machine) claimNewKey(c *apiv1.Claim) *apiv1.Result {
 	window := claimWindow(c).Milliseconds()
 	switch {
 	case c.KeyTimeMs != 0 && c.KeyTimeMs <= m.timeMs-window:
-		// The key may have been used and forgotten since it was made.
+		// The key may have been used, and its claim deleted, since it was created.
 		return refuseClaim(apiv1.Reason_REASON_KEY_EXPIRED, nil)
 	case c.ReplacesAttempt != 0:
-		// The attempt it names is not standing; what became of it is not known.
+		// The attempt to replace has no record, so its outcome is unknown.
 		return refuseClaim(apiv1.Reason_REASON_KEY_EXPIRED, nil)
 	case len(m.claims.byKey) >= MaxClaims:
 		return refuseClaim(apiv1.Reason_REASON_OVERLOADED, nil)
@@ -75,7 +77,7 @@
 	return grantClaim(apiv1.Verdict_VERDICT_ACCEPTED)
 }
 
-// bindClaim makes the claimant's dispatch the one that may run.
+// bindClaim makes the claimant's attempt the only one that may run.
 func (m *Machine) bindClaim(r *apiv1.ClaimRecord, c *apiv1.Claim) {
 	r.RequestId = c.RequestId
 	r.Entry = c.Entry
@@ -90,8 +92,9 @@
 	r.ClaimedClockTerm = m.clockTerm
 }
 
-// currentAttemptAge returns how long ago the standing attempt was claimed, at least
-// one millisecond; 0 when another leader's clock was read then.
+// currentAttemptAge returns the time since the current attempt was claimed, at least
+// one millisecond. It is 0 if the claim was stamped with another leader's clock, since
+// the difference of two hosts' clocks is not an age.
 func (m *Machine) currentAttemptAge(r *apiv1.ClaimRecord) int64 {
 	if r.ClaimedClockTerm == 0 || r.ClaimedClockTerm != m.clockTerm {
 		return 0
@@ -99,11 +102,11 @@
 	return max(0, m.commandTimeMs-r.ClaimedMs) + 1
 }
 
-// claimKnownKey judges a claim of a key that stands.
+// claimKnownKey decides on a claim of a key that has a record.
 func (m *Machine) claimKnownKey(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	switch {
 	case !bytes.Equal(r.RequestDigest, c.RequestDigest):
-		// The standing answer belongs to another request and is not shown.
+		// The recorded response belongs to another request and is not returned.
 		return refuseClaim(apiv1.Reason_REASON_KEY_REUSED, nil)
 	case r.ExpiresMs <= m.timeMs:
 		return refuseClaim(apiv1.Reason_REASON_KEY_EXPIRED, nil)
@@ -114,16 +117,16 @@
 	case r.Settled:
 		return m.conflictingClaim(r, r.Reason)
 	case sameClaim(r, c):
-		// The claimant's own resend: its first answer was lost.
+		// The claimant sends its claim again because the first result was lost.
 		return grantClaim(apiv1.Verdict_VERDICT_REPEATED)
 	}
 	return m.conflictingClaim(r, apiv1.Reason_REASON_KEY_IN_PROGRESS)
 }
 
-// replaceClaim opens the next attempt in place of one that was proven not run.
-// It must name the request as well as the attempt: attempts of different requests
-// under one key are both counted from one, and a replacement that arrived late
-// could otherwise take the place of an attempt that is running.
+// replaceClaim opens the next attempt in place of one that is confirmed as not run.
+// It must name the request as well as the attempt: the attempts of each request under
+// one key are counted from one, so a delayed replacement could otherwise replace a
+// running attempt of another request.
 func (m *Machine) replaceClaim(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	switch {
 	case r.Settled:
@@ -137,8 +140,8 @@
 	return grantClaim(apiv1.Verdict_VERDICT_ACCEPTED)
 }
 
-// reclaim grants a key whose last request was settled as not run. A late copy of
-// an earlier claim is not a new request: nobody waits for its answer any more.
+// reclaim grants a key whose last request was settled as not run. A delayed copy of an
+// earlier claim is not a new request, since no caller waits for its response.
 func (m *Machine) reclaim(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	if r.RequestId == c.RequestId && c.Attempt <= r.Attempt {
 		return m.conflictingClaim(r, r.Reason)
@@ -159,14 +162,15 @@
 	return &apiv1.Result{Verdict: v, Claim: &apiv1.ClaimResult{Granted: true}}
 }
 
-func refuseClaim(reason apiv1.Reason, standing *apiv1.ClaimRecord) *apiv1.Result {
+func refuseClaim(reason apiv1.Reason, existing *apiv1.ClaimRecord) *apiv1.Result {
 	return &apiv1.Result{
 		Verdict: apiv1.Verdict_VERDICT_REFUSED,
-		Claim:   &apiv1.ClaimResult{Standing: standing, Reason: reason},
+		Claim:   &apiv1.ClaimResult{Standing: existing, Reason: reason},
 	}
 }
 
-// conflictingClaim shows a copy of the record: the result outlives this Apply.
+// conflictingClaim returns a conflict with a copy of the record. It must be a copy
+// because the result is used after this Apply, when the record may change.
 func (m *Machine) conflictingClaim(r *apiv1.ClaimRecord, reason apiv1.Reason) *apiv1.Result {
 	return &apiv1.Result{
 		Verdict: apiv1.Verdict_VERDICT_CONFLICT,
@@ -174,14 +178,14 @@
 	}
 }
 
-// settle stores the outcome of the standing attempt. The first one wins: a caller
-// may have been told of it. Only "unknown" gives way, to whatever the agent that
-// was asked later can tell; stored for good, it would be the last word on the key
-// though the agent has the answer.
+// settle stores the outcome of the current attempt. The first outcome is final, since a
+// caller may have received it. Only "unknown" may be replaced, by an outcome that the
+// agent reports when it is queried later; otherwise the key would stay unknown although
+// the agent has the response.
 func (m *Machine) settle(s *apiv1.Settle) *apiv1.Result {
 	c := m.claims.byKey[claimKey{s.GetService(), s.GetKey()}]
 	if c == nil || c.record.ExpiresMs <= m.timeMs {
-		return conflict("no claim of this key stands")
+		return conflict("no claim of this key is in effect")
 	}
 	r := c.record
 	switch {
@@ -204,9 +208,10 @@
 	return accepted("")
 }
 
-// copyClaim copies what a claimant needs to know of a record; what it refers to
-// is never changed in place. When the attempt was claimed stays out: a claimant
-// gets the age, which does not depend on whose clock it reads.
+// copyClaim copies the fields of a record that a claimant needs. The copy shares the
+// digest and the response, which are never changed in place. The time of the claim is
+// left out: a claimant gets its age instead, which does not depend on which host's
+// clock the claimant reads.
 func copyClaim(r *apiv1.ClaimRecord) *apiv1.ClaimRecord {
 	return &apiv1.ClaimRecord{
 		Service:          r.Service,
--- a/state/claimtable.go
+++ b/state/claimtable.go
@@ -9,11 +9,11 @@
 )
 
 const (
-	// maxCleanupsPerCommand bounds the clean-up work of one command. It is above
-	// one, so that clean-up outruns claims.
+	// maxCleanupsPerCommand bounds the clean-up steps per command. It is above one,
+	// so that claims are cleaned up faster than they are added.
 	maxCleanupsPerCommand = 8
-	// minResponseCompaction is the least number of dropped responses that makes
-	// compacting their list worth it.
+	// minResponseCompaction is the smallest number of dropped responses for which
+	// the list of responses is compacted.
 	minResponseCompaction = 64
 )
 
@@ -23,9 +23,9 @@
 	key     string
 }
 
-// claim is a claim record and its place in the clean-up order. A claim is
-// remembered for two windows: in the first with its answer; in the second only
-// so that the key, used again, is refused and not run afresh.
+// claim is a claim record and its index in the clean-up heap. A claim is retained for
+// two windows. In the first, its response is retained as well. In the second, only the
+// record is retained, so that a reused key is refused and its request is not run again.
 type claim struct {
 	record    *apiv1.ClaimRecord
 	heapIndex int
@@ -35,9 +35,9 @@
 
 func (c *claim) deletionTime() int64 { return c.record.ExpiresMs + c.record.WindowMs }
 
-// cleanupTime is when the next clean-up step is: the response goes after the first
-// window, the record after the second. It follows from the record alone, so that
-// a restored machine cleans up in step with the one that made the snapshot.
+// cleanupTime returns when the next clean-up step is due: the response is dropped after
+// the first window, the record after the second. It depends on the record alone, so that
+// a restored machine cleans up at the same commands as the one that made the snapshot.
 func (c *claim) cleanupTime() int64 {
 	if c.record.Response != nil {
 		return c.record.ExpiresMs
@@ -45,11 +45,12 @@
 	return c.deletionTime()
 }
 
-// claimTable holds the claims by key and by the time their clean-up is due.
+// claimTable holds the claims by key and by their clean-up time.
 type claimTable struct {
 	byKey       map[claimKey]*claim
 	cleanupHeap claimHeap
-	// withResponse holds the claims that got a stored response, oldest settled first.
+	// withResponse lists the claims whose responses were stored, in the order of their
+	// settlement. Claims whose responses were dropped since are removed lazily.
 	withResponse  []*claim
 	responseCount int
 	responseBytes int
@@ -64,8 +65,8 @@
 	return c
 }
 
-// cleanUp does the clean-up that is due, at most limit steps of it. Judgements
-// compare times themselves, so clean-up that lags behind changes no answer.
+// cleanUp runs the clean-up steps that are due, at most limit of them. Commands compare
+// times themselves, so delayed clean-up changes no result.
 func (t *claimTable) cleanUp(nowMs int64, limit int) {
 	for n := 0; n < limit && len(t.cleanupHeap) > 0 && t.cleanupHeap[0].cleanupTime() <= nowMs; n++ {
 		c := t.cleanupHeap[0]
@@ -83,7 +84,8 @@
 	delete(t.byKey, c.key())
 }
 
-// storeResponse keeps the response of a settled claim within the bounds.
+// storeResponse stores the response of a settled claim unless it is too large, and
+// drops the oldest responses if the total exceeds its bound.
 func (t *claimTable) storeResponse(c *claim, r *apiv1.HttpResponse) {
 	size := responseSize(r)
 	if r == nil || size > MaxResponseBytes {
@@ -99,8 +101,8 @@
 	}
 }
 
-// dropResponse lets a response go. Its entry in answered goes once it is the
-// first one, or once entries without a response make up most of the list.
+// dropResponse deletes a stored response. Its entry in withResponse is removed once it
+// is the first one, or once entries without a response make up most of the list.
 func (t *claimTable) dropResponse(c *claim) {
 	if c.record.Response == nil {
 		return
@@ -128,8 +130,8 @@
 	return n
 }
 
-// claimHeap orders claims by due time, then by key, so that every replica cleans
-// up in the same order.
+// claimHeap orders claims by clean-up time, then by service and key, so that every
+// replica cleans up in the same order.
 type claimHeap []*claim
 
 func (h claimHeap) Len() int { return len(h) }
--- a/state/ends.go
+++ b/state/ends.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// maxFailedWorkers bounds the workers remembered per task.
+	// maxFailedWorkers bounds the number of workers, on which attempts failed, that are
+	// retained per task.
 	maxFailedWorkers = 8
-	// defaultMaxFailures holds for jobs that declare none.
+	// defaultMaxFailures applies to jobs that declare no limit.
 	defaultMaxFailures = 3
 	firstBackoff       = time.Second
 	maxBackoff         = 5 * time.Minute
 )
 
-// endAttempt releases the attempt and moves the task on: to its final state, back to
-// the queue, or to canceled where it must not run again.
+// endAttempt releases the attempt's resources and sets the task's next state. A task that
+// would be queued is canceled if it must not run again.
 func (m *Machine) endAttempt(t *task, next apiv1.TaskState, reason string) {
 	m.release(t)
 	if next == apiv1.TaskState_TASK_STATE_QUEUED && (t.job.canceled || t.surplus()) {
@@ -35,8 +36,8 @@
 	m.deleteEndedJob(t.job)
 }
 
-// liveAttempt returns the task when exactly this attempt of it is live. Late and
-// repeated reports name an attempt that is not, and change nothing.
+// liveAttempt returns the task if exactly this attempt of it is live, and nil otherwise.
+// Late and repeated reports name an attempt that is not live, so they change nothing.
 func (m *Machine) liveAttempt(a *apiv1.TaskAttempt) *task {
 	t := m.tasks[a.GetTask()]
 	if t == nil || !t.live() || t.attempt != a.GetAttempt() {
@@ -45,8 +46,8 @@
 	return t
 }
 
-// recordTasks takes in the ends that a worker reports. An end counts for the
-// attempt it names only, and only from the worker that held it.
+// recordTasks records the ends that a worker reports. An end applies only to the attempt
+// that it names, and only if it comes from the worker of that attempt.
 func (m *Machine) recordTasks(r *apiv1.RecordTasks) *apiv1.Result {
 	w := m.workers[r.GetWorker()]
 	if w == nil || w.incarnation != r.GetWorkerIncarnation() {
@@ -85,16 +86,16 @@
 	return true
 }
 
-// queuedAfterAttempt reports whether the attempt is the task's last, was granted
-// to this worker, has been counted as over, and has no successor yet.
+// queuedAfterAttempt reports whether the attempt is the task's last, was granted to this
+// worker, has been recorded as ended, and the task is queued for its next attempt.
 func (t *task) queuedAfterAttempt(attempt uint64, w *worker) bool {
 	return t.state == apiv1.TaskState_TASK_STATE_QUEUED && t.attempt > 0 &&
 		t.attempt == attempt && t.lastWorker == w.name
 }
 
-// recordLateEnd takes in the end of an attempt whose lease ran out before its
-// worker could report. A success found in time keeps the work from being done
-// again, a checkpoint from being done from further back.
+// recordLateEnd records the end of an attempt whose lease expired before its worker
+// could report. A success that is recorded before the next attempt avoids repeating the
+// whole task; a checkpoint avoids repeating the work that it covers.
 func (m *Machine) recordLateEnd(t *task, e *apiv1.TaskEnd) bool {
 	checkpoint := e.GetCheckpoint()
 	switch {
@@ -138,8 +139,9 @@
 	m.endAttempt(t, apiv1.TaskState_TASK_STATE_QUEUED, t.reason)
 }
 
-// backoff doubles with each failure, so that a job that fails everywhere does
-// not take room from others for nothing.
+// backoff returns the delay from a failure to the next attempt. It doubles with each
+// failure, so that a job that fails on every worker does not waste capacity that other
+// jobs could use.
 func backoff(failures int32) time.Duration {
 	d := firstBackoff
 	for i := int32(1); i < failures && d < maxBackoff; i++ {
@@ -148,8 +150,8 @@
 	return min(d, maxBackoff)
 }
 
-// expire ends attempts whose leases ran out by the table of the leader that is
-// ready; an earlier leader's table says nothing any more.
+// expire ends attempts whose leases expired according to the lease table of the leader
+// that is ready. The lease table of a previous leader is outdated.
 func (m *Machine) expire(e *apiv1.Expire) *apiv1.Result {
 	if e.GetTerm() != m.leaderTerm {
 		return conflict(fmt.Sprintf("the leader of term %d is ready", m.leaderTerm))
@@ -170,8 +172,8 @@
 	return accepted("")
 }
 
-// recordCheckpoints notes the last durable checkpoints of attempts that are about
-// to end without a report of their own.
+// recordCheckpoints records the last durable checkpoints of attempts that are about to
+// end without a report of the worker.
 func (m *Machine) recordCheckpoints(list []*apiv1.TaskCheckpoint) {
 	for _, c := range list {
 		t := m.liveAttempt(c.GetTask())
--- a/state/grants.go
+++ b/state/grants.go
@@ -6,21 +6,21 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// place judges each grant on its own: a plan is made from a snapshot that may be
-// out of date by the time it is applied.
+// place validates each grant on its own, since the plan was made from a snapshot that
+// may be outdated when the plan is applied.
 func (m *Machine) place(p *apiv1.Place) *apiv1.Result {
 	res := accepted("")
 	for _, g := range p.GetGrants() {
-		judged := m.validateGrant(g)
-		if judged.Verdict == apiv1.Verdict_VERDICT_ACCEPTED {
+		result := m.validateGrant(g)
+		if result.Verdict == apiv1.Verdict_VERDICT_ACCEPTED {
 			m.grant(m.tasks[g.Task], m.workers[g.Worker], ResourcesOf(g.Resources))
 		}
-		res.Grants = append(res.Grants, &apiv1.GrantResult{Verdict: judged.Verdict, Message: judged.Message})
+		res.Grants = append(res.Grants, &apiv1.GrantResult{Verdict: result.Verdict, Message: result.Message})
 	}
 	return res
 }
 
-// validateGrant says whether a grant may be made, and changes nothing.
+// validateGrant returns whether a grant may be made. It changes no state.
 func (m *Machine) validateGrant(g *apiv1.Grant) *apiv1.Result {
 	t := m.tasks[g.GetTask()]
 	w := m.workers[g.GetWorker()]
@@ -47,7 +47,7 @@
 		return conflict(why)
 	}
 	if !w.fits(size) {
-		return refused("the worker has not enough room")
+		return refused("the worker does not have enough free capacity")
 	}
 	tm := m.teamOf(t.job)
 	sum, ok := tm.granted.plus(size)
@@ -57,7 +57,7 @@
 	return accepted("")
 }
 
-// grant makes the task's next attempt and counts its room.
+// grant starts the task's next attempt and counts its resources at the worker and team.
 func (m *Machine) grant(t *task, w *worker, size Resources) {
 	if t.live() {
 		panic(fmt.Sprintf("state: a task has at most one live attempt: %s is granted while attempt %d is live", t.id, t.attempt))
@@ -75,14 +75,14 @@
 	tm.granted = mustPlus(tm.granted, size)
 }
 
-// release stops counting a task's room: its attempt has surely ended.
+// release stops counting the resources of a task whose attempt is known to have ended.
 func (m *Machine) release(t *task) {
 	t.worker.changedIndex = m.index
 	t.worker.detach(t)
 	tm := m.teamOf(t.job)
 	tm.granted = tm.granted.Minus(t.grant)
 	if tm.granted.negative() {
-		panic(fmt.Sprintf("state: a team's granted room is never negative: team %q after %s", t.job.definition.Team, t.id))
+		panic(fmt.Sprintf("state: a team's granted resources are never negative: team %q after %s", t.job.definition.Team, t.id))
 	}
 	t.grant = Resources{}
 }
--- a/state/history_test.go
+++ b/state/history_test.go
@@ -13,11 +13,11 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// noTimeLimit lets a check take as long as it needs: with a limit the verdict depends on the load.
+// noTimeLimit disables the checker's timeout, which would make the result depend on the load.
 const noTimeLimit time.Duration = 0
 
-// clientHistory runs clients that share a machine through a log in which commands
-// wait and come twice, and which restores the machine from a snapshot at times.
+// clientHistory runs clients against one machine, through a log that delays and duplicates
+// commands, and restores the machine from a snapshot at random times.
 type clientHistory struct {
 	rng     *rand.Rand
 	m       *Machine
@@ -29,7 +29,7 @@
 type pendingOp struct {
 	op  int
 	cmd *apiv1.Command
-	// copies of the command are still on their way.
+	// copies is the number of copies of the command that are not applied yet.
 	copies int
 }
 
@@ -39,7 +39,7 @@
 	h.pending = append(h.pending, pendingOp{op: len(h.ops) - 1, cmd: cmd, copies: 1 + h.rng.Intn(2)})
 }
 
-// applyPending applies one of the waiting commands.
+// applyPending applies one of the pending commands.
 func (h *clientHistory) applyPending() {
 	i := h.rng.Intn(len(h.pending))
 	p := &h.pending[i]
@@ -54,8 +54,9 @@
 	if op := &h.ops[p.op]; op.Output == nil {
 		op.Output, op.Return = res, h.now
 	} else {
-		// A copy may take effect on its own: a claim that was refused at first can be
-		// granted to nobody later. It must still never be a second open attempt.
+		// A copy is an operation of its own: a claim that was refused at first may be
+		// granted later although no client waits for it. Even then it must not be a
+		// second open attempt.
 		h.ops = append(h.ops, porcupine.Operation{ClientId: op.ClientId, Input: op.Input, Call: op.Call, Output: res, Return: h.now})
 	}
 	p.copies--
@@ -72,22 +73,22 @@
 		for _, op := range h.ops {
 			t.Logf("%d..%d %v -> %v", op.Call, op.Return, op.Input, op.Output)
 		}
-		t.Fatalf("seed %d: history is %v", seed, got)
+		t.Fatalf("seed %d: the check of the history returned %v", seed, got)
 	}
 }
 
-// configState is the model of submissions: the version, each id's digest and first answer.
+// configState is the model of submissions: the version, and each id's digest and first result.
 type configState struct {
 	version uint64
-	answers string // "id digest verdict version;" per submission, in order
+	results string // "id digest verdict version;" per submission, in order
 }
 
 func stepSubmit(st, in, out any) (bool, any) {
 	s, cmd, res := st.(configState), in.(*apiv1.Submit), out.(*apiv1.Result)
-	for _, answer := range strings.Split(s.answers, ";") {
+	for _, result := range strings.Split(s.results, ";") {
 		var id, digest string
 		var verdict, version int
-		fmt.Sscanf(answer, "%s %s %d %d", &id, &digest, &verdict, &version)
+		fmt.Sscanf(result, "%s %s %d %d", &id, &digest, &verdict, &version)
 		if id != cmd.SubmissionId {
 			continue
 		}
@@ -104,15 +105,15 @@
 		next.version++
 		want = apiv1.Verdict_VERDICT_ACCEPTED
 	}
-	next.answers += fmt.Sprintf("%s %s %d %d;", cmd.SubmissionId, textDigest(cmd), want, next.version)
+	next.results += fmt.Sprintf("%s %s %d %d;", cmd.SubmissionId, textDigest(cmd), want, next.version)
 	return res.Verdict == want && res.ConfigurationVersion == next.version, next
 }
 
-// Symptom: a configuration that was accepted reverts, or two operators are both
-// told that they won. Sequence: operators race with equal versions and resend
-// after lost answers, whole or by delta, with the same text or another one;
-// commands come late and twice; the machine is restored in between. Cause: an
-// answer not bound to its id, or a delta applied to another base.
+// Guards against an accepted configuration that is reverted, and against two submissions with
+// the same base version that are both accepted. Operators submit concurrently and resend
+// after lost results, as a whole or a delta, with the same text or another; commands are
+// delayed and duplicated, and the machine is restored in between. A result must be bound to
+// its submission id, and a delta applied only to its base.
 func TestSubmissionsAreLinearizable(t *testing.T) {
 	model := porcupine.Model{Init: func() any { return configState{} }, Step: stepSubmit}
 	for seed := range int64(300) {
@@ -141,7 +142,7 @@
 	}
 }
 
-// claimState is the model of one key: whose attempt is open, and how it was settled.
+// claimState is the model of one key: its current attempt and the outcome of it.
 type claimState struct {
 	request string
 	attempt uint32
@@ -179,10 +180,10 @@
 	return false, s
 }
 
-// Symptom: a charge runs twice. Sequence: the same key through two entry hosts at
-// once, resent after lost answers, replaced after a proven "not run", settled late
-// and twice, restored from snapshots. Cause: two attempts of a key open at once,
-// or one opened after the request has run.
+// Guards against a charge that runs twice. One key is claimed through two entry hosts at once,
+// claimed again after lost results, replaced after a confirmed "not run", and settled late and
+// repeatedly, with restores from snapshots. Two attempts of a key must never be open at once,
+// and none may be opened after the request has run.
 func TestClaimsAreLinearizable(t *testing.T) {
 	model := porcupine.Model{Init: func() any { return claimState{} }, Step: stepClaim}
 	outcomes := []apiv1.Outcome{apiv1.Outcome_OUTCOME_ANSWERED, apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Outcome_OUTCOME_UNKNOWN}
--- a/state/invariants.go
+++ b/state/invariants.go
@@ -6,10 +6,10 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Check compares every index with the records that it follows from, and returns
-// the first invariant that does not hold. Its cost grows with the whole state:
-// it runs when a snapshot is restored and in tests. The cheap checks at each
-// grant and release run always and panic.
+// Check compares every index with the records that it is derived from, and returns an
+// error for the first violated invariant. Its cost grows with the whole state, so it runs
+// only when a snapshot is restored and in tests. The cheap checks at each grant and
+// release always run, and panic on a violation.
 func (m *Machine) Check() error {
 	if err := m.checkTasks(); err != nil {
 		return err
@@ -31,11 +31,11 @@
 		holds := t.state == apiv1.TaskState_TASK_STATE_GRANTED || t.state == apiv1.TaskState_TASK_STATE_STOPPING
 		switch {
 		case holds != t.live():
-			return errors.Newf("a task holds room exactly while it is granted or stopping: %s", id)
+			return errors.Newf("a task has a worker exactly while it is granted or stopping: %s", id)
 		case t.live() && (t.workerIndex < 0 || t.workerIndex >= len(t.worker.tasks) || t.worker.tasks[t.workerIndex] != t):
-			return errors.Newf("a live attempt is listed at its worker: %s", id)
+			return errors.Newf("a live attempt is in its worker's list of tasks: %s", id)
 		case t.live() && t.attempt == 0:
-			return errors.Newf("a live attempt has a number: %s", id)
+			return errors.Newf("a live attempt has a number above 0: %s", id)
 		case t.state == apiv1.TaskState_TASK_STATE_QUEUED && (t.job.canceled || t.surplus()):
 			return errors.Newf("a canceled task is not queued: %s", id)
 		case t.state == apiv1.TaskState_TASK_STATE_GRANTED && (t.job.canceled || t.surplus()):
@@ -51,11 +51,11 @@
 		for _, t := range w.tasks {
 			var ok bool
 			if sum, ok = sum.plus(t.grant); !ok || t.worker != w {
-				return errors.Newf("a worker's grants add up: %s", name)
+				return errors.Newf("a worker's grants do not overflow and belong to its own tasks: %s", name)
 			}
 		}
 		if sum != w.granted {
-			return errors.Newf("a worker's granted room is the sum of its live grants: %s", name)
+			return errors.Newf("a worker's granted resources are the sum of its live grants: %s", name)
 		}
 	}
 	return nil
@@ -69,7 +69,7 @@
 		if t.live() {
 			sum, ok := granted[name].plus(t.grant)
 			if !ok {
-				return errors.Newf("a team's grants add up: %q", name)
+				return errors.Newf("a team's grants do not overflow: %q", name)
 			}
 			granted[name] = sum
 		}
@@ -82,12 +82,12 @@
 		}
 		queued[name]++
 		if q := m.teams[name].queue; t.queueIndex >= len(q) || q[t.queueIndex] != t {
-			return errors.Newf("a queued task is at its place in the queue: %s", id)
+			return errors.Newf("a queued task is at its index in the queue: %s", id)
 		}
 	}
 	for name, t := range m.teams {
 		if t.granted != granted[name] || len(t.queue) != queued[name] {
-			return errors.Newf("a team's room and queue follow from its tasks: %q", name)
+			return errors.Newf("a team's granted resources and queue match its tasks: %q", name)
 		}
 	}
 	return nil
@@ -96,7 +96,7 @@
 func (m *Machine) checkJobs() error {
 	for name, j := range m.jobs {
 		if j.removed || j.definition.Name != name {
-			return errors.Newf("a current job is in the configuration: %s", j.id)
+			return errors.Newf("a job that is not removed is listed under its name: %s", j.id)
 		}
 		if err := j.checkCounts(); err != nil {
 			return err
@@ -104,7 +104,7 @@
 	}
 	for _, j := range m.removedJobs {
 		if !j.removed || j.live() == 0 {
-			return errors.Newf("a removed job is kept only while an attempt is live: %s", j.id)
+			return errors.Newf("a removed job is retained only while an attempt is live: %s", j.id)
 		}
 		if err := j.checkCounts(); err != nil {
 			return err
@@ -123,7 +123,7 @@
 		}
 	}
 	if counts != j.taskCounts || remaining != j.remaining {
-		return errors.Newf("a job's counts follow from its tasks: %s", j.id)
+		return errors.Newf("a job's counts match its tasks: %s", j.id)
 	}
 	return nil
 }
@@ -136,14 +136,14 @@
 			size += responseSize(c.record.Response)
 		}
 		if m.claims.cleanupHeap[c.heapIndex] != c {
-			return errors.Newf("a claim is at its place in the clean-up order: %q", c.record.Key)
+			return errors.Newf("a claim is at its index in the clean-up heap: %q", c.record.Key)
 		}
 	}
 	if size != m.claims.responseBytes || responses != m.claims.responseCount {
-		return errors.New("the stored responses' sizes add up")
+		return errors.New("the count and the total size of responses match the claims")
 	}
 	if size > MaxTotalResponseBytes || len(m.claims.byKey) > MaxClaims {
-		return errors.New("claims stay within their bounds")
+		return errors.New("claims and stored responses are within their bounds")
 	}
 	return nil
 }
--- a/state/jobs.go
+++ b/state/jobs.go
@@ -11,15 +11,15 @@
 // taskStateCount is one above the largest apiv1.TaskState.
 const taskStateCount = int(apiv1.TaskState_TASK_STATE_CANCELED) + 1
 
-// job is one life of a job: from the configuration that brought it until the one
-// that dropped it, and on until its last attempt has ended. A name that returns
-// later starts a new life with task ids of its own, so that attempt numbers, the
-// fencing tokens, never start over under an id that a worker has seen.
+// job is the record of a job from the configuration version that added it until it is
+// removed and its last attempt has ended. If the name is declared again later, it is a
+// new job with its own task ids, so that attempt numbers, which are the fencing tokens,
+// never restart under a task id that a worker has seen.
 //
-// A changed definition applies to attempts granted from then on; live ones keep
-// the room they were granted. More tasks are added as queued; surplus ones are
-// canceled, and queued again from their checkpoint when the number grows back.
-// A job that was canceled stays so until it leaves the configuration.
+// A changed definition applies to attempts granted after the change; live ones keep their
+// grants. If the number of tasks grows, the new ones are queued. If it shrinks, surplus
+// tasks are canceled, and queued again from their checkpoints if it grows again. A
+// canceled job stays canceled until it is removed from the configuration.
 type job struct {
 	id             string
 	definition     *apiv1.Job
@@ -30,10 +30,9 @@
 	parkedReason   string
 	tasks          []*task
 	taskCounts     [taskStateCount]int
-	// remaining counts the tasks that the definition asks for and that have not
-	// succeeded.
+	// remaining counts the tasks of the definition that have not succeeded.
 	remaining int
-	// enqueued: its queued tasks are in the team's queue.
+	// enqueued reports whether its queued tasks are in the team's queue.
 	enqueued bool
 }
 
@@ -96,7 +95,7 @@
 	m.unlinkDependencies(j)
 	m.moveGrantsToTeam(j, d.Team)
 	if ResourcesOf(j.definition.Size) != ResourcesOf(d.Size) {
-		// It was parked for what it asked for until now.
+		// The job was parked because of its previous size.
 		j.parkedReason = ""
 	}
 	j.definition = d
@@ -115,8 +114,8 @@
 	m.requeueWithDependents(j)
 }
 
-// removeJob cancels a job that left the configuration and forgets it, at once
-// or when its last attempt ends.
+// removeJob cancels a job that is no longer in the configuration. Its record is deleted
+// at once, or when its last attempt ends.
 func (m *Machine) removeJob(j *job) {
 	m.cancelJob(j, "removed from the configuration")
 	m.unlinkDependencies(j)
@@ -127,7 +126,7 @@
 	m.deleteEndedJob(j)
 }
 
-// deleteEndedJob drops a removed job once nothing of it is live.
+// deleteEndedJob deletes a removed job if none of its attempts is live.
 func (m *Machine) deleteEndedJob(j *job) {
 	if !j.removed || j.live() > 0 {
 		return
@@ -169,7 +168,7 @@
 		changed = true
 	}
 	if !changed {
-		return repeated("no job of these names is there to be canceled")
+		return repeated("each of these jobs is unknown or canceled already")
 	}
 	return accepted("")
 }
@@ -181,7 +180,8 @@
 	return fmt.Sprintf("canceled by %s: %s", c.Operator, c.Reason)
 }
 
-// park keeps the queued tasks of jobs out of planning for a reason, or ends that.
+// park excludes the queued tasks of jobs from planning for a reason, or includes them
+// again.
 func (m *Machine) park(p *apiv1.Park) *apiv1.Result {
 	reason := p.GetReason()
 	if p.GetWake() {
--- a/state/machine.go
+++ b/state/machine.go
@@ -1,10 +1,10 @@
-// Package state is the replicated state of the control group: configuration,
-// jobs and their tasks, workers and the room granted on them, and claims of
-// idempotency keys. A Machine is deterministic and does no I/O: replicas that
-// apply the same log hold the same state. Its time is the log's: the largest
-// time stamp of any applied command.
+// Package state implements the replicated state of the control group: the
+// configuration, jobs and their tasks, workers and the capacity granted on them,
+// and claims of idempotency keys. A Machine is deterministic and does no I/O:
+// replicas that apply the same log have the same state. Its time is the log's: the
+// largest time stamp of any applied command.
 //
-// What is retained is bounded: see MaxSubmissions, MaxClaims, MaxResponseBytes,
+// The retained state is bounded: see MaxSubmissions, MaxClaims, MaxResponseBytes,
 // MaxTotalResponseBytes and MaxTasksPerJob.
 package state
 
@@ -33,8 +33,9 @@
 	configuration *apiv1.Configuration
 	services      map[string]*apiv1.Service
 
-	// jobs holds the current life of each job by name; ending holds, by identity,
-	// jobs that left the configuration while attempts of theirs were live.
+	// jobs holds the jobs of the configuration by name. removedJobs holds, by id,
+	// jobs that were removed from the configuration and still have live attempts;
+	// removedCount counts them by name.
 	jobs         map[string]*job
 	removedJobs  map[string]*job
 	removedCount map[string]int
@@ -70,8 +71,8 @@
 	}
 }
 
-// Apply applies the command at a log index and returns what became of it. The
-// machine keeps references into cmd; the caller must not change it afterwards.
+// Apply applies the command at a log index and returns its result. The machine
+// keeps references into cmd; the caller must not change it afterwards.
 func (m *Machine) Apply(index uint64, cmd *apiv1.Command) *apiv1.Result {
 	if index <= m.index {
 		panic(fmt.Sprintf("state: log entries are applied once and in order: got index %d after %d", index, m.index))
@@ -85,11 +86,11 @@
 	return res
 }
 
-// ApplyEncoded is Apply for encoded commands and results.
+// ApplyEncoded decodes a command, applies it and returns the encoded result.
 func (m *Machine) ApplyEncoded(index uint64, command []byte) []byte {
 	cmd := &apiv1.Command{}
 	if err := proto.Unmarshal(command, cmd); err != nil {
-		// Every replica fails alike on the same bytes, so the state stays equal.
+		// Decoding the same bytes fails on every replica, so the states stay equal.
 		cmd = &apiv1.Command{}
 	}
 	out, err := proto.Marshal(m.Apply(index, cmd))
@@ -130,7 +131,7 @@
 	case *apiv1.Command_Jobs:
 		return m.applyJobs(body.Jobs)
 	}
-	return refused("command has no body that this version knows")
+	return refused("the command has no body that this version recognizes")
 }
 
 // applyJobs applies a command about submitted jobs.
@@ -149,9 +150,10 @@
 // LeaderTerm returns the term of the newest leader that was ready to lead.
 func (m *Machine) LeaderTerm() uint64 { return m.leaderTerm }
 
-// recordLeader notes that a leader is ready. Commands carry no term of the log, and one
-// that a deposed leader judged could be appended after it was elected again; by
-// then another leader may have renewed the leases that it found run out.
+// recordLeader records that the leader of a term is ready. Commands do not carry the
+// term of the log, so a command that a deposed leader created could be appended after
+// it is elected again; meanwhile another leader may have renewed the leases that the
+// deposed one found expired.
 func (m *Machine) recordLeader(l *apiv1.Lead) *apiv1.Result {
 	if l.GetTerm() < m.leaderTerm {
 		return conflict(fmt.Sprintf("the leader of term %d is ready", m.leaderTerm))
@@ -176,6 +178,6 @@
 	return &apiv1.Result{Verdict: apiv1.Verdict_VERDICT_REFUSED, Message: message}
 }
 
-// sortedKeys returns a map's keys in order. Replicas must not depend on Go's
-// random map order wherever the order can be seen.
+// sortedKeys returns a map's keys in order. Replicas must not depend on Go's random
+// map order wherever it affects the state or a result.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/state/machine_test.go
+++ b/state/machine_test.go
@@ -12,8 +12,8 @@
 	"github.com/cairnlift/cairnlift/configdelta"
 )
 
-// commandChecker judges the machine from outside: it follows grants and ends by the
-// commands and their results, and never reads the machine's own sums.
+// commandChecker checks the machine from outside: it tracks grants and ends by the commands
+// and their results, and never reads the machine's own sums.
 type commandChecker struct {
 	t           *rapid.T
 	term        uint64
@@ -78,7 +78,7 @@
 		}
 	}
 	if sum > w.Capacity.MilliProcessors {
-		l.t.Fatalf("%s holds %d of %d", g.Worker, sum, w.Capacity.MilliProcessors)
+		l.t.Fatalf("%s has grants of %d, above its capacity of %d", g.Worker, sum, w.Capacity.MilliProcessors)
 	}
 }
 
@@ -105,14 +105,14 @@
 func (l *commandChecker) forget(worker string) {
 	for _, g := range l.liveGrants {
 		if g.Worker == worker {
-			l.t.Fatalf("%s is forgotten while it holds %s", worker, g.Task)
+			l.t.Fatalf("%s is deleted while %s is granted on it", worker, g.Task)
 		}
 	}
 	delete(l.workers, worker)
 }
 
 // generator draws commands from small sets of names, so that late, repeated and
-// contradictory ones are frequent.
+// conflicting ones are frequent.
 type generator struct {
 	t *rapid.T
 	m *Machine
@@ -163,7 +163,7 @@
 	return c
 }
 
-// asDelta is the same submission by delta, made from what its sender has.
+// asDelta returns the same submission as a delta against the sender's configuration.
 func asDelta(have *apiv1.Configuration, s *apiv1.Submit) *apiv1.Submit {
 	to := proto.CloneOf(s.Configuration)
 	to.Version = have.Version + 1
@@ -267,11 +267,10 @@
 	return c
 }
 
-// Symptom: a host carries more than it holds, a task runs twice, or replicas
-// disagree after one was restored from a snapshot. Sequence: any commands, among
-// them late and repeated ones, with a snapshot taken and restored in between.
-// Cause: a command judged by anything but the records, or an index that has
-// drifted from them.
+// Guards against grants above a worker's capacity, two live attempts of a task, and replicas
+// that differ after one was restored from a snapshot. Random commands, some late or repeated,
+// are applied with snapshots and restores in between; a command must be validated by the
+// records alone, and every index must match them.
 func TestRandomCommandsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m, restored := New(), New()
@@ -290,7 +289,7 @@
 				t.Fatalf("after %v: %v", cmd, err)
 			}
 			if same := restored.Apply(uint64(i+1), cmd); !proto.Equal(res, same) {
-				t.Fatalf("restored machine answers %v, not %v", same, res)
+				t.Fatalf("the restored machine returns %v, not %v", same, res)
 			}
 			if g.intBetween(0, 9, "snapshot") == 0 {
 				restored = restore(t, m)
@@ -316,11 +315,11 @@
 	return r
 }
 
-// Symptom: the configuration is one that no operator submitted, or a resend after
-// a lost answer makes a version twice. Sequence: a delta is damaged; two others race
-// from the same base; a snapshot comes between the base and the delta; the winner
-// comes again whole. Cause: a delta applied to another base or without its digest,
-// or an id not bound to the text in both forms.
+// Guards against a configuration that no operator submitted, and against a resend that
+// creates a second version. One delta is corrupted, two others have the same base, the state
+// is restored from a snapshot before each submission, and the accepted one is sent again as a
+// whole configuration. A delta must be applied only to its base and checked against its
+// digest, and an id must be bound to the text in both forms.
 func TestSubmissionsByDelta(t *testing.T) {
 	m := New()
 	index := uint64(0)
--- a/state/queue.go
+++ b/state/queue.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// team keeps what a team's live attempts hold, and its tasks that may be placed.
+// team tracks the resources of a team's live attempts and its tasks that may be placed.
 type team struct {
 	definition *apiv1.Team
 	quota      Resources
@@ -14,8 +14,8 @@
 	queue      []*task
 }
 
-// team returns the team of a name, also one that is not declared, such as the
-// empty name of jobs that belong to none.
+// team returns the team with a name and creates it if needed. It may be undeclared,
+// such as the team with the empty name, which holds the jobs that belong to no team.
 func (m *Machine) team(name string) *team {
 	t := m.teams[name]
 	if t == nil {
@@ -44,7 +44,7 @@
 	}
 }
 
-// moveGrantsToTeam charges the job's live attempts to another team.
+// moveGrantsToTeam charges the grants of the job's live attempts to another team.
 func (m *Machine) moveGrantsToTeam(j *job, name string) {
 	if j.definition.Team == name {
 		return
@@ -80,7 +80,7 @@
 	}
 }
 
-// requeueWithDependents brings the queues of a job and its dependents up to date.
+// requeueWithDependents updates the queues for a job and the jobs that depend on it.
 func (m *Machine) requeueWithDependents(j *job) {
 	if j.removed {
 		return
@@ -91,9 +91,9 @@
 	}
 }
 
-// waitsFor says what keeps a job's tasks from being placed, empty when nothing
-// does. Whether a service has targets is not part of the replicated state: the
-// leader judges that from workers' heartbeats.
+// waitsFor returns the reason why a job's tasks may not be placed, empty if they may.
+// Whether a service has targets is not part of the replicated state: the leader
+// determines that from workers' heartbeats.
 func (m *Machine) waitsFor(j *job) string {
 	switch {
 	case j.canceled:
@@ -101,7 +101,7 @@
 	case j.parkedReason != "":
 		return "the job is parked: " + j.parkedReason
 	case m.removedCount[j.definition.Name] > 0:
-		return "attempts of the job's earlier life have not ended"
+		return "attempts of a removed job of the same name have not ended"
 	}
 	for _, name := range j.definition.DependsOn {
 		if why := m.unmetDependency(name); why != "" {
@@ -124,7 +124,8 @@
 	return fmt.Sprintf("%q is neither a job nor a service", name)
 }
 
-// requeue puts a job's queued tasks into its team's queue or takes them out.
+// requeue adds a job's queued tasks to its team's queue if they may be placed, or removes
+// them from it.
 func (m *Machine) requeue(j *job) {
 	ready := m.waitsFor(j) == ""
 	if ready == j.enqueued {
--- a/state/resources.go
+++ b/state/resources.go
@@ -6,15 +6,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Resources is an amount of resources: thousandths of a processor, bytes, whole
-// accelerators. Unlike apiv1.Resources it is a comparable value.
+// Resources is an amount of resources: thousandths of a processor, bytes of memory and
+// whole accelerators. Unlike apiv1.Resources it is a comparable value.
 type Resources struct {
 	MilliProcessors int64
 	MemoryBytes     int64
 	Accelerators    int64
 }
 
-// ResourcesOf returns the amount that a message holds; nil holds nothing.
+// ResourcesOf returns the amount in a message; nil is the zero amount.
 func ResourcesOf(r *apiv1.Resources) Resources {
 	return Resources{r.GetMilliProcessors(), r.GetMemoryBytes(), r.GetAccelerators()}
 }
@@ -32,8 +32,8 @@
 	return a.MilliProcessors < 0 || a.MemoryBytes < 0 || a.Accelerators < 0
 }
 
-// plus adds two amounts that are not negative; false on overflow. A sum that
-// wrapped round would look like free room, so it must never be compared.
+// plus adds two non-negative amounts and reports false on overflow. A sum that wrapped
+// around would look like free capacity, so it must never be compared with a limit.
 func (a Resources) plus(b Resources) (Resources, bool) {
 	if a.MilliProcessors > math.MaxInt64-b.MilliProcessors ||
 		a.MemoryBytes > math.MaxInt64-b.MemoryBytes ||
@@ -63,7 +63,7 @@
 		a.Accelerators <= limit.Accelerators
 }
 
-// withinQuota is Within, where a zero field of the quota sets no limit.
+// withinQuota is like Within, but a zero field of the quota means no limit.
 func (a Resources) withinQuota(quota Resources) bool {
 	return (quota.MilliProcessors == 0 || a.MilliProcessors <= quota.MilliProcessors) &&
 		(quota.MemoryBytes == 0 || a.MemoryBytes <= quota.MemoryBytes) &&
--- a/state/restore.go
+++ b/state/restore.go
@@ -10,7 +10,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// load fills an empty machine from a snapshot and builds the indexes anew.
+// load fills an empty machine from a snapshot and rebuilds the indexes.
 func (m *Machine) load(s *apiv1.StateSnapshot) error {
 	m.index = s.Index
 	m.timeMs = s.TimeMs
@@ -84,9 +84,9 @@
 	case j.definition == nil || j.definition.Name != name:
 		return errors.Newf("job %q has no definition", name)
 	case j.removed && m.removedJobs[j.id] != nil, !j.removed && m.jobs[name] != nil:
-		return errors.Newf("job %q is there twice", j.id)
+		return errors.Newf("job %q has two records", j.id)
 	case j.removed && !j.canceled:
-		return errors.Newf("job %q is removed and not canceled", j.id)
+		return errors.Newf("job %q is removed but not canceled", j.id)
 	}
 	if j.removed {
 		m.removedJobs[j.id] = j
@@ -101,7 +101,7 @@
 func (m *Machine) loadWorkers(records []*apiv1.WorkerRecord) error {
 	for _, r := range records {
 		if m.workers[r.Name] != nil {
-			return errors.Newf("worker %q is there twice", r.Name)
+			return errors.Newf("worker %q has two records", r.Name)
 		}
 		w := &worker{
 			name:             r.Name,
@@ -137,7 +137,7 @@
 	for _, r := range ordered {
 		j := byID[r.Job]
 		if j == nil || int(r.Number) != len(j.tasks) || r.Task != taskID(j.id, len(j.tasks)) {
-			return errors.Newf("task %q does not continue the tasks of a job", r.Task)
+			return errors.Newf("task %q is not the next task of any job", r.Task)
 		}
 		if err := m.loadTask(j, r); err != nil {
 			return err
@@ -145,7 +145,7 @@
 	}
 	for _, j := range m.jobs {
 		if len(j.tasks) < int(j.definition.Tasks) {
-			return errors.Newf("job %q lacks tasks", j.id)
+			return errors.Newf("job %q has fewer tasks than its definition", j.id)
 		}
 	}
 	return nil
@@ -153,7 +153,7 @@
 
 func (m *Machine) loadTask(j *job, r *apiv1.TaskRecord) error {
 	if r.State <= apiv1.TaskState_TASK_STATE_UNSPECIFIED || int(r.State) >= taskStateCount {
-		return errors.Newf("task %q is in no known state", r.Task)
+		return errors.Newf("task %q is in an unknown state", r.Task)
 	}
 	t := &task{
 		id:            r.Task,
@@ -186,7 +186,7 @@
 	w := m.workers[r.Worker]
 	t.grant = ResourcesOf(r.Grant)
 	if w == nil || t.grant.negative() {
-		return errors.Newf("task %q has no sound grant", t.id)
+		return errors.Newf("task %q has an invalid grant", t.id)
 	}
 	tm := m.teamOf(t.job)
 	sum, ok := tm.granted.plus(t.grant)
@@ -202,25 +202,25 @@
 }
 
 func (m *Machine) loadClaims(records []*apiv1.ClaimRecord) error {
-	var answered []*claim
+	var withResponse []*claim
 	for _, r := range records {
 		if m.claims.byKey[claimKey{r.Service, r.Key}] != nil {
-			return errors.Newf("claim %q is there twice", r.Key)
+			return errors.Newf("claim %q has two records", r.Key)
 		}
 		if r.WindowMs <= 0 || r.WindowMs > MaxClaimWindow.Milliseconds() || r.ExpiresMs > m.timeMs+r.WindowMs {
-			return errors.Newf("claim %q has no sound window", r.Key)
+			return errors.Newf("claim %q has an invalid window", r.Key)
 		}
 		c := m.claims.add(r)
 		if r.Response != nil {
-			answered = append(answered, c)
+			withResponse = append(withResponse, c)
 		}
 	}
-	slices.SortFunc(answered, func(a, b *claim) int {
+	slices.SortFunc(withResponse, func(a, b *claim) int {
 		return cmp.Compare(a.record.SettledIndex, b.record.SettledIndex)
 	})
-	m.claims.withResponse = answered
-	m.claims.responseCount = len(answered)
-	for _, c := range answered {
+	m.claims.withResponse = withResponse
+	m.claims.responseCount = len(withResponse)
+	for _, c := range withResponse {
 		m.claims.responseBytes += responseSize(c.record.Response)
 	}
 	return nil
@@ -228,11 +228,11 @@
 
 func (m *Machine) loadSubmissions(records []*apiv1.SubmissionRecord) error {
 	if len(records) > MaxSubmissions {
-		return errors.Newf("%d submissions are more than are retained", len(records))
+		return errors.Newf("%d submissions are more than the %d that are retained", len(records), MaxSubmissions)
 	}
 	for _, r := range records {
 		if r.Result == nil || m.submissions.byID[r.SubmissionId] != nil {
-			return errors.Newf("submission %q has no answer or is there twice", r.SubmissionId)
+			return errors.Newf("submission %q has no result or has two records", r.SubmissionId)
 		}
 		m.submissions.add(r)
 	}
--- a/state/script_test.go
+++ b/state/script_test.go
@@ -11,8 +11,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// applyScript applies commands, one a line in protojson with an expectation after "=>",
-// and reports each result that does not contain the expectation.
+// applyScript applies commands, one per line in protojson with the expected part of the
+// result after "=>", and reports each result that does not contain that part.
 func applyScript(t *testing.T, m *Machine, script string) {
 	t.Helper()
 	for _, line := range strings.Split(strings.TrimSpace(script), "\n") {
@@ -31,9 +31,9 @@
 	}
 }
 
-// Symptom: a charge runs again under a key that was used before. Sequence: the
-// key is resent with another body, after its window, or so late that its record
-// is forgotten. Cause: a key that is no longer known passes for a new one.
+// Guards against a charge that runs twice under one key. The key is sent again with another
+// body, after its window, or after its record was deleted; a key without a record must not
+// be accepted as a new one while it could have been used before.
 func TestKeysOutsideTheirWindowAreRefused(t *testing.T) {
 	m := New()
 	applyScript(t, m, `
@@ -53,10 +53,10 @@
 	}
 }
 
-// Symptom: a job's task runs in two places, or beyond its team's limit, or before
-// what it depends on. Sequence: the job leaves the text while it runs and returns.
-// Cause: the new life starts before the attempts of the old one have ended, or a
-// worker's list that is older than a grant is taken for proof that it ended.
+// Guards against a task that runs on two workers, exceeds its team's quota or starts before
+// its dependencies have succeeded. A running job is removed from the configuration and
+// declared again; its tasks must not be granted before the attempts of the removed job have
+// ended, and a worker's list that is older than a grant must not count as the end of it.
 func TestGrantsRespectDependenciesQuotaAndRemovedJobs(t *testing.T) {
 	m := New()
 	applyScript(t, m, `
@@ -64,7 +64,7 @@
 {"registerWorker":{"worker":"w","incarnation":"1","capacity":{"milliProcessors":"9","memoryBytes":"9223372036854775807"},"reserved":{"memoryBytes":"1"}}} => VERDICT_ACCEPTED
 {"place":{"grants":[{"task":"b@1/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => job \"a\" has not succeeded
 {"place":{"grants":[{"task":"c@1/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => neither a job nor a service
-{"place":{"grants":[{"task":"a@1/0","attempt":"1","worker":"w","workerIncarnation":"1","resources":{"memoryBytes":"9223372036854775807"}}]}} => not enough room
+{"place":{"grants":[{"task":"a@1/0","attempt":"1","worker":"w","workerIncarnation":"1","resources":{"memoryBytes":"9223372036854775807"}}]}} => not have enough free capacity
 {"place":{"grants":[{"task":"a@1/0","attempt":"1","worker":"w","workerIncarnation":"1","resources":{"milliProcessors":"6"}}]}} => used up its quota
 {"place":{"grants":[{"task":"a@1/0","attempt":"1","worker":"w","workerIncarnation":"1","resources":{"milliProcessors":"3"}}]}} => grants:{verdict:VERDICT_ACCEPTED}
 {"place":{"grants":[{"task":"a@1/1","attempt":"1","worker":"w","workerIncarnation":"1","resources":{"milliProcessors":"3"}}]}} => used up its quota
@@ -73,14 +73,14 @@
 {"submit":{"submissionId":"2","baseVersion":"1","configuration":{"textDigest":"2"}}} => configuration_version:2
 {"submit":{"submissionId":"x","baseVersion":"1","configuration":{"textDigest":"x"}}} => winner_submission_id:"2"
 {"submit":{"submissionId":"3","baseVersion":"2","configuration":{"textDigest":"3","jobs":[{"name":"a","tasks":1}]}}} => configuration_version:3
-{"place":{"grants":[{"task":"a@3/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => earlier life have not ended
+{"place":{"grants":[{"task":"a@3/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => removed job of the same name have not ended
 {"recordTasks":{"worker":"w","workerIncarnation":"1","ends":[{"task":{"task":"a@1/0","attempt":"1"},"kind":"END_KIND_STOPPED"}]}} => VERDICT_ACCEPTED
 {"place":{"grants":[{"task":"a@1/0","attempt":"2","worker":"w","workerIncarnation":"1"},{"task":"a@3/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => grants:{verdict:VERDICT_CONFLICT message:"no such task"} grants:{verdict:VERDICT_ACCEPTED}`)
 }
 
-// Symptom: work is done again though its first run succeeded. Sequence: a worker
-// is cut off, its task succeeds, its lease runs out; the worker is back before the
-// next attempt is granted, or after. Cause: a late report that is only dropped.
+// Guards against repeating work whose first attempt succeeded. A worker is disconnected, its
+// task succeeds and its lease expires; the worker reports before or after the next attempt
+// is granted. A late report must be recorded if there is no next attempt yet.
 func TestLateEndsBeforeNextAttempt(t *testing.T) {
 	applyScript(t, New(), `
 {"submit":{"submissionId":"1","configuration":{"textDigest":"1","jobs":[{"name":"a","tasks":2},{"name":"b","tasks":1,"dependsOn":["a"]}]}}} => VERDICT_ACCEPTED
@@ -98,7 +98,7 @@
 {"place":{"grants":[{"task":"b@1/0","attempt":"1","worker":"v","workerIncarnation":"1"}]}} => grants:{verdict:VERDICT_ACCEPTED}`)
 }
 
-// snapshotSeeds are sound snapshots of small states.
+// snapshotSeeds returns valid snapshots of small states.
 func snapshotSeeds() [][]byte {
 	m := New()
 	empty, _ := m.Snapshot()
@@ -120,9 +120,9 @@
 	return [][]byte{empty, full}
 }
 
-// FuzzRestore feeds the snapshot reader with damaged bytes, and with damaged
-// messages under a checksum that matches. It must refuse them, or restore a state
-// whose invariants hold and that gives the same bytes again.
+// FuzzRestore restores corrupted snapshots, and corrupted messages with a matching checksum.
+// Restore must return an error, or restore a state whose invariants hold and whose snapshot
+// restores to a state with the same snapshot.
 func FuzzRestore(f *testing.F) {
 	for _, s := range snapshotSeeds() {
 		f.Add(s, false)
@@ -152,7 +152,7 @@
 		}
 		r := New()
 		if err := r.Restore(again); err != nil {
-			t.Fatalf("its own snapshot is refused: %v", err)
+			t.Fatalf("the snapshot of a restored state is refused: %v", err)
 		}
 		if third, _ := r.Snapshot(); !bytes.Equal(again, third) {
 			t.Fatal("a restored state's snapshot differs")
@@ -160,15 +160,15 @@
 	})
 }
 
-// Symptom: a resend is told "not run" of a charge that ran long ago, and it runs
-// again. Sequence: the charge runs, the agent drops its record, leadership moves
-// to a host whose clock is behind, and the agent is told too low an age. Cause: the
-// difference of two hosts' clocks was taken for an age.
+// Guards against a charge that runs twice because its claim appears too young. The charge
+// runs, the agent drops its record, and leadership moves to a host whose clock is behind; an
+// age that is the difference of two hosts' clocks is too low, and the agent then reports
+// the charge as not run.
 func TestClaimAgeUsesOneClock(t *testing.T) {
 	for _, c := range []struct {
-		claimed, asked         int64
-		claimedTerm, askedTerm uint64
-		want                   int64
+		claimed, queried         int64
+		claimedTerm, queriedTerm uint64
+		want                     int64
 	}{
 		{1000, 6000, 2, 2, 5001},
 		{1000, 1000, 2, 2, 1},
@@ -181,10 +181,10 @@
 			return m.Apply(m.Index()+1, &apiv1.Command{TimeMs: at, ClockTerm: term, Body: &apiv1.Command_Claim{
 				Claim: &apiv1.Claim{Service: "s", Key: "k", RequestId: id, Attempt: 1}}}).GetClaim()
 		}
-		// A time of an earlier term that is ahead must not shorten the age.
+		// A later time from a previous term must not reduce the age.
 		m.Apply(1, &apiv1.Command{TimeMs: 8000, ClockTerm: 1})
 		claim("first", c.claimed, c.claimedTerm)
-		if got := claim("second", c.asked, c.askedTerm).GetStandingAgeMs(); got != c.want {
+		if got := claim("second", c.queried, c.queriedTerm).GetStandingAgeMs(); got != c.want {
 			t.Errorf("%+v: age %d", c, got)
 		}
 	}
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -13,14 +13,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// A snapshot is the magic, which names the format's version, the xxhash64 of the
-// message, big endian, and the encoded apiv1.StateSnapshot.
+// snapshotMagic starts every snapshot and identifies the version of the format. It is
+// followed by the xxhash64 of the message in big endian order, and by the encoded
+// apiv1.StateSnapshot.
 var snapshotMagic = []byte("cairnlift-state-1\n")
 
 const checksumBytes = 8
 
-// Snapshot encodes the whole state. Equal states give equal bytes on replicas
-// that run the same build.
+// Snapshot encodes the whole state. Replicas that run the same build encode equal states
+// as equal bytes.
 func (m *Machine) Snapshot() ([]byte, error) {
 	body, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.message())
 	if err != nil {
@@ -29,7 +30,7 @@
 	return addSnapshotHeader(body), nil
 }
 
-// addSnapshotHeader puts magic and checksum before an encoded message.
+// addSnapshotHeader prepends the magic and the checksum to an encoded message.
 func addSnapshotHeader(body []byte) []byte {
 	buf := make([]byte, 0, len(snapshotMagic)+checksumBytes+len(body))
 	buf = append(buf, snapshotMagic...)
@@ -37,8 +38,8 @@
 	return append(buf, body...)
 }
 
-// Restore replaces the state by a snapshot's. On an error the machine is left as
-// it was: a snapshot is taken in whole and sound or not at all.
+// Restore replaces the state with that of a snapshot. On an error the machine is
+// unchanged: a snapshot is restored only if it is complete and consistent.
 func (m *Machine) Restore(data []byte) error {
 	s, err := decodeSnapshot(data)
 	if err != nil {
@@ -46,10 +47,10 @@
 	}
 	restored := New()
 	if err := restored.load(s); err != nil {
-		return errors.Wrap(err, "state snapshot contradicts itself")
+		return errors.Wrap(err, "state snapshot is inconsistent")
 	}
 	if err := restored.Check(); err != nil {
-		return errors.Wrap(err, "state snapshot breaks an invariant")
+		return errors.Wrap(err, "state snapshot violates an invariant")
 	}
 	*m = *restored
 	return nil
@@ -58,7 +59,7 @@
 func decodeSnapshot(data []byte) (*apiv1.StateSnapshot, error) {
 	rest, ok := bytes.CutPrefix(data, snapshotMagic)
 	if !ok || len(rest) < checksumBytes {
-		return nil, errors.New("state snapshot: not in a format that this version reads")
+		return nil, errors.New("state snapshot: unsupported format")
 	}
 	sum, body := binary.BigEndian.Uint64(rest), rest[checksumBytes:]
 	if xxhash.Sum64(body) != sum {
@@ -99,7 +100,8 @@
 	return s
 }
 
-// addTo adds the job and its tasks, which need no sorting that way.
+// addTo adds the job and its tasks. Tasks are listed by job and number, so that they need
+// no sorting.
 func (j *job) addTo(s *apiv1.StateSnapshot) {
 	s.Jobs = append(s.Jobs, j.message())
 	for _, t := range j.tasks {
--- a/state/submit.go
+++ b/state/submit.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// MaxSubmissions is how many submissions' answers are retained, the newest
-	// ones. A resend of an older one meets a newer version and gets a conflict.
+	// MaxSubmissions is the number of the newest submissions whose results are
+	// retained. A resend of an older one has an outdated base version and gets a
+	// conflict.
 	MaxSubmissions = 8192
-	// MaxTasksPerJob bounds the task records that one line of text can create.
+	// MaxTasksPerJob bounds the number of task records that one line of the
+	// configuration text can create.
 	MaxTasksPerJob = 100_000
 )
 
-// submissionTable retains the first answer to each submission id.
+// submissionTable retains the first result of each submission id.
 type submissionTable struct {
 	byID      map[string]*apiv1.SubmissionRecord
 	byVersion map[uint64]*apiv1.SubmissionRecord
@@ -47,8 +49,8 @@
 	}
 }
 
-// winnerID names the submission that made a version, or the newest one known when
-// that is no longer retained.
+// winnerID returns the id of the submission that created a version, or of the one
+// that created the newest version when the former is no longer retained.
 func (t *submissionTable) winnerID(version, newest uint64) string {
 	if r := t.byVersion[version]; r != nil {
 		return r.SubmissionId
@@ -56,9 +58,10 @@
 	return t.byVersion[newest].GetSubmissionId()
 }
 
-// submit replaces the configuration when its base version is the newest. Each
-// submission id is bound to its first answer, whatever that was: a refused or
-// beaten submission that the network delivers again later must not win then.
+// submit replaces the configuration if the submission's base version is the newest.
+// Each submission id is bound to its first result, accepted or not: a submission that
+// was refused or got a conflict must not be accepted when the network delivers it
+// again later.
 func (m *Machine) submit(s *apiv1.Submit) *apiv1.Result {
 	if s.GetSubmissionId() == "" || s.Configuration == nil && s.Delta == nil {
 		return refused("a submission needs an id and a configuration")
@@ -78,12 +81,12 @@
 		TextDigest:   digest,
 		Result:       res,
 	})
-	// The record keeps res; the caller's copy gets the log index of this entry.
+	// The record keeps res. Apply sets the log index in the returned copy.
 	return proto.CloneOf(res)
 }
 
-// textDigest is the same for both forms of a submission, so that a resend may
-// come in the other one.
+// textDigest returns the digest of the submitted text. It is the same for a whole
+// configuration and a delta, so that a resend may use the other form.
 func textDigest(s *apiv1.Submit) string {
 	if s.Configuration != nil {
 		return s.Configuration.TextDigest
@@ -102,8 +105,8 @@
 	return res
 }
 
-// validateSubmission returns the configuration that a submission asks for, when its
-// base version is the newest and it is accepted.
+// validateSubmission returns the configuration that a submission results in, nil
+// unless its base version is the newest and the configuration is valid.
 func (m *Machine) validateSubmission(s *apiv1.Submit) (*apiv1.Configuration, *apiv1.Result) {
 	version := m.configuration.Version
 	if s.BaseVersion != version {
@@ -124,10 +127,10 @@
 	return cfg, accepted("")
 }
 
-// resolveSubmission is the whole configuration of a submission against the newest version.
-// A delta that does not lead to what its digest names was damaged, or made from
-// another configuration; were it applied, the text that operators read back would
-// not be the one that was submitted.
+// resolveSubmission returns the whole configuration of a submission against the newest
+// version. A delta whose result does not match its digest was corrupted, or was made from
+// another configuration. If it were applied, the text that operators read back would
+// differ from the one that was submitted.
 func (m *Machine) resolveSubmission(s *apiv1.Submit) (cfg *apiv1.Configuration, why string) {
 	if s.Configuration != nil {
 		return s.Configuration, ""
@@ -139,8 +142,9 @@
 	return cfg, ""
 }
 
-// validateConfiguration checks what the machine itself relies on; the spec
-// package checks the text as a whole before it is submitted.
+// validateConfiguration returns a message about the first violated condition that the
+// machine itself relies on, empty if there is none. The spec package checks the whole
+// text before it is submitted.
 func validateConfiguration(cfg *apiv1.Configuration) string {
 	seen := make(map[string]bool, len(cfg.Jobs))
 	for _, j := range cfg.Jobs {
@@ -169,8 +173,8 @@
 	return ""
 }
 
-// applyConfiguration puts a configuration in force. Its cost grows with the configuration's
-// jobs, services and teams, and with the tasks of jobs that changed.
+// applyConfiguration makes a configuration the current one. Its cost grows with the
+// number of jobs, services and teams, and with the tasks of jobs that changed.
 func (m *Machine) applyConfiguration(cfg *apiv1.Configuration) {
 	m.configuration = &apiv1.Configuration{
 		Version:    m.configuration.Version + 1,
@@ -202,7 +206,7 @@
 		}
 		m.addJob(d)
 	}
-	// A service that a job depends on may have come or gone.
+	// A service that a job depends on may have been added or removed.
 	for _, j := range m.jobs {
 		m.requeue(j)
 	}
--- a/state/tasks.go
+++ b/state/tasks.go
@@ -2,11 +2,11 @@
 
 import apiv1 "github.com/cairnlift/cairnlift/api/v1"
 
-// noIndex is the queueIndex or workerIndex of a task that is not in that list.
+// noIndex is the queueIndex or workerIndex of a task that is not in the respective list.
 const noIndex = -1
 
-// task is the record of one task. While it is granted or stopping, its grant is
-// counted against its worker and its team.
+// task is the record of one task. While it is granted or stopping, its grant counts
+// against the capacity of its worker and the quota of its team.
 type task struct {
 	id      string
 	job     *job
@@ -14,7 +14,7 @@
 	state   apiv1.TaskState
 	attempt uint64
 	worker  *worker
-	// lastWorker is where the last attempt was granted.
+	// lastWorker is the name of the worker of the last attempt.
 	lastWorker    string
 	grant         Resources
 	checkpoint    string
@@ -25,23 +25,25 @@
 	notBeforeMs   int64
 	reason        string
 	failedWorkers []string
-	// queueIndex and workerIndex are positions in the team's queue and in the
-	// worker's list.
+	// queueIndex and workerIndex are the indexes in the team's queue and in the
+	// worker's tasks.
 	queueIndex  int
 	workerIndex int
 }
 
 func (t *task) live() bool { return t.worker != nil }
 
-// surplus reports whether the job has shrunk below this task.
+// surplus reports whether the task's number is beyond the number of tasks that the job
+// has after a change.
 func (t *task) surplus() bool { return t.number >= int(t.job.definition.Tasks) }
 
-// countsAsRemaining reports whether the task keeps its job from having succeeded.
+// countsAsRemaining reports whether the task must still succeed before its job has
+// succeeded.
 func (t *task) countsAsRemaining() bool {
 	return !t.surplus() && t.state != apiv1.TaskState_TASK_STATE_SUCCEEDED
 }
 
-// setState moves a task to a state and keeps its job's counts in step.
+// setState sets a task's state and updates its job's counts.
 func (m *Machine) setState(t *task, s apiv1.TaskState) {
 	j := t.job
 	remained := t.countsAsRemaining()
@@ -80,8 +82,8 @@
 	t.queueIndex = noIndex
 }
 
-// cancelTask keeps a task from ever being granted again; a live attempt is to be
-// stopped and stays counted until it ended.
+// cancelTask prevents further attempts of a task. A live attempt is to be stopped, and its
+// grant counts until it has ended.
 func (m *Machine) cancelTask(t *task, reason string) {
 	switch t.state {
 	case apiv1.TaskState_TASK_STATE_QUEUED:
@@ -94,7 +96,7 @@
 	}
 }
 
-// requeueCanceledTask queues a task again that was canceled because its job had shrunk.
+// requeueCanceledTask queues a task that was canceled because its job had fewer tasks.
 func (m *Machine) requeueCanceledTask(t *task) {
 	if t.job.canceled || t.state != apiv1.TaskState_TASK_STATE_CANCELED {
 		return
@@ -119,5 +121,5 @@
 	case apiv1.TaskState_TASK_STATE_CANCELED:
 		return "canceled"
 	}
-	return "in no known state"
+	return "in an unknown state"
 }
--- a/state/view.go
+++ b/state/view.go
@@ -7,10 +7,10 @@
 	ID         string
 	Definition *apiv1.Job
 	State      apiv1.TaskState
-	// Attempt is the last one granted, 0 when there was none.
+	// Attempt is the number of the last granted attempt, 0 if there was none.
 	Attempt uint64
 	Worker  string
-	// LastWorker is where the last attempt was granted.
+	// LastWorker is the name of the worker of the last attempt.
 	LastWorker    string
 	Grant         Resources
 	Checkpoint    string
@@ -21,11 +21,12 @@
 	NotBeforeMs   int64
 	Reason        string
 	FailedWorkers []string
-	// Canceled: the attempt is being stopped for good, not to resume elsewhere.
+	// Canceled reports whether the task must not run again: a live attempt is stopped
+	// and does not resume on another worker.
 	Canceled bool
 }
 
-// Live reports whether an attempt of the task holds room on a worker.
+// Live reports whether an attempt of the task is granted on a worker and has not ended.
 func (t *Task) Live() bool { return t.Worker != "" }
 
 // Worker is a copy of a worker's record.
@@ -41,8 +42,9 @@
 	Draining         bool
 	// Tasks is the number of live attempts.
 	Tasks int
-	// Changed is the log index of the last change of the worker or its tasks. The
-	// definitions of their jobs change with the configuration's version.
+	// Changed is the log index of the last change of the worker or its tasks. It does
+	// not cover the definitions of their jobs, which change with the version of the
+	// configuration.
 	Changed uint64
 }
 
@@ -53,12 +55,12 @@
 	ParkedReason string
 	CreatedMs    int64
 	Tasks        map[apiv1.TaskState]int
-	// WaitsFor says what keeps its queued tasks from being placed, empty when
-	// they may be.
+	// WaitsFor is the reason why its queued tasks may not be placed, empty if they may.
 	WaitsFor string
 }
 
-// Team is what a team's live attempts hold, and how many of its tasks may be placed.
+// Team is a copy of a team's record: its limits, the resources granted to its live
+// attempts, and the number of its tasks that may be placed.
 type Team struct {
 	Name    string
 	Quota   Resources
@@ -73,14 +75,14 @@
 // TimeMs returns the log's time, Unix milliseconds.
 func (m *Machine) TimeMs() int64 { return m.timeMs }
 
-// Configuration returns the configuration in force. It must not be changed.
+// Configuration returns the current configuration. It must not be changed.
 func (m *Machine) Configuration() *apiv1.Configuration { return m.configuration }
 
-// Service returns a service's declaration, nil when there is none.
+// Service returns a service's declaration, nil if there is none.
 func (m *Machine) Service(name string) *apiv1.Service { return m.services[name] }
 
-// Services returns the declared services by name. The map must not be changed;
-// the next configuration comes with a new one.
+// Services returns the declared services by name. The map must not be changed; each
+// configuration has a new map.
 func (m *Machine) Services() map[string]*apiv1.Service { return m.services }
 
 func (t *task) view() Task {
@@ -141,14 +143,15 @@
 	return w.view(), true
 }
 
-// EachWorker calls f for each worker, in no order.
+// EachWorker calls f for each worker, in no particular order.
 func (m *Machine) EachWorker(f func(Worker)) {
 	for _, w := range m.workers {
 		f(w.view())
 	}
 }
 
-// EachTaskOf calls f for each live attempt on a worker, in no order.
+// EachTaskOf calls f for each task with a live attempt on a worker, in no particular
+// order.
 func (m *Machine) EachTaskOf(worker string, f func(Task)) {
 	w := m.workers[worker]
 	if w == nil {
@@ -159,8 +162,9 @@
 	}
 }
 
-// EachQueued calls f for each queued task whose job may be placed as far as the
-// replicated state can tell, in no order. Tasks that back off are included.
+// EachQueued calls f for each queued task whose job may be placed according to the
+// replicated state, in no particular order. It includes tasks whose backoff after a
+// failure has not elapsed.
 func (m *Machine) EachQueued(f func(Task)) {
 	for _, tm := range m.teams {
 		for _, t := range tm.queue {
@@ -207,7 +211,7 @@
 	return list
 }
 
-// EachParked calls f for each parked job, in no order.
+// EachParked calls f for each parked job, in no particular order.
 func (m *Machine) EachParked(f func(*apiv1.Job)) {
 	for _, j := range m.jobs {
 		if j.parkedReason != "" {
--- a/state/workers.go
+++ b/state/workers.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// worker is the record of one worker and the room granted on it.
+// worker is the record of one worker and the resources granted on it.
 type worker struct {
 	name             string
 	incarnation      uint64
@@ -22,8 +22,8 @@
 	changedIndex uint64
 }
 
-// fits reports whether a grant keeps the worker within its capacity. A worker
-// that came back smaller than what it holds fits nothing.
+// fits reports whether a further grant keeps the worker within its capacity. Nothing
+// fits on a worker that was registered again with less capacity than is granted on it.
 func (w *worker) fits(size Resources) bool {
 	sum, ok := w.granted.plus(w.reserved)
 	if !ok {
@@ -40,8 +40,8 @@
 	w.addGrant(t)
 }
 
-// addGrant adds a task's grant without judging it; Restore uses it for a worker
-// that may have shrunk below what it holds.
+// addGrant adds a task's grant without a capacity check. Restore uses it for workers whose
+// capacity may have shrunk below their grants.
 func (w *worker) addGrant(t *task) {
 	w.granted = mustPlus(w.granted, t.grant)
 	t.worker = w
@@ -60,23 +60,23 @@
 	t.worker = nil
 	w.granted = w.granted.Minus(t.grant)
 	if w.granted.negative() {
-		panic(fmt.Sprintf("state: a worker's granted room is never negative: %s after %s", w.name, t.id))
+		panic(fmt.Sprintf("state: a worker's granted resources are never negative: %s after %s", w.name, t.id))
 	}
 }
 
-// mustPlus adds amounts whose sum was checked before.
+// mustPlus adds amounts whose sum was checked before, and panics if it overflows.
 func mustPlus(a, b Resources) Resources {
 	sum, ok := a.plus(b)
 	if !ok {
-		panic("state: granted room never overflows")
+		panic("state: the sum of granted resources never overflows")
 	}
 	return sum
 }
 
-// registerWorker takes in what a worker is and has. A higher incarnation says
-// that its agent started anew and read from the worker what runs: attempts that
-// are not in that list have ended. Within an incarnation the list says nothing,
-// since it may be older than a grant that the worker has begun to run.
+// registerWorker records a worker's location, capacity and reserved resources. A higher
+// incarnation means that its agent restarted and read the list of running attempts from
+// the worker, so attempts that are not in that list have ended. Within an incarnation the
+// list is ignored, since it may be older than a grant that the worker already runs.
 func (m *Machine) registerWorker(r *apiv1.RegisterWorker) *apiv1.Result {
 	capacity, reserved := ResourcesOf(r.GetCapacity()), ResourcesOf(r.GetReserved())
 	if r.GetWorker() == "" || capacity.negative() || reserved.negative() {
@@ -104,19 +104,19 @@
 	return accepted("")
 }
 
-// endMissing ends the worker's attempts that are not among those it runs.
+// endMissing ends the worker's attempts that are not in the list of running ones.
 func (m *Machine) endMissing(w *worker, running []*apiv1.TaskAttempt) {
 	runs := make(map[string]uint64, len(running))
 	for _, a := range running {
 		runs[a.GetTask()] = a.GetAttempt()
 	}
-	var gone []*task
+	var missing []*task
 	for _, t := range w.tasks {
 		if runs[t.id] != t.attempt {
-			gone = append(gone, t)
+			missing = append(missing, t)
 		}
 	}
-	for _, t := range gone {
+	for _, t := range missing {
 		m.endAttempt(t, apiv1.TaskState_TASK_STATE_QUEUED, "not found when the worker's agent started anew")
 	}
 }
@@ -143,9 +143,10 @@
 	return accepted("")
 }
 
-// forgetWorkers drops workers that the leader has not heard of for long, so that
-// hosts that were replaced under new names do not pile up. One that returns
-// registers anew; a drained one stays, since that is an operator's word.
+// forgetWorkers deletes workers that have not reported to the leader for a long time.
+// Otherwise the records of hosts that were replaced under new names would accumulate. A
+// worker that returns registers again. A drained worker is kept, since an operator
+// ordered the drain.
 func (m *Machine) forgetWorkers(f *apiv1.ForgetWorkers) *apiv1.Result {
 	changed := false
 	for _, s := range f.GetWorkers() {
