--- a/settings/check.go
+++ b/settings/check.go
@@ -11,7 +11,7 @@
 	checkRange(doc, "shutdown_bound", s.ShutdownBound.Duration, minShutdownBound, maxShutdownBound)
 	checkRange(doc, "staleness_bound", s.StalenessBound.Duration, minStalenessBound, maxStalenessBound)
 	checkRange(doc, "claim_window", s.ClaimWindow.Duration, minClaimWindow, maxClaimWindow)
-	// A drain delay that fills the shutdown bound leaves no time to finish work.
+	// A drain delay as long as the shutdown bound would leave no time to finish requests.
 	checkRange(doc, "drain_delay", s.DrainDelay.Duration, 0, s.ShutdownBound.Duration/2)
 	checkRange(doc, "max_body_bytes", s.MaxBodyBytes, 1, maxBodyBytes)
 	checkDistinct(doc, []keyedAddress{
@@ -22,18 +22,18 @@
 	}
 	s.checkOwnPeer(doc)
 	if slices.ContainsFunc(s.Entries, func(p Peer) bool { return p.Name == s.Name }) {
-		doc.AddProblem("entries", "must not hold this host itself, %q", s.Name)
+		doc.AddProblem("entries", "must not contain this host itself, %q", s.Name)
 	}
 }
 
-// checkOwnPeer holds the list of peers against this host. A replica that is
-// missing from its own list, or listed with another address, would start an
-// election that nobody can answer.
+// checkOwnPeer checks the entry for this host in the list of peers. A replica that is missing
+// from its own list, or listed with another address, would start an election in which no peer
+// can reply to it.
 func (s *Entry) checkOwnPeer(doc *tomltext.Document) {
 	own := slices.IndexFunc(s.Peers, func(p Peer) bool { return p.Name == s.Name })
 	switch {
 	case s.Control == nil && own >= 0:
-		doc.AddProblem("peers", "name this host, %q, which has no [control] section", s.Name)
+		doc.AddProblem("peers", "must not name this host, %q, which has no [control] section", s.Name)
 	case s.Control != nil && own < 0 && !doc.HasProblem("peers"):
 		doc.AddProblem("peers", "must name this host, %q, since it has a [control] section", s.Name)
 	case s.Control != nil && own >= 0 && s.Peers[own].Address != s.InternalAddress:
@@ -46,14 +46,14 @@
 	checkRange(doc, "control.heartbeat_interval", c.HeartbeatInterval.Duration, minHeartbeat, maxElectionTimeout)
 	checkRange(doc, "control.lease_duration", c.LeaseDuration.Duration, minHeartbeat, maxLeaseDuration)
 	checkRange(doc, "control.clock_rate_error_ppm", c.ClockRateError, 1, maxClockRateError)
-	// A follower that a single lost heartbeat makes a candidate changes the
-	// leader all the time.
+	// With a shorter timeout, a single lost heartbeat could make a follower a candidate,
+	// and the leader would change frequently.
 	if c.ElectionTimeout.Duration <= minHeartbeatsPerElectionTimeout*c.HeartbeatInterval.Duration {
 		doc.AddProblem("control.election_timeout", "%v must be above %d times the heartbeat_interval, %v",
 			c.ElectionTimeout, minHeartbeatsPerElectionTimeout, c.HeartbeatInterval)
 	}
-	// Nobody renews leases during an election: one that is as long would stop
-	// every task with each change of the leader.
+	// Leases are not renewed during an election. An election as long as a lease would
+	// stop every task at each change of the leader.
 	if c.LeaseDuration.Duration <= minElectionTimeoutsPerLease*c.ElectionTimeout.Duration {
 		doc.AddProblem("control.lease_duration", "%v must be above %d times the election_timeout, %v",
 			c.LeaseDuration, minElectionTimeoutsPerLease, c.ElectionTimeout)
@@ -68,8 +68,8 @@
 	checkDistinct(doc, []keyedAddress{
 		{"address", s.Address}, {"local_address", s.LocalAddress}, {"worker", s.Worker},
 	})
-	// Heartbeats carry the word that the configuration is the newest: with
-	// fewer of them one lost message makes the agent stale.
+	// Heartbeats confirm that the agent's configuration is the newest. With fewer of them
+	// per staleness bound, one lost message would make the agent's configuration stale.
 	if s.StalenessBound.Duration < minHeartbeatsPerStalenessBound*s.HeartbeatInterval.Duration {
 		doc.AddProblem("heartbeat_interval", "%v must fit %d times into the staleness_bound, %v",
 			s.HeartbeatInterval, minHeartbeatsPerStalenessBound, s.StalenessBound)
--- a/settings/defaults.go
+++ b/settings/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Values of settings that a file leaves out.
+// Defaults of settings that a file does not set.
 const (
 	DefaultShutdownBound     = 30 * time.Second
 	DefaultDrainDelay        = 3 * time.Second
@@ -22,10 +22,10 @@
 	defaultLogFormat         = "json"
 )
 
-// setDefault keeps a value that is set.
+// setDefault sets a value if it is zero.
 func setDefault[T comparable](v *T, value T) { *v = cmp.Or(*v, value) }
 
-// SetDefaults fills in what is not set.
+// SetDefaults sets the defaults of settings that are not set.
 func (s *Entry) SetDefaults() {
 	setDefault(&s.ShutdownBound.Duration, DefaultShutdownBound)
 	setDefault(&s.DrainDelay.Duration, min(DefaultDrainDelay, s.ShutdownBound.Duration/2))
@@ -38,7 +38,7 @@
 	}
 }
 
-// SetDefaults fills in what is not set.
+// SetDefaults sets the defaults of settings that are not set.
 func (s *Agent) SetDefaults() {
 	setDefault(&s.HeartbeatInterval.Duration, DefaultAgentHeartbeat)
 	setDefault(&s.StalenessBound.Duration, DefaultStalenessBound)
--- a/settings/load.go
+++ b/settings/load.go
@@ -8,19 +8,19 @@
 	"github.com/cairnlift/cairnlift/tomltext"
 )
 
-// maxFileBytes bounds a settings file.
+// maxFileBytes bounds the size of a settings file.
 const maxFileBytes = 1 << 20
 
-// FileError holds every mistake of a settings file.
+// FileError holds all problems of a settings file.
 type FileError struct {
 	Path     string
 	Problems tomltext.Problems
 }
 
-// Error implements error with one line per mistake: file:line: field: message.
+// Error implements error with one line per problem: file:line: field: message.
 func (e *FileError) Error() string { return e.Problems.In(e.Path) }
 
-// LoadEntry reads and checks an entry's settings. Mistakes come as a *FileError.
+// LoadEntry reads and checks an entry's settings. It returns a *FileError if they are invalid.
 func LoadEntry(path string) (*Entry, error) {
 	s := &Entry{}
 	if err := load(path, s); err != nil {
@@ -29,7 +29,7 @@
 	return s, nil
 }
 
-// LoadAgent reads and checks an agent's settings. Mistakes come as a *FileError.
+// LoadAgent reads and checks an agent's settings. It returns a *FileError if they are invalid.
 func LoadAgent(path string) (*Agent, error) {
 	s := &Agent{}
 	if err := load(path, s); err != nil {
@@ -38,7 +38,7 @@
 	return s, nil
 }
 
-// daemonSettings is the settings of a daemon.
+// daemonSettings is implemented by the settings of each daemon.
 type daemonSettings interface {
 	SetDefaults()
 	check(doc *tomltext.Document)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// parse decodes a text, fills in defaults and checks the whole.
+// parse decodes a text, sets defaults and checks the settings as a whole.
 func parse(text []byte, into daemonSettings) tomltext.Problems {
 	doc := tomltext.Parse(text)
 	if problems := doc.Problems(); len(problems) > 0 {
@@ -74,10 +74,10 @@
 	return doc.Problems()
 }
 
-// Check returns every mistake of settings that were made in code.
+// Check returns all problems of settings that were created in code.
 func (s *Entry) Check() error { return checkValue(s) }
 
-// Check returns every mistake of settings that were made in code.
+// Check returns all problems of settings that were created in code.
 func (s *Agent) Check() error { return checkValue(s) }
 
 func checkValue(s daemonSettings) error {
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -13,21 +13,21 @@
 	"github.com/cairnlift/cairnlift/tomltext"
 )
 
-// Bounds of single settings.
+// Limits of single settings.
 const (
 	minShutdownBound  = 100 * time.Millisecond
 	maxShutdownBound  = time.Hour
 	minStalenessBound = 100 * time.Millisecond
-	// maxStalenessBound keeps the promise that a configuration is in force
-	// everywhere within 3 s: a process that can't confirm its own stops in time.
+	// maxStalenessBound guarantees that a configuration is in effect everywhere within
+	// 3 s: a process that cannot confirm its own configuration stops in time.
 	maxStalenessBound  = 3 * time.Second
 	minHeartbeat       = 5 * time.Millisecond
 	maxAgentHeartbeat  = 10 * time.Second
 	maxElectionTimeout = time.Minute
 	maxLeaseDuration   = 10 * time.Minute
 	minClaimWindow     = time.Second
-	// The state machine keeps no claim for longer than state.MaxClaimWindow: a
-	// longer window would promise what is not kept.
+	// maxClaimWindow equals state.MaxClaimWindow. The state machine shortens longer
+	// windows, so a longer setting would not take effect.
 	maxClaimWindow                  = 7 * 24 * time.Hour
 	maxClockRateError               = 100_000
 	maxBodyBytes                    = 64 << 20
@@ -38,16 +38,16 @@
 
 var hostNamePattern = regexp.MustCompile(`^[a-z0-9]([-.a-z0-9]{0,61}[a-z0-9])?$`)
 
-// ruleMessages explain the rules of the validate tags. One that ends with a space is
-// followed by the tag's parameter.
+// ruleMessages holds the error message of each rule in the validate tags. A message that ends
+// with a space is followed by the tag's parameter.
 var ruleMessages = map[string]string{
 	"required":    "is required",
 	"hostport_ip": "must be an IP number and a port, such as 10.20.0.4:7400; host names are not resolved",
 	"reachable":   "must be an address that other hosts can reach, not 0.0.0.0 or [::]",
 	"host_name":   "must be 1 to 63 lower case letters, digits and inner hyphens or dots",
 	"oneof":       "must be one of: ",
-	"unique":      "must not hold two hosts of the same ",
-	"max":         "must not hold more hosts than ",
+	"unique":      "must not contain two hosts with the same ",
+	"max":         "must not contain more hosts than ",
 }
 
 var rules = newRules()
@@ -61,15 +61,16 @@
 	return v
 }
 
-func register(v *validator.Validate, tag string, holds func(string) bool) {
-	err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return holds(f.Field().String()) })
+func register(v *validator.Validate, tag string, valid func(string) bool) {
+	err := v.RegisterValidation(tag, func(f validator.FieldLevel) bool { return valid(f.Field().String()) })
 	if err != nil {
-		// The tags are constants of this package: only a typing error fails here.
+		// The tags are constants of this package, so this fails only if one is malformed.
 		panic("settings: rule " + tag + " can't be registered: " + err.Error())
 	}
 }
 
-// isHostPortIP refuses host names: a process reaches others by IP number only.
+// isHostPortIP reports whether s is an IP address and a port. Host names are rejected, since
+// processes connect to each other by IP address only.
 func isHostPortIP(s string) bool {
 	addr, err := netip.ParseAddrPort(s)
 	return err == nil && addr.Port() > 0
@@ -80,7 +81,7 @@
 	return err == nil && !addr.Addr().IsUnspecified()
 }
 
-// checkTags reports what the validate tags refuse.
+// checkTags reports values that violate the validate tags, unless the key has another problem.
 func checkTags(doc *tomltext.Document, s any) {
 	var found validator.ValidationErrors
 	if !errors.As(rules.Struct(s), &found) {
@@ -97,7 +98,7 @@
 func ruleMessage(f validator.FieldError) string {
 	text, known := ruleMessages[f.Tag()]
 	if !known {
-		return "fails the rule " + f.Tag()
+		return "violates the rule " + f.Tag()
 	}
 	if strings.HasSuffix(text, " ") {
 		return text + strings.ToLower(f.Param())
@@ -105,7 +106,7 @@
 	return text
 }
 
-// checkRange reports a value outside of its bounds.
+// checkRange reports a value outside of its limits, unless the key has another problem.
 func checkRange[T int64 | time.Duration](doc *tomltext.Document, path string, v, low, high T) {
 	if (v < low || v > high) && !doc.HasProblem(path) {
 		doc.AddProblem(path, "%v must be between %v and %v", v, low, high)
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings holds the daemons' settings, read from TOML files. A file is
-// checked as a whole: every mistake is reported in one run, with its line, and
-// unknown keys are refused.
+// Package settings reads the daemons' settings from TOML files. A file is checked as a whole:
+// all mistakes are reported at once, with their lines, and unknown keys are rejected.
 package settings
 
 import (
@@ -9,14 +8,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is a time.Duration that TOML writes as "150ms".
+// Duration is a time.Duration that is written in TOML as a string such as "150ms".
 type Duration struct{ time.Duration }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(b []byte) (err error) {
 	d.Duration, err = time.ParseDuration(string(b))
 	if err != nil {
-		return errors.Newf("%q is no duration; write it like \"150ms\" or \"3s\"", b)
+		return errors.Newf("%q is not a valid duration; write it like \"150ms\" or \"3s\"", b)
 	}
 	return nil
 }
@@ -24,14 +23,14 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Location says where a host stands.
+// Location is the location of a host.
 type Location struct {
 	Region           string `toml:"region" validate:"required"`
 	AvailabilityZone string `toml:"availability_zone" validate:"required"`
 	Rack             string `toml:"rack"`
 }
 
-// Log sets what is logged.
+// Log configures logging.
 type Log struct {
 	// Level is debug, info, warn or error.
 	Level string `toml:"level" validate:"omitempty,oneof=debug info warn error"`
@@ -49,61 +48,64 @@
 type Control struct {
 	// DataFolder holds the replicated log and its snapshots.
 	DataFolder string `toml:"data_folder" validate:"required"`
-	// ElectionTimeout is the shortest time without a leader before an election.
+	// ElectionTimeout is the shortest time from a leader's last message to an election.
 	ElectionTimeout Duration `toml:"election_timeout"`
 	// HeartbeatInterval is the time between a leader's heartbeats.
 	HeartbeatInterval Duration `toml:"heartbeat_interval"`
-	// SnapshotEntries is the number of log entries between snapshots.
+	// SnapshotEntries is the number of log entries from one snapshot to the next.
 	SnapshotEntries uint64 `toml:"snapshot_entries"`
-	// LeaseDuration is how long a worker may run a task without a renewal.
+	// LeaseDuration is the time that a worker may run a task after a renewal of its lease.
 	LeaseDuration Duration `toml:"lease_duration"`
-	// ClockRateError bounds how much faster or slower any host's clock may run, parts per million.
+	// ClockRateError bounds the rate error of any host's clock in either direction, in
+	// parts per million.
 	ClockRateError int64 `toml:"clock_rate_error_ppm"`
 }
 
-// Entry is the settings of cairnlift-entry.
+// Entry holds the settings of cairnlift-entry.
 type Entry struct {
 	Name     string   `toml:"name" validate:"required,host_name"`
 	Location Location `toml:"location"`
-	// CallerAddress answers callers' requests.
+	// CallerAddress is the listen address for callers' requests.
 	CallerAddress string `toml:"caller_address" validate:"required,hostport_ip"`
-	// AdminAddress answers operators, health probes and metrics.
+	// AdminAddress is the listen address for operators, health checks and metrics.
 	AdminAddress string `toml:"admin_address" validate:"required,hostport_ip"`
-	// InternalAddress answers agents and other entries.
+	// InternalAddress is the listen address for agents and other entries.
 	InternalAddress string `toml:"internal_address" validate:"required,hostport_ip,reachable"`
-	// Peers are the hosts of the control group (internal addresses), this one
-	// included where it has a control section.
+	// Peers are the hosts of the control group with their internal addresses. They
+	// include this host exactly if it has a control section.
 	Peers []Peer `toml:"peers" validate:"required,max=8,unique=Name,unique=Address,dive"`
-	// Entries are further entry hosts to exchange announcements with.
+	// Entries are other entry hosts with which to exchange announcements.
 	Entries []Peer   `toml:"entries" validate:"unique=Name,unique=Address,dive"`
 	Control *Control `toml:"control"`
 	Log     Log      `toml:"log"`
-	// ShutdownBound is the longest that a planned stop may take.
+	// ShutdownBound is the longest duration of a planned shutdown.
 	ShutdownBound Duration `toml:"shutdown_bound"`
-	// DrainDelay is how long a stopping entry reports not ready and still serves,
-	// so that the balancer can turn callers away from it first.
+	// DrainDelay is the time that a stopping entry still serves requests while it reports
+	// that it is not ready, so that the load balancer first stops sending callers to it.
 	DrainDelay Duration `toml:"drain_delay"`
-	// ClaimWindow is how long an idempotency key taken through this entry is
-	// remembered; set it alike on all entries.
+	// ClaimWindow is the time from the claim of an idempotency key through this entry to
+	// the expiry of the key. It must be the same on all entries.
 	ClaimWindow Duration `toml:"claim_window"`
-	// StalenessBound is how long ago the configuration may have been confirmed.
+	// StalenessBound is the longest time since the last confirmation of the configuration
+	// for which it may be used.
 	StalenessBound Duration `toml:"staleness_bound"`
-	// MaxBodyBytes bounds a caller's request body.
+	// MaxBodyBytes bounds the size of a caller's request body.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
 }
 
-// Agent is the settings of cairnlift-agent.
+// Agent holds the settings of cairnlift-agent.
 type Agent struct {
 	Name     string   `toml:"name" validate:"required,host_name"`
 	Location Location `toml:"location"`
-	// Address answers entries' dispatches.
+	// Address is the listen address for entries' dispatches.
 	Address string `toml:"address" validate:"required,hostport_ip,reachable"`
-	// LocalAddress answers announcements of targets on this host, health probes and metrics.
+	// LocalAddress is the listen address for announcements of targets on this host, health
+	// checks and metrics.
 	LocalAddress string `toml:"local_address" validate:"required,hostport_ip"`
-	// Entries are the entry hosts' internal addresses, the preferred home entry
-	// first. The next one that answers stands in while it does not.
+	// Entries are the entry hosts with their internal addresses, the preferred home entry
+	// first. While that one does not respond, the next one that responds replaces it.
 	Entries []Peer `toml:"entries" validate:"required,unique=Name,unique=Address,dive"`
-	// Worker is the address of the platform's worker on this host; empty when it runs none.
+	// Worker is the address of the platform's worker on this host, empty if there is none.
 	Worker            string   `toml:"worker" validate:"omitempty,hostport_ip"`
 	HeartbeatInterval Duration `toml:"heartbeat_interval"`
 	StalenessBound    Duration `toml:"staleness_bound"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -12,8 +12,8 @@
 
 var examples = filepath.Join("..", "examples")
 
-// The files of both deployments load, and the peers and addresses of one
-// deployment agree with each other.
+// The example files of both deployments are valid, and the peers and addresses within each
+// deployment are consistent.
 func TestExamples(t *testing.T) {
 	for folder, want := range map[string]struct {
 		zones    []string
@@ -58,8 +58,7 @@
 	}
 }
 
-// Each replacement in a good file is refused at the field named, and at the line
-// that holds it.
+// Each replacement in a valid file is reported at the given field and at its line.
 func TestInvalidSettingsAreRefused(t *testing.T) {
 	const control = "data_folder = \"/var/lib/cairnlift\"\n"
 	for _, c := range []struct{ file, old, new, field, message string }{
@@ -79,7 +78,7 @@
 		{"entry", control, "", "control.data_folder", "is required"},
 		{"entry", control, control + "election_timeout = \"150ms\"\n", "control.election_timeout", "above 3 times"},
 		{"entry", control, control + "lease_duration = \"1s\"\n", "control.lease_duration", "above 2 times"},
-		{"entry", control, control + "lease_duration = \"soon\"\n", "control.lease_duration", "no duration"},
+		{"entry", control, control + "lease_duration = \"soon\"\n", "control.lease_duration", "not a valid duration"},
 		{"entry", "name = \"entry-civic\"\ncaller", "claim_window = \"-1h\"\nname = \"entry-civic\"\ncaller", "claim_window", "between"},
 		{"entry", "name = \"entry-civic\"\ncaller", "claim_window = \"200h\"\nname = \"entry-civic\"\ncaller", "claim_window", "between"},
 		{"entry", "name = \"entry-civic\"\ncaller", "drain_delay = \"29s\"\nname = \"entry-civic\"\ncaller", "drain_delay", "between"},
@@ -118,7 +117,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), old) {
-		t.Fatalf("%s holds no %q", path, old)
+		t.Fatalf("%s does not contain %q", path, old)
 	}
 	return strings.Replace(string(text), old, new, 1)
 }
@@ -130,7 +129,7 @@
 	return parse([]byte(text), &Entry{})
 }
 
-// A file with many mistakes names them all in one run, as file:line: field.
+// All mistakes of a file are reported at once, as file:line: field: message.
 func TestAllMistakesAreReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.toml")
 	text := "name = 3\ncaller_address = \"x\"\nadmin_adress = \"y\"\n[control]\nelection_timeout = \"1ms\"\n"
@@ -147,11 +146,11 @@
 		}
 	}
 	if strings.Contains(err.Error(), "name: is required") {
-		t.Errorf("a name of a wrong type is also called missing:\n%v", err)
+		t.Errorf("a name of a wrong type is also reported as missing:\n%v", err)
 	}
 }
 
-// Settings made in code are held to the same rules.
+// Settings that were created in code are checked by the same rules.
 func TestCheckAppliesToSettingsMadeInCode(t *testing.T) {
 	s, err := LoadEntry(filepath.Join(examples, "wrekinford", "entry-civic.toml"))
 	if err != nil || s.Check() != nil {
@@ -159,6 +158,6 @@
 	}
 	s.StalenessBound.Duration *= 2
 	if s.Check() == nil {
-		t.Error("a staleness bound of 6 s passed")
+		t.Error("a staleness bound of 6 s was accepted")
 	}
 }
--- a/spec/diff.go
+++ b/spec/diff.go
@@ -7,17 +7,17 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Action says what a change does to an item.
+// Action is the kind of a change to an item.
 type Action string
 
-// What a change does.
+// The actions of an ItemChange.
 const (
 	ActionAdd    Action = "add"
 	ActionRemove Action = "remove"
 	ActionChange Action = "change"
 )
 
-// FieldChange is one key that differs; a value is empty where the key is not set.
+// FieldChange is one key whose values differ. A value is empty if the key is not set.
 type FieldChange struct {
 	Key string `json:"key"`
 	Old string `json:"old,omitempty"`
@@ -59,8 +59,8 @@
 
 type itemKey struct{ table, name string }
 
-// Diff returns what turns the old configuration into the new one, in the order
-// of the new text, removals last. Either may be nil.
+// Diff returns the changes from the old configuration to the new one, in the order of the
+// new text, removals last. Either may be nil.
 func Diff(old, new *apiv1.Configuration) []ItemChange {
 	before := map[itemKey]item{}
 	for _, i := range items(old) {
--- a/spec/format.go
+++ b/spec/format.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Format renders a configuration as the operators' text in canonical form: every
-// value is written out, defaults too, and Parse of it gives the same
-// configuration but for text, digest and version.
+// Format renders a configuration as the operators' text in canonical form, in which every
+// value is written out, including defaults. Parse of the result returns the same
+// configuration except for its text, digest and version.
 func Format(c *apiv1.Configuration) []byte {
 	var b strings.Builder
 	for n, i := range items(c) {
@@ -120,8 +120,8 @@
 	return `"batch"`
 }
 
-// formatSize leaves out amounts of zero: they mean none in a size and no limit
-// in a quota, as a missing key does.
+// formatSize omits amounts of zero, which are equivalent to a missing key: none in a size,
+// no limit in a quota.
 func formatSize(r *apiv1.Resources) string {
 	var parts []string
 	if r.GetMilliProcessors() > 0 {
--- a/spec/graph.go
+++ b/spec/graph.go
@@ -8,10 +8,10 @@
 	"github.com/cairnlift/cairnlift/tomltext"
 )
 
-// maxCycleNames bounds how many names of a cycle a message shows.
+// maxCycleNames bounds the number of names of a cycle in a message.
 const maxCycleNames = 20
 
-// graph maps each service and job to what it depends on.
+// graph is the dependency graph of the services and jobs.
 type graph struct {
 	names []string
 	edges map[string][]string
@@ -41,10 +41,9 @@
 	finished
 )
 
-// topologicalSort visits everything that each name depends on before the name itself. It
-// returns the names in that order and one cycle per edge that closes one, of
-// which there may be too many to list all. It keeps its own stack: a chain of
-// 50,000 jobs is a valid text.
+// topologicalSort returns the names so that each comes after its dependencies, and one cycle
+// per edge that closes one, at most tomltext.MaxProblems of them since there may be too many
+// to list all. It uses an explicit stack because a chain of 50,000 jobs is a valid text.
 func (g *graph) topologicalSort() (order []string, cycles [][]string) {
 	state := map[string]visit{}
 	next := map[string]int{}
@@ -78,7 +77,7 @@
 	return order, cycles
 }
 
-// closedCycle returns the part of path from name on, closed with name.
+// closedCycle returns the part of path that starts at name, followed by name.
 func closedCycle(path []string, name string) []string {
 	return append(slices.Clone(path[slices.Index(path, name):]), name)
 }
@@ -91,8 +90,8 @@
 	return strings.Join(cycle, " -> ")
 }
 
-// DependencyOrder returns the names of all services and jobs so that each comes after
-// everything it depends on.
+// DependencyOrder returns the names of all services and jobs so that each comes after its
+// dependencies.
 func DependencyOrder(c *apiv1.Configuration) []string {
 	order, _ := newGraph(c).topologicalSort()
 	return order
@@ -110,8 +109,8 @@
 	}
 }
 
-// knownGraph leaves out items without a usable name and unknown dependencies,
-// which are reported on their own.
+// knownGraph returns the graph without unnamed items and unknown dependencies, which are
+// reported separately.
 func (p *parser) knownGraph() *graph {
 	all := newGraph(p.config)
 	g := &graph{edges: map[string][]string{}}
--- a/spec/job.go
+++ b/spec/job.go
@@ -30,7 +30,7 @@
 	p.config.Jobs = append(p.config.Jobs, j)
 }
 
-// kind is the job's name when the text leaves it out.
+// kind reads the job's kind, which defaults to the job's name.
 func kind(t *tomltext.Table, name string) string {
 	k, ok := t.String("kind")
 	if !ok {
@@ -54,8 +54,8 @@
 	return apiv1.Priority_PRIORITY_UNSPECIFIED
 }
 
-// name reads the name of a service or job; the two share one set of names,
-// since depends_on refers to either.
+// name reads the name of a service or job. Both share one namespace, since depends_on may
+// refer to either.
 func (p *parser) name(t *tomltext.Table, what string) string {
 	name, ok := t.String("name")
 	if !ok {
@@ -127,6 +127,6 @@
 
 func (p *parser) checkTasks() {
 	if p.tasks > maxTasks {
-		p.doc.AddProblem("job", "the jobs have %d tasks together, more than the %d allowed", p.tasks, maxTasks)
+		p.doc.AddProblem("job", "the jobs have %d tasks in total, more than the %d allowed", p.tasks, maxTasks)
 	}
 }
--- a/spec/limits.go
+++ b/spec/limits.go
@@ -1,11 +1,11 @@
 package spec
 
-// MaxTextBytes bounds the operators' text.
+// MaxTextBytes bounds the size of the operators' text.
 const MaxTextBytes = 4 << 20
 
-// Bounds of what one text may declare. They sit well above the target size
-// (37,000 jobs a day, 390 teams, 47,000 tasks at a time) and keep a mistaken or
-// generated text from filling the replicated log.
+// Limits of what one text may declare. They are well above the target size (37,000 jobs a
+// day, 390 teams, 47,000 concurrent tasks). Without them, an erroneous or generated text
+// could fill the replicated log.
 const (
 	maxServices      = 5_000
 	maxJobs          = 50_000
@@ -23,11 +23,12 @@
 	maxProcessors    = 100_000
 	maxMemoryBytes   = 1 << 50
 	maxAccelerators  = 10_000
-	// maxQuotaFactor is how many times a single size a team's quota may be.
+	// maxQuotaFactor is the ratio between the limits of a team's quota and the limits of
+	// a single size.
 	maxQuotaFactor = 1_000
 )
 
-// Values of keys that the text leaves out.
+// Defaults of keys that the text does not set.
 const (
 	defaultTasks        = 1
 	defaultMaxFailures  = 3
--- a/spec/policy.go
+++ b/spec/policy.go
@@ -18,8 +18,7 @@
 
 var weightKeys = []string{"tail_latency", "evictions", "batch_throughput"}
 
-// presetPolicy returns the weights behind a preset's name in percent, nil for an
-// unknown one.
+// presetPolicy returns the weights of a preset in percent, nil if its name is unknown.
 func presetPolicy(name string) *apiv1.Policy {
 	switch name {
 	case presetTailLatency:
@@ -51,7 +50,7 @@
 	}
 }
 
-// weights returns nil when the table sets none.
+// weights reads the weights of the policy. It returns nil if the table sets none.
 func weights(t *tomltext.Table) *apiv1.Policy {
 	var values [3]int32
 	set := 0
@@ -66,7 +65,7 @@
 	}
 	w := &apiv1.Policy{TailLatency: values[0], Evictions: values[1], BatchThroughput: values[2]}
 	if sum := w.TailLatency + w.Evictions + w.BatchThroughput; sum != totalWeightPercent {
-		t.AddProblem("", "the weights %s make %d percent, not 100", strings.Join(weightKeys, ", "), sum)
+		t.AddProblem("", "the weights %s add up to %d percent, not 100", strings.Join(weightKeys, ", "), sum)
 	}
 	return w
 }
--- a/spec/service.go
+++ b/spec/service.go
@@ -39,7 +39,7 @@
 	p.config.Services = append(p.config.Services, s)
 }
 
-// timeout is four times the objective when the text leaves it out.
+// timeout reads the timeout, which defaults to four times the objective.
 func timeout(t *tomltext.Table, objectiveMs int64) int64 {
 	if !t.Has("timeout") {
 		return min(objectiveMs*defaultTimeoutRatio, maxTimeout.Milliseconds())
@@ -75,7 +75,7 @@
 	return prefixes
 }
 
-// pathProblem says what is wrong with a path prefix; empty when nothing is.
+// pathProblem returns a message about an invalid path prefix, empty if it is valid.
 func pathProblem(path string) string {
 	switch {
 	case !strings.HasPrefix(path, "/"):
@@ -83,11 +83,11 @@
 	case len(path) > maxPathBytes:
 		return "is too long for a path prefix"
 	case strings.Contains(path, "//") || strings.Contains(path, "/../") || strings.Contains(path, "/./"):
-		return "must not hold empty, . or .. segments"
+		return "must not contain empty, . or .. segments"
 	case strings.HasSuffix(path, "/..") || strings.HasSuffix(path, "/."):
-		return "must not hold empty, . or .. segments"
+		return "must not contain empty, . or .. segments"
 	case strings.ContainsFunc(path, invalidPathRune):
-		return "may hold letters, digits and -._~!$&'()*+,;=:@%/ only"
+		return "may contain only letters, digits and -._~!$&'()*+,;=:@%/"
 	}
 	return ""
 }
@@ -108,7 +108,7 @@
 	for _, text := range texts {
 		r, mistake := parseRoute(text)
 		if mistake == "" && !matchesAnyPrefix(r.PathPrefix, prefixes) {
-			mistake = "lies under none of the service's paths"
+			mistake = "is under none of the service's paths"
 		}
 		if mistake != "" {
 			t.AddProblem("idempotent", "%q %s", tomltext.Shorten(text), mistake)
@@ -134,23 +134,23 @@
 	return slices.ContainsFunc(prefixes, func(prefix string) bool { return matchesPrefix(path, prefix) })
 }
 
-// matchesPrefix reports whether the prefix of a path ends at one of its segments, which
-// is how entries match requests to services.
+// matchesPrefix reports whether a path starts with the prefix and the prefix ends at a
+// segment boundary. Entries match requests to services by the same rule.
 func matchesPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimRight(prefix, "/"))
 	return ok && (rest == "" || rest[0] == '/')
 }
 
-// checkPrefixes refuses one prefix at two services. Prefixes that only differ
-// by a trailing slash match the same paths and clash too. A longer prefix within
-// a shorter one is fine, as the longest match wins.
+// checkPrefixes reports prefixes that are declared more than once. Prefixes that differ only
+// by a trailing slash match the same paths and conflict too. A prefix may extend a shorter
+// one, since the longest match wins.
 func (p *parser) checkPrefixes() {
 	owners := map[string]prefixOwner{}
 	for _, o := range p.prefixes {
 		key := strings.TrimRight(o.prefix, "/")
 		first, taken := owners[key]
 		if taken {
-			p.doc.AddProblem(o.path, "%q clashes with %q of service %q (line %d)", o.prefix, first.prefix, first.service, p.doc.Line(first.path))
+			p.doc.AddProblem(o.path, "%q conflicts with %q of service %q (line %d)", o.prefix, first.prefix, first.service, p.doc.Line(first.path))
 			continue
 		}
 		owners[key] = o
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -1,6 +1,6 @@
-// Package spec reads the operators' text. It is TOML and declares services,
-// batch jobs, teams and the policy; Parse checks it as a whole and compiles it
-// into the configuration that the control group puts in force.
+// Package spec reads the operators' text, which is TOML and declares services, batch jobs,
+// teams and the policy. Parse checks the whole text and compiles it into a configuration
+// for the control group.
 package spec
 
 import (
@@ -17,8 +17,8 @@
 // Problems are all mistakes of one text.
 type Problems = tomltext.Problems
 
-// Parse compiles the operators' text. The configuration is nil when there is
-// any problem; its version is 0, since versions are the control group's to give.
+// Parse compiles the operators' text. The configuration is nil if there is any problem. Its
+// version is 0, since the control group assigns versions.
 func Parse(text []byte) (*apiv1.Configuration, Problems) {
 	if len(text) > MaxTextBytes {
 		return nil, Problems{{Message: "the text is " + formatBytes(int64(len(text))) + ", more than the " + formatBytes(MaxTextBytes) + " allowed"}}
@@ -43,14 +43,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// parser reads the tables into config and remembers where each name stands.
+// parser reads the tables into config and records where each name is declared.
 type parser struct {
 	doc    *tomltext.Document
 	config *apiv1.Configuration
 	// tablePaths holds the path of each service's and job's table.
 	tablePaths map[string]string
 	teams      map[string]bool
-	// teamRefs, deps and prefixes hold what is checked once all tables are read.
+	// teamRefs, dependencyRefs and prefixes are checked after all tables are read.
 	teamRefs       []reference
 	dependencyRefs []reference
 	prefixes       []prefixOwner
@@ -87,7 +87,7 @@
 	p.checkDependencies()
 }
 
-// tables reads an array of tables, none of them when there are too many.
+// tables reads an array of tables. It returns none if there are more than limit.
 func (p *parser) tables(root *tomltext.Table, key string, limit int) []*tomltext.Table {
 	tables := root.Tables(key)
 	if len(tables) > limit {
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -30,12 +30,13 @@
 
 func replaceOnce(text, old, new string) string {
 	if !strings.Contains(text, old) {
-		panic("no such part: " + old)
+		panic("the text does not contain " + old)
 	}
 	return strings.Replace(text, old, new, 1)
 }
 
-// Each text is refused at the line and field named, and gives no configuration.
+// Each text is rejected with a problem at the given line and field, and no configuration is
+// returned.
 func TestParseRejectsInvalidText(t *testing.T) {
 	both := validService + validJob
 	for _, c := range []struct {
@@ -60,13 +61,13 @@
 		{"depends on itself", validJob + "depends_on = [\"renewal\"]\n", "job[0].depends_on", "cycle: renewal -> renewal", 5},
 		{"cycle", validService + "depends_on = [\"renewal\"]\n" + validJob + "depends_on = [\"bookings\"]\n",
 			"service[0].depends_on", "cycle: bookings -> renewal -> bookings", 8},
-		{"same path", validService + replaceOnce(replaceOnce(validService, "bookings", "two"), `"/b"`, `"/b/"`), "service[1].paths", `clashes with "/b" of service "bookings" (line 3)`, 10},
+		{"same path", validService + replaceOnce(replaceOnce(validService, "bookings", "two"), `"/b"`, `"/b/"`), "service[1].paths", `conflicts with "/b" of service "bookings" (line 3)`, 10},
 		{"relative path", replaceOnce(validService, "/b", "b"), "service[0].paths", "start with a slash", 3},
 		{"dots in path", replaceOnce(validService, "/b", "/b/.."), "service[0].paths", "segments", 3},
 		{"query in path", replaceOnce(validService, "/b", "/b?x"), "service[0].paths", "only", 3},
 		{"no path", replaceOnce(validService, `"/b"`, ""), "service[0].paths", "between 1", 3},
 		{"bare memory", replaceOnce(validService, `"16GB"`, "16"), "service[0].size.memory", "must be a string, not an integer", 7},
-		{"memory overflow", replaceOnce(validService, "16GB", "9223372036854775807TB"), "service[0].size.memory", "no amount", 7},
+		{"memory overflow", replaceOnce(validService, "16GB", "9223372036854775807TB"), "service[0].size.memory", "not a valid amount", 7},
 		{"memory beyond bound", replaceOnce(validService, "16GB", "2000TiB"), "service[0].size.memory", "at most", 7},
 		{"no memory", replaceOnce(validService, "16GB", "0GB"), "service[0].size.memory", "above 0", 7},
 		{"no processors", replaceOnce(validJob, "= 1,", "= 0,"), "job[0].size.processors", "above 0", 3},
@@ -75,13 +76,13 @@
 		{"infinite processors", replaceOnce(validJob, "= 1,", "= inf,"), "job[0].size.processors", "above 0", 3},
 		{"processors too fine", replaceOnce(validJob, "= 1,", "= 1.0005,"), "job[0].size.processors", "steps of 0.001", 3},
 		{"negative accelerators", replaceOnce(validJob, "= 1,", "= 1, accelerators = -1,"), "job[0].size.accelerators", "between 0", 3},
-		{"no duration", replaceOnce(validJob, "1h30m", "soon"), "job[0].expected_run", "no duration", 4},
+		{"no duration", replaceOnce(validJob, "1h30m", "soon"), "job[0].expected_run", "not a valid duration", 4},
 		{"negative duration", replaceOnce(validJob, "1h30m", "-1h"), "job[0].expected_run", "between 1ms", 4},
 		{"below a millisecond", replaceOnce(validService, "80ms", "1.5ms"), "service[0].objective", "whole milliseconds", 4},
 		{"timeout below objective", validService + "timeout = \"79ms\"\n", "service[0].timeout", "shorter than the objective", 8},
 		{"few connections", replaceOnce(validService, "64", "7"), "service[0].connections", "can't fill the 8 slots", 6},
 		{"tasks", validJob + "tasks = 100001\n", "job[0].tasks", "between 1 and 100000", 5},
-		{"all tasks", manyJobs(11, "tasks = 100000\n"), "job", "1100000 tasks together", 1},
+		{"all tasks", manyJobs(11, "tasks = 100000\n"), "job", "1100000 tasks in total", 1},
 		{"jobs", strings.Repeat("[[job]]\n", maxJobs+1), "job", "50001 [[job]] tables", 1},
 		{"priority", validJob + "priority = \"high\"\n", "job[0].priority", "batch", 5},
 		{"route outside", validService + "idempotent = [\"GET /a\"]\n", "service[0].idempotent", "under none", 8},
@@ -114,7 +115,7 @@
 	return b.String()
 }
 
-// Every mistake is reported in one run, in the order of the lines.
+// All mistakes of a text are reported at once, in the order of their lines.
 func TestParseReportsAllMistakes(t *testing.T) {
 	_, problems := Parse([]byte(replaceOnce(validService, "16GB", "x") + "team = \"x\"\n" + replaceOnce(validJob, "1h30m", "x") + "depends_on = [\"x\"]\ncost = 1\n"))
 	var fields []string
@@ -127,19 +128,20 @@
 	}
 }
 
-// checkRoundTrip holds for every configuration that Parse returns.
+// checkRoundTrip checks that the canonical form of a configuration parses to an equal one and
+// that DependencyOrder respects its dependencies, as for every result of Parse.
 func checkRoundTrip(t *testing.T, c *apiv1.Configuration) {
 	t.Helper()
 	again, problems := Parse(Format(c))
 	if len(problems) > 0 {
-		t.Fatalf("the canonical form is refused: %v\n%s", problems, Format(c))
+		t.Fatalf("the canonical form is rejected: %v\n%s", problems, Format(c))
 	}
 	again.Text, again.TextDigest = c.Text, c.TextDigest
 	if !proto.Equal(c, again) {
 		t.Fatalf("the canonical form differs:\n%v\n%v", c, again)
 	}
 	if changes := Diff(c, again); len(changes) > 0 {
-		t.Fatalf("equal configurations differ: %v", changes)
+		t.Fatalf("Diff returns changes for equal configurations: %v", changes)
 	}
 	position := map[string]int{}
 	order := DependencyOrder(c)
@@ -147,7 +149,7 @@
 		position[name] = i
 	}
 	if len(position) != len(c.Services)+len(c.Jobs) || len(order) != len(position) {
-		t.Fatalf("the order %v names not each item once", order)
+		t.Fatalf("the order %v does not contain each item exactly once", order)
 	}
 	for name, deps := range newGraph(c).edges {
 		for _, dep := range deps {
@@ -217,7 +219,7 @@
 	})
 }
 
-// BenchmarkParse reads a text of 10,000 jobs in a chain of dependencies.
+// BenchmarkParse measures parsing a text of 10,000 jobs in a chain of dependencies.
 func BenchmarkParse(b *testing.B) {
 	var text strings.Builder
 	for i := range 10_000 {
--- a/spec/units.go
+++ b/spec/units.go
@@ -15,13 +15,14 @@
 
 const milli = 1000
 
-// unit is a suffix of an amount of memory. Larger units come first, so that
-// formatBytes finds the largest that divides an amount.
+// unit is the suffix of an amount of memory and its number of bytes.
 type unit struct {
 	suffix string
 	bytes  int64
 }
 
+// units lists larger units first, so that formatBytes finds the largest that divides an
+// amount.
 var units = []unit{
 	{"TiB", 1 << 40}, {"TB", 1e12},
 	{"GiB", 1 << 30}, {"GB", 1e9},
@@ -41,7 +42,8 @@
 	}
 	i := slices.IndexFunc(units, func(u unit) bool { return u.suffix == m[2] })
 	if whole, err := strconv.ParseInt(m[1], 10, 64); err == nil {
-		// Whole numbers stay out of floating point, which is exact to 2^53 only.
+		// Whole numbers are not converted to floating point, which is exact only up
+		// to 2^53.
 		return whole * units[i].bytes, whole <= math.MaxInt64/units[i].bytes
 	}
 	number, err := strconv.ParseFloat(m[1], 64)
@@ -62,7 +64,7 @@
 	return strconv.FormatFloat(float64(n)/milli, 'f', -1, 64)
 }
 
-// duration reads whole milliseconds of at least 1 and at most limit.
+// duration reads a duration of whole milliseconds between 1ms and limit.
 func duration(t *tomltext.Table, key string, limit time.Duration) (ms int64, ok bool) {
 	s, ok := t.String(key)
 	if !ok {
@@ -70,7 +72,7 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		t.AddProblem(key, "%q is no duration; write it like \"250ms\", \"2s\" or \"1h30m\"", tomltext.Shorten(s))
+		t.AddProblem(key, "%q is not a valid duration; write it like \"250ms\", \"2s\" or \"1h30m\"", tomltext.Shorten(s))
 		return 0, false
 	}
 	if d < time.Millisecond || d > limit || d%time.Millisecond != 0 {
@@ -80,7 +82,8 @@
 	return d.Milliseconds(), true
 }
 
-// integer reads an integer between low and high; the fallback when it is left out.
+// integer reads an integer between low and high. It returns the fallback if the key is not
+// set or out of range.
 func integer(t *tomltext.Table, key string, low, high, fallback int64) int64 {
 	n, ok := t.Int(key)
 	if !ok {
@@ -93,11 +96,11 @@
 	return n
 }
 
-// sizeRules says which amounts a size table may hold.
+// sizeRules are the rules for the amounts in a size table.
 type sizeRules struct {
-	// optionalAmounts sizes may leave out processors and memory.
+	// optionalAmounts allows tables without processors and memory.
 	optionalAmounts bool
-	// limitFactor multiplies the largest amounts.
+	// limitFactor multiplies the upper limits of the amounts.
 	limitFactor int64
 }
 
@@ -119,7 +122,7 @@
 
 func processors(t *tomltext.Table, v float64, limit int64) int64 {
 	scaled := math.Round(v * milli)
-	// The comparison is written so that NaN fails it as well.
+	// The negated comparison is also true for NaN.
 	if !(v > 0 && v <= float64(limit)) || math.Abs(v*milli-scaled) > 1e-6*milli || scaled < 1 {
 		t.AddProblem("processors", "%v must be above 0, at most %d, in steps of 0.001", v, limit)
 		return 0
@@ -130,7 +133,7 @@
 func memory(t *tomltext.Table, s string, limit int64) int64 {
 	n, ok := parseBytes(s)
 	if !ok {
-		t.AddProblem("memory", "%q is no amount of memory; write it like \"512MiB\" or \"16GB\"", tomltext.Shorten(s))
+		t.AddProblem("memory", "%q is not a valid amount of memory; write it like \"512MiB\" or \"16GB\"", tomltext.Shorten(s))
 		return 0
 	}
 	if n < 1 || n > limit {
--- a/state/restore.go
+++ b/state/restore.go
@@ -228,7 +228,7 @@
 
 func (m *Machine) loadSubmissions(records []*apiv1.SubmissionRecord) error {
 	if len(records) > MaxSubmissions {
-		return errors.Newf("%d submissions are more than the %d that are retained", len(records), MaxSubmissions)
+		return errors.Newf("%d submissions are more than are retained", len(records))
 	}
 	for _, r := range records {
 		if r.Result == nil || m.submissions.byID[r.SubmissionId] != nil {
--- a/tomltext/decode.go
+++ b/tomltext/decode.go
@@ -5,11 +5,10 @@
 	"reflect"
 )
 
-// Decode fills the struct that into points to by its toml tags. Supported are
-// strings, booleans, integers, string lists, encoding.TextUnmarshaler, structs,
-// pointers to structs and slices of structs. Unlike a decoder that stops at the
-// first value of a wrong type it goes on and reports each of them, and every
-// unknown key.
+// Decode sets the fields of the struct that into points to by their toml tags. It supports
+// strings, booleans, integers, slices of strings, encoding.TextUnmarshaler, structs,
+// pointers to structs and slices of structs. Unlike a decoder that stops at the first
+// value of a wrong type, it reports each of them, and every unknown key.
 func Decode(t *Table, into any) {
 	decodeStruct(t, reflect.ValueOf(into).Elem())
 }
@@ -52,7 +51,7 @@
 	case reflect.Slice:
 		decodeSlice(t, key, v)
 	default:
-		panic("tomltext: no decoding for " + v.Type().String() + ", the type of " + t.Path(key))
+		panic("tomltext: can't decode into " + v.Type().String() + ", the type of " + t.Path(key))
 	}
 }
 
--- a/tomltext/document.go
+++ b/tomltext/document.go
@@ -1,5 +1,5 @@
-// Package tomltext reads TOML texts that people write: it finds every mistake
-// in one run and tells the line and the key of each.
+// Package tomltext reads TOML texts that people write. It reports all mistakes of a text at
+// once, with the line and the key of each.
 package tomltext
 
 import (
@@ -11,10 +11,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is a parsed text that collects problems.
+// Document is a parsed text and the problems that were found in it.
 type Document struct {
 	text []byte
-	// positions are looked up once there is a problem to place.
+	// positions is set when the line of a key is first looked up.
 	positions *positions
 	problems  Problems
 	// droppedProblems counts problems beyond maxCollectedProblems.
@@ -22,8 +22,8 @@
 	root            map[string]any
 }
 
-// Parse reads the syntax of a text. A document whose syntax is broken has one
-// problem and an empty root table.
+// Parse parses a text. A document with a syntax error has one problem and an empty root
+// table.
 func Parse(text []byte) *Document {
 	d := &Document{text: text}
 	if err := toml.Unmarshal(text, &d.root); err != nil {
@@ -51,13 +51,13 @@
 	d.problems = append(d.problems, Problem{Line: d.Line(path), Field: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// HasProblem reports whether the key at path has a problem already, so that a later
-// check need not complain about what the same mistake left unset.
+// HasProblem reports whether the key at path has a problem already. Later checks use it to
+// skip a value that is unset because of the same mistake.
 func (d *Document) HasProblem(path string) bool {
 	return slices.ContainsFunc(d.problems, func(p Problem) bool { return p.Field == path })
 }
 
-// Line returns the line of the key at path, or of the nearest table around it.
+// Line returns the line of the key at path, or of the nearest table that encloses it.
 func (d *Document) Line(path string) int {
 	if d.positions == nil {
 		d.positions = locateKeys(d.text)
@@ -65,8 +65,8 @@
 	return d.positions.line(path)
 }
 
-// Problems returns what was found so far, by line.
+// Problems returns the problems found so far, ordered by line.
 func (d *Document) Problems() Problems { return d.problems.sorted(d.droppedProblems) }
 
-// Root returns the table that holds all others.
+// Root returns the root table.
 func (d *Document) Root() *Table { return newTable(d, "", d.root) }
--- a/tomltext/positions.go
+++ b/tomltext/positions.go
@@ -8,9 +8,9 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Bounds of the keys that are located; what lies deeper is unknown in any case
-// and is reported at its parent's line. Without them a text of 4 MB with nested
-// tables, or with one long key over many short ones, makes gigabytes of paths.
+// Limits of the keys that are located. Deeper or longer keys are unknown in any case and are
+// reported at the line of their parent. Without these limits, a text of 4 MB with nested
+// tables, or with many short keys below a long one, would produce gigabytes of paths.
 const (
 	maxKeyParts  = 8
 	maxPathBytes = 512
@@ -20,7 +20,7 @@
 type positions struct {
 	lines    map[string]int
 	newlines []int
-	// elementCounts counts the headers seen of each array of tables.
+	// elementCounts is the number of headers seen so far of each array of tables.
 	elementCounts map[string]int
 }
 
@@ -77,7 +77,7 @@
 	p.value(path, e.Value(), depth-1)
 }
 
-// value records the keys of inline tables, also of those within arrays.
+// value records the keys of inline tables, including those within arrays.
 func (p *positions) value(path string, v *unstable.Node, depth int) {
 	if depth == 0 || len(path) > maxPathBytes {
 		return
@@ -95,7 +95,7 @@
 	}
 }
 
-// recordLine keeps the first line of a path.
+// recordLine records the line of a path unless it has one already.
 func (p *positions) recordLine(path string, line int) {
 	if _, known := p.lines[path]; !known && len(path) <= maxPathBytes {
 		p.lines[path] = line
@@ -106,7 +106,7 @@
 	return sort.SearchInts(p.newlines, int(offset)) + 1
 }
 
-// line returns the line of a path, or of the nearest table around it.
+// line returns the line of a path, or of the nearest table that encloses it.
 func (p *positions) line(path string) int {
 	for path != "" {
 		if n, ok := p.lines[path]; ok {
--- a/tomltext/positions_test.go
+++ b/tomltext/positions_test.go
@@ -6,10 +6,9 @@
 	"testing"
 )
 
-// Symptom: an entry runs out of memory over a text of a few megabytes. Sequence:
-// the text nests tables thousands deep, or puts many keys under a long one, and
-// has an unknown key, so that lines are looked up. Cause: a path is kept for each
-// key, as long as all keys around it together.
+// Guards against an entry that runs out of memory on a text of a few megabytes. The text nests
+// tables thousands deep, or has many keys below a long one, and an unknown key causes a
+// lookup of lines; without limits, the path of each key would contain all keys around it.
 func TestLocateIsBounded(t *testing.T) {
 	long := strings.Repeat("k", 4*maxPathBytes)
 	deep := strings.Repeat("{a=", 2000) + "1" + strings.Repeat("}", 2000)
@@ -27,7 +26,7 @@
 		doc.Root().RejectUnknownKeys()
 		for path := range doc.positions.lines {
 			if len(path) > maxPathBytes || strings.Count(path, ".")+strings.Count(path, "[") >= 2*maxKeyParts {
-				t.Errorf("%s: a path of %d bytes is kept", name, len(path))
+				t.Errorf("%s: a path of %d bytes is recorded", name, len(path))
 			}
 		}
 		if doc.Line("x") != 1 || doc.Line(fmt.Sprintf("a%s", strings.Repeat(".a", 3000))) > 2 {
@@ -36,7 +35,7 @@
 	}
 }
 
-// The first lines are reported and the rest is counted.
+// The problems of the first lines are listed and the others are counted.
 func TestProblemsAreBounded(t *testing.T) {
 	var text strings.Builder
 	const keys = maxCollectedProblems + 500
--- a/tomltext/problem.go
+++ b/tomltext/problem.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// MaxProblems bounds how many mistakes one run reports.
+// MaxProblems bounds the number of problems that are listed for one text.
 const MaxProblems = 200
 
-// maxCollectedProblems bounds how many are kept until they are sorted by line: a text that
-// is not what it should be, such as another program's, may hold a million.
+// maxCollectedProblems bounds the number of problems that are collected before they are
+// sorted by line, since a text of another kind, such as another program's file, may have a
+// million of them.
 const maxCollectedProblems = 10 * MaxProblems
 
 // Problem is one mistake in a text.
 type Problem struct {
-	// Line counts from 1; 0 when the mistake belongs to no line.
+	// Line is the line number, starting at 1; 0 if the mistake is not on a specific line.
 	Line int `json:"line"`
 	// Field is the path of the key, such as service[0].size.memory.
 	Field string `json:"field"`
-	// Message is a sentence for whoever wrote the text.
+	// Message describes the mistake to the author of the text.
 	Message string `json:"message"`
 }
 
@@ -43,7 +44,7 @@
 	return file + ": " + Problem{Field: p.Field, Message: p.Message}.String()
 }
 
-// Problems are all mistakes of one text, by line.
+// Problems are all problems of one text, ordered by line.
 type Problems []Problem
 
 // Error implements error with one line per problem.
@@ -64,7 +65,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Err returns nil when there is no problem.
+// Err returns the problems as an error, nil if there are none.
 func (ps Problems) Err() error {
 	if len(ps) == 0 {
 		return nil
@@ -72,8 +73,8 @@
 	return ps
 }
 
-// sorted orders problems by line, cuts the list at MaxProblems and says how many
-// are left out, the dropped ones included.
+// sorted sorts the problems by line and truncates the list to MaxProblems. A final problem
+// reports how many are not listed, including the dropped ones.
 func (ps Problems) sorted(dropped int) Problems {
 	sort.SliceStable(ps, func(i, j int) bool { return ps[i].Line < ps[j].Line })
 	left := len(ps) - MaxProblems + dropped
--- a/tomltext/table.go
+++ b/tomltext/table.go
@@ -4,11 +4,11 @@
 	"sort"
 )
 
-// maxQuotedBytes bounds how much of a text's own words a message repeats.
+// maxQuotedBytes bounds how many bytes of the text a message quotes.
 const maxQuotedBytes = 80
 
-// Table reads the keys of one table. Each method records a problem when the key
-// holds another type of value, and returns false when there is no usable value.
+// Table reads the keys of one table. Each method records a problem if the value of the key
+// has another type, and returns false if there is no usable value.
 type Table struct {
 	doc    *Document
 	path   string
@@ -20,7 +20,7 @@
 	return &Table{doc: d, path: path, values: values, known: map[string]bool{}}
 }
 
-// Path returns the path of a key of this table; of the table itself for "".
+// Path returns the path of a key of this table, or of the table itself if the key is empty.
 func (t *Table) Path(key string) string {
 	if key == "" {
 		return t.path
@@ -39,7 +39,7 @@
 	return ok
 }
 
-// Value returns the key's value of whatever type.
+// Value returns the key's value, of any type.
 func (t *Table) Value(key string) (any, bool) {
 	t.known[key] = true
 	v, ok := t.values[key]
@@ -111,8 +111,8 @@
 	return out
 }
 
-// RejectUnknownKeys records a problem for each key that no method was called for. A
-// misspelt key that is passed over in silence would leave its default in force.
+// RejectUnknownKeys records a problem for each key that was not read. If a misspelled key
+// were ignored, the default of the intended key would silently stay in effect.
 func (t *Table) RejectUnknownKeys() {
 	var unknown []string
 	for key := range t.values {
@@ -126,7 +126,7 @@
 	}
 }
 
-// Shorten cuts text that is repeated in a message to a bounded length.
+// Shorten truncates text that is quoted in a message to a bounded length.
 func Shorten(s string) string {
 	if len(s) <= maxQuotedBytes {
 		return s
