--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -97,14 +97,14 @@
 	if err != nil {
 		a.metrics.lostHeartbeats.Inc(1)
 		a.beat.entry = -1
-		wait := a.selector.Failed(a.now(), entry)
+		wait := a.selector.RecordFailure(a.now(), entry)
 		a.log.Warn("heartbeat not answered", zap.String("entry", a.settings.Entries[entry].Name),
 			zap.Duration("next_try", wait), zap.Error(err))
 		return wait, errors.Wrap(err, "heartbeat")
 	}
 	a.metrics.heartbeats.Inc(1)
 	answered := a.now()
-	a.selector.Succeeded(answered, entry, answered.Sub(sent))
+	a.selector.RecordSuccess(answered, entry, answered.Sub(sent))
 	a.beat.entry, a.beat.revision = entry, req.Revision
 	if req.Agent.GetLeaving() {
 		a.leaveOnce.Do(func() { close(a.leaveAcknowledged) })
@@ -209,7 +209,7 @@
 		return
 	}
 	a.mu.Lock()
-	a.latency.Sent(len(req.Worker.GetLatency()))
+	a.latency.DropSent(len(req.Worker.GetLatency()))
 	a.mu.Unlock()
 	a.worker.followSoon(ctx, resp.Orders)
 }
