--- a/agent/runs/admission.go
+++ b/agent/runs/admission.go
@@ -9,13 +9,13 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// admit reports whether the leader may be told of the worker: it knows the
-// incarnation, or nothing runs there.
+// admit reports whether the session may report the worker to the leader: the leader knows the
+// incarnation, or the worker runs nothing.
 //
-// What goes wrong without it: the log knows the worker by another name, as the agent before
-// this one gave it, which told no start. The first report under the new name ends the old
-// one, and what runs on is started elsewhere as well. So all that runs on an incarnation
-// that the log does not know is stopped first.
+// The log may know the worker under another name that a previous agent gave it, one that did not
+// report the worker's start time. The first report under the new name ends the old incarnation,
+// and runs that continue would be started elsewhere as well. Therefore all runs of an incarnation
+// that the log does not know are stopped first.
 func (s *session) admit(status Status) bool {
 	if s.admitted {
 		return true
@@ -36,15 +36,16 @@
 	return true
 }
 
-// knownToLeader asks whether the log knows the incarnation; one that it knows has an epoch.
+// knownToLeader queries the leader and reports whether the log knows the incarnation. A known
+// incarnation has an epoch.
 func (s *session) knownToLeader() (bool, error) {
 	resp, err := s.findLeader()
 	return err == nil && resp.Epoch != 0, err
 }
 
-// findLeader looks for the leader and learns its term. Nothing else may look for it: a
-// session that is not admitted reports nothing, and waits for orders only where the leader
-// is known.
+// findLeader looks for the leader and records its term. No other call of a session that is not
+// admitted looks for the leader: such a session sends no reports, and waits for orders only once
+// the leader is known.
 func (s *session) findLeader() (*apiv1.JobsOrdersResponse, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
@@ -58,8 +59,8 @@
 	return resp, nil
 }
 
-// stopUnknownRuns has the worker stop runs that the log does not hold there. It is called again
-// until none of them is listed.
+// stopUnknownRuns has the worker stop runs that the log does not assign to it. It is called again
+// until the worker lists none of them.
 func (s *session) stopUnknownRuns(running []*apiv1.RunObservation) {
 	event.UnknownRunsStopped.Write(s.d.logger, event.Worker(s.incarnation), event.RunningCount(len(running)))
 	for _, r := range running {
@@ -69,6 +70,6 @@
 	}
 }
 
-// admissionRetryInterval is the time between two looks at a worker that is not admissible: a stop
-// takes up to some hundred milliseconds.
+// admissionRetryInterval is the time between two checks of a worker that was not admitted. A stop
+// takes up to a few hundred milliseconds.
 const admissionRetryInterval = 100 * time.Millisecond
--- a/agent/runs/backoff.go
+++ b/agent/runs/backoff.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// backoff doubles the pauses between the tries of a call.
+// backoff doubles the delay after each attempt of a call.
 type backoff struct{ delay time.Duration }
 
 func newBackoff() *backoff { return &backoff{delay: minRetryDelay} }
--- a/agent/runs/callhistory.go
+++ b/agent/runs/callhistory.go
@@ -10,43 +10,45 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// startRetention is how long a start is remembered: a run that has worked for longer is not
-// what its worker crashed of at its start.
+// startRetention is how long a start is remembered. A run that has worked for longer did not
+// crash its worker at its start.
 const startRetention = 10 * time.Second
 
-// callHistory is what an agent knows of the last calls of a worker. From it follows how long
-// each run had worked when the worker crashed.
+// callHistory records the results of the last calls of a worker. They bound how long each run had
+// worked when the worker crashed.
 type callHistory struct {
 	starts map[jobqueue.RunID]startRecord
-	// lastAnsweredAt is when the worker last answered a call, and failedAt when the first call after
-	// that failed at once, since nobody was there; zero while none did. A call without any answer
-	// says nothing: it may have been lost.
+	// lastAnsweredAt is when the worker last answered a call. failedAt is when the first call
+	// after that failed at once because no process was listening; zero if none did. A call
+	// without any answer proves nothing, since it may have been lost.
 	lastAnsweredAt, failedAt time.Time
 }
 
-// startRecord is what is known of the start of a run. requestedAt is when the worker was first asked for
-// it, zero if an agent before this one did, and confirmedAt when it first said that the run is there.
+// startRecord is the history of the start of one run. requestedAt is when the start was first
+// sent to the worker, zero if a previous agent sent it. confirmedAt is when the worker first
+// reported the run as present.
 type startRecord struct {
 	requestedAt, confirmedAt time.Time
-	// maybeSent: a call for it may have reached the worker. unsent: none has, so far.
+	// maybeSent: a start call may have reached the worker. neverSent: none has reached it so far.
 	maybeSent, neverSent bool
 }
 
 func newCallHistory() callHistory { return callHistory{starts: map[jobqueue.RunID]startRecord{}} }
 
-// recordStartRequest notes that the worker is asked to start a run.
+// recordStartRequest records that a start is about to be sent to the worker.
 func (c *callHistory) recordStartRequest(id jobqueue.RunID, now time.Time) {
 	for old, s := range c.starts {
 		if old != id && now.Sub(s.requestedAt) > startRetention && now.Sub(s.confirmedAt) > startRetention {
 			delete(c.starts, old)
 		}
 	}
-	if s, asked := c.starts[id]; !asked || s.neverSent {
+	if s, known := c.starts[id]; !known || s.neverSent {
 		c.starts[id] = startRecord{requestedAt: now}
 	}
 }
 
-// recordStartResult takes in the outcome of a call for a start that this agent was the first to be ordered.
+// recordStartResult records the result of a call for a start that no previous agent was ordered
+// to make.
 func (c *callHistory) recordStartResult(id jobqueue.RunID, err error) {
 	s := c.starts[id]
 	if errors.Is(err, ErrNotSent) && !s.maybeSent {
@@ -57,7 +59,7 @@
 	c.starts[id] = s
 }
 
-// recordConfirmed notes that the worker said that a run is there.
+// recordConfirmed records that the worker reported a run as present.
 func (c *callHistory) recordConfirmed(id jobqueue.RunID, now time.Time) {
 	s := c.starts[id]
 	if s.confirmedAt.IsZero() {
@@ -66,7 +68,7 @@
 	}
 }
 
-// recordListedRuns notes the runs that the worker lists at first: an agent before this one had them
+// recordListedRuns records the runs in the first status of the worker, which a previous agent had
 // started.
 func (s *session) recordListedRuns(status Status, now time.Time) {
 	s.mu.Lock()
@@ -76,7 +78,7 @@
 	}
 }
 
-// recordResult takes in the outcome of a call.
+// recordResult records the result of a call.
 func (c *callHistory) recordResult(answer Answer, err error, now time.Time) {
 	unanswered := errors.Is(err, context.DeadlineExceeded) || errors.Is(err, context.Canceled)
 	switch {
@@ -87,8 +89,8 @@
 	}
 }
 
-// workAtCrash lists the runs that may have begun on a worker that is known to have crashed by now, with
-// bounds on how long they had worked, and those of which it never heard.
+// workAtCrash lists the runs that may have begun on a worker that has crashed, with bounds on how
+// long they had worked, and the runs whose start never reached it.
 func (c *callHistory) workAtCrash(now time.Time) []*apiv1.RunWork {
 	crashed := now
 	if !c.failedAt.IsZero() {
@@ -116,7 +118,7 @@
 	return list
 }
 
-// recordCall counts a call of the worker and takes in whether the worker answered it.
+// recordCall counts a call of the worker and records its result.
 func (s *session) recordCall(name string, answer Answer, err error) {
 	s.d.countCall(name, answer, err)
 	s.mu.Lock()
@@ -124,8 +126,8 @@
 	s.callHistory.recordResult(answer, err, s.d.opts.Now())
 }
 
-// departureReport is the report that the incarnation is gone. One that neither drained nor said that
-// it ends has crashed.
+// departureReport returns the report that the incarnation has ended. An incarnation that neither
+// drained nor reported its departure has crashed.
 func (s *session) departureReport() *apiv1.JobsReportRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/runs/callhistory_test.go
+++ b/agent/runs/callhistory_test.go
@@ -11,7 +11,8 @@
 
 var errNotListening = fmt.Errorf("connection refused: %w", runs.ErrNotSent)
 
-// Guards against a job that is given up for crashes of workers that never heard of its task.
+// Guards against a job that reaches its crash limit through crashes of workers that never
+// received a start of its task.
 func TestNeverSentStartIsReported(t *testing.T) {
 	for name, lostBefore := range map[string]bool{"never sent": false, "lost once": true} {
 		t.Run(name, func(t *testing.T) {
@@ -30,14 +31,14 @@
 				w.Crash()
 				time.Sleep(2 * time.Second)
 				if worked, ok := l.workedAtCrash(); !ok || len(worked) != 1 || worked[0].NeverSent == lostBefore {
-					t.Errorf("told %v of the crash", worked)
+					t.Errorf("work reported with the crash: %v", worked)
 				}
 			})
 		})
 	}
 }
 
-// workedAtCrash is what the agent told of the runs of a worker that crashed.
+// workedAtCrash returns the work that the agent reported for the runs of a worker that crashed.
 func (l *leader) workedAtCrash() ([]*apiv1.RunWork, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/agent/runs/driver.go
+++ b/agent/runs/driver.go
@@ -17,71 +17,70 @@
 )
 
 const (
-	// renewalWait is how long the worker may hold a call that waits for an end. It is
-	// also the time between reports of a worker where nothing ends.
+	// renewalWait is how long the worker may wait for a run to end before it answers a renewal.
+	// It is also the interval between reports of a worker on which no run ends.
 	renewalWait = 500 * time.Millisecond
-	// callTimeout bounds a call of the worker beside the time that it may wait. The
-	// worker is on the same host and answers within a millisecond or never.
+	// callTimeout bounds a call of the worker, in addition to the time that the call may wait.
+	// The worker runs on the same host and answers within a millisecond or not at all.
 	callTimeout = 400 * time.Millisecond
-	// reportTimeout bounds the delivery of one report, tries at several control
-	// hosts included.
+	// reportTimeout bounds the delivery of one report, including attempts at several control
+	// hosts.
 	reportTimeout = 1500 * time.Millisecond
 	retryInterval = 50 * time.Millisecond
-	// minRetryDelay and maxRetryDelay bound the pause before a call of the worker is
-	// repeated. The first is short, since a call whose answer was lost is often the
-	// only one. Without a pause, the calls of a few runs to a worker that is down fill
-	// the queue of its new connections, and it answers nobody for seconds after it is
-	// back.
+	// minRetryDelay and maxRetryDelay bound the delay before a call of the worker is repeated.
+	// The first delay is short because a call whose answer was lost is often the only pending
+	// one. Without a delay, the calls for a few runs fill the connection queue of a worker that
+	// is down, and it answers no call for seconds after it is back.
 	minRetryDelay = 20 * time.Millisecond
 	maxRetryDelay = 400 * time.Millisecond
-	// maxConcurrentStarts bounds the calls that wait for the worker together.
+	// maxConcurrentStarts bounds the number of concurrent start calls of the worker.
 	maxConcurrentStarts = 24
-	// clockRateErrorPPM bounds how much slower the worker's clock may run than this
-	// host's, parts per million.
+	// clockRateErrorPPM bounds how much slower the worker's clock may run than this host's, in
+	// parts per million.
 	clockRateErrorPPM = 20_000
 	ppm               = 1_000_000
 	defaultMaxLease   = 6 * time.Second
 )
 
-// Options set up a Driver.
+// Options configure a Driver.
 type Options struct {
 	Worker Worker
 	Leader Leader
-	// Host is the name of this host, as the worker's announcements have it.
+	// Host is the name of this host as given in the worker's announcements.
 	Host    string
 	Logger  *zap.Logger
 	Metrics metrics.Registry
-	// MaxLease is the longest that the worker runs on after a call that renews its
-	// lease; 6 s when 0. The leader's lease may be longer: while the agent lives, it
-	// keeps the worker running through cuts and elections, and if the agent dies, the
-	// worker stops after this time.
+	// MaxLease is the longest time that the worker keeps running after a call that renews its
+	// lease; 6 s when 0. The leader's lease may be longer: while the agent runs, it renews the
+	// worker's lease through network partitions and elections. If the agent dies, the worker
+	// stops after this time.
 	MaxLease time.Duration
-	// Now reads the clock; time.Now when unset.
+	// Now reads the clock; it defaults to time.Now.
 	Now func() time.Time
 }
 
-// Driver is the agent's part in submitted jobs, for the one worker of its host.
+// Driver manages the runs of submitted jobs on the one worker of its host.
 type Driver struct {
 	opts            Options
 	logger          *zap.Logger
 	metrics         metricSet
 	workerAnnounced chan struct{}
 	workerWatch     *dependency.Watch
-	// term is the newest that a leader told. It holds for all sessions: a worker that was
-	// asked under it refuses calls under an older one.
+	// term is the highest term that a leader has reported. All sessions share it: a worker that
+	// received a call under this term refuses calls under a lower one.
 	term  highest.Number
 	lease hostLease
 
 	mu      sync.Mutex
 	session *session
-	// servedIncarnations are the lives that sessions were of, the newest last.
+	// servedIncarnations are the incarnations of previous and current sessions, newest last.
 	servedIncarnations []string
-	// departed holds incarnations that are gone: a late announcement of one must not
-	// bring it back.
+	// departed contains incarnations that have ended, so that a late announcement does not start
+	// a session with one of them.
 	departed map[string]bool
 }
 
-// New returns a driver; Run makes it work.
+// New returns a driver. Run starts it.
 func New(o Options) *Driver {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -98,13 +97,13 @@
 		workerWatch:     dependency.New("worker", o.Logger, o.Now),
 		workerAnnounced: make(chan struct{}, 1), departed: map[string]bool{},
 	}
-	// The agent before this one may have renewed the worker's lease until now.
+	// A previous agent may have renewed the worker's lease until this moment.
 	d.lease.extend(o.Now().Add(maxLeaseOnHostClock(o.MaxLease)))
 	return d
 }
 
-// Announce takes in what the worker says of itself. It may take callTimeout. An error
-// means that the worker can't have said it; nothing is changed then.
+// Announce records an announcement of the worker. It may block for callTimeout. An error means
+// that the worker cannot have sent the announcement; then nothing changes.
 func (d *Driver) Announce(a Announcement) error {
 	id := a.Worker.Id
 	if !d.confirm(id) {
@@ -133,20 +132,21 @@
 	return nil
 }
 
-// confirm reports whether an announcement may be believed. One of an earlier
-// incarnation may come late, after its successor is known, and another program may send
-// one: so the worker is asked which one it is, unless that is known. What goes wrong
-// without it: the announcement ends the session with the worker that is there, and that
-// one is never taken again. No lock is held while it is asked.
+// confirm reports whether an announcement is credible. An announcement of a previous incarnation
+// may arrive late, after its successor is known, and another program may send a forged one.
+// Unless the announcement is of the current incarnation, confirm therefore queries the worker for
+// its incarnation. Without this check, such an announcement would end the session with the
+// running worker, whose incarnation would never be accepted again. The caller must not hold d.mu,
+// since the call blocks.
 func (d *Driver) confirm(incarnation string) bool {
 	s := d.current()
 	return s == nil || s.incarnation == incarnation || d.workerConfirms(incarnation)
 }
 
-// Depart takes in that an incarnation says that it ends. An error means that it does not
-// say which life of the worker it is; nothing is changed then. What goes wrong without
-// that: late words of an earlier life end the session with the present one, whose tasks run
-// on and start elsewhere as well.
+// Depart records that an incarnation reported its departure. An error means that the report does
+// not identify the incarnation of the worker; then nothing changes. Otherwise a late report of a
+// previous incarnation would end the session with the current one, whose tasks would continue and
+// be started elsewhere as well.
 func (d *Driver) Depart(incarnation string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,16 +155,17 @@
 	case s != nil && s.incarnation == incarnation:
 		s.recordDeparture()
 	case s != nil && s.matchesWithoutStartTime(incarnation):
-		return errors.Newf("worker %.60q ends, and does not say which life of it", incarnation)
+		return errors.Newf("departure of worker %.60q does not name its incarnation", incarnation)
 	}
 	d.recordDeparted(incarnation)
 	return nil
 }
 
-// maxServedIncarnations bounds the lives that are remembered as served.
+// maxServedIncarnations bounds the length of servedIncarnations.
 const maxServedIncarnations = 16
 
-// recordServed notes that a life is served from now on, and returns those before it; d.mu is held.
+// recordServed records that a session serves an incarnation, and returns the incarnations served
+// before it. The caller must hold d.mu.
 func (d *Driver) recordServed(incarnation string) []string {
 	before := slices.DeleteFunc(d.servedIncarnations, func(id string) bool { return id == incarnation })
 	before = before[max(0, len(before)-maxServedIncarnations):]
@@ -172,11 +173,11 @@
 	return before
 }
 
-// maxDeparted bounds the incarnations that are remembered as gone. One that is forgotten
-// comes back only if the worker says that it is the one.
+// maxDeparted bounds the number of departed incarnations that are remembered. A forgotten one is
+// accepted again only if the worker confirms it as its own.
 const maxDeparted = 256
 
-// recordDeparted remembers that an incarnation is gone; d.mu is held.
+// recordDeparted records that an incarnation has ended. The caller must hold d.mu.
 func (d *Driver) recordDeparted(incarnation string) {
 	if len(d.departed) >= maxDeparted {
 		clear(d.departed)
@@ -184,8 +185,8 @@
 	d.departed[incarnation] = true
 }
 
-// workerConfirms asks the worker whether it is the named incarnation. A refusal for an old term is
-// no yes: a worker may refuse before it looks whom a call is for.
+// workerConfirms reports whether the worker confirms that it is the named incarnation. A refusal
+// because of an old term does not confirm it: a worker may check the term before the incarnation.
 func (d *Driver) workerConfirms(incarnation string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
@@ -215,22 +216,22 @@
 	}
 }
 
-// firstAbsenceLogDelay is how long no worker is known when the first line says so; each further line
-// comes after twice the time.
+// firstAbsenceLogDelay is the time from the loss of the last known worker, or from the start of
+// Run, to the first log line about it. The delay doubles for each further line.
 const firstAbsenceLogDelay = 3 * time.Second
 
 // awaitWorker returns once a worker was announced, or when ctx ends.
 func (d *Driver) awaitWorker(ctx context.Context) {
 	since := d.opts.Now()
-	tellAbsence := firstAbsenceLogDelay
+	logDelay := firstAbsenceLogDelay
 	for ctx.Err() == nil {
 		now := d.opts.Now()
 		absent := now.Sub(since)
-		if absent >= tellAbsence {
+		if absent >= logDelay {
 			event.WorkerAbsent.Write(d.logger, event.Silent(absent))
-			tellAbsence *= 2
+			logDelay *= 2
 		}
-		wait := min(tellAbsence-absent, d.lease.untilCheck(now))
+		wait := min(logDelay-absent, d.lease.untilCheck(now))
 		if d.awaitAnnouncement(ctx, wait) {
 			return
 		}
@@ -238,7 +239,7 @@
 	}
 }
 
-// awaitAnnouncement reports whether a worker was announced within a time.
+// awaitAnnouncement waits up to a given time and reports whether a worker was announced.
 func (d *Driver) awaitAnnouncement(ctx context.Context, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
@@ -257,7 +258,7 @@
 	return d.session
 }
 
-// removeSession forgets a session that is over, unless another one has followed it.
+// removeSession removes a finished session unless another one has replaced it.
 func (d *Driver) removeSession(s *session) {
 	s.cancel()
 	d.mu.Lock()
--- a/agent/runs/driver_test.go
+++ b/agent/runs/driver_test.go
@@ -13,12 +13,10 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Symptom: after a worker crashed and came back, its agent gives it nothing for tens
-// of seconds and uses all of its processor time.
-// Sequence: a start gets no answer; the worker is replaced; the session with its
-// earlier incarnation ends.
-// Cause: the retry of the start meets the end of its session and begins anew at once,
-// without end.
+// Guards against a start whose retry meets the end of its session and is repeated without a
+// pause: after a worker crashed and was replaced, its agent gave it no work for tens of seconds
+// and used all of its processor time. The start gets no answer, and the session of the previous
+// incarnation ends.
 func TestEndedSessionStartsNothing(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
@@ -29,7 +27,7 @@
 		time.Sleep(time.Second)
 		before := w.startCalls.Load()
 		if before == 0 {
-			t.Fatal("nothing was started")
+			t.Fatal("no start was sent")
 		}
 		time.Sleep(10 * time.Second)
 		if after := w.startCalls.Load(); after != before {
@@ -38,9 +36,8 @@
 	})
 }
 
-// Symptom: the calls to a worker that does not answer fill its queue of connections.
-// Sequence: for ten seconds nobody listens where the worker should be.
-// Cause: a call is repeated without a pause.
+// Guards against calls that are repeated without a delay and fill the connection queue of a
+// worker that does not answer. For ten seconds no process listens at its address.
 func TestUnansweredStartsAreRetriedWithBackoff(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -52,11 +49,9 @@
 	})
 }
 
-// Symptom: an agent that was restarted while no leader is there uses all of its
-// processor time.
-// Sequence: the worker has seen a higher term than the agent knows, and reports fail
-// at once.
-// Cause: a fenced call is repeated without a pause.
+// Guards against fenced calls that are repeated without a delay: an agent restarted while no
+// leader was available used all of its processor time. The worker has seen a higher term than the
+// agent knows, and reports fail at once.
 func TestFencedAgentWithoutLeaderBacksOff(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -71,30 +66,27 @@
 	})
 }
 
-// Symptom: a task runs in two places.
-// Sequence: a start is ordered and not yet made when the leader gives the worker's
-// runs up; the agent gets a new lease before it gets new orders.
-// Cause: the old start is made under the new lease.
+// Guards against a task that runs in two places: a start is ordered and not yet sent when the
+// leader records the worker's runs as lost; the agent receives a new lease before new orders, and
+// sends the old start under the new lease.
 func TestStartOfPreviousEpochIsNotSent(t *testing.T) {
 	l := &leader{epoch: 2, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(5 * time.Second)
 		if n := w.startCalls.Load(); n != 0 {
-			t.Fatalf("%d starts of an earlier epoch", n)
+			t.Fatalf("%d starts of the previous epoch", n)
 		}
 		l.update(func() { l.orders = startOrders(2, 2) })
 		time.Sleep(5 * time.Second)
 		if n := w.startCalls.Load(); n != 1 {
-			t.Fatalf("%d starts of the present epoch", n)
+			t.Fatalf("%d starts of the current epoch, want 1", n)
 		}
 	})
 }
 
-// Symptom: the work of a worker that is gone starts elsewhere only after the leader's
-// lease, twice as long as the worker's own.
-// Sequence: the worker gives no answer any more; its agent lives.
-// Cause: nobody tells the leader that the worker's own lease has run out. Telling it
-// too early would let a task run in two places.
+// Guards against an expiry of the worker's lease that the agent does not report: the worker gives
+// no answer, its agent runs, and the work starts elsewhere only after the leader's lease, which
+// is twice as long. A report before the expiry is certain would let a task run in two places.
 func TestLeaseExpiryIsReportedOnceCertain(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -102,19 +94,18 @@
 		w.lostCall.Store(allCalls)
 		time.Sleep(5500 * time.Millisecond)
 		if l.expiryReports() != 0 {
-			t.Fatal("a lapse is told of while the worker may still run")
+			t.Fatal("expiry is reported while the worker may still run")
 		}
 		time.Sleep(3 * time.Second)
 		if n := l.expiryReports(); n != 1 {
-			t.Fatalf("%d reports of a lapse", n)
+			t.Fatalf("%d expiry reports, want 1", n)
 		}
 	})
 }
 
-// Symptom: a task runs in two places.
-// Sequence: an agent starts a run and is restarted; its worker begins to drain before
-// the leader has heard of the run, and the new agent gets the order once more.
-// Cause: the new agent gives the start back as never made, since it did not make it.
+// Guards against a task that runs in two places: an agent starts a run and is restarted; its
+// worker begins to drain before the leader has received a report of the run, and the new agent
+// receives the order again. It did not send the start itself, and refuses it as never sent.
 func TestRunOfPreviousAgentIsNotRefused(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
@@ -132,21 +123,20 @@
 		defer l.mu.Unlock()
 		for _, r := range l.reports {
 			if len(r.Refusals) > 0 {
-				t.Errorf("the run is given back: %v", r.Refusals)
+				t.Errorf("the run is refused: %v", r.Refusals)
 			}
 		}
 		if last := l.reports[len(l.reports)-1]; len(last.Running) != 1 {
-			t.Errorf("%v run, %v ended", last.Running, last.Ends)
+			t.Errorf("running: %v, ended: %v", last.Running, last.Ends)
 		}
 	})
 }
 
-// Symptom: a job shows as running for good, and nothing of it runs.
-// Sequence: a worker refuses a start; its agent has it confirm that the run is stopped,
-// and is restarted before it tells the leader; the new agent gets the order once more,
-// and the worker answers that the run is over.
-// Cause: the new agent takes the answer for a run whose end is listed. The run never
-// began, so no end comes, and the leader waits under a lease that is renewed.
+// Guards against a job that is shown as running while none of its tasks runs: a worker refuses a
+// start; its agent has the stop of the run confirmed, and is restarted before it reports that.
+// The new agent receives the order again, and the worker answers that the run has ended. If the
+// agent waits for the end of that run to be listed, none comes since the run never began, and the
+// leader waits under a lease that is renewed.
 func TestRunStoppedBeforeStartIsRefused(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -164,12 +154,12 @@
 				return
 			}
 		}
-		t.Errorf("the run is not given back in %d reports, after %d starts", len(l.reports), w.startCalls.Load())
+		t.Errorf("the run is not refused in %d reports, after %d starts", len(l.reports), w.startCalls.Load())
 	})
 }
 
-// Symptom: the leader takes an old report for a new one. Sequence: an agent reports, and is
-// restarted. Cause: reports without a number, or numbers that a new session goes on from.
+// Guards against a leader that takes an old report for a new one, because reports have no number
+// or a restarted agent continues the numbers of the previous session.
 func TestReportsAreNumberedPerSession(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -188,14 +178,13 @@
 			}
 		}
 		if len(next) != 2 {
-			t.Errorf("%d sessions of two agents", len(next))
+			t.Errorf("%d sessions of two agents, want 2", len(next))
 		}
 	})
 }
 
-// Symptom: a task waits until its worker has left.
-// Sequence: its start is ordered while the worker drains, and was never made.
-// Cause: the agent neither makes the start nor gives it back.
+// Guards against a task that waits until its worker has left: its start is ordered while the
+// worker drains, and the agent neither sends the start nor refuses it.
 func TestStartOnDrainingWorkerIsRefused(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
@@ -215,10 +204,9 @@
 	})
 }
 
-// Symptom: all work on a worker ends in a cut between its agent and the leader that
-// is shorter than the leader's lease.
-// Sequence: the agent is cut off for nine seconds.
-// Cause: the worker's lease is renewed only when the leader's is.
+// Guards against a worker's lease that is renewed only together with the leader's: all work on
+// the worker ends in a partition between agent and leader of nine seconds, which is shorter than
+// the leader's lease.
 func TestWorkerKeepsRunningDuringPartition(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -231,13 +219,12 @@
 		defer l.mu.Unlock()
 		last := l.reports[len(l.reports)-1]
 		if len(last.Running) != 1 || len(last.Ends) != 0 {
-			t.Fatalf("after the cut: %v runs, %v ended", last.Running, last.Ends)
+			t.Fatalf("after the partition: running: %v, ended: %v", last.Running, last.Ends)
 		}
 	})
 }
 
-// partialWorker lists nothing and says that a part of what it lists can't be read, while
-// unreadable is set.
+// partialWorker lists nothing and reports a partial status while unreadable is set.
 type partialWorker struct {
 	*countingWorker
 	unreadable atomic.Bool
@@ -251,11 +238,9 @@
 	return status, answer, err
 }
 
-// Symptom: a task runs in two places.
-// Sequence: a run is stopped, and the rows of what the worker lists can't be read
-// meanwhile.
-// Cause: a run that is not among the rows that could be read is given back as one that
-// never began, though it is still being stopped.
+// Guards against a task that runs in two places: a run is stopped while the rows of the status of
+// its worker cannot be read. It is missing among the rows that could be read, and is refused as
+// never begun although it is still being stopped.
 func TestUnreadableRunIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leader{epoch: 1, orders: startOrders(1, 1)}
@@ -267,7 +252,7 @@
 		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
 		if w.startCalls.Load() == 0 {
-			t.Fatal("nothing was started")
+			t.Fatal("no start was sent")
 		}
 		w.unreadable.Store(true)
 		l.update(func() {
@@ -284,26 +269,25 @@
 		for _, r := range l.reports {
 			partial = partial || r.Partial
 			if len(r.Refusals) > 0 {
-				t.Fatalf("the run is given back: %v", r.Refusals)
+				t.Fatalf("the run is refused: %v", r.Refusals)
 			}
 			if len(r.Ends) > 0 {
 				if !partial {
-					t.Error("the leader is not told that reports lack what can't be read")
+					t.Error("no report is marked as partial")
 				}
-				return // the leader drops the order now
+				return // The leader drops the order now.
 			}
 		}
-		t.Fatal("its end is not told of")
+		t.Fatal("its end is not reported")
 	})
 }
 
-// Symptom: a task that has ended well runs once more.
-// Sequence: an agent is restarted; its worker refuses its first call, since it has seen a
-// higher term, and the leader grants the lease and is gone. Later the worker leaves a call
-// unanswered.
-// Cause: the lease was counted from a reading of the worker's clock that nobody had made,
-// zero; so its end seemed long past, and the agent told the leader that the worker had
-// stopped everything, which still ran under the lease of the agent before it.
+// Guards against a lease that is counted from a missing reading of the worker's clock, zero: its
+// end seemed long past, so the agent reported that the worker had stopped everything, and a task
+// that had succeeded ran again. An agent is restarted; its worker has seen a higher term and
+// refuses the first call; the leader grants the lease and becomes unavailable; later the worker
+// leaves a call unanswered, while its runs continue under the lease that the previous agent
+// renewed.
 func TestLeaseIsNotCountedWithoutWorkerClock(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true, ordersFail: true}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -319,7 +303,7 @@
 		l.update(func() { l.unavailable = false })
 		time.Sleep(time.Second)
 		if n := l.expiryReports(); n != 0 {
-			t.Errorf("a lapse is told of %d times while the worker may still run", n)
+			t.Errorf("expiry is reported %d times while the worker may still run", n)
 		}
 	})
 }
--- a/agent/runs/expiry.go
+++ b/agent/runs/expiry.go
@@ -11,35 +11,36 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// hostLease is until when something may run on the host under what its agents granted, this
-// one and those before it, whichever life of the worker they granted it to.
+// hostLease tracks until when a run may be active on the host under the leases that its agents
+// granted, this agent and previous ones, to any incarnation of the worker.
 //
-// It belongs to the host and not to the session with a life of the worker. What goes wrong
-// otherwise: a life that ends before its first report, or an agent that was restarted while its
-// worker was down, leaves nobody who could tell that the runs of the life before have ended,
-// and they stand in the log for the leader's own, longer lease.
+// The lease belongs to the host and not to the session of an incarnation. Otherwise, if an
+// incarnation ended before its first report, or an agent was restarted while its worker was down,
+// no session could report that the runs of the previous incarnation have ended, and the log would
+// keep them for the duration of the leader's own, longer lease.
 type hostLease struct {
 	mu        sync.Mutex
 	expiresAt time.Time
-	// nextCheck is when the leader is asked next whether it holds a lease of the host, after end:
-	// a report that the network held up may have renewed one since.
+	// nextCheck is when the leader is next queried for a lease of the host, after expiresAt: a
+	// report that the network delayed may have renewed one since.
 	nextCheck time.Time
 }
 
 const (
-	// expiryRetryInterval is the time between two tries to tell the leader of a lapse.
+	// expiryRetryInterval is the time between two attempts to report an expiry to the leader.
 	expiryRetryInterval = 100 * time.Millisecond
-	// leaseRecheckInterval is the time after which the leader is asked again whether it holds a lease.
+	// leaseRecheckInterval is the time from a successful expiry report, or from a check that
+	// found no lease, to the next query of the leader.
 	leaseRecheckInterval = time.Second
 )
 
-// maxLeaseOnHostClock is how long a worker may run on after a call that renews its lease: its clock
-// may run slower than this host's by the bound.
+// maxLeaseOnHostClock returns how long, on this host's clock, a worker may keep running after a
+// call that renews its lease. The worker's clock may run slower by the bound on its rate error.
 func maxLeaseOnHostClock(lease time.Duration) time.Duration {
 	return lease * ppm / (ppm - clockRateErrorPPM)
 }
 
-// extend notes that something may run until a given time.
+// extend records that runs may be active until a given time.
 func (l *hostLease) extend(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,25 +49,26 @@
 	}
 }
 
-// setNextCheck notes when the leader is to be asked next.
+// setNextCheck sets when the leader is next queried.
 func (l *hostLease) setNextCheck(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.nextCheck = at
 }
 
-// untilCheck is how long it is until the leader is to be asked for a lease that has run out.
+// untilCheck returns the time until the leader must be queried for an expired lease.
 func (l *hostLease) untilCheck(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.expiresAt.Sub(now), l.nextCheck.Sub(now))
 }
 
-// errLeaseRenewed says that the leader counts another lease of the host by now.
-var errLeaseRenewed = errors.New("the lease was renewed since, or is being given up")
+// errLeaseRenewed means that the leader counts a different lease of the host.
+var errLeaseRenewed = errors.New("lease was renewed, or its expiry is already being processed")
 
-// reportExpiry tells the leader that nothing runs on the host any more, if that is sure by now and
-// the leader holds otherwise. It is called while the worker gives no answer, or none is known.
+// reportExpiry reports to the leader that nothing runs on the host any more, if that is certain
+// and the leader still counts a lease. It is called while the worker gives no answer or no worker
+// is known.
 func (d *Driver) reportExpiry(ctx context.Context) {
 	now := d.opts.Now()
 	if d.lease.untilCheck(now) > 0 {
@@ -78,20 +80,20 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	held, err := d.opts.Leader.HostLease(ctx, d.opts.Host)
+	counted, err := d.opts.Leader.HostLease(ctx, d.opts.Host)
 	if err != nil {
 		return
 	}
-	if !held.HostTold {
-		held = d.sessionLease()
+	if !counted.HostTold {
+		counted = d.sessionLease()
 	}
-	if held.LeaseWorker == "" || d.sendExpiryReport(ctx, held) == nil {
+	if counted.LeaseWorker == "" || d.sendExpiryReport(ctx, counted) == nil {
 		d.lease.setNextCheck(d.opts.Now().Add(leaseRecheckInterval))
 	}
 }
 
-// sessionLease is what an agent tells a leader of the release before, which can't say what it
-// holds: the worker of its session, and no number of a lease.
+// sessionLease substitutes for the answer of a leader of the previous release, which does not
+// report the lease of a host: it names the worker of the session and no lease number.
 func (d *Driver) sessionLease() *apiv1.JobsOrdersResponse {
 	if s := d.current(); s != nil {
 		return &apiv1.JobsOrdersResponse{LeaseWorker: s.incarnation}
@@ -99,28 +101,28 @@
 	return &apiv1.JobsOrdersResponse{}
 }
 
-// sendExpiryReport tells of the lease that the leader holds.
-func (d *Driver) sendExpiryReport(ctx context.Context, held *apiv1.JobsOrdersResponse) error {
+// sendExpiryReport reports the expiry of the lease that the leader counts.
+func (d *Driver) sendExpiryReport(ctx context.Context, counted *apiv1.JobsOrdersResponse) error {
 	if s := d.current(); s != nil {
-		// The leader takes what was sent before the lapse for outdated.
+		// The leader treats reports sent before the expiry as outdated.
 		s.resetID()
 	}
 	resp, err := d.opts.Leader.Report(ctx, &apiv1.JobsReportRequest{
-		Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: d.opts.Host}, Lapsed: true,
-		LeaseTerm: held.Term, LeaseNumber: held.LeaseNumber,
+		Worker: &apiv1.JobWorker{Id: counted.LeaseWorker, Host: d.opts.Host}, Lapsed: true,
+		LeaseTerm: counted.Term, LeaseNumber: counted.LeaseNumber,
 	})
 	if err == nil && resp.Outcome != apiv1.JobOutcome_JOB_OUTCOME_OK {
 		err = errLeaseRenewed
 	}
-	silent, orders := d.unconfirmedStarts(held.LeaseWorker)
-	event.WorkersLeaseRanOut.Write(d.logger, event.Worker(held.LeaseWorker), event.Silent(silent), event.OrderCount(orders),
+	sinceAnswer, starts := d.unconfirmedStarts(counted.LeaseWorker)
+	event.WorkersLeaseRanOut.Write(d.logger, event.Worker(counted.LeaseWorker), event.Silent(sinceAnswer), event.OrderCount(starts),
 		event.Err(err))
 	return err
 }
 
-// unconfirmedStarts returns how long ago a worker last answered, and how many starts are ordered that
-// are not known to have begun; 0 where the agent has no session with it.
-func (d *Driver) unconfirmedStarts(worker string) (silent time.Duration, orders int) {
+// unconfirmedStarts returns how long ago a worker last answered, and how many ordered starts are
+// not confirmed; 0 where the agent has no session with that worker.
+func (d *Driver) unconfirmedStarts(worker string) (sinceAnswer time.Duration, starts int) {
 	s := d.current()
 	if s == nil || s.incarnation != worker {
 		return 0, 0
@@ -129,11 +131,11 @@
 	defer s.mu.Unlock()
 	for _, o := range s.orders {
 		if o.start != nil && !o.startConfirmed {
-			orders++
+			starts++
 		}
 	}
 	if !s.clock.received.IsZero() {
-		silent = d.opts.Now().Sub(s.clock.received)
+		sinceAnswer = d.opts.Now().Sub(s.clock.received)
 	}
-	return silent, orders
+	return sinceAnswer, starts
 }
--- a/agent/runs/expiry_test.go
+++ b/agent/runs/expiry_test.go
@@ -8,7 +8,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// expireWithPendingStart has a worker fall silent until its lapse was told, with a start ordered meanwhile.
+// expireWithPendingStart makes a worker unresponsive until the expiry of its lease is reported,
+// with a start ordered meanwhile.
 func expireWithPendingStart(t *testing.T, l *leader, w *countingWorker) {
 	t.Helper()
 	time.Sleep(2 * time.Second)
@@ -17,11 +18,12 @@
 	l.update(func() { l.orders = startOrders(2, 1) })
 	time.Sleep(6 * time.Second)
 	if l.expiryReports() == 0 {
-		t.Fatal("no lapse is told")
+		t.Fatal("no expiry is reported")
 	}
 }
 
-// Guards against a task on two workers: a start that is made under a lease that the agent gave up.
+// Guards against a task that runs on two workers: a start is sent under a lease that the agent
+// has dropped.
 func TestStartUnderExpiredLeaseIsNotSent(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -30,17 +32,18 @@
 		w.lostCall.Store("")
 		time.Sleep(2 * time.Second)
 		if n := len(w.Running()); n != 0 {
-			t.Errorf("%d runs began under a lease that was given up", n)
+			t.Errorf("%d runs began under an expired lease", n)
 		}
 		l.update(func() { l.unavailable, l.epoch, l.orders = false, 2, startOrders(3, 2) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
-			t.Errorf("%d runs are at work under the next lease, want 1", n)
+			t.Errorf("%d runs are running under the next lease, want 1", n)
 		}
 	})
 }
 
-// Guards against a start on a worker that has said that it ends, and whose runs the leader gives up.
+// Guards against a start on a worker that has reported its departure, and whose runs the leader
+// records as lost.
 func TestNothingStartsOnDepartingWorker(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
@@ -52,17 +55,17 @@
 		if err := d.Depart("w1"); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(time.Second) // the call for an end that waits is over
+		time.Sleep(time.Second) // The waiting renewal call has ended.
 		w.lostCall.Store("")
 		time.Sleep(4 * time.Second)
 		if n := len(w.Running()); n != 0 {
-			t.Errorf("%d runs began after the worker said that it ends", n)
+			t.Errorf("%d runs began after the worker reported its departure", n)
 		}
 	})
 }
 
-// Guards against a task on two workers: one that said that it ends, and was not heard to be
-// acknowledged, is there for seconds more.
+// Guards against a task that runs on two workers: a worker that reported its departure without
+// receiving an acknowledgement keeps running for seconds.
 func TestDepartingWorkerKeepsTasksUntilItEnds(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
@@ -73,19 +76,19 @@
 			t.Fatal(err)
 		}
 		time.Sleep(3 * time.Second)
-		if _, told := l.departure(); told || len(w.Running()) != 1 {
-			t.Errorf("told that the worker left: %v, while it runs %v", told, w.Running())
+		if _, reported := l.departure(); reported || len(w.Running()) != 1 {
+			t.Errorf("departure reported: %v, while the worker runs %v", reported, w.Running())
 		}
 		w.Crash()
 		time.Sleep(500 * time.Millisecond)
-		if crashed, told := l.departure(); !told || crashed {
-			t.Errorf("told that the worker left: %v, as a crash: %v", told, crashed)
+		if crashed, reported := l.departure(); !reported || crashed {
+			t.Errorf("departure reported: %v, as a crash: %v", reported, crashed)
 		}
 	})
 }
 
-// departure is whether the agent told that its worker ended, and as a crash.
-func (l *leader) departure() (crashed, told bool) {
+// departure returns whether the agent reported that its worker ended, and whether as a crash.
+func (l *leader) departure() (crashed, reported bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, r := range l.reports {
@@ -96,8 +99,8 @@
 	return false, false
 }
 
-// Guards against a task on two workers: a start that goes on being tried when the leader has given
-// the run up.
+// Guards against a task that runs on two workers: a start is retried after the leader has
+// recorded the run as lost.
 func TestWithdrawnStartIsNotSent(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
@@ -106,7 +109,7 @@
 		l.update(func() { l.orders = startOrders(2, 1) })
 		time.Sleep(3 * time.Second)
 		if w.startCalls.Load() == 0 {
-			t.Fatal("nothing was tried")
+			t.Fatal("no start was attempted")
 		}
 		l.update(func() { l.orders = &apiv1.JobsOrdersResponse{Term: term, Sequence: 3, Epoch: 1} })
 		time.Sleep(3 * time.Second)
@@ -118,7 +121,7 @@
 		l.update(func() { l.orders = startOrders(4, 1) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
-			t.Errorf("%d runs are at work once they are ordered again, want 1", n)
+			t.Errorf("%d runs are running once they are ordered again, want 1", n)
 		}
 	})
 }
--- a/agent/runs/fencedstop_test.go
+++ b/agent/runs/fencedstop_test.go
@@ -13,7 +13,7 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// fencingWorker answers the first stop late and as one of an earlier term.
+// fencingWorker answers the first stop after a delay, as fenced.
 type fencingWorker struct {
 	*fakes.RunWorker
 	stops atomic.Int64
@@ -45,7 +45,8 @@
 	return nil, ctx.Err()
 }
 
-// Guards against a run that is never stopped since the worker's refusal of the stop came after the next leader's orders.
+// Guards against a run that is never stopped because the worker's refusal of the stop arrived
+// after the orders of the next leader.
 func TestFencedStopIsRetriedUnderNextTerm(t *testing.T) {
 	for name, nextLeaderAfter := range map[string]time.Duration{
 		"next leader before the answer": fencedAnswerDelay / 2, "next leader after the answer": 2 * fencedAnswerDelay,
@@ -71,7 +72,7 @@
 				l.update(func() { l.orders = orders(term+1, 1) })
 				time.Sleep(30 * time.Second)
 				if n := w.stops.Load(); n < 2 {
-					t.Errorf("%d stop in 30 s, and the worker refused it", n)
+					t.Errorf("%d stop calls in 30 s, and the worker refused the first", n)
 				}
 			})
 		})
--- a/agent/runs/harness_test.go
+++ b/agent/runs/harness_test.go
@@ -20,18 +20,19 @@
 	term    = 3
 )
 
-// leader answers as the test says and notes what it is told.
+// leader returns scripted responses and records the reports it receives.
 type leader struct {
 	mu          sync.Mutex
 	orders      *apiv1.JobsOrdersResponse
 	epoch       uint64
 	unavailable bool
-	// reportsUntilUnavailable is after how many more reports it is away; 0 is never.
+	// reportsUntilUnavailable is the number of further reports after which the leader becomes
+	// unavailable; 0 is never.
 	reportsUntilUnavailable int
-	// ordersFail fails the calls for orders only.
+	// ordersFail makes only the calls for orders fail.
 	ordersFail bool
-	// ordersNeedFound: calls for orders fail until a report or a question has found the leader, as
-	// from a process that knows none.
+	// ordersNeedFound: calls for orders fail until a report or a CurrentOrders call has found the
+	// leader, as for a process that does not know the leader yet.
 	ordersNeedFound, found bool
 	reports                []*apiv1.JobsReportRequest
 }
@@ -59,9 +60,9 @@
 
 func (l *leader) Orders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
-	orders, away := l.orders, l.unavailable || l.ordersFail || l.ordersNeedFound && !l.found
+	orders, unavailable := l.orders, l.unavailable || l.ordersFail || l.ordersNeedFound && !l.found
 	l.mu.Unlock()
-	if away {
+	if unavailable {
 		return nil, errUnavailable
 	}
 	if r.Term == orders.Term && r.Sequence == orders.Sequence {
@@ -74,7 +75,7 @@
 	return orders, nil
 }
 
-// CurrentOrders finds the leader.
+// CurrentOrders finds the leader and returns its orders.
 func (l *leader) CurrentOrders(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -85,18 +86,18 @@
 	return l.orders, nil
 }
 
-// HostLease tells of the one worker.
+// HostLease reports the lease of worker w1 until its expiry was reported.
 func (l *leader) HostLease(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unavailable {
 		return nil, errUnavailable
 	}
-	held := &apiv1.JobsOrdersResponse{Term: term, HostTold: true, LeaseNumber: uint64(len(l.reports))}
+	counted := &apiv1.JobsOrdersResponse{Term: term, HostTold: true, LeaseNumber: uint64(len(l.reports))}
 	if n := len(l.reports); n == 0 || !l.reports[n-1].Lapsed {
-		held.LeaseWorker = "w1"
+		counted.LeaseWorker = "w1"
 	}
-	return held, nil
+	return counted, nil
 }
 
 func (l *leader) update(f func()) {
@@ -126,23 +127,24 @@
 	}
 }
 
-// countingWorker counts the calls of a stand-in worker that can be replaced.
+// countingWorker counts the calls of a fake worker.
 type countingWorker struct {
 	*fakes.RunWorker
 	startCalls, renewals atomic.Int64
-	// unreachable fails every start at once, as a host does where nobody listens, and refusal with what.
+	// unreachable fails every start at once, like a host on which no process listens. startError
+	// does so with a given error.
 	unreachable atomic.Bool
 	startError  atomic.Pointer[error]
-	// lostCall is the one call that gets no answer: its name, or all for every one.
+	// lostCall is the name of the call that gets no answer, or allCalls.
 	lostCall atomic.Value
 }
 
 const allCalls = "all"
 
-// fault loses the calls that get no answer.
+// fault loses the calls that lostCall names.
 func (w *countingWorker) fault(call string) fakes.OrderFault {
-	silent, _ := w.lostCall.Load().(string)
-	return fakes.OrderFault{Lost: silent == allCalls || silent == call}
+	lost, _ := w.lostCall.Load().(string)
+	return fakes.OrderFault{Lost: lost == allCalls || lost == call}
 }
 
 func (w *countingWorker) Start(ctx context.Context, o runs.Order, s runs.Start) (runs.Answer, error) {
@@ -172,8 +174,8 @@
 	}
 }
 
-// runDriver has a driver serve its worker until the returned function is called. A test that fails
-// must end its driver too: virtual time would go on for ever.
+// runDriver runs a driver until the returned function is called. A test that fails must stop its
+// driver too; otherwise virtual time never ends.
 func runDriver(d *runs.Driver) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
@@ -184,7 +186,7 @@
 	}
 }
 
-// withDriver runs a driver on a stand-in worker in virtual time.
+// withDriver runs a driver with a fake worker in virtual time.
 func withDriver(t *testing.T, l *leader, f func(d *runs.Driver, w *countingWorker)) {
 	synctest.Test(t, func(t *testing.T) {
 		watch := fakes.NewRunWatch()
--- a/agent/runs/hostlease_test.go
+++ b/agent/runs/hostlease_test.go
@@ -10,14 +10,16 @@
 	"github.com/cairnlift/cairnlift/fakes"
 )
 
-// previousReleaseLeader is a leader of the release before, which tells of no lease of a host.
+// previousReleaseLeader is a leader of the previous release, which does not report the lease of a
+// host.
 type previousReleaseLeader struct{ *leader }
 
 func (l previousReleaseLeader) HostLease(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	return &apiv1.JobsOrdersResponse{Term: term}, nil
 }
 
-// Guards against a lapse that nobody tells of while agents are of a newer release than the leader.
+// Guards against an expiry that is not reported while agents are of a newer release than the
+// leader.
 func TestLeaseExpiryIsReportedToLeaderOfPreviousRelease(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
@@ -33,12 +35,12 @@
 		w.lostCall.Store(allCalls)
 		time.Sleep(10 * time.Second)
 		if other.expiryReports() == 0 {
-			t.Error("10 s after its worker went silent the agent has told nobody")
+			t.Error("no expiry report 10 s after the worker became unresponsive")
 		}
 	})
 }
 
-// firstLookupEmpty is a leader that knows of no worker of the host when it is asked first.
+// firstLookupEmpty is a leader that knows no worker of the host at the first query.
 type firstLookupEmpty struct {
 	*leader
 	lookups *int
@@ -52,7 +54,8 @@
 	return l.leader.HostLease(ctx, host)
 }
 
-// Guards against an agent that asks one replica, which is behind, and never again.
+// Guards against an agent that queries a replica which lags behind, and does not repeat the
+// query.
 func TestHostLeaseIsCheckedAgain(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
@@ -68,7 +71,7 @@
 		w.lostCall.Store(allCalls)
 		time.Sleep(10 * time.Second)
 		if other.expiryReports() == 0 {
-			t.Error("10 s after its worker went silent the agent has told nobody")
+			t.Error("no expiry report 10 s after the worker became unresponsive")
 		}
 	})
 }
--- a/agent/runs/incarnation_test.go
+++ b/agent/runs/incarnation_test.go
@@ -12,10 +12,10 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// Symptom: a worker that is well gets nothing any more until it is restarted.
-// Sequence: an agent that has not reached the leader yet gets an announcement of an
-// incarnation that another program made up, then one of the worker.
-// Cause: the made-up one ends the session with the worker, which counts as gone for good.
+// Guards against a healthy worker that receives no work until it is restarted: an agent that has
+// not reached the leader yet receives an announcement of an incarnation that another program
+// forged, then one of the worker. The forged one ended the session with the worker, which counted
+// as departed from then on.
 func TestForgedIncarnationDoesNotEndSession(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true}
 	withDriver(t, l, func(d *runs.Driver, _ *countingWorker) {
@@ -38,9 +38,8 @@
 	})
 }
 
-// Symptom: a worker that is well is not used any more.
-// Sequence: an announcement under its name tells of another pool.
-// Cause: an announcement is believed as a whole, though an incarnation stays in its pool.
+// Guards against a healthy worker that is taken out of use: an announcement under its name gives
+// another pool and was accepted as a whole, although an incarnation stays in its pool.
 func TestAnnouncementDoesNotChangePool(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}}
 	withDriver(t, l, func(d *runs.Driver, _ *countingWorker) {
@@ -48,7 +47,7 @@
 		other := workerSpec("w1")
 		other.Pool, other.Draining = "elsewhere", true
 		if err := d.Announce(runs.Announcement{Worker: other, Sequence: 9}); err == nil {
-			t.Error("another pool is taken over")
+			t.Error("an announcement of another pool is accepted")
 		}
 		time.Sleep(2 * time.Second)
 		l.mu.Lock()
@@ -59,8 +58,8 @@
 	})
 }
 
-// fencesBeforeIncarnation is a worker that refuses a call under an old term before it looks whom the call
-// is for.
+// fencesBeforeIncarnation is a worker that refuses a call under an old term before it checks the
+// incarnation.
 type fencesBeforeIncarnation struct{ *countingWorker }
 
 func (w fencesBeforeIncarnation) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
@@ -70,7 +69,8 @@
 	return w.countingWorker.Renew(ctx, o, r)
 }
 
-// withFencingWorker runs a driver on such a worker, the second life of w1, in virtual time.
+// withFencingWorker runs a driver with such a worker, the second incarnation of w1, in virtual
+// time.
 func withFencingWorker(t *testing.T, l *leader, f func(*runs.Driver)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := fencesBeforeIncarnation{&countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1@2"), fakes.NewRunWatch())}}
@@ -80,11 +80,11 @@
 	})
 }
 
-// Symptom: a worker that is well gets no work any more until it is restarted.
-// Sequence: an agent is restarted and does not know the term yet; it hears of its worker,
-// then, late, of an earlier life of it.
-// Cause: the worker refuses the question which life it is, for the old term, and the refusal
-// counts as a yes. The present life counts as gone from then on.
+// Guards against a healthy worker that receives no work until it is restarted: a restarted agent
+// does not know the term yet, and receives an announcement of its worker, then a late one of a
+// previous incarnation. The worker refuses the query for its incarnation because of the old term.
+// If the refusal counts as a confirmation, the current incarnation counts as departed from then
+// on.
 func TestFencedAnswerConfirmsNoIncarnation(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, unavailable: true}
 	withFencingWorker(t, l, func(d *runs.Driver) {
@@ -107,11 +107,10 @@
 	})
 }
 
-// Symptom: a task that runs starts elsewhere as well.
-// Sequence: an agent that was restarted hears, late, of an earlier life of its worker first.
-// Its worker refuses its calls, since the agent does not know the term yet.
-// Cause: the agent asks the leader for the term with a report about that life, and the
-// leader takes it for the one that is there now.
+// Guards against a running task that is started elsewhere as well: the first announcement that a
+// restarted agent receives is a late one of a previous incarnation of its worker, which refuses
+// its calls since the agent does not know the term yet. If the agent requests the term with a
+// report about that incarnation, the leader takes it for the current one.
 func TestFencedAgentReportsNoUnconfirmedIncarnation(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
 	withFencingWorker(t, l, func(d *runs.Driver) {
@@ -127,11 +126,10 @@
 	})
 }
 
-// Symptom: after a power cut of all hosts nothing runs any more, though every process is
-// there.
-// Sequence: all agents are restarted, while their workers run on; another leader is elected.
-// Cause: the workers refuse the agents' calls, for the old term; each agent waits for orders
-// to tell it the term, and nobody looks for the leader that gives orders.
+// Guards against a cluster that runs nothing after a power failure of all hosts, although every
+// process is running: all agents are restarted while their workers keep running, and another
+// leader is elected. The workers refuse the agents' calls because of the old term; each agent
+// waits for orders to learn the term, and does not look for the leader that gives orders.
 func TestFencedAgentFindsLeader(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, ordersNeedFound: true}
 	withFencingWorker(t, l, func(d *runs.Driver) {
@@ -145,9 +143,9 @@
 	})
 }
 
-// Symptom: the same, after an upgrade of the agents. Sequence: a restarted agent finds its
-// worker at work, and knows no leader. Cause: it asks whether the leader knows the worker,
-// and does not look for the leader.
+// Guards against the same failure after an upgrade of the agents: a restarted agent finds its
+// worker running tasks and knows no leader. It queries whether the leader knows the worker, and
+// that query must look for the leader.
 func TestAgentOfRunningWorkerFindsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, ordersNeedFound: true}
--- a/agent/runs/lease.go
+++ b/agent/runs/lease.go
@@ -6,25 +6,26 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// clockReading is what the worker's clock showed, read no later than received.
+// clockReading is a reading of the worker's clock, taken no later than received.
 type clockReading struct {
 	ms       int64
 	received time.Time
 }
 
-// latestTimeOf is when the clock shows a reading at the latest: it may run slower by the bound.
+// latestTimeOf returns the latest time at which the worker's clock shows a reading. That clock
+// may run slower than this host's by the bound on its rate error.
 func (c clockReading) latestTimeOf(ms int64) time.Time {
 	left := time.Duration(ms-c.ms) * time.Millisecond
 	return c.received.Add(left * ppm / (ppm - clockRateErrorPPM))
 }
 
-// recordStatus notes an answer of the worker.
+// recordStatus records the status in an answer of the worker.
 func (s *session) recordStatus(status Status, received time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if before := s.clock.ms; status.ClockMs < before {
-		// The clock of a worker never goes back, so another process answers under its name,
-		// and numbers its ends anew.
+		// A worker's clock never goes back, so a different process is answering under its name,
+		// and numbers its ends from the start again.
 		event.WorkerClockWentBack.Write(s.d.logger, event.Worker(s.incarnation), event.ClockMs(status.ClockMs),
 			event.ClockBeforeMs(before), event.Acknowledged(s.acknowledged))
 	}
@@ -32,11 +33,11 @@
 	s.status = status
 }
 
-// nextDeadline is the deadline for the next call: the end of the leader's lease, but
-// no later than the worker grants from its last answer on. It is noted, since a call
-// without an answer may be carried out all the same; so it stays as it is while the
-// worker gives none, or nobody could ever tell when the worker has stopped. s.mu is
-// held; 0 when there is no lease.
+// nextDeadline returns the deadline for the next call: the end of the leader's lease, but at most
+// MaxLease after the worker's last answer; 0 when there is no lease. It extends the host's lease
+// to that deadline, because the worker may carry out a call without answering it. The deadline
+// does not advance while the worker gives no answer; otherwise the time at which the worker has
+// stopped could never be known. The caller must hold s.mu.
 func (s *session) nextDeadline() int64 {
 	if s.leaseDeadlineMs == 0 || s.clock.received.IsZero() {
 		return 0
@@ -47,20 +48,20 @@
 	return deadline
 }
 
-// dropLease has the session make no start until the leader grants another lease. It is called
-// before the leader is told that nothing runs any more: the leader's lease outlasts the worker's, and
-// a start under the rest of it would run beside the one that the leader orders elsewhere.
+// dropLease prevents further starts until the leader grants another lease. It is called before
+// the leader is notified that nothing runs any more: the leader's lease outlasts the worker's,
+// and a start under the rest of it would run in parallel with the one that the leader orders
+// elsewhere.
 func (s *session) dropLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaseDeadlineMs = 0
 }
 
-// capLease gives up what the agent holds of its lease beyond the time that the
-// worker may run on by itself, given the worker's newest clock, and returns what is
-// left at most, in milliseconds. What goes wrong without it: a host that announced
-// that it leaves is gone with its agent, and the leader waits for the whole lease,
-// which is meant for agents that come back.
+// capLease shortens the agent's lease to the time that the worker may keep running without it,
+// counted from the worker's newest clock reading, and returns a bound on the remaining time in
+// milliseconds. Without this limit, after the departure of a host that announced it together with
+// its agent, the leader would wait for the whole lease, which is meant for agents that come back.
 func (s *session) capLease(clockMs int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/runs/log_test.go
+++ b/agent/runs/log_test.go
@@ -15,9 +15,8 @@
 	"github.com/cairnlift/cairnlift/fakes"
 )
 
-// Symptom: an agent's log does not say from when to when its worker hung.
-// Sequence: the worker gives no answer for some seconds, then it does.
-// Cause: only calls have lines.
+// Guards against an agent's log that does not show from when to when its worker gave no answer,
+// because only calls are logged.
 func TestUnreachableWorkerIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
@@ -32,7 +31,7 @@
 		w.lostCall.Store(allCalls)
 		time.Sleep(4 * time.Second)
 		if lost, back := lines.FilterMessage("dependency lost").Len(), lines.FilterMessage("dependency is back").Len(); lost != 1 || back != 0 {
-			t.Errorf("lost is told %d times, back %d times", lost, back)
+			t.Errorf("loss is logged %d times, return %d times", lost, back)
 		}
 		w.lostCall.Store("")
 		time.Sleep(2 * time.Second)
@@ -45,9 +44,9 @@
 	})
 }
 
-// Symptom: after a worker came back under its name, no log says so.
-// Sequence: the worker ends and another one answers at its address, whose clock begins anew.
-// Cause: only calls without an answer have lines, and these are answered.
+// Guards against a restart of a worker under its name that no log shows: the worker ends and
+// another process answers at its address, whose clock starts again. Only calls without an answer
+// were logged, and these calls are answered.
 func TestBackwardWorkerClockIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
@@ -62,14 +61,15 @@
 		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunWatch()))
 		time.Sleep(3 * time.Second)
 		if n := lines.FilterMessage("worker's clock went back").Len(); n != 1 {
-			t.Errorf("told %d times", n)
+			t.Errorf("logged %d times", n)
 		}
 		cancel()
 		running.Wait()
 	})
 }
 
-// Guards against a line that says that the worker left where it is the agent that stops.
+// Guards against a log line that reports the departure of the worker when it is the agent that
+// stops.
 func TestStoppingAgentLogsNoWorkerDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
@@ -80,12 +80,12 @@
 		time.Sleep(2 * time.Second)
 		stop()
 		if n := lines.FilterMessage("worker left").Len(); n != 0 {
-			t.Errorf("told %d times", n)
+			t.Errorf("logged %d times", n)
 		}
 	})
 }
 
-// replaceableWorker calls whichever worker is there.
+// replaceableWorker forwards calls to the current worker.
 type replaceableWorker struct {
 	runs.Worker
 	mu sync.Mutex
--- a/agent/runs/metrics.go
+++ b/agent/runs/metrics.go
@@ -15,7 +15,7 @@
 	metrics.GetOrRegisterCounter("runs.calls."+call+"."+outcome, d.opts.Metrics).Inc(1)
 }
 
-// metricSet are the driver's metrics.
+// metricSet contains the driver's metrics.
 type metricSet struct {
 	reportsLost     metrics.Counter
 	starts          metrics.Counter
--- a/agent/runs/orders.go
+++ b/agent/runs/orders.go
@@ -9,39 +9,38 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// order is what the agent has to do about one run.
+// order is the state of the leader's orders for one run.
 type order struct {
 	start *apiv1.StartOrder
-	// epoch is the worker's epoch when the start was ordered. What goes wrong without
-	// it: the agent is cut off until the leader gives the run up and starts it
-	// elsewhere; then the agent gets a new lease before it gets new orders, and starts
-	// the run under it.
+	// epoch is the worker's epoch when the start was ordered. It guards against this sequence:
+	// the agent is partitioned until the leader records the run as lost and starts it elsewhere,
+	// then receives a new lease before new orders, and would start the old run under that lease.
 	epoch uint64
-	// capacity is what the leader knew the worker to have when it first gave the order; nil from
-	// one that does not say.
+	// capacity is the worker capacity known to the leader when it first gave the order; nil from
+	// a leader that does not report it.
 	capacity *apiv1.WorkerCapacity
-	// notOrderedBefore: no agent before this one can have had the order.
+	// notOrderedBefore: no previous agent can have received the order.
 	notOrderedBefore bool
-	// withdrawn: the leader no longer has the order.
+	// withdrawn: the leader no longer lists the order.
 	withdrawn bool
-	// startConfirmed is set once the worker said that the run is there or over.
+	// startConfirmed is set once the worker has reported that the run is present or has ended.
 	startConfirmed bool
-	// maybeSent is set once the worker may have got the start.
+	// maybeSent is set once the worker may have received the start.
 	maybeSent bool
 	starting  bool
-	// stop: the run has to end. stoppedAt is when the worker confirmed that it has stopped
-	// it, or said that it is over.
+	// stop: the run must end. stoppedAt is when the worker confirmed that it had stopped the run,
+	// or reported that it has ended.
 	stop      bool
 	stopping  bool
 	stoppedAt time.Time
-	// refusalReason is why the run is given back once it is surely not there.
+	// refusalReason is why the run is refused, once it is certain that it is not on the worker.
 	refusalReason string
 	pace          uint32
 	confirmedPace uint32
 	pacing        bool
 }
 
-// ordersLoop takes the leader's orders and has them carried out.
+// ordersLoop fetches the leader's orders and has them carried out.
 func (s *session) ordersLoop() {
 	var term, sequence uint64
 	for s.ctx.Err() == nil {
@@ -53,20 +52,20 @@
 			continue
 		}
 		if resp.Term < term {
-			// An answer of a leader that another one has followed.
+			// The answer is from a previous leader.
 			s.sleep(retryInterval)
 			continue
 		}
-		news := resp.Term != term || resp.Sequence != sequence
+		changed := resp.Term != term || resp.Sequence != sequence
 		term, sequence = resp.Term, resp.Sequence
-		if news {
+		if changed {
 			s.applyOrders(resp)
 		}
 	}
 }
 
-// applyOrders compares the leader's open orders with those known, and starts the work
-// that is new. An order that the leader no longer has is done with.
+// applyOrders updates the known orders from the leader's open ones and starts the work that is
+// new. It drops an order that the leader no longer lists, unless a call for it is in progress.
 func (s *session) applyOrders(resp *apiv1.JobsOrdersResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,8 +112,8 @@
 
 const fullPace = 100
 
-// advance starts what an order needs next; s.mu is held. Nothing starts once the
-// session is over.
+// advance starts the next call that an order needs. Nothing starts once the session has finished.
+// The caller must hold s.mu.
 func (s *session) advance(id jobqueue.RunID, o *order) {
 	switch {
 	case s.finished || s.alive.Err() != nil:
@@ -130,17 +129,17 @@
 	}
 }
 
-// mayStart reports whether a start is still to be made; s.mu is held.
+// mayStart reports whether the start of a run still has to be sent. The caller must hold s.mu.
 func (s *session) mayStart(o *order) bool {
 	return o.start != nil && !o.stop && !o.startConfirmed && !o.starting && o.refusalReason == "" && !s.isVoid(o)
 }
 
-// isVoid reports whether a start must not be made any more: the leader has given the run up; s.mu is
-// held.
+// isVoid reports whether a start must no longer be sent, since the leader has withdrawn it or
+// recorded the run as lost. The caller must hold s.mu.
 func (s *session) isVoid(o *order) bool { return o.withdrawn || o.epoch < s.epoch }
 
-// startRun has the worker start a run. A call without an answer is repeated:
-// the same run starts once, however often it is ordered.
+// startRun has the worker start a run. A call without an answer is repeated: the worker starts
+// the same run only once, however often it is ordered.
 func (s *session) startRun(id jobqueue.RunID, o *order) {
 	retry := newBackoff()
 	for s.alive.Err() == nil {
@@ -165,8 +164,8 @@
 	start Start
 }
 
-// nextStartCall returns the call to make, once the worker's lease allows it; false
-// when the run is not to be started any more.
+// nextStartCall waits until the worker's lease allows the start and returns the call; false when
+// the run must no longer be started.
 func (s *session) nextStartCall(id jobqueue.RunID, o *order) (startCall, bool) {
 	for s.alive.Err() == nil {
 		s.mu.Lock()
@@ -212,7 +211,7 @@
 	return answer, err
 }
 
-// handleStartAnswer takes in the answer to a start; true ends the attempts.
+// handleStartAnswer records the answer to a start and reports whether the attempts end.
 func (s *session) handleStartAnswer(id jobqueue.RunID, o *order, answer Answer, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -232,14 +231,14 @@
 		s.callHistory.recordConfirmed(id, s.d.opts.Now())
 		return true
 	case AnswerEnded:
-		// Its end is listed until it is recorded. Without one the run never began: an agent
-		// before this one had it stopped, and did not get to say so.
+		// The end of the run is listed until it is recorded. If none is listed, the run never
+		// began: a previous agent had it stopped and did not report that.
 		o.startConfirmed = true
 		o.stoppedAt = s.d.opts.Now()
 		return true
 	case AnswerDeadlinePassed, AnswerFenced:
-		// The next try carries a later deadline, or the term of the newer leader, which
-		// gives its own orders too.
+		// The next attempt carries a later deadline, or the term of the new leader, which gives
+		// its own orders too.
 		return false
 	case AnswerOtherIncarnation:
 		s.endAlive()
@@ -249,18 +248,18 @@
 	return true
 }
 
-// hasLessCapacity reports whether the worker has less than the leader knew when it gave the order; s.mu
-// is held.
+// hasLessCapacity reports whether the worker has less capacity than the leader knew when it gave
+// the order. The caller must hold s.mu.
 func (s *session) hasLessCapacity(o *order) bool {
 	now := s.announced.Worker
 	return now.CpuMilli < o.capacity.GetCpuMilli() || now.MemoryMb < o.capacity.GetMemoryMb() ||
 		now.Accelerators < o.capacity.GetAccelerators()
 }
 
-// refuseUnlessListed gives back a start that the worker should not get any more, unless
-// the run is there already. What goes wrong without the look: an agent that was
-// restarted did not make the start, but the one before it did; the run goes on here
-// and starts elsewhere as well. s.mu is held.
+// refuseUnlessListed refuses a start that the worker must no longer receive, unless the worker
+// already lists the run. Without this check, a restarted agent would refuse a run that the
+// previous agent had started; the run would continue here and be started elsewhere as well. The
+// caller must hold s.mu.
 func (s *session) refuseUnlessListed(id jobqueue.RunID, o *order, reason string) {
 	if isListed(s.status, id) {
 		o.startConfirmed = true
@@ -269,17 +268,17 @@
 	s.refuseRun(id, o, reason)
 }
 
-// refuseRun gives a run back. It may have been ordered before without an answer, by
-// this agent or one before it, and come about later: so the worker is told to stop
-// it first, which makes it refuse the run for good. s.mu is held.
+// refuseRun refuses a run and orders its stop first. This agent or a previous one may have sent
+// the start without receiving an answer, and the worker may carry it out later; a worker that has
+// received the stop refuses the run permanently. The caller must hold s.mu.
 func (s *session) refuseRun(id jobqueue.RunID, o *order, reason string) {
 	s.d.metrics.startsRefused.Inc(1)
 	o.refusalReason = reason
 	o.stop = true
 }
 
-// stopRun has the worker stop a run, until it confirms. A stop that is refused for an old
-// term is repeated.
+// stopRun has the worker stop a run and repeats the call until the worker confirms it. A stop
+// that is refused because of an old term is repeated too.
 func (s *session) stopRun(id jobqueue.RunID, o *order) {
 	retry := newBackoff()
 	for s.alive.Err() == nil {
@@ -294,8 +293,8 @@
 			s.endAlive()
 		}
 		if answer == AnswerFenced {
-			// The next try carries the term of the newer leader, which may have given its
-			// orders already and does not repeat them.
+			// The next attempt carries the term of the new leader, which may already have given
+			// its orders and does not repeat them.
 			s.sleep(retry.next())
 			continue
 		}
@@ -318,7 +317,7 @@
 	return answer, err
 }
 
-// setPace has the worker slow a run down or let it up.
+// setPace has the worker set the pace of a run.
 func (s *session) setPace(id jobqueue.RunID, o *order) {
 	s.mu.Lock()
 	percent := o.pace
@@ -343,7 +342,7 @@
 	s.advance(id, o)
 }
 
-// retryOrder takes up what is left to do about a run.
+// retryOrder continues with the next call that a run needs.
 func (s *session) retryOrder(id jobqueue.RunID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -352,27 +351,26 @@
 	}
 }
 
-// refuseStoppedRuns gives back the runs that were stopped before they began: the worker
-// confirmed the stop, and a status asked for after that shows the run neither
-// among those that run nor among the ended. A status of which a part could not be read
-// shows nothing of the kind: the run may be in that part.
-func (s *session) refuseStoppedRuns(status Status, asked time.Time) {
+// refuseStoppedRuns refuses the runs that were stopped before they began: the worker confirmed
+// the stop, and a status requested after that lists the run neither as running nor as ended. A
+// partial status is no proof, since the run may be in the part that could not be read.
+func (s *session) refuseStoppedRuns(status Status, requestedAt time.Time) {
 	if status.Partial {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, o := range s.orders {
-		if o.stoppedAt.IsZero() || !asked.After(o.stoppedAt) || isListed(status, id) {
+		if o.stoppedAt.IsZero() || !requestedAt.After(o.stoppedAt) || isListed(status, id) {
 			continue
 		}
 		reason := o.refusalReason
 		if reason == "" {
 			reason = "stopped before it began"
 		}
-		if _, given := s.refusals[id]; !given {
+		if _, known := s.refusals[id]; !known {
 			event.RunGivenBack.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Reason(reason),
-				event.After(asked.Sub(o.stoppedAt)))
+				event.After(requestedAt.Sub(o.stoppedAt)))
 		}
 		s.refusals[id] = reason
 	}
--- a/agent/runs/report.go
+++ b/agent/runs/report.go
@@ -11,7 +11,7 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// reportDeparture tells the leader that the incarnation is gone.
+// reportDeparture reports to the leader that the incarnation has ended.
 func (s *session) reportDeparture(replaced bool) {
 	s.d.mu.Lock()
 	s.d.recordDeparted(s.incarnation)
@@ -34,9 +34,10 @@
 	}
 }
 
-// awaitWorkerEnd returns once the worker, which has said that it ends, runs nothing any more: it gives no
-// answer, lists nothing, or its lease has run out. One that was not acknowledged goes on for seconds,
-// and tasks that the leader gave up meanwhile would run elsewhere as well.
+// awaitWorkerEnd returns once a worker that reported its departure runs nothing any more: it
+// gives no answer, lists nothing, or its lease has expired. A worker whose departure report was
+// not acknowledged continues for seconds, and tasks that the leader recorded as lost meanwhile
+// would run elsewhere as well.
 func (s *session) awaitWorkerEnd() {
 	for s.ctx.Err() == nil && s.d.lease.untilCheck(s.d.opts.Now()) > 0 {
 		status, answer, err := s.renew(0)
@@ -47,8 +48,8 @@
 	}
 }
 
-// reportPreviousEnd tells the leader that the life before this one has ended. The first report of
-// this one would say so too, but it may end before that.
+// reportPreviousEnd reports to the leader that the previous incarnation has ended. The first
+// report of this incarnation would imply that too, but the incarnation may end before it.
 func (s *session) reportPreviousEnd() {
 	if s.previousEndReport == nil {
 		return
@@ -60,22 +61,27 @@
 	}
 }
 
-// resetID has the session go on as another one in the leader's eyes; watch calls it.
+// resetID makes the leader treat the following reports as those of a new session. Only leaseLoop
+// calls it, through reportExpiry.
 func (s *session) resetID() {
 	s.id, s.reportCount, s.startedMs = rand.Uint64(), 0, 0
 }
 
-// resolveIncarnationOrder ends the life that the leader takes for the newer one. The worker has confirmed
-// the life of this session, and there is but one: so what the leader holds came before it.
+// resolveIncarnationOrder lists the incarnation that the leader takes for the newest as a
+// previous one, and has its end reported if it has a lease. The worker has confirmed the
+// incarnation of this session and there is only one worker, so any other that the leader knows
+// came before it.
 func (s *session) resolveIncarnationOrder(ctx context.Context) {
-	held, err := s.d.opts.Leader.HostLease(ctx, s.d.opts.Host)
-	if err != nil || held.LastLife == "" || held.LastLife == s.incarnation {
+	counted, err := s.d.opts.Leader.HostLease(ctx, s.d.opts.Host)
+	if err != nil || counted.LastLife == "" || counted.LastLife == s.incarnation {
 		return
 	}
-	s.addPreviousIncarnation(held.LastLife)
-	if held.LeaseWorker != "" && held.LeaseWorker != s.incarnation {
-		s.addPreviousIncarnation(held.LeaseWorker)
-		s.previousEndReport = &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: s.d.opts.Host}, Departed: true, Crashed: true}
+	s.addPreviousIncarnation(counted.LastLife)
+	if counted.LeaseWorker != "" && counted.LeaseWorker != s.incarnation {
+		s.addPreviousIncarnation(counted.LeaseWorker)
+		s.previousEndReport = &apiv1.JobsReportRequest{
+			Worker: &apiv1.JobWorker{Id: counted.LeaseWorker, Host: s.d.opts.Host}, Departed: true, Crashed: true,
+		}
 	}
 }
 
@@ -85,8 +91,8 @@
 	}
 }
 
-// report sends what the worker said to the leader and takes the lease from the
-// answer. It returns false when no leader took it.
+// report sends the worker's status to the leader and applies the lease in the response. It
+// returns false when no leader accepted the report.
 func (s *session) report(status Status, received time.Time) bool {
 	a := s.announcement()
 	r := &apiv1.JobsReportRequest{
@@ -117,9 +123,10 @@
 	return true
 }
 
-// send numbers a report and sends it to the leader. What goes wrong without the number: the
-// network delivers a report that was given up seconds ago, and the leader believes what it
-// says of a worker that has gone silent since, or gives up runs that began since.
+// send numbers a report and sends it to the leader. Without the number, the leader would accept a
+// report that the network delivers seconds after its sender abandoned it: it would believe
+// outdated statements about a worker that has become unresponsive since, or record runs as lost
+// that began since.
 func (s *session) send(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	s.reportCount++
 	r.Session, r.Sequence, r.SessionBeganMs = s.id, s.reportCount, s.startedMs
@@ -127,10 +134,10 @@
 	return s.d.opts.Leader.Report(ctx, r)
 }
 
-// applyLease takes a lease over. It counts from the sending of the report and is
-// turned into a reading of the worker's clock: that clock showed clockMs no later
-// than at received, and may run slower than ours by the bound on its rate error. Without
-// a reading, 0, there is no lease to count: the next report brings one.
+// applyLease records a lease. The lease starts when the report was sent and is converted to a
+// reading of the worker's clock: that clock showed clockMs no later than received, and may run
+// slower than this host's clock by the bound on its rate error. Without a reading (clockMs is 0)
+// the lease cannot be converted; the next report brings another.
 func (s *session) applyLease(resp *apiv1.JobsReportResponse, clockMs int64, received, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/runs/runstest/link.go
+++ b/agent/runs/runstest/link.go
@@ -1,4 +1,4 @@
-// Package runstest holds a stand-in for the network between an agent and the leader.
+// Package runstest provides a simulated network between an agent and the leader.
 package runstest
 
 import (
@@ -12,8 +12,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// ErrUnreachable is what an agent gets from a link that is cut, or from a host that does not lead.
-var ErrUnreachable = errors.New("cut off")
+// ErrUnreachable is returned to an agent by a partitioned link, or for a host that is not the
+// leader.
+var ErrUnreachable = errors.New("leader is unreachable")
 
 // Leader is the leader's side of a link; *dispatch.Dispatcher implements it.
 type Leader interface {
@@ -21,50 +22,51 @@
 	Orders(context.Context, *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error)
 }
 
-// pollInterval is the time between two looks whether a cut is over.
+// pollInterval is the time between two checks whether a partition has ended.
 const pollInterval = 50 * time.Millisecond
 
-// Link implements runs.Leader over a network that may be cut, and that may hold reports up
-// and deliver them after their sender gave them up.
+// Link implements runs.Leader over a network that may be partitioned, and that may delay reports
+// and deliver them after their sender abandoned them.
 type Link struct {
-	// Leader returns whoever leads now.
+	// Leader returns the current leader.
 	Leader func() Leader
-	// Context bounds the deliveries of what was held up, Go starts them, and Sleep passes
-	// their time.
+	// Context bounds the deliveries of delayed reports, Go starts them, and Sleep waits for their
+	// delay.
 	Context func() context.Context
 	Go      func(func())
 	Sleep   func(time.Duration)
-	// DelaysReport says whether the network holds a report up; cut says that the link is cut.
-	// Late is how long after the cut it arrives.
-	DelaysReport  func(r *apiv1.JobsReportRequest, cut bool) bool
+	// DelaysReport reports whether the network delays a report; partitioned says whether the link
+	// is partitioned. DeliveryDelay returns the time from the end of the partition to the
+	// delivery.
+	DelaysReport  func(r *apiv1.JobsReportRequest, partitioned bool) bool
 	DeliveryDelay func() time.Duration
-	// OrdersWait is how long a call for orders is held.
+	// OrdersWait is how long a call for orders waits for new ones.
 	OrdersWait time.Duration
-	// OnReport is told of each report that goes over the link; may be nil.
+	// OnReport is called with each report that the link delivers at once; may be nil.
 	OnReport func(*apiv1.JobsReportRequest)
 
 	mu sync.Mutex
-	// partitioned holds what the agent reports; reportsOnly lets it ask for orders meanwhile.
+	// partitioned blocks reports and calls for orders; reportsOnly lets calls for orders through.
 	partitioned, reportsOnly bool
-	// leaderFound: the agent has found the leader; calls for orders don't look for it.
+	// leaderFound: the agent has found the leader, which calls for orders do not look for.
 	leaderFound bool
 }
 
-// SetPartitioned cuts the link or mends it.
-func (l *Link) SetPartitioned(cut bool) {
+// SetPartitioned partitions the link or restores it.
+func (l *Link) SetPartitioned(partitioned bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.partitioned = cut
+	l.partitioned = partitioned
 }
 
-// SetReportsOnly says whether a cut holds reports only.
-func (l *Link) SetReportsOnly(oneWay bool) {
+// SetReportsOnly sets whether a partition blocks reports only.
+func (l *Link) SetReportsOnly(reportsOnly bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.reportsOnly = oneWay
+	l.reportsOnly = reportsOnly
 }
 
-// IsPartitioned reports whether reports are held.
+// IsPartitioned reports whether the link blocks reports.
 func (l *Link) IsPartitioned() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -77,7 +79,8 @@
 	return l.partitioned && !l.reportsOnly
 }
 
-// ForgetLeader makes the agent one that was just started: it has yet to find the leader.
+// ForgetLeader resets the link to that of a newly started agent, which has yet to find the
+// leader.
 func (l *Link) ForgetLeader() { l.setLeaderFound(false) }
 
 func (l *Link) setLeaderFound(found bool) {
@@ -94,12 +97,12 @@
 
 // Report implements runs.Leader.
 func (l *Link) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
-	cut := l.IsPartitioned()
-	held := l.DelaysReport(r, cut)
-	if held {
+	partitioned := l.IsPartitioned()
+	delayed := l.DelaysReport(r, partitioned)
+	if delayed {
 		l.delayReport(proto.CloneOf(r))
 	}
-	if cut || held {
+	if partitioned || delayed {
 		<-ctx.Done()
 		return nil, ErrUnreachable
 	}
@@ -114,18 +117,18 @@
 	return resp, nil
 }
 
-// delayReport delivers a report once the cut is over, as a network does with what it was sent
-// before; its sender has given it up by then.
+// delayReport delivers a report once the partition has ended, as a network may do with what it
+// accepted earlier. The sender has abandoned the report before that.
 func (l *Link) delayReport(r *apiv1.JobsReportRequest) {
-	late := l.DeliveryDelay()
+	delay := l.DeliveryDelay()
 	ctx := l.Context()
 	l.Go(func() {
 		for l.IsPartitioned() && ctx.Err() == nil {
 			l.Sleep(pollInterval)
 		}
-		l.Sleep(late)
+		l.Sleep(delay)
 		if ctx.Err() == nil {
-			_, _ = l.Leader().Report(ctx, r) // Nobody waits for the answer any more.
+			_, _ = l.Leader().Report(ctx, r) // No caller waits for the response any more.
 		}
 	})
 }
--- a/agent/runs/session.go
+++ b/agent/runs/session.go
@@ -15,56 +15,61 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// session is the time with one incarnation of the worker.
+// session manages one incarnation of the worker.
 type session struct {
 	d           *Driver
 	incarnation string
 	ctx         context.Context
 	cancel      context.CancelFunc
-	// alive ends when another life of the worker has answered in place of this one, or the worker
-	// has said that it ends.
+	// alive ends when another incarnation of the worker has answered in place of this one, or the
+	// worker has reported its departure.
 	alive      context.Context
 	endAlive   context.CancelFunc
 	startSlots chan struct{}
-	// calls are the calls of the worker that are under way; they are begun with mu held.
+	// calls are the calls of the worker in progress. They are started with mu held.
 	calls conc.WaitGroup
-	// id tells the session from others of the same worker, and reports counts what
-	// was sent to the leader; only watch sends.
+	// id distinguishes the session from others of the same worker, and reportCount counts the
+	// reports sent to the leader under it. Only leaseLoop sends reports.
 	id, reportCount uint64
-	// startedMs is what the worker's clock showed at its first answer under the number.
+	// startedMs is the reading of the worker's clock at its first answer under the current id.
 	startedMs int64
-	// admitted: the leader may be told of the worker; only watch uses it.
+	// admitted: the worker may be reported to the leader. Only leaseLoop uses it.
 	admitted bool
-	// notRenewedLoggedAt is when a line last said that the lease is not renewed; only watch uses it.
+	// notRenewedLoggedAt is when a failed renewal of the lease was last logged. Only leaseLoop
+	// uses it.
 	notRenewedLoggedAt time.Time
-	// previousIncarnations are lives of the worker that came before this one; only watch uses it.
+	// previousIncarnations are the incarnations of the worker before this one. Only leaseLoop
+	// uses it once the session runs.
 	previousIncarnations []string
-	// previousEndReport is the report that the life before this one has ended, until the leader has it;
-	// nil when there is none to tell of.
+	// previousEndReport is the report that the previous incarnation has ended, kept until the
+	// leader has received it; nil when there is none.
 	previousEndReport *apiv1.JobsReportRequest
 
 	mu        sync.Mutex
 	announced Announcement
-	// finished is set at the end; no call is begun after that.
+	// finished is set at the end of the session. No call is started after that.
 	finished bool
 	term     uint64
 	// epoch is that of the lease; see order.epoch.
 	epoch uint64
-	// leaseDeadlineMs is the end of the leader's lease, a reading of the worker's clock.
+	// leaseDeadlineMs is the end of the leader's lease, as a reading of the worker's clock; 0
+	// when there is no lease.
 	leaseDeadlineMs int64
-	// status is what the worker last said of itself.
+	// status is the last status that the worker reported.
 	status Status
-	// clock is what the worker's clock last showed.
+	// clock is the last reading of the worker's clock.
 	clock        clockReading
 	acknowledged uint64
 	orders       map[jobqueue.RunID]*order
-	// ordersReceived is set with the first orders, which an agent before this one may have had too.
+	// ordersReceived is set with the first orders of the session. A previous agent may have
+	// received those too.
 	ordersReceived bool
 	refusals       map[jobqueue.RunID]string
 	callHistory    callHistory
 }
 
-// matchesWithoutStartTime reports whether a name is that of the session's worker without its start.
+// matchesWithoutStartTime reports whether a name is that of the session's worker without its
+// start time.
 func (s *session) matchesWithoutStartTime(incarnation string) bool {
 	return incarnation == jobqueue.ParseIncarnation(s.incarnation).WorkerID
 }
@@ -78,15 +83,16 @@
 
 func (d *Driver) newSession(a Announcement) *session {
 	ctx, cancel := context.WithCancel(context.Background())
-	alive, noteOther := context.WithCancel(ctx)
+	alive, endAlive := context.WithCancel(ctx)
 	return &session{
-		d: d, incarnation: a.Worker.Id, ctx: ctx, cancel: cancel, alive: alive, endAlive: noteOther, announced: a, id: rand.Uint64(), term: d.term.Load(),
+		d: d, incarnation: a.Worker.Id, ctx: ctx, cancel: cancel, alive: alive, endAlive: endAlive,
+		announced: a, id: rand.Uint64(), term: d.term.Load(),
 		startSlots: make(chan struct{}, maxConcurrentStarts),
 		orders:     map[jobqueue.RunID]*order{}, refusals: map[jobqueue.RunID]string{}, callHistory: newCallHistory(),
 	}
 }
 
-// run serves one incarnation until it is gone.
+// run serves the incarnation until it has ended.
 func (s *session) run() {
 	var loops conc.WaitGroup
 	loops.Go(s.leaseLoop)
@@ -99,8 +105,8 @@
 	s.calls.Wait()
 }
 
-// endCalls has the session call its worker no more. A start that was made while the leader gives the
-// worker's runs up would run beside the one elsewhere, if the worker has not ended yet.
+// endCalls prevents further calls of the worker. If the worker has not ended yet, a start sent
+// while the leader records its runs as lost would run in parallel with the one elsewhere.
 func (s *session) endCalls() {
 	s.mu.Lock()
 	s.finished = true
@@ -108,14 +114,14 @@
 	s.endAlive()
 }
 
-// updateAnnouncement takes in a further announcement of the incarnation, unless it names another
-// pool: an incarnation stays in one. What goes wrong without that: an announcement that
-// another program wrote takes a worker that is well out of use.
+// updateAnnouncement records a further announcement of the incarnation. It refuses one that names
+// another pool, because an incarnation stays in its pool: otherwise an announcement forged by
+// another program would take a healthy worker out of use.
 func (s *session) updateAnnouncement(a Announcement) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if pool := s.announced.Worker.Pool; a.Worker.Pool != pool {
-		return errors.Newf("worker %.60q is of pool %.40q, not %.40q", s.incarnation, pool, a.Worker.Pool)
+		return errors.Newf("worker %.60q belongs to pool %.40q, not to %.40q", s.incarnation, pool, a.Worker.Pool)
 	}
 	departed := s.announced.Departed
 	draining := s.announced.Worker.Draining || a.Worker.Draining
@@ -133,7 +139,7 @@
 	s.announced.Departed = true
 }
 
-// recordTerm takes in what a leader told of its term; s.mu is held.
+// recordTerm records a term that a leader reported. The caller must hold s.mu.
 func (s *session) recordTerm(term uint64) {
 	s.term = max(s.term, term)
 	s.d.term.Note(term)
@@ -145,13 +151,13 @@
 	return s.announced
 }
 
-// leaseLoop holds the worker's lease and reports, until the incarnation is gone.
+// leaseLoop renews the worker's lease and reports to the leader until the incarnation has ended.
 func (s *session) leaseLoop() {
 	defer s.cancel()
 	wait := time.Duration(0)
 	for s.ctx.Err() == nil {
 		s.reportPreviousEnd()
-		asked := s.d.opts.Now()
+		requestedAt := s.d.opts.Now()
 		status, answer, err := s.renew(wait)
 		received := s.d.opts.Now()
 		if answer == AnswerOtherIncarnation {
@@ -165,10 +171,10 @@
 			s.reportDeparture(replaced)
 			return
 		case err == nil && answer == AnswerFenced:
-			// A restarted agent does not know the term yet; the leader tells it. Nothing is
-			// reported until the worker has confirmed which life it is: a report of an earlier
-			// one would end the present one.
-			_, _ = s.findLeader() // Without an answer, the next refusal asks again.
+			// A restarted agent does not know the term until the leader reports it. Nothing is
+			// reported before the worker has confirmed its incarnation: a report of a previous
+			// one would end the current one.
+			_, _ = s.findLeader() // After an error, the next refused renewal tries again.
 			s.sleep(retryInterval)
 			continue
 		case err != nil || answer != AnswerDone:
@@ -188,12 +194,12 @@
 			s.sleep(admissionRetryInterval)
 			continue
 		}
-		s.refuseStoppedRuns(status, asked)
+		s.refuseStoppedRuns(status, requestedAt)
 		reported := s.report(status, received)
 		wait = renewalWait
 		if !reported || status.Partial {
-			// An end that can't be read is never acknowledged, so the worker would answer
-			// each call at once.
+			// An end that cannot be read is never acknowledged, so the worker would answer each
+			// call at once.
 			s.sleep(retryInterval)
 		}
 	}
@@ -212,8 +218,8 @@
 	return status, answer, err
 }
 
-// notRenewedLogInterval is the time between two lines on a lease that is not renewed: a worker that is
-// away is asked many times a second.
+// notRenewedLogInterval is the time between two log lines about a lease that is not renewed. An
+// unreachable worker is called many times a second.
 const notRenewedLogInterval = time.Second
 
 func (s *session) logNotRenewed(answer Answer, err error) {
