--- a/agent/lease/amount.go
+++ b/agent/lease/amount.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Amount is a sum of resources in the units of apiv1.Resources.
+// Amount is an amount of resources in the units of apiv1.Resources.
 type Amount struct {
 	MilliProcessors, MemoryBytes, Accelerators int64
 }
@@ -15,8 +15,8 @@
 	return Amount{r.GetMilliProcessors(), r.GetMemoryBytes(), r.GetAccelerators()}
 }
 
-// Add returns the sum. It sticks at the largest value instead of overflowing, so
-// that a huge request never wraps around into a small one that fits.
+// Add returns the sum. It saturates at the largest value instead of overflowing, so that a huge
+// request never wraps around to a small one that fits.
 func (a Amount) Add(r *apiv1.Resources) Amount {
 	return Amount{
 		addSaturating(a.MilliProcessors, r.GetMilliProcessors()),
--- a/agent/lease/identity.go
+++ b/agent/lease/identity.go
@@ -3,24 +3,25 @@
 import "time"
 
 const (
-	// maxUnrenewed is how many heartbeats in a row may renew nothing before the
+	// maxUnrenewed is the number of consecutive heartbeats without a renewal after which the
 	// incarnation is raised.
 	maxUnrenewed = 5
-	// minRaise is how much it is raised by, nanoseconds; each further time twice as much.
+	// minRaise is the amount of the first raise, in nanoseconds. Each further raise is twice the
+	// last one.
 	minRaise = uint64(time.Hour)
 )
 
-// identity is the worker's incarnation. The leader takes a higher one as "started
-// anew: what is not listed does not run", and refuses a lower one.
+// identity determines the worker's incarnation. The leader takes a higher one to mean that the
+// worker restarted and that tasks it does not list are not running, and refuses a lower one.
 //
-// A worker that names its incarnation keeps it over restarts of the agent. For any
-// other the agent gives one out by the wall clock, when it starts and when the
-// worker's instance changes. A clock that was set back would then give a lower one,
-// and the host be shut out until the clock caught up; the agent notices that
-// nothing is renewed and raises it.
+// A worker that names its incarnation keeps it over restarts of the agent. For any other worker,
+// the agent assigns one from the wall clock when the agent starts and when the worker's instance
+// changes. A clock that was set back would then give a lower incarnation, and the leader would
+// refuse the host until the clock caught up. The agent therefore raises the incarnation when its
+// heartbeats are no longer renewed.
 type identity struct {
 	known bool
-	// namedByWorker says that the worker named the incarnation.
+	// namedByWorker: the worker named the incarnation.
 	namedByWorker bool
 	incarnation   uint64
 	instance      string
@@ -29,7 +30,7 @@
 	lastRaise uint64
 }
 
-// observe reports whether the worker started anew since the last time.
+// observe updates the incarnation from an observation and reports whether it changed.
 func (id *identity) observe(o Observation) (changed bool) {
 	named := o.Info.GetIncarnation()
 	switch {
@@ -42,8 +43,8 @@
 	return changed
 }
 
-// recordReply counts the heartbeats that renewed nothing, and reports whether they
-// made it raise the incarnation.
+// recordReply counts consecutive heartbeats that renewed nothing, and reports whether it raised
+// the incarnation.
 func (id *identity) recordReply(renewed bool) (raised bool) {
 	if renewed || id.namedByWorker {
 		id.unrenewed = 0
--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -1,11 +1,10 @@
-// Package lease keeps the leases that a host's worker runs tasks under. A holder
-// must stop before the granter counts the lease as over, so every deadline is
-// counted from the moment a heartbeat was sent, on the host's boot clock, and
-// handed to the worker as an absolute reading: an agent that freezes or dies
-// prolongs nothing.
+// Package lease keeps the leases under which a host's worker runs tasks. A lease holder must stop
+// before the granter counts the lease as expired. Every deadline is therefore counted from the
+// moment a heartbeat was sent, on the host's boot clock, and passed to the worker as an absolute
+// reading: an agent that freezes or dies extends no lease.
 //
-// The package does no I/O. Times are boot clock readings passed in. A Manager is
-// not safe for concurrent use.
+// The package does no I/O. Times are boot clock readings passed in. A Manager is not safe for
+// concurrent use.
 package lease
 
 import (
@@ -17,19 +16,19 @@
 )
 
 const (
-	// startWindow is how long a start may take to reach the worker: it is sent with
-	// so short a deadline, and renewed once it has succeeded. A start whose reply
-	// is lost is thus over, or seen to run, soon; with the whole lease as its
-	// deadline it could take effect until then, long after the agent that sent it
+	// startWindow is the time in which a start must reach the worker. A start is sent with this
+	// short deadline, and the attempt is renewed once the start has succeeded. A start whose
+	// reply is lost is thus soon either expired or seen running; with the whole lease as its
+	// deadline it could take effect until the lease expires, long after the agent that sent it
 	// died.
 	startWindow = 2 * time.Second
-	// maxStartTries is how often the start of one attempt is tried.
+	// maxStartTries is the maximum number of tries to start one attempt.
 	maxStartTries = 3
-	// keptHeartbeats is how many heartbeats a reply may be late by.
+	// keptHeartbeats is the number of sent heartbeats that are kept for matching replies.
 	keptHeartbeats = 16
 )
 
-// Attempt names one run of one task.
+// Attempt identifies one run of one task.
 type Attempt struct {
 	Task   string
 	Number uint64
@@ -43,37 +42,36 @@
 	return &apiv1.TaskAttempt{Task: a.Task, Attempt: a.Number}
 }
 
-// attemptState is an attempt that takes, or may take, room on the worker.
+// attemptState is the state of an attempt that occupies, or may occupy, capacity on the worker.
 type attemptState struct {
-	// grant is nil when the agent does not know it: then nothing new starts.
+	// grant is nil when the agent does not know it; then no further attempt starts.
 	grant *apiv1.Resources
-	// checkpoint is the newest that the agent knows to be durable.
+	// checkpoint is the newest one that the agent knows to be durable.
 	checkpoint string
-	// deadline is the latest that the worker may have been given; zero when an
-	// earlier agent gave it, then expires counts from first.
+	// deadline is the latest one that the worker may have received; zero when a previous agent
+	// sent it. In that case expired counts the longest lease from firstSeen.
 	deadline  time.Duration
 	firstSeen time.Duration
-	// status is what the worker said last; nil while it has not listed the attempt.
+	// status is the last one that the worker reported; nil while it has not listed the attempt.
 	status *apiv1.TaskStatus
-	// missing says that the worker no longer lists an attempt it listed before.
+	// missing: the worker no longer lists an attempt that it listed before.
 	missing bool
-	// stopping says that a stop is being carried out, unwanted that it was ordered
-	// without a checkpoint.
+	// stopping: a stop is in progress. unwanted: the stop was ordered without a checkpoint.
 	stopping   bool
 	unwanted   bool
 	startTries int
 }
 
-func (h *attemptState) running() bool {
-	return h.status.GetPhase() == apiv1.TaskPhase_TASK_PHASE_RUNNING && !h.missing
+func (s *attemptState) running() bool {
+	return s.status.GetPhase() == apiv1.TaskPhase_TASK_PHASE_RUNNING && !s.missing
 }
 
-// ended reports whether the worker said that the attempt is over.
-func (h *attemptState) ended() bool {
-	return h.status != nil && h.status.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING
+// ended reports whether the worker reported the end of the attempt.
+func (s *attemptState) ended() bool {
+	return s.status != nil && s.status.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING
 }
 
-// sentHeartbeat is what a heartbeat said, kept until its reply comes.
+// sentHeartbeat is the content of a heartbeat, kept until its reply arrives.
 type sentHeartbeat struct {
 	sequence    uint64
 	sentAt      time.Duration
@@ -81,55 +79,55 @@
 	running     []Attempt
 }
 
-// Manager decides what the agent asks of the worker.
+// Manager decides which calls the agent makes to the worker.
 type Manager struct {
 	startedAt time.Duration
-	// longestLease is the longest length in any orders, zero before the first.
+	// longestLease is the longest lease duration in any orders; zero before the first.
 	longestLease time.Duration
 
 	identity identity
-	// registered says that the leader renewed under the present incarnation.
+	// registered: the leader has renewed under the current incarnation.
 	registered bool
 	info       *apiv1.WorkerInfo
-	infoKnown  bool // The leader has the present info.
+	infoKnown  bool // The leader has the current info.
 	reserved   Amount
 
 	attempts map[Attempt]*attemptState
-	// inferredEnds are attempts that ended without the worker ever listing their end.
+	// inferredEnds are the ends of attempts whose end the worker has not listed.
 	inferredEnds map[Attempt]*apiv1.TaskStatus
 
 	sequence       uint64
 	sentHeartbeats []sentHeartbeat
 }
 
-// New returns a manager for an agent that started now.
+// New returns a manager for an agent that starts now.
 func New(now time.Duration) *Manager {
 	return &Manager{
 		startedAt: now,
-		// Heartbeats come slower than one per millisecond, so the sequence goes on
-		// growing over restarts of the agent.
+		// Heartbeats are sent less often than once per millisecond, so the sequence keeps
+		// increasing over restarts of the agent.
 		sequence:     uint64(now.Milliseconds()),
 		attempts:     make(map[Attempt]*attemptState),
 		inferredEnds: make(map[Attempt]*apiv1.TaskStatus),
 	}
 }
 
-// Observation is what a worker said about itself at one time. Its parts must be
-// read in this order: were the tasks read before a restart and the instance after it, the
-// lost tasks would be reported as running under the new incarnation.
+// Observation is what a worker reported about itself at one time. The caller must read its parts
+// in the order of the fields: if the tasks were read before a restart of the worker and the
+// instance after it, the lost tasks would be reported as running under the new incarnation.
 type Observation struct {
 	Info *apiv1.WorkerInfo
-	// Instance names the worker's present start; used when Info has no incarnation.
+	// Instance identifies the worker's current process; used when Info has no incarnation.
 	Instance string
 	Tasks    []*apiv1.TaskStatus
-	// Reserved is what the host's targets take.
+	// Reserved is the amount that the host's targets use.
 	Reserved Amount
-	// WallClock is Unix nanoseconds, for an incarnation that grows.
+	// WallClock is the Unix time in nanoseconds, from which incarnations are assigned.
 	WallClock uint64
 }
 
-// Observe takes in what the worker said at a time and reports whether an attempt
-// has ended since the last time.
+// Observe records an observation of the worker and reports whether an attempt has ended since the
+// last one.
 func (m *Manager) Observe(now time.Duration, o Observation) (ended bool) {
 	if m.identity.observe(o) {
 		m.infoKnown, m.registered = false, false
@@ -148,51 +146,51 @@
 	return m.checkUnlisted(now, listed) || ended
 }
 
-// dropPreviousInstance drops what the worker's earlier instance ran. Starts that were not seen to
-// succeed stay: they may have been sent to the new instance already.
+// dropPreviousInstance drops what the worker's previous instance ran. It keeps starts that were
+// not confirmed, since they may have been sent to the new instance.
 func (m *Manager) dropPreviousInstance() {
-	for k, h := range m.attempts {
-		if h.status != nil {
+	for k, state := range m.attempts {
+		if state.status != nil {
 			delete(m.attempts, k)
 		}
 	}
 }
 
 func (m *Manager) recordListed(now time.Duration, k Attempt, st *apiv1.TaskStatus) (ended bool) {
-	h := m.attempts[k]
-	if h == nil {
-		h = &attemptState{firstSeen: now}
-		m.attempts[k] = h
+	state := m.attempts[k]
+	if state == nil {
+		state = &attemptState{firstSeen: now}
+		m.attempts[k] = state
 	}
 	if st.Grant != nil {
-		h.grant = st.Grant
+		state.grant = st.Grant
 	}
 	if st.Checkpoint != "" {
-		h.checkpoint = st.Checkpoint
+		state.checkpoint = st.Checkpoint
 	}
-	was := h.ended()
-	h.status, h.missing = st, false
-	delete(m.inferredEnds, k) // What the worker reports precedes the agent's conclusion.
-	return h.ended() && !was
+	was := state.ended()
+	state.status, state.missing = st, false
+	delete(m.inferredEnds, k) // The worker's report takes precedence over the agent's inference.
+	return state.ended() && !was
 }
 
-// checkUnlisted looks at the attempts that the worker did not list. One that may still
-// be started by a late message, or that the worker may yet be running, is over only
-// when its deadline has passed: said earlier, the next attempt could run beside it.
+// checkUnlisted checks the attempts that the worker did not list. An attempt that a delayed
+// message may still start, or that the worker may still run, counts as ended only once its
+// deadline has passed: reported earlier, the next attempt could run in parallel with it.
 func (m *Manager) checkUnlisted(now time.Duration, listed map[Attempt]bool) (ended bool) {
-	for k, h := range m.attempts {
+	for k, state := range m.attempts {
 		switch {
 		case listed[k]:
-		case h.ended():
-			delete(m.attempts, k) // Forgotten by the worker.
-		case !m.expired(now, h):
-			h.missing = h.status != nil
+		case state.ended():
+			delete(m.attempts, k) // The worker has forgotten it.
+		case !m.expired(now, state):
+			state.missing = state.status != nil
 		default:
 			message := "worker did not start it"
-			if h.status != nil {
+			if state.status != nil {
 				message = "worker no longer lists it"
 			}
-			m.inferEnd(k, h.checkpoint, message)
+			m.inferEnd(k, state.checkpoint, message)
 			delete(m.attempts, k)
 			ended = true
 		}
@@ -200,16 +198,16 @@
 	return ended
 }
 
-// expired reports whether every deadline that an attempt may have is past.
-func (m *Manager) expired(now time.Duration, h *attemptState) bool {
-	if h.deadline > 0 {
-		return now >= h.deadline
+// expired reports whether every deadline that an attempt may have has passed.
+func (m *Manager) expired(now time.Duration, state *attemptState) bool {
+	if state.deadline > 0 {
+		return now >= state.deadline
 	}
-	return m.longestLease > 0 && now >= h.firstSeen+m.longestLease
+	return m.longestLease > 0 && now >= state.firstSeen+m.longestLease
 }
 
-// startsSettled reports whether the starts that an earlier agent sent can no longer take
-// effect. Before that an attempt which nobody lists may yet begin to run and take room.
+// startsSettled reports whether the starts that a previous agent sent can no longer take effect.
+// Before that, an attempt that is not listed may still begin to run and occupy capacity.
 func (m *Manager) startsSettled(now time.Duration) bool { return now >= m.startedAt+startWindow }
 
 func (m *Manager) inferEnd(k Attempt, checkpoint, message string) {
@@ -221,13 +219,13 @@
 	}
 }
 
-// Heartbeat returns the worker's part of a heartbeat that is sent now, nil while
-// nothing certain is known of the worker. What runs is reported before anything starts.
+// Heartbeat returns the worker's part of a heartbeat that is sent now; nil while the state of the
+// worker is not conclusive. Running attempts are reported before anything starts.
 //
-// The leader registers no incarnation without the worker's info, so it is held back
-// until the manager has settled: a start that an earlier agent sent may have reached a
-// worker that restarted meanwhile, and is not listed yet. Leases under an
-// incarnation that the leader knows are renewed all the same.
+// The leader registers no incarnation without the worker's info, so the info is left out until
+// the starts of a previous agent have settled: such a start may have reached a worker that
+// restarted meanwhile, and is not listed yet. Leases under an incarnation that the leader knows
+// are renewed regardless.
 func (m *Manager) Heartbeat(now time.Duration) *apiv1.WorkerHeartbeat {
 	if !m.conclusive(now) {
 		return nil
@@ -242,12 +240,12 @@
 		hb.Info = m.info
 	}
 	b := sentHeartbeat{sequence: m.sequence, sentAt: now, incarnation: m.identity.incarnation}
-	for k, h := range m.attempts {
-		if h.running() {
+	for k, state := range m.attempts {
+		if state.running() {
 			b.running = append(b.running, k)
 		}
-		if h.status != nil && !h.missing {
-			hb.Tasks = append(hb.Tasks, h.reportedStatus())
+		if state.status != nil && !state.missing {
+			hb.Tasks = append(hb.Tasks, state.reportedStatus())
 		}
 	}
 	for _, st := range m.inferredEnds {
@@ -262,9 +260,9 @@
 	return hb
 }
 
-// conclusive reports whether an attempt that is not listed certainly does not run.
-// A heartbeat with a new incarnation must be: the leader takes what it leaves out
-// as ended and grants it anew, so a start that is still under way would run twice.
+// conclusive reports whether it is certain that attempts which are not listed do not run. A
+// heartbeat with a new incarnation requires that: the leader takes the attempts left out as ended
+// and grants their tasks again, so a task whose start is still in progress would run twice.
 func (m *Manager) conclusive(now time.Duration) bool {
 	if !m.identity.known || !m.identity.namedByWorker && !m.startsSettled(now) {
 		return false
@@ -272,25 +270,25 @@
 	if m.registered {
 		return true
 	}
-	for _, h := range m.attempts {
-		if h.status == nil {
+	for _, state := range m.attempts {
+		if state.status == nil {
 			return false
 		}
 	}
 	return true
 }
 
-// reportedStatus is the worker's status, with the checkpoint filled in from the reply to the
-// agent's own request where the worker names none.
-func (h *attemptState) reportedStatus() *apiv1.TaskStatus {
-	st := h.status
-	if st.Checkpoint != "" || h.checkpoint == "" {
+// reportedStatus returns the worker's status. Where it names no checkpoint, the one from the
+// reply to the agent's own request is filled in.
+func (s *attemptState) reportedStatus() *apiv1.TaskStatus {
+	st := s.status
+	if st.Checkpoint != "" || s.checkpoint == "" {
 		return st
 	}
 	return &apiv1.TaskStatus{
 		Task:          st.Task,
 		Phase:         st.Phase,
-		Checkpoint:    h.checkpoint,
+		Checkpoint:    s.checkpoint,
 		Message:       st.Message,
 		ProgressMilli: st.ProgressMilli,
 		Grant:         st.Grant,
--- a/agent/lease/lease_test.go
+++ b/agent/lease/lease_test.go
@@ -18,29 +18,29 @@
 	tasks         = 3
 	hosts         = 3
 	leaseDuration = 3 * time.Second
-	rateError     = 0.02 // Far beyond real clocks, so that a missing bound shows.
-	maxRunning    = 2    // Grants that fit on a worker.
+	rateError     = 0.02 // Far larger than that of real clocks, to reveal a missing bound.
+	maxRunning    = 2    // Number of grants that fit on a worker.
 	running       = apiv1.TaskPhase_TASK_PHASE_RUNNING
 )
 
 var unitGrant = &apiv1.Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30, Accelerators: 1}
 
-// host is a stand-in worker and the agent beside it, with a clock of its own.
+// host is a fake worker and its agent, with a clock of its own.
 type host struct {
 	sim              *simulation
 	name             string
 	rate             float64
-	starts           uint64 // Of the worker.
+	starts           uint64 // Starts of the worker.
 	namesIncarnation bool   // The worker names its incarnation and the grants.
 	worker           *fakes.Worker
 	manager          *Manager
 	frozenUntil      time.Duration
-	// The leader's view.
+	// What the leader knows of the host.
 	lastHeartbeat         time.Duration
 	incarnation, sequence uint64
 }
 
-// event is something on its way.
+// event is a delayed message or call.
 type event struct {
 	at  time.Duration
 	run func()
@@ -55,10 +55,10 @@
 	checkpoint string
 }
 
-// faults are chances in percent; each seed has its own, some of them extreme.
+// faults are probabilities in percent. Each seed has its own, some of them extreme.
 type faults struct{ lost, startFails, stopHangs, evicted, restarts, lateLoss int }
 
-// simulation is true time, the leader, and the judge of what runs where.
+// simulation contains the true time and the leader, and checks which tasks run where.
 type simulation struct {
 	t               *testing.T
 	rng             *rand.Rand
@@ -66,45 +66,45 @@
 	events          []event
 	hosts           []*host
 	tasks           []*task
-	leaderClockRate float64 // Of the leader's clock.
+	leaderClockRate float64
 	faults          faults
-	ended           int // Attempts that ended in any way, to see that the run does something.
+	ended           int // Attempts that ended in any way, to check that the simulation makes progress.
 }
 
 func newSimulation(t *testing.T, seed int64) *simulation {
-	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Hour}
-	pick := func(values ...int) int { return values[w.rng.Intn(len(values))] }
-	w.faults = faults{
+	s := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Hour}
+	pick := func(values ...int) int { return values[s.rng.Intn(len(values))] }
+	s.faults = faults{
 		lost: pick(0, 10, 40), startFails: pick(5, 30, 80), stopHangs: pick(0, 30, 90),
 		evicted: pick(0, 5, 40), restarts: pick(0, 1, 4), lateLoss: pick(10, 50),
 	}
-	w.leaderClockRate = w.clockRate()
+	s.leaderClockRate = s.clockRate()
 	for i := range hosts {
-		h := &host{sim: w, name: fmt.Sprint("h", i), rate: w.clockRate(), namesIncarnation: w.chance(50)}
+		h := &host{sim: s, name: fmt.Sprint("h", i), rate: s.clockRate(), namesIncarnation: s.chance(50)}
 		h.startWorker()
 		h.manager = New(h.clock())
-		w.hosts = append(w.hosts, h)
+		s.hosts = append(s.hosts, h)
 	}
 	for i := range tasks {
-		w.tasks = append(w.tasks, &task{name: strconv.Itoa(i)})
+		s.tasks = append(s.tasks, &task{name: strconv.Itoa(i)})
 	}
-	return w
+	return s
 }
 
-func (w *simulation) clockRate() float64 { return 1 + rateError*(2*w.rng.Float64()-1) }
+func (s *simulation) clockRate() float64 { return 1 + rateError*(2*s.rng.Float64()-1) }
 
-func (w *simulation) chance(percent int) bool { return w.rng.Intn(100) < percent }
+func (s *simulation) chance(percent int) bool { return s.rng.Intn(100) < percent }
 
-func (w *simulation) randomUpTo(d time.Duration) time.Duration {
-	return time.Duration(w.rng.Int63n(int64(d)))
+func (s *simulation) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(s.rng.Int63n(int64(d)))
 }
 
-func (w *simulation) schedule(d time.Duration, do func()) {
-	w.events = append(w.events, event{w.now + d, do})
+func (s *simulation) schedule(d time.Duration, run func()) {
+	s.events = append(s.events, event{s.now + d, run})
 }
 
-func (w *simulation) leaderClock() time.Duration {
-	return time.Duration(float64(w.now) * w.leaderClockRate)
+func (s *simulation) leaderClock() time.Duration {
+	return time.Duration(float64(s.now) * s.leaderClockRate)
 }
 
 func (h *host) clock() time.Duration { return time.Duration(float64(h.sim.now) * h.rate) }
@@ -116,22 +116,22 @@
 	h.worker = fakes.NewWorker(fakes.WorkerConfig{Info: &apiv1.WorkerInfo{Name: h.name, Capacity: capacity}}, record, h.clock())
 }
 
-func (w *simulation) check() {
-	where := map[string]string{}
-	for _, h := range w.hosts {
+func (s *simulation) check() {
+	runsOn := map[string]string{}
+	for _, h := range s.hosts {
 		n := 0
 		for _, st := range h.worker.Tasks(h.clock()) {
 			if st.Phase != running {
 				continue
 			}
 			n++
-			if at := where[st.Task.Task]; at != "" {
-				w.t.Fatalf("%v runs at %s and at %s", st.Task, at, h.name)
+			if at := runsOn[st.Task.Task]; at != "" {
+				s.t.Fatalf("%v runs at %s and at %s", st.Task, at, h.name)
 			}
-			where[st.Task.Task] = h.name
+			runsOn[st.Task.Task] = h.name
 		}
 		if n > maxRunning {
-			w.t.Fatalf("%s runs %d tasks and has room for %d", h.name, n, maxRunning)
+			s.t.Fatalf("%s runs %d tasks and has capacity for %d", h.name, n, maxRunning)
 		}
 	}
 }
@@ -149,7 +149,8 @@
 	h.manager.Observe(h.clock(), o)
 }
 
-// heartbeat is one turn of an agent: look, send, and some time later follow the reply.
+// heartbeat is one cycle of an agent: it observes the worker, sends a heartbeat, and applies the
+// reply some time later.
 func (h *host) heartbeat() {
 	if h.sim.now < h.frozenUntil {
 		return
@@ -168,8 +169,8 @@
 	})
 }
 
-// followOrders carries out orders. An agent that was frozen follows them when it wakes;
-// one that was restarted never does.
+// followOrders carries out orders. An agent that was frozen does so when it resumes; one that was
+// restarted never does.
 func (h *host) followOrders(m *Manager, o *apiv1.WorkerOrders) {
 	if h.sim.now < h.frozenUntil {
 		h.sim.schedule(h.frozenUntil-h.sim.now, func() { h.followOrders(m, o) })
@@ -203,8 +204,8 @@
 	m.RecordStop(s.Task, name, h.worker.Stop(s.Task, h.clock()) == nil)
 }
 
-// start may lose the message, the reply, or deliver the message late, also to a
-// worker that has restarted since.
+// start may lose the message or the reply, or deliver the message late, also to a worker that has
+// restarted since.
 func (h *host) start(m *Manager, s *apiv1.StartTask, a Actions) {
 	run := func() error { return h.worker.Start(s, a.StartDeadline, h.clock()) }
 	result := StartUnknown
@@ -228,24 +229,24 @@
 	return StartRefused
 }
 
-// handleHeartbeat is the leader's side of a heartbeat.
-func (w *simulation) handleHeartbeat(h *host, hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
+// handleHeartbeat is the leader's handling of a heartbeat.
+func (s *simulation) handleHeartbeat(h *host, hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
 	fresh := hb.Incarnation > h.incarnation
 	if hb.Incarnation < h.incarnation || fresh && hb.Info == nil {
-		return &apiv1.WorkerOrders{Sequence: hb.Sequence} // As the leader, which can't register it.
+		return &apiv1.WorkerOrders{Sequence: hb.Sequence} // Like the real leader, which cannot register it.
 	}
 	if !fresh && hb.Sequence <= h.sequence {
 		return nil
 	}
-	h.incarnation, h.sequence, h.lastHeartbeat = hb.Incarnation, hb.Sequence, w.leaderClock()
+	h.incarnation, h.sequence, h.lastHeartbeat = hb.Incarnation, hb.Sequence, s.leaderClock()
 	o := &apiv1.WorkerOrders{Sequence: hb.Sequence, Renewed: true, LeaseMs: leaseDuration.Milliseconds()}
-	reported := w.applyReports(h, hb, o)
-	for _, t := range w.tasks {
+	reported := s.applyReports(h, hb, o)
+	for _, t := range s.tasks {
 		a := Attempt{t.name, t.attempt}
 		switch {
 		case t.host != h:
 		case fresh && !reported[a]:
-			w.endTask(t)
+			s.endTask(t)
 		case t.stopping:
 			o.Stop = append(o.Stop, &apiv1.StopTask{Task: a.proto(), Checkpoint: true})
 		case !reported[a]:
@@ -255,13 +256,13 @@
 	return o
 }
 
-func (w *simulation) applyReports(h *host, hb *apiv1.WorkerHeartbeat, o *apiv1.WorkerOrders) map[Attempt]bool {
+func (s *simulation) applyReports(h *host, hb *apiv1.WorkerHeartbeat, o *apiv1.WorkerOrders) map[Attempt]bool {
 	reported := map[Attempt]bool{}
 	for _, st := range hb.Tasks {
 		k := attemptOf(st.Task)
 		reported[k] = true
 		i, _ := strconv.Atoi(k.Task)
-		t := w.tasks[i]
+		t := s.tasks[i]
 		live := t.host == h && t.attempt == k.Number
 		if st.Phase == running {
 			if !live {
@@ -276,62 +277,62 @@
 		if st.Checkpoint != "" {
 			t.checkpoint = st.Checkpoint
 		} else if t.checkpoint != "" && st.Message != neverStartedMessage {
-			w.t.Fatalf("%v lost its checkpoint %s", k, t.checkpoint)
+			s.t.Fatalf("%v lost its checkpoint %s", k, t.checkpoint)
 		}
-		w.endTask(t)
+		s.endTask(t)
 	}
 	return reported
 }
 
-func (w *simulation) endTask(t *task) {
+func (s *simulation) endTask(t *task) {
 	t.host, t.stopping = nil, false
-	w.ended++
+	s.ended++
 }
 
-// leaderStep places, evicts, and expires what has surely run out. It overfills the
-// workers on purpose: the agent must check again.
-func (w *simulation) leaderStep() {
+// leaderStep places and evicts tasks, and ends those whose lease has certainly expired. It
+// deliberately overcommits the workers, so that the agent must check the capacity again.
+func (s *simulation) leaderStep() {
 	wait := leaseDuration * 102 / 98 // (1 + rateError) / (1 - rateError)
-	for _, t := range w.tasks {
-		h := w.hosts[w.rng.Intn(hosts)]
+	for _, t := range s.tasks {
+		h := s.hosts[s.rng.Intn(hosts)]
 		switch {
-		case t.host != nil && w.leaderClock()-t.host.lastHeartbeat > wait:
-			w.endTask(t)
-		case t.host == nil && w.leaderClock()-h.lastHeartbeat < leaseDuration/2 && w.chance(30):
+		case t.host != nil && s.leaderClock()-t.host.lastHeartbeat > wait:
+			s.endTask(t)
+		case t.host == nil && s.leaderClock()-h.lastHeartbeat < leaseDuration/2 && s.chance(30):
 			t.attempt++
 			t.host = h
-		case t.host != nil && w.chance(w.faults.evicted):
+		case t.host != nil && s.chance(s.faults.evicted):
 			t.stopping = true
 		}
 	}
 }
 
-func (w *simulation) step() {
-	w.now += w.randomUpTo(60 * time.Millisecond)
-	due := w.events
-	w.events = nil
+func (s *simulation) step() {
+	s.now += s.randomUpTo(60 * time.Millisecond)
+	due := s.events
+	s.events = nil
 	for _, e := range due {
-		if e.at > w.now {
-			w.events = append(w.events, e)
+		if e.at > s.now {
+			s.events = append(s.events, e)
 			continue
 		}
 		e.run()
 	}
-	w.hostStep(w.hosts[w.rng.Intn(hosts)])
-	w.check()
+	s.hostStep(s.hosts[s.rng.Intn(hosts)])
+	s.check()
 }
 
-func (w *simulation) hostStep(h *host) {
-	switch n := w.rng.Intn(100); {
+func (s *simulation) hostStep(h *host) {
+	switch n := s.rng.Intn(100); {
 	case n < 30:
 		h.heartbeat()
 	case n < 50:
-		w.leaderStep()
+		s.leaderStep()
 	case n < 53:
 		h.observe()
-	case n >= 60 || !w.chance(25*w.faults.restarts):
+	case n >= 60 || !s.chance(25*s.faults.restarts):
 	case n < 56:
-		h.frozenUntil = w.now + w.randomUpTo(4*leaseDuration)
+		h.frozenUntil = s.now + s.randomUpTo(4*leaseDuration)
 	case n < 59:
 		h.manager = New(h.clock()) // The agent restarts.
 	default:
@@ -339,20 +340,20 @@
 	}
 }
 
-// Symptom: one task runs on two workers, or a worker runs more than it has room for.
-// Sequence: heartbeats, replies, starts and stops are lost, late or out of order; agents
-// freeze and restart; workers restart; clocks run at different rates.
-// Cause: a deadline counted from the wrong moment, or an end reported too early.
+// Guards against a deadline that is counted from the wrong moment, or an end that is reported too
+// early: a task then runs on two workers, or a worker runs more than its capacity allows.
+// Heartbeats, replies, starts and stops are lost, delayed or reordered; agents freeze and
+// restart; workers restart; clocks run at different rates.
 func TestTaskNeverRunsOnTwoWorkers(t *testing.T) {
 	ended := 0
 	for seed := range int64(seeds) {
-		w := newSimulation(t, seed)
+		s := newSimulation(t, seed)
 		for range steps {
-			w.step()
+			s.step()
 		}
-		ended += w.ended
+		ended += s.ended
 	}
 	if ended < 10*seeds {
-		t.Fatalf("only %d attempts ended: the runs prove little", ended)
+		t.Fatalf("only %d attempts ended: the simulations made too little progress", ended)
 	}
 }
--- a/agent/lease/orders.go
+++ b/agent/lease/orders.go
@@ -7,31 +7,31 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// neverStartedMessage is the message of an end that the agent reports without knowing the
-// attempt: it can't name a checkpoint, so the leader's last one stands.
+// neverStartedMessage is the message of an end that the agent reports for an attempt it does not
+// know. Such an end names no checkpoint, so the leader keeps its last one.
 const neverStartedMessage = "was never started here"
 
-// Actions is what to ask of the worker, in this order.
+// Actions are the calls to make to the worker, in the order of the fields.
 type Actions struct {
-	// DropReason says why the orders were not followed; empty when they were.
+	// DropReason is why the orders were dropped; empty when they were applied.
 	DropReason string
-	// Deadline is what renewed attempts may run to, and started ones once they run.
+	// Deadline is the deadline for attempts that are renewed, and for started ones once they run.
 	Deadline time.Duration
-	// StartDeadline is what starts are sent with; see startWindow.
+	// StartDeadline is the deadline that starts are sent with; see startWindow.
 	StartDeadline time.Duration
 	Renew         []*apiv1.TaskAttempt
 	Forget        []*apiv1.TaskAttempt
 	Throttle      []*apiv1.ThrottleTask
-	// Stop is to be followed by Stopped for each, once it is done.
+	// Stop are the stops to carry out; RecordStop must be called with the result of each.
 	Stop []*apiv1.StopTask
-	// Start is to be followed by Started for each.
+	// Start are the starts to carry out; RecordStart must be called with the result of each.
 	Start []*apiv1.StartTask
-	// Refused are starts that the worker has no room for.
+	// Refused are starts for which the worker has too little free capacity.
 	Refused []*apiv1.StartTask
 }
 
-// ApplyOrders follows the leader's reply to a heartbeat. A reply that is older than one
-// already followed is dropped: its stops and starts may have been taken back since.
+// ApplyOrders processes the leader's reply to a heartbeat. A reply that is older than one already
+// applied is dropped, because its stops and starts may have been withdrawn since.
 func (m *Manager) ApplyOrders(now time.Duration, o *apiv1.WorkerOrders) Actions {
 	b, dropped := m.matchHeartbeat(o)
 	if dropped != "" {
@@ -62,8 +62,8 @@
 	return a
 }
 
-// matchHeartbeat finds the heartbeat that orders reply to. Once a heartbeat is answered,
-// neither it nor an older one can be any more.
+// matchHeartbeat finds the heartbeat that the orders reply to. Once a heartbeat has been matched,
+// neither it nor an older one can be matched again. If there is no match, it returns the reason.
 func (m *Manager) matchHeartbeat(o *apiv1.WorkerOrders) (sentHeartbeat, string) {
 	i := slices.IndexFunc(m.sentHeartbeats, func(b sentHeartbeat) bool { return b.sequence == o.Sequence })
 	if i < 0 {
@@ -71,7 +71,7 @@
 	}
 	b := m.sentHeartbeats[i]
 	if b.incarnation != m.identity.incarnation {
-		return sentHeartbeat{}, "orders are for an earlier incarnation of the worker"
+		return sentHeartbeat{}, "orders are for a previous incarnation of the worker"
 	}
 	m.sentHeartbeats = m.sentHeartbeats[i+1:]
 	return b, ""
@@ -81,20 +81,19 @@
 	for _, t := range acknowledged {
 		k := attemptOf(t)
 		delete(m.inferredEnds, k)
-		if h := m.attempts[k]; h != nil && h.ended() {
+		if state := m.attempts[k]; state != nil && state.ended() {
 			a.Forget = append(a.Forget, t)
 		}
 	}
 }
 
-// renew prolongs what the answered heartbeat reported as running: only that did the
-// leader see. What is stopped without a checkpoint is left out. It may be an
-// attempt that the leader no longer counts: if its stop hangs, its deadline must
-// still end it.
+// renew extends the attempts that the answered heartbeat reported as running, since the leader
+// has seen only those. Attempts that are being stopped without a checkpoint are left out: the
+// leader may no longer count them, and if the stop hangs, their deadline must still end them.
 func (m *Manager) renew(a *Actions, running []Attempt) {
 	for _, k := range running {
-		if h := m.attempts[k]; h != nil && h.running() && !h.unwanted {
-			h.deadline = max(h.deadline, a.Deadline)
+		if state := m.attempts[k]; state != nil && state.running() && !state.unwanted {
+			state.deadline = max(state.deadline, a.Deadline)
 			a.Renew = append(a.Renew, k.proto())
 		}
 	}
@@ -103,16 +102,16 @@
 func (m *Manager) applyStops(now time.Duration, a *Actions, stops []*apiv1.StopTask) {
 	for _, s := range stops {
 		k := attemptOf(s.Task)
-		h := m.attempts[k]
+		state := m.attempts[k]
 		switch {
-		case h != nil && !h.ended() && !h.stopping:
-			h.stopping = true
-			h.unwanted = !s.Checkpoint
-			h.startTries = maxStartTries
+		case state != nil && !state.ended() && !state.stopping:
+			state.stopping = true
+			state.unwanted = !s.Checkpoint
+			state.startTries = maxStartTries
 			a.Stop = append(a.Stop, s)
-		case h == nil && m.inferredEnds[k] == nil && m.startsSettled(now):
-			// Its start order was lost. The room stays taken until someone says
-			// that the attempt is over.
+		case state == nil && m.inferredEnds[k] == nil && m.startsSettled(now):
+			// The order to start it was lost. The capacity remains reserved until an end of the
+			// attempt is reported.
 			m.inferEnd(k, "", neverStartedMessage)
 		}
 	}
@@ -121,16 +120,16 @@
 func (m *Manager) applyStarts(now time.Duration, a *Actions, starts []*apiv1.StartTask) {
 	for _, s := range starts {
 		k := attemptOf(s.Task)
-		h := m.attempts[k]
+		state := m.attempts[k]
 		switch {
 		case m.inferredEnds[k] != nil || m.hasOtherAttempt(k):
-		case h != nil && (h.status != nil || h.startTries >= maxStartTries):
-		case h != nil:
-			m.addStart(a, h, s)
+		case state != nil && (state.status != nil || state.startTries >= maxStartTries):
+		case state != nil:
+			m.addStart(a, state, s)
 		case m.fits(s.Grant):
-			h = &attemptState{grant: s.Grant, checkpoint: s.Checkpoint, firstSeen: now}
-			m.attempts[k] = h
-			m.addStart(a, h, s)
+			state = &attemptState{grant: s.Grant, checkpoint: s.Checkpoint, firstSeen: now}
+			m.attempts[k] = state
+			m.addStart(a, state, s)
 		default:
 			m.inferEnd(k, s.Checkpoint, "worker has no room for it")
 			a.Refused = append(a.Refused, s)
@@ -138,90 +137,91 @@
 	}
 }
 
-func (m *Manager) addStart(a *Actions, h *attemptState, s *apiv1.StartTask) {
-	h.startTries++
-	h.deadline = max(h.deadline, a.StartDeadline)
+func (m *Manager) addStart(a *Actions, state *attemptState, s *apiv1.StartTask) {
+	state.startTries++
+	state.deadline = max(state.deadline, a.StartDeadline)
 	a.Start = append(a.Start, s)
 }
 
-// hasOtherAttempt reports whether another attempt of the same task is here and not
-// over. Two of them must never run at once.
+// hasOtherAttempt reports whether another attempt of the same task is on the worker and has not
+// ended. Two attempts must never run at once.
 func (m *Manager) hasOtherAttempt(k Attempt) bool {
-	for other, h := range m.attempts {
-		if other.Task == k.Task && other.Number != k.Number && !h.ended() {
+	for other, state := range m.attempts {
+		if other.Task == k.Task && other.Number != k.Number && !state.ended() {
 			return true
 		}
 	}
 	return false
 }
 
-// fits checks a grant against what really runs here. The leader has checked too,
-// but it may not know yet that the worker came back smaller.
+// fits checks a grant against the attempts that are actually on the worker. The leader has
+// checked too, but it may not know yet that the worker restarted with less capacity.
 func (m *Manager) fits(grant *apiv1.Resources) bool {
 	if !validResources(grant) || m.info.GetCapacity() == nil {
 		return false
 	}
 	sum := m.reserved
-	for _, h := range m.attempts {
-		if h.ended() {
+	for _, state := range m.attempts {
+		if state.ended() {
 			continue
 		}
-		if h.grant == nil {
+		if state.grant == nil {
 			return false
 		}
-		sum = sum.Add(h.grant)
+		sum = sum.Add(state.grant)
 	}
 	return sum.Add(grant).fitsIn(amountOf(m.info.Capacity))
 }
 
-// StartResult is how a start at the worker went.
+// StartResult is the result of a start call to the worker.
 type StartResult int
 
 const (
 	// StartDone: the worker runs the attempt.
 	StartDone StartResult = iota
-	// StartRefused: the worker certainly did not and will not start it.
+	// StartRefused: the worker certainly did not start the attempt and will not.
 	StartRefused
-	// StartExpired: the worker refused because the deadline had passed; the order may come again.
+	// StartExpired: the worker refused because the deadline had passed; the order may be
+	// repeated.
 	StartExpired
-	// StartUnknown: no reply; the worker may start it until its deadline.
+	// StartUnknown: no reply arrived; the worker may start the attempt until its deadline.
 	StartUnknown
 )
 
-// RecordStart notes how a start went, and reports whether to renew the attempt to the
-// orders' Deadline now. After StartUnknown the attempt takes room until the worker
-// lists it or its deadline has passed.
+// RecordStart records the result of a start, and reports whether the caller must renew the
+// attempt to the orders' Deadline now. After StartUnknown the attempt occupies capacity until the
+// worker lists it or its deadline has passed.
 func (m *Manager) RecordStart(t *apiv1.StartTask, r StartResult, message string, deadline time.Duration) (renew bool) {
 	k := attemptOf(t.Task)
-	h := m.attempts[k]
-	if h == nil || h.ended() || h.unwanted {
+	state := m.attempts[k]
+	if state == nil || state.ended() || state.unwanted {
 		return false
 	}
 	if r == StartDone {
-		h.deadline = max(h.deadline, deadline)
+		state.deadline = max(state.deadline, deadline)
 		return true
 	}
-	if r == StartUnknown || h.startTries > 1 || h.status != nil {
-		return false // This or an earlier try may yet take effect.
+	if r == StartUnknown || state.startTries > 1 || state.status != nil {
+		return false // This or an earlier try may still take effect.
 	}
 	delete(m.attempts, k)
 	if r == StartRefused {
-		m.inferEnd(k, h.checkpoint, message)
+		m.inferEnd(k, state.checkpoint, message)
 	}
 	return false
 }
 
-// RecordStop notes that a stop was carried out or failed. A lost reply to the
-// checkpoint before it leaves checkpoint empty: then the last durable one counts.
+// RecordStop records whether a stop succeeded. If the reply to the preceding checkpoint call was
+// lost, checkpoint is empty and the last durable one remains in effect.
 func (m *Manager) RecordStop(t *apiv1.TaskAttempt, checkpoint string, ok bool) {
-	h := m.attempts[attemptOf(t)]
-	if h == nil {
+	state := m.attempts[attemptOf(t)]
+	if state == nil {
 		return
 	}
 	if checkpoint != "" {
-		h.checkpoint = checkpoint
+		state.checkpoint = checkpoint
 	}
 	if !ok {
-		h.stopping = false // The next order tries again.
+		state.stopping = false // The next order tries again.
 	}
 }
