--- a/agent/home/home.go
+++ b/agent/home/home.go
@@ -1,5 +1,5 @@
-// Package home chooses the entry host that an agent sends its heartbeats to. It
-// does no I/O: the driver reports how each heartbeat went.
+// Package home selects the entry host that an agent sends its heartbeats to, its home entry. It
+// does no I/O: the caller reports the result of each heartbeat.
 package home
 
 import (
@@ -9,15 +9,16 @@
 
 const (
 	backoffBase = 50 * time.Millisecond
-	// returnDelay is how long an agent stays with another entry before it tries the
-	// preferred one again. A shorter time would make agents swing with an entry that flaps.
+	// returnDelay is the time from the first success at another entry, or from a failed return,
+	// to the next try of the preferred entry. With a shorter delay, agents would keep switching
+	// entries when the preferred one flaps.
 	returnDelay = 15 * time.Second
-	// timeoutFactor is how many times as long as its last answer took an entry may take
-	// for the next one.
+	// timeoutFactor is the ratio of the timeout for the next answer to the duration of the last
+	// one.
 	timeoutFactor = 4
 )
 
-// Selector is the choice. Entries are numbered in order of preference from 0.
+// Selector selects an entry. Entries are numbered in order of preference from 0.
 type Selector struct {
 	entryCount int
 	maxBackoff time.Duration
@@ -28,29 +29,29 @@
 	failures int
 	timeouts TimeoutBounds
 	timeout  time.Duration
-	// returnAt is when entry 0 is tried again; zero while it is the current one.
+	// returnAt is when entry 0 is tried again; zero until an entry has answered.
 	returnAt time.Time
 }
 
-// TimeoutBounds bound how long an agent waits for the answer to a heartbeat. An answer
-// that takes longer than Max is of no use to it.
+// TimeoutBounds bound how long an agent waits for the answer to a heartbeat. An answer that takes
+// longer than Max is useless to the agent.
 type TimeoutBounds struct {
 	Min, Max time.Duration
 }
 
 func (b TimeoutBounds) clamp(d time.Duration) time.Duration { return max(b.Min, min(d, b.Max)) }
 
-// New returns a selector over a number of entries. rng spreads the agents' retries.
+// New returns a selector over a number of entries. It draws the retry jitter from rng.
 func New(entries int, maxBackoff time.Duration, timeouts TimeoutBounds, rng *rand.Rand) *Selector {
 	return &Selector{entryCount: entries, maxBackoff: maxBackoff, timeouts: timeouts, timeout: timeouts.Min, rng: rng}
 }
 
-// Timeout is how long to wait for the answer to the next heartbeat. It doubles with each
-// whole round of failures and follows the time that the last answer took.
+// Timeout returns how long to wait for the answer to the next heartbeat. It doubles after each
+// full round of failures and follows the duration of the last answer.
 //
-// With a fixed timeout, entries that all answer late, as on a host short of processors,
-// would count as down for as long as they are late: an agent that no entry knows gets no
-// configuration and no requests, although each of its heartbeats was handled.
+// With a fixed timeout, entries that all answer late, for example on hosts short of processors,
+// would count as unavailable for as long as they are late: an agent that no entry knows receives
+// no configuration and no requests, although each of its heartbeats was handled.
 func (s *Selector) Timeout() time.Duration { return s.timeout }
 
 // Pick returns the entry for the next heartbeat.
@@ -61,8 +62,8 @@
 	return s.next
 }
 
-// RecordSuccess notes that an entry answered, and how long it took: it is the home entry
-// from now on.
+// RecordSuccess records that an entry answered, and how long it took. That entry becomes the home
+// entry.
 func (s *Selector) RecordSuccess(now time.Time, entry int, took time.Duration) {
 	s.failures = 0
 	s.timeout = s.timeouts.clamp(timeoutFactor * took)
@@ -73,12 +74,12 @@
 	s.current = entry
 }
 
-// RecordFailure notes that an entry did not answer and returns how long to wait before
-// the next pick. The others are tried at once, one after the other; only after a whole
-// round the waits grow, with jitter so that agents do not come back all together.
+// RecordFailure records that an entry did not answer and returns how long to wait before the next
+// pick. The other entries are tried without delay, one after the other. Only after a full round
+// the delays grow, with jitter so that agents do not all retry at the same time.
 func (s *Selector) RecordFailure(now time.Time, entry int) time.Duration {
 	if entry == 0 && s.current != 0 && s.failures == 0 {
-		// Only the try to return failed; the current entry may well be fine.
+		// Only the try to return failed; the current entry may be available.
 		s.returnAt = now.Add(returnDelay)
 		s.next = s.current
 		return 0
--- a/agent/home/home_test.go
+++ b/agent/home/home_test.go
@@ -8,19 +8,18 @@
 
 var testTimeouts = TimeoutBounds{Min: 250 * time.Millisecond, Max: 3 * time.Second}
 
-// Symptom: an agent stays unknown to every entry for as long as their hosts are short of
-// processors, and callers are refused although its targets are fine.
-// Sequence: each entry answers a heartbeat in 600 ms, later each in 2 s, then quickly
-// again. Cause: a timeout that neither grows while no entry answers within it, nor
-// follows the answers once they come.
+// Guards against a timeout that neither grows while no entry answers within it nor follows the
+// duration of the answers: an agent stays unknown to every entry for as long as their hosts are
+// short of processors, and callers are refused although its targets are healthy. Each entry
+// answers a heartbeat in 600 ms, later in 2 s, then quickly again.
 func TestTimeoutGrowsUntilEntryAnswers(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := New(3, time.Second, testTimeouts, rand.New(rand.NewSource(1)))
-	// failures counts the heartbeats that time out before one is answered.
+	// failures returns the number of heartbeats that time out before one is answered.
 	failures := func(took time.Duration) (n int) {
 		for ; s.Timeout() < took; n++ {
 			if n > 100 {
-				t.Fatalf("an answer after %v is never waited for", took)
+				t.Fatalf("the timeout never reaches %v", took)
 			}
 			s.RecordFailure(now, s.Pick(now))
 		}
@@ -33,7 +32,7 @@
 	}{
 		{600 * time.Millisecond, 6}, // Two rounds: 250 ms, 500 ms.
 		{600 * time.Millisecond, 0},
-		{2 * time.Second, 0}, // Four times the answer before.
+		{2 * time.Second, 0}, // The timeout is four times the previous answer.
 		{10 * time.Millisecond, 0},
 		{10 * time.Millisecond, 0},
 		{3 * time.Second, 12}, // 250 ms, 500 ms, 1 s, 2 s.
@@ -50,18 +49,18 @@
 	}
 }
 
-// Symptom: all agents stay on one entry after the others are back, swing to and fro, or
-// ask a dead entry in a tight loop.
-// Sequence: entries fail alone and all together, and the preferred one comes back and
-// fails again. Cause: no return, a return without a pause, or retries without backoff.
-// Each step says which entry is asked, whether it answers, and how much later the next is asked.
+// Guards against a missing return to the preferred entry, a return without a delay, and retries
+// without backoff: all agents stay on one entry after the others are back, keep switching between
+// entries, or call an unavailable entry in a tight loop. Entries fail one at a time and all
+// together, and the preferred one comes back and fails again. Each step gives the entry that is
+// called, whether it answers, and the time until the next call.
 func TestSelector(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := New(3, time.Second, testTimeouts, rand.New(rand.NewSource(1)))
 	steps := []struct {
 		entry   int
 		answers bool
-		waits   bool // The next pick must be waited for.
+		waits   bool // The next pick must be delayed.
 		pause   time.Duration
 	}{
 		{0, true, false, time.Second},
@@ -69,20 +68,20 @@
 		{1, false, false, 0},
 		{2, true, false, time.Second},
 		{2, true, false, returnDelay}, // The preferred entry is tried again after this,
-		{0, false, false, 0},          // and its failure costs no wait:
-		{2, true, false, time.Second}, // the present one is asked at once.
+		{0, false, false, 0},          // and its failure causes no delay:
+		{2, true, false, time.Second}, // the current one is called at once.
 		{2, true, false, returnDelay},
 		{0, true, false, time.Second},
 		{0, false, false, 0},
 		{1, false, false, 0},
-		{2, false, true, 0}, // A whole round failed.
+		{2, false, true, 0}, // A full round failed.
 		{0, false, true, 0},
 		{1, true, false, 0},
 	}
 	for i, step := range steps {
 		entry := s.Pick(now)
 		if entry != step.entry {
-			t.Fatalf("step %d: asked %d, want %d", i, entry, step.entry)
+			t.Fatalf("step %d: picked %d, want %d", i, entry, step.entry)
 		}
 		if step.answers {
 			s.RecordSuccess(now, entry, time.Millisecond)
