--- a/agent/latency/latency.go
+++ b/agent/latency/latency.go
@@ -1,5 +1,5 @@
-// Package latency measures the response times of a host's targets in windows, for
-// the leader to match with the tasks that ran beside them. It does no I/O.
+// Package latency measures the response times of a host's targets in windows. The leader matches
+// them with the tasks that ran on the host at the same time. The package does no I/O.
 package latency
 
 import (
@@ -11,30 +11,31 @@
 )
 
 const (
-	// Window is how long responses are gathered for one report.
+	// Window is the minimum time over which response times are collected for one report.
 	Window = 5 * time.Second
-	// significantDigits is the precision of the histograms, in significant digits.
+	// significantDigits is the precision of the histograms.
 	significantDigits = 2
-	// maxResponseMicros is the largest response time told apart, microseconds.
+	// maxResponseMicros is the largest response time that is recorded, in microseconds; longer
+	// ones count as this value.
 	maxResponseMicros = int64(10 * time.Minute / time.Microsecond)
-	// maxPending bounds the reports that wait for an answered heartbeat.
+	// maxPending bounds the number of reports that wait for an answered heartbeat.
 	maxPending = 256
 	milli      = 1000
 )
 
-// Recorder gathers response times. It is not safe for concurrent use.
+// Recorder collects response times. It is not safe for concurrent use.
 type Recorder struct {
 	start   time.Time
 	targets map[string]*window
 	pending []report
 }
 
-// window is one target's current window.
+// window is the current window of one target.
 type window struct {
 	service   string
 	histogram *hdrhistogram.Histogram
 	inFlight  int
-	// inFlightTime is the time integral of inFlight up to changed.
+	// inFlightTime is the time integral of inFlight up to updatedAt.
 	inFlightTime time.Duration
 	updatedAt    time.Time
 }
@@ -49,7 +50,7 @@
 	return &Recorder{start: now, targets: make(map[string]*window)}
 }
 
-// RequestStarted notes that a target got a request.
+// RequestStarted records that a target received a request.
 func (r *Recorder) RequestStarted(now time.Time, target, service string) {
 	r.rollWindow(now)
 	w := r.targets[target]
@@ -61,14 +62,14 @@
 	w.inFlight++
 }
 
-// RequestEnded notes that a request ended; answered says whether its response time counts.
+// RequestEnded records that a request ended; answered reports whether its response time counts.
 func (r *Recorder) RequestEnded(now time.Time, target string, took time.Duration, answered bool) {
 	r.rollWindow(now)
 	w := r.targets[target]
 	w.integrate(now)
 	w.inFlight--
 	if answered {
-		// The error can only say "too large", which min rules out.
+		// The only possible error is that the value is too large, which min rules out.
 		_ = w.histogram.RecordValue(min(max(took.Microseconds(), 1), maxResponseMicros))
 	}
 }
@@ -78,7 +79,7 @@
 	w.updatedAt = now
 }
 
-// rollWindow closes the current window once it is over.
+// rollWindow closes the current window once its time has passed.
 func (r *Recorder) rollWindow(now time.Time) {
 	length := now.Sub(r.start)
 	if length < Window {
@@ -113,8 +114,8 @@
 	}
 }
 
-// Reports returns the reports of windows that are over, with their ages. They stay
-// until Sent.
+// Reports returns the reports of closed windows, with their ages. The reports are kept until
+// DropSent.
 func (r *Recorder) Reports(now time.Time) []*apiv1.LatencyReport {
 	r.rollWindow(now)
 	out := make([]*apiv1.LatencyReport, 0, len(r.pending))
@@ -125,5 +126,5 @@
 	return out
 }
 
-// DropSent drops the first n reports of those that Reports returned.
+// DropSent drops the first n of the reports that Reports returned.
 func (r *Recorder) DropSent(n int) { r.pending = r.pending[min(n, len(r.pending)):] }
--- a/agent/latency/latency_test.go
+++ b/agent/latency/latency_test.go
@@ -5,11 +5,10 @@
 	"time"
 )
 
-// Symptom: batch work is throttled for a service that is fast, or not for one that is
-// slow. Sequence: 3 requests of 99 ms and 197 of 1 ms in one window, half of which has
-// two in flight; the report waits a second and is sent. Cause: a wrong quantile or
-// mean, a report that is dropped before it was sent or kept after, or one without its
-// age.
+// Guards against batch work that is throttled for a service that is fast, or not throttled for
+// one that is slow, through a wrong quantile or mean, a report that is dropped before it was sent
+// or kept afterwards, or one without its age. One window contains 3 requests of 99 ms and 197 of
+// 1 ms, and has two in flight for half of its time; the report waits a second and is sent.
 func TestReports(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	r := New(now)
@@ -29,7 +28,7 @@
 		r.RequestEnded(now, "t", took, true)
 	}
 	if n := len(r.Reports(now)); n != 0 {
-		t.Fatalf("%d reports before the window is over", n)
+		t.Fatalf("%d reports before the window is closed", n)
 	}
 	now = now.Add(Window / 2)
 	r.Reports(now)
