--- a/agent/runs/expiry_test.go
+++ b/agent/runs/expiry_test.go
@@ -37,7 +37,7 @@
 		l.update(func() { l.unavailable, l.epoch, l.orders = false, 2, startOrders(3, 2) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
-			t.Errorf("%d runs are running under the next lease, want 1", n)
+			t.Errorf("%d runs under the next lease, want 1", n)
 		}
 	})
 }
@@ -121,7 +121,7 @@
 		l.update(func() { l.orders = startOrders(4, 1) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
-			t.Errorf("%d runs are running once they are ordered again, want 1", n)
+			t.Errorf("%d runs once they are ordered again, want 1", n)
 		}
 	})
 }
--- a/agent/runs/runstest/link.go
+++ b/agent/runs/runstest/link.go
@@ -35,7 +35,7 @@
 	Context func() context.Context
 	Go      func(func())
 	Sleep   func(time.Duration)
-	// DelaysReport reports whether the network delays a report; partitioned says whether the link
+	// DelaysReport reports whether the network delays a report; partitioned reports whether the link
 	// is partitioned. DeliveryDelay returns the time from the end of the partition to the
 	// delivery.
 	DelaysReport  func(r *apiv1.JobsReportRequest, partitioned bool) bool
--- a/agent/runs/worker.go
+++ b/agent/runs/worker.go
@@ -91,7 +91,7 @@
 	AnswerOtherIncarnation
 )
 
-// String returns the answer's name in logs and metrics.
+// String returns the answer's name in logs, in metric names and in the reasons of refused runs.
 func (a Answer) String() string {
 	names := [...]string{
 		"none", "done", "fenced", "over", "late", jobqueue.RefusedForRoom, jobqueue.RefusedUnwilling, "invalid", "no ticket",
