--- a/agent/runs/worker.go
+++ b/agent/runs/worker.go
@@ -94,7 +94,7 @@
 // String returns the answer's name in logs, in metric names and in the reasons of refused runs.
 func (a Answer) String() string {
 	names := [...]string{
-		"none", "done", "fenced", "over", "late", jobqueue.RefusedForRoom, jobqueue.RefusedUnwilling, "invalid", "no ticket",
+		"none", "done", "fenced", "over", "late", jobqueue.RefusedNoCapacity, jobqueue.RefusedUnwilling, "invalid", "no ticket",
 		"other incarnation",
 	}
 	if a < 0 || int(a) >= len(names) {
