--- a/agent/gate/filters.go
+++ b/agent/gate/filters.go
@@ -9,17 +9,17 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// admission is the value that passes through the filters.
+// admission is the value that the filters check and fill in.
 type admission struct {
 	now      time.Time
 	dispatch Dispatch
 	target   *target
 	verdict  Verdict
-	// latestStart is that of an attempt which waits.
+	// latestStart is set for an attempt that waits.
 	latestStart time.Time
-	// wait says that the attempt is to wait for a slot.
+	// wait reports whether the attempt has to wait for a slot.
 	wait bool
-	// remembered says that the attempt was seen before and is remembered already.
+	// remembered reports whether the attempt needs no entry among the refused attempts.
 	remembered bool
 }
 
@@ -28,18 +28,18 @@
 	return pipeline.Rejected(message)
 }
 
-// checkIncarnation refuses attempts meant for another incarnation of the agent. This process
-// has no record of what that one ran, so it could not tell a duplicate.
+// checkIncarnation refuses attempts addressed to another incarnation of the agent. This
+// process has no record of what that incarnation ran and could not detect a duplicate.
 func (g *Gate) checkIncarnation(_ context.Context, a *admission) pipeline.Status {
 	if a.dispatch.Incarnation != g.incarnation {
-		a.remembered = true // Refused for good: incarnations never come back.
+		a.remembered = true // An incarnation is never reused, so a copy is refused again.
 		return a.notRun(apiv1.Reason_REASON_STALE_INCARNATION, "dispatch names another incarnation of the agent")
 	}
 	return pipeline.Status{}
 }
 
-// checkDuplicate refuses attempts that were seen before. It comes before every filter
-// whose reply could differ from what became of the first dispatch.
+// checkDuplicate refuses attempts that were dispatched, revoked or refused before. It runs
+// before every filter whose reply could contradict the outcome of the first dispatch.
 func (g *Gate) checkDuplicate(_ context.Context, a *admission) pipeline.Status {
 	k := a.dispatch.Key
 	if r := g.records.get(a.now, k); r != nil {
@@ -58,15 +58,16 @@
 	return pipeline.Status{}
 }
 
-// checkFreshness refuses work when neither side of the hop knows that the configuration is
-// still in force. One fresh side suffices: the entry routed by what it confirmed, or the
-// agent knows the newest configuration itself.
+// checkFreshness refuses work while the agent shuts down or has just been paused, and when
+// neither the entry nor the agent confirmed within the staleness bound that its
+// configuration is in force. One of the two suffices: either the entry routed by a
+// confirmed configuration, or the agent itself has the newest one.
 func (g *Gate) checkFreshness(_ context.Context, a *admission) pipeline.Status {
 	if g.closing {
 		return a.notRun(apiv1.Reason_REASON_SHUTTING_DOWN, "agent is shutting down")
 	}
 	if g.stalled(a.now) {
-		return a.notRun(apiv1.Reason_REASON_DEADLINE, "agent stood still, the dispatch may be late")
+		return a.notRun(apiv1.Reason_REASON_DEADLINE, "agent was paused; the dispatch may be late")
 	}
 	if g.entryFresh(a.dispatch) || g.agentFresh(a.now) {
 		return pipeline.Status{}
@@ -74,13 +75,13 @@
 	return a.notRun(apiv1.Reason_REASON_STALE_CONFIGURATION, "configuration was not confirmed within the staleness bound")
 }
 
-// stalled reports whether the agent stood still until a moment ago. Without it, a
-// request whose caller gave up long ago would be run after all when a frozen agent wakes.
+// stalled reports whether the agent was paused until less than StallGrace ago. Without this
+// check, an agent that resumes would run requests whose callers have long timed out.
 func (g *Gate) stalled(now time.Time) bool {
 	return now.Before(g.stalledUntil) || g.expireOverdue(now)
 }
 
-// expireOverdue reports whether Expire was not called for too long.
+// expireOverdue reports whether the last call of Expire is more than StallBound ago.
 func (g *Gate) expireOverdue(now time.Time) bool {
 	return !g.lastExpireAt.IsZero() && now.Sub(g.lastExpireAt) > g.limits.StallBound
 }
@@ -96,7 +97,8 @@
 	return g.configurationVersion > 0 && now.Sub(g.confirmedAt) <= g.limits.StalenessBound
 }
 
-// checkTarget finds the target, and refuses what it must not or can't answer.
+// checkTarget looks up the target, and refuses the attempt if the target does not exist, is
+// leaving or has too little time left to respond.
 func (g *Gate) checkTarget(_ context.Context, a *admission) pipeline.Status {
 	t := g.targets[a.dispatch.Target]
 	if t == nil || t.Service != a.dispatch.Service {
@@ -109,13 +111,14 @@
 	return t.checkDeadline(a)
 }
 
-// checkSlot takes a slot, lets the attempt wait for one, or refuses it at once.
+// checkSlot passes an attempt for which a slot is free or that may wait for one, and refuses
+// any other.
 func (g *Gate) checkSlot(_ context.Context, a *admission) pipeline.Status {
 	if !g.records.hasCapacity(a.now) {
 		return g.refuseOverloaded(a)
 	}
 	t := a.target
-	g.reviewWaiting(a.now, t) // A new configuration may have granted more slots.
+	g.reviewWaiting(a.now, t) // A new configuration may have raised the number of slots.
 	if g.hasFreeSlot(t) {
 		return pipeline.Status{}
 	}
@@ -125,7 +128,7 @@
 	return g.refuseFull(a)
 }
 
-// refuseFull refuses for lack of a slot or connection.
+// refuseFull refuses an attempt for which the target has no free slot or connection.
 func (g *Gate) refuseFull(a *admission) pipeline.Status {
 	t := a.target
 	slots, conns := g.slots(t), g.connections(t)
@@ -139,12 +142,13 @@
 }
 
 func (g *Gate) refuseOverloaded(a *admission) pipeline.Status {
-	st := a.notRun(apiv1.Reason_REASON_OVERLOADED, "no room to remember another attempt")
+	st := a.notRun(apiv1.Reason_REASON_OVERLOADED, "too many attempts are recorded")
 	a.verdict.RetryAfter = g.limits.MinRetention
 	return st
 }
 
-// checkDeadline refuses what has no time left, or less than the quickest answer of late took.
+// checkDeadline refuses an attempt whose deadline has passed or is sooner than the fastest
+// recent response took.
 func (t *target) checkDeadline(a *admission) pipeline.Status {
 	left := a.dispatch.Remaining
 	if left <= 0 {
@@ -152,7 +156,7 @@
 	}
 	if fastest := t.stats.fastest(a.now); left < fastest {
 		return a.notRun(apiv1.Reason_REASON_DEADLINE,
-			fmt.Sprintf("%v left, the quickest answer of late took %v", left, fastest))
+			fmt.Sprintf("%v left, the fastest recent response took %v", left, fastest))
 	}
 	return pipeline.Status{}
 }
--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -1,11 +1,11 @@
-// Package gate decides which dispatches reach the targets of one host. It is the
-// only place that can prove "this attempt was not run", so it refuses attempts
-// meant for another incarnation, never runs one attempt twice, holds each target
-// to its slots and connections, and keeps tombstones of revoked attempts. A few
+// Package gate is the agent's admission control: it decides which dispatches reach the
+// targets of one host. It is the only place that can prove that an attempt was not run, so it
+// refuses attempts addressed to another incarnation, never runs one attempt twice, limits
+// each target to its slots and connections, and keeps tombstones of revoked attempts. A few
 // attempts may wait for a slot of their target; see Decisions.
 //
-// The package does no I/O and reads no clock: times come in as arguments and must
-// not go back. A Gate is not safe for concurrent use.
+// The package does no I/O and reads no clock: times are passed as arguments and must
+// not decrease. A Gate is not safe for concurrent use.
 package gate
 
 import (
@@ -16,13 +16,13 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// Key names one attempt of one request.
+// Key identifies one attempt of one request.
 type Key struct {
 	RequestID string
 	Attempt   uint32
 }
 
-// Dispatch is what the gate looks at in a request to run an attempt.
+// Dispatch holds the fields of a dispatch request by which the gate decides.
 type Dispatch struct {
 	Key         Key
 	Service     string
@@ -30,85 +30,86 @@
 	Incarnation uint64
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
-	// ConfigurationVersion is the configuration the entry routed by.
+	// ConfigurationVersion is the version of the configuration by which the entry routed.
 	ConfigurationVersion uint64
-	// ConfirmedAge is how long ago a quorum confirmed Version to the entry;
-	// negative when it never did.
+	// ConfirmedAge is the time since a quorum confirmed ConfigurationVersion to the entry;
+	// negative if it never did.
 	ConfirmedAge time.Duration
-	// Batch attempts wait behind all others.
+	// Batch reports whether the attempt has batch priority: it waits behind all others.
 	Batch bool
 }
 
-// Verdict is the final outcome of an attempt, or the refusal of one.
+// Verdict is the final outcome of an attempt, or the reason why it was refused.
 type Verdict struct {
 	Outcome apiv1.Outcome
 	Reason  apiv1.Reason
 	Message string
-	// Response is the target's whole answer, nil when there is none or it is no longer kept.
+	// Response is the target's complete response, nil if there is none or it has been dropped.
 	Response *apiv1.HttpResponse
-	// RetryAfter says when the target may take the request; zero when unknown.
+	// RetryAfter estimates when the target can accept the request; zero if unknown.
 	RetryAfter time.Duration
 }
 
 // Admission is the gate's decision about a dispatch.
 type Admission struct {
-	// Run says that the attempt must be forwarded and then passed to Finish.
+	// Run reports whether the attempt must be forwarded and then passed to Finish.
 	Run bool
-	// Wait says that the attempt waits for a slot. Decisions will tell what becomes
-	// of it; Lapse must be called when LatestStart has come.
+	// Wait reports whether the attempt waits for a slot. Decisions returns the decision
+	// about it later; TimeOut must be called at LatestStart.
 	Wait        bool
 	LatestStart time.Time
 	// Address and Connections of the target to forward to.
 	Address     string
 	Connections int
-	// Deadline ends the attempt.
+	// Deadline is when the attempt must be ended.
 	Deadline time.Time
-	// Verdict holds what to reply when neither Run nor Wait is set.
+	// Verdict is the reply if neither Run nor Wait is set.
 	Verdict Verdict
 	// Filter names the filter that refused.
 	Filter string
 	Load   *apiv1.Load
 }
 
-// Limits bounds what a gate keeps and accepts.
+// Limits bounds what a gate stores and accepts.
 type Limits struct {
-	// DefaultSlots and Connections of a target when neither its service nor its
-	// announcement names them.
+	// DefaultSlots and DefaultConnections apply to a target if neither its service nor its
+	// announcement sets a limit.
 	DefaultSlots       int
 	DefaultConnections int
-	// MaxWaiting bounds the attempts that wait for slots of one target.
+	// MaxWaiting bounds the number of attempts that wait for a slot of one target.
 	MaxWaiting int
-	// StalenessBound is how long ago a configuration may have been confirmed.
+	// StalenessBound is the longest time since a configuration was confirmed for which it
+	// still counts as in force.
 	StalenessBound time.Duration
-	// MaxRemaining caps the deadline of an attempt.
+	// MaxRemaining caps the time from the arrival of an attempt to its deadline.
 	MaxRemaining time.Duration
-	// Retention is how long a finished attempt is remembered.
+	// Retention is how long a finished attempt keeps its record.
 	Retention time.Duration
-	// MinRetention is how long it is remembered at least: when MaxRecords are all
-	// younger, new work is refused rather than a young record dropped.
+	// MinRetention is the shortest time that the record is kept: if all MaxRecords records
+	// are younger, new attempts are refused instead of dropping one.
 	MinRetention time.Duration
 	MaxRecords   int
-	// MaxResponseBytes bounds the answers kept for Revoke, all together.
+	// MaxResponseBytes bounds the total size of the responses kept for Revoke.
 	MaxResponseBytes int
-	// RevokeMargin is how long a revocation may be on its way; its age is counted
-	// from its sending.
+	// RevokeMargin is the longest time that a revocation may be in transit. Its age is
+	// measured when it is sent.
 	RevokeMargin time.Duration
-	// TombstoneWindow is how long a dispatch can be late. Linux gives up on
-	// unacknowledged data of a connection after about 15 minutes (tcp_retries2).
+	// TombstoneWindow is how late a dispatch can arrive after its revocation. Linux stops
+	// retransmitting unacknowledged data after about 15 minutes (tcp_retries2).
 	TombstoneWindow time.Duration
 	MaxTombstones   int
-	// StallBound is how long the agent may stand still (stopped, suspended, starved of
-	// processor time) before dispatches are refused. What waited in its sockets
-	// meanwhile says how much time was left when it was sent, not when it is read.
+	// StallBound is how long the agent may be paused (stopped, suspended, starved of
+	// processor time) before it refuses dispatches. A dispatch that was buffered in a socket
+	// meanwhile states the time that was left when it was sent, not when it is read.
 	StallBound time.Duration
-	// StallGrace is how long they are refused after the agent goes on.
+	// StallGrace is how long dispatches are refused after the agent has resumed.
 	StallGrace time.Duration
-	// DepartedTargetRetention is how long a target that left is remembered, so that a renewal that
-	// crossed its leaving does not bring it back.
+	// DepartedTargetRetention is how long a target that left is remembered, so that a renewal
+	// sent before it withdrew but received afterwards does not add it again.
 	DepartedTargetRetention time.Duration
 }
 
-// DefaultLimits returns the limits an agent runs with.
+// DefaultLimits returns the limits that an agent uses.
 func DefaultLimits() Limits {
 	return Limits{
 		DefaultSlots:            8,
@@ -129,7 +130,7 @@
 	}
 }
 
-// Gate is the state machine in front of a host's targets.
+// Gate is the admission control of one host's targets, as a state machine.
 type Gate struct {
 	limits      Limits
 	incarnation uint64
@@ -137,8 +138,8 @@
 	closing     bool
 	drainAll    bool
 
-	// lastExpireAt is the time of the last Expire, stalledUntil the end of the refusals
-	// after one that came too late.
+	// lastExpireAt is the time of the last call of Expire. After a call that came too late,
+	// dispatches are refused until stalledUntil.
 	lastExpireAt time.Time
 	stalledUntil time.Time
 
@@ -158,7 +159,7 @@
 	decisions        []Decision
 }
 
-// New returns a gate for one incarnation of an agent.
+// New returns a gate for the given incarnation of an agent.
 func New(incarnation uint64, limits Limits) *Gate {
 	g := &Gate{
 		limits:      limits,
@@ -183,14 +184,14 @@
 	return g
 }
 
-// Configure takes over a configuration. A version at or below the one in force
-// changes nothing: a late message never makes a configuration revert.
+// Configure applies a configuration and reports whether it did. It ignores a version that
+// is not higher than the one in force, so a late message never reverts the configuration.
 func (g *Gate) Configure(c *apiv1.Configuration) bool {
 	if c.GetVersion() <= g.configurationVersion {
 		return false
 	}
 	g.configurationVersion = c.Version
-	g.revision++ // Slots may differ.
+	g.revision++ // The numbers of slots may have changed.
 	g.services = make(map[string]*apiv1.Service, len(c.Services))
 	for _, s := range c.Services {
 		g.services[s.Name] = s
@@ -198,37 +199,38 @@
 	return true
 }
 
-// Confirm notes that version was the newest of the whole group at a time. It is
-// ignored unless it is about the version in force.
+// Confirm records that version was the newest one of the control group at the given time.
+// It is ignored unless version is in force.
 func (g *Gate) Confirm(version uint64, at time.Time) {
 	if version == g.configurationVersion && at.After(g.confirmedAt) {
 		g.confirmedAt = at
 	}
 }
 
-// ConfigurationVersion returns the configuration version in force, 0 when none is.
+// ConfigurationVersion returns the version of the configuration in force, 0 if there is none.
 func (g *Gate) ConfigurationVersion() uint64 { return g.configurationVersion }
 
 // ConfirmedAt returns the latest time at which Version is known to have been the newest.
 func (g *Gate) ConfirmedAt() time.Time { return g.confirmedAt }
 
-// Retire announces that the agent is about to stop; the gate still takes work.
+// Retire marks the agent as leaving, which its next announcement reports. The gate still
+// admits attempts until Close.
 func (g *Gate) Retire() {
 	g.retiring = true
 	g.revision++
 }
 
-// Retiring reports whether the agent is about to stop.
+// Retiring reports whether Retire was called.
 func (g *Gate) Retiring() bool { return g.retiring }
 
-// Close makes the gate refuse everything new, and what waits.
+// Close makes the gate refuse all new attempts and those that wait.
 func (g *Gate) Close(now time.Time) {
 	g.closing = true
 	g.reviewAllWaiting(now)
 }
 
-// Admit decides about a dispatch. When it returns Run, the slot is taken and the
-// caller must call Finish exactly once.
+// Admit decides whether a dispatch runs, waits or is refused. If it returns Run, the attempt
+// has a slot and the caller must call Finish exactly once.
 func (g *Gate) Admit(now time.Time, d Dispatch) Admission {
 	a := admission{now: now, dispatch: d}
 	if st := g.admissionFilters.Run(context.Background(), &a); !st.Passed() {
@@ -246,7 +248,7 @@
 	return now.Add(min(d.Remaining, g.limits.MaxRemaining))
 }
 
-// startAttempt takes a slot for an attempt.
+// startAttempt gives an attempt a slot and marks it as running.
 func (g *Gate) startAttempt(now time.Time, r *record, deadline time.Time) Admission {
 	t := r.target
 	t.requestStarted()
@@ -260,8 +262,8 @@
 	}
 }
 
-// refuse turns a rejection into a reply. A refused attempt is remembered: if it
-// came once more and were then run, the first reply "not run" would become false.
+// refuse turns a rejection into a reply. A refused attempt is remembered: if a copy of it
+// were run later, the first reply "not run" would become false.
 func (g *Gate) refuse(a *admission, st pipeline.Status) Admission {
 	if a.verdict.Outcome == apiv1.Outcome_OUTCOME_NOT_RUN && !a.remembered {
 		g.refused.add(a.now, a.dispatch.Key)
@@ -273,7 +275,7 @@
 	return r
 }
 
-// Finish records what became of an admitted attempt and gives its slot to the first
+// Finish records the outcome of an admitted attempt and gives its slot to the first attempt
 // that waits.
 func (g *Gate) Finish(now time.Time, k Key, v Verdict) *apiv1.Load {
 	r := g.records.finish(now, k, v)
@@ -282,18 +284,19 @@
 	return g.load(r.target)
 }
 
-// isTargetResponse reports whether an attempt's response time says something about the target.
+// isTargetResponse reports whether the target completed a response, so that the attempt's
+// duration is a response time of the target.
 func isTargetResponse(o apiv1.Outcome) bool {
 	return o == apiv1.Outcome_OUTCOME_ANSWERED || o == apiv1.Outcome_OUTCOME_FAILED
 }
 
-// InFlight returns the number of attempts that are being run.
+// InFlight returns the number of running attempts.
 func (g *Gate) InFlight() int { return g.records.running }
 
 // Waiting returns the number of attempts that wait for a slot.
 func (g *Gate) Waiting() int { return g.records.waiting }
 
-// RecordCounts returns how many attempts and tombstones are remembered.
+// RecordCounts returns the numbers of recorded attempts and of tombstones.
 func (g *Gate) RecordCounts() (attempts, tombstones int) {
 	return len(g.records.byKey), len(g.tombstones.set)
 }
--- a/agent/gate/gate_test.go
+++ b/agent/gate/gate_test.go
@@ -8,48 +8,47 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Symptom: a request is charged twice, or a caller told "not run" finds it was run.
-// Sequence: dispatches come doubled, late after their revocation, for an older
-// incarnation, to targets that leave, while records, tombstones and answers run out
-// of room. Some wait for a slot, and meanwhile are revoked, canceled, too late, or
-// their target leaves, the agent stands still or closes.
-// Cause: the gate forgets or trusts something that it should not.
+// TestRepliesMatchRuns checks in a simulation that no attempt runs twice, and that none runs
+// that was reported as not run. Dispatches are duplicated, arrive after their revocation, name
+// a previous incarnation or a leaving target, while records, tombstones and responses reach
+// their limits. Some attempts wait for a slot and meanwhile are revoked, canceled or time out,
+// or their target leaves, or the agent is paused or closed. The test fails if the gate drops
+// state that it still needs or relies on state that is out of date.
 func TestRepliesMatchRuns(t *testing.T) {
 	runs, waited := 0, map[apiv1.Reason]int{}
 	for seed := range int64(seeds) {
-		w := newSimulation(t, seed)
+		s := newSimulation(t, seed)
 		for range steps {
-			w.step()
+			s.step()
 		}
-		w.gate.Close(w.now)
-		w.collectDecisions()
-		if n := w.gate.Waiting(); n > 0 {
-			t.Fatalf("%d wait at a gate that is closed", n)
+		s.gate.Close(s.now)
+		s.collectDecisions()
+		if n := s.gate.Waiting(); n > 0 {
+			t.Fatalf("%d attempts wait at a closed gate", n)
 		}
-		for reason, n := range w.waitResults {
+		for reason, n := range s.waitResults {
 			waited[reason] += n
 		}
-		for _, a := range w.attempts {
+		for _, a := range s.attempts {
 			runs += a.runs
 		}
 	}
 	if runs < 50*seeds {
-		t.Fatalf("only %d attempts ran: the judgement proves little", runs)
+		t.Fatalf("only %d attempts ran: the check is not conclusive", runs)
 	}
 	for _, reason := range []apiv1.Reason{
 		apiv1.Reason_REASON_UNSPECIFIED, apiv1.Reason_REASON_SLOTS_FULL, apiv1.Reason_REASON_REVOKED, apiv1.Reason_REASON_CANCELED,
 		apiv1.Reason_REASON_TARGET_LEAVING, apiv1.Reason_REASON_STALE_CONFIGURATION, apiv1.Reason_REASON_SHUTTING_DOWN,
 	} {
 		if waited[reason] < 5 {
-			t.Errorf("waiting ended with %v %d times: the judgement proves little", reason, waited[reason])
+			t.Errorf("waiting ended with %v %d times: the check is not conclusive", reason, waited[reason])
 		}
 	}
 }
 
-// Symptom: an entry gives a request up that another target would serve, or sends it to
-// one that can't. Sequence: each case is one state of the gate and a dispatch that it
-// must refuse. Cause: a filter that lets it through, or a reply with the wrong reason
-// or without the time until the retry.
+// TestRefusals checks the reason and the retry time of each refusal. Each case is a state of
+// the gate and a dispatch that it must refuse. With a wrong reason or no retry time, an entry
+// abandons a request that another target would serve, or sends it to one that can't.
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	base := Dispatch{Key: Key{"r", 1}, Service: "s", Target: "t", Incarnation: 1,
@@ -76,7 +75,7 @@
 		}, apiv1.Reason_REASON_CONNECTIONS_FULL, true},
 		"no time to wait": {func(g *Gate, d *Dispatch) {
 			fillTarget(g, now, *d, 8)
-			g.targets["t"].stats.mean = 900 * time.Millisecond // The first wait is an eighth of it.
+			g.targets["t"].stats.mean = 900 * time.Millisecond // The first wait is estimated as an eighth of the mean.
 		}, apiv1.Reason_REASON_SLOTS_FULL, true},
 		"can't finish": {func(g *Gate, d *Dispatch) {
 			for range minFastestSamples {
@@ -100,10 +99,10 @@
 	}
 }
 
-// Symptom: a request runs minutes after its revocation, or targets look slower than
-// they are. Sequence: an attempt waits, is revoked, and a copy of it comes when its
-// record is gone; another one waits as long as it runs. Cause: what waits leaves no
-// tombstone, or its wait is counted.
+// TestRevokedWaitIsNotRunAndWaitIsNotMeasured checks that an attempt that is revoked while it
+// waits leaves a tombstone, and that waiting does not count as response time. Otherwise a copy
+// of the attempt that arrives after its record was dropped runs minutes after the revocation,
+// and targets appear slower than they are.
 func TestRevokedWaitIsNotRunAndWaitIsNotMeasured(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	g := New(1, DefaultLimits())
@@ -154,7 +153,7 @@
 	}
 }
 
-// BenchmarkAdmitWaiting is a decision about an attempt that waits before it runs.
+// BenchmarkAdmitWaiting measures the decisions about an attempt that waits before it runs.
 func BenchmarkAdmitWaiting(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	g := New(1, DefaultLimits())
--- a/agent/gate/queue.go
+++ b/agent/gate/queue.go
@@ -1,6 +1,6 @@
 package gate
 
-// queue is a first-in first-out list that reuses its room.
+// queue is a first-in first-out list that reuses its storage.
 type queue[T any] struct {
 	items []T
 	head  int
--- a/agent/gate/records.go
+++ b/agent/gate/records.go
@@ -9,12 +9,12 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// record is what the gate remembers about an attempt that it let through.
+// record is what the gate stores about an attempt that runs, waits or has finished.
 type record struct {
 	key       Key
 	target    *target
 	arrivedAt time.Time
-	// startedAt is zero while the attempt waits for a slot, and for good when it never ran.
+	// startedAt is zero while the attempt waits for a slot, and stays zero if it never runs.
 	startedAt time.Time
 	// finishedAt is zero while the attempt waits or runs.
 	finishedAt    time.Time
@@ -26,14 +26,14 @@
 func (r *record) running() bool { return r.finishedAt.IsZero() && !r.startedAt.IsZero() }
 func (r *record) ended() bool   { return !r.finishedAt.IsZero() }
 
-// duplicateVerdict is the reply to a second dispatch of the same attempt.
+// duplicateVerdict returns the reply to a second dispatch of the same attempt.
 func (r *record) duplicateVerdict() Verdict {
 	if r.ended() && (r.verdict.Response != nil || !isTargetResponse(r.verdict.Outcome)) {
 		return r.verdict
 	}
-	message := "attempt is running or waiting under an earlier dispatch"
+	message := "attempt is running or waiting because of an earlier dispatch"
 	if r.ended() {
-		message = "attempt has finished and its answer is no longer kept"
+		message = "attempt has finished and its response has been dropped"
 	}
 	return Verdict{
 		Outcome: apiv1.Outcome_OUTCOME_UNKNOWN,
@@ -42,10 +42,10 @@
 	}
 }
 
-// records remembers attempts while they run and for a while after.
+// records stores attempts while they wait or run, and until their retention ends.
 //
-// Every attempt that arrived after horizon is in byKey. That is what makes a
-// "not run" about an attempt without a record true; see Gate.Revoke.
+// Every attempt that arrived after horizon is in byKey. Gate.Revoke relies on this when it
+// reports an attempt without a record as not run.
 type records struct {
 	limits        Limits
 	byKey         map[Key]*record
@@ -66,8 +66,8 @@
 	return rs.byKey[k]
 }
 
-// hasCapacity reports whether another attempt can be remembered. Under a high rate old
-// records go early, yet none before MinRetention.
+// hasCapacity reports whether another attempt can be recorded. At a high rate of attempts it
+// drops the oldest finished record before Retention has passed, but not before MinRetention.
 func (rs *records) hasCapacity(now time.Time) bool {
 	rs.expire(now)
 	if len(rs.byKey) < rs.limits.MaxRecords {
@@ -103,7 +103,7 @@
 	}
 }
 
-// add remembers an attempt that waits, if only until start is called.
+// add records an attempt as waiting. An attempt that has a slot is passed to start at once.
 func (rs *records) add(now time.Time, k Key, t *target) *record {
 	r := &record{key: k, target: t, arrivedAt: now}
 	rs.byKey[k] = r
@@ -117,7 +117,7 @@
 	r.startedAt = now
 }
 
-// finishUnstarted ends an attempt that never got a slot.
+// finishUnstarted finishes an attempt that never got a slot.
 func (rs *records) finishUnstarted(now time.Time, r *record, v Verdict) {
 	rs.waiting--
 	rs.finishRecord(now, r, v)
@@ -126,7 +126,7 @@
 func (rs *records) finish(now time.Time, k Key, v Verdict) *record {
 	r := rs.byKey[k]
 	if r == nil || !r.running() {
-		// A slot would be freed twice and the target get more than its slots.
+		// Otherwise a slot would be freed twice, and the target would exceed its slots.
 		panic(fmt.Sprintf("invariant: an admitted attempt finishes exactly once: %s/%d", k.RequestID, k.Attempt))
 	}
 	rs.running--
@@ -141,7 +141,8 @@
 	rs.keepResponse(r)
 }
 
-// keepResponse counts an answer and drops the oldest ones beyond the bound.
+// keepResponse adds a record's response to the total size and drops the oldest responses
+// while the total exceeds MaxResponseBytes.
 func (rs *records) keepResponse(r *record) {
 	if r.verdict.Response == nil {
 		return
@@ -154,7 +155,7 @@
 	}
 }
 
-// dropResponse forgets a record's answer, not its outcome.
+// dropResponse removes a record's response but keeps its outcome.
 func (rs *records) dropResponse(r *record) {
 	rs.responseBytes -= r.responseBytes
 	r.responseBytes = 0
--- a/agent/gate/refused.go
+++ b/agent/gate/refused.go
@@ -8,9 +8,10 @@
 )
 
 // refusedFilter remembers refused attempts in fixed memory: two generations of a
-// Bloom filter (Bloom, "Space/time trade-offs in hash coding", 1970). Refusals come
-// fastest when the host is overloaded, so a list of them would grow just then.
-// A false positive refuses an innocent attempt; the reply "not run" stays true.
+// Bloom filter (Bloom, "Space/time trade-offs in hash coding", 1970). Refusals are most
+// frequent when the host is overloaded, so a list of them would grow at the worst time.
+// A false positive refuses an attempt that was not refused before; its reply "not run" is
+// still true.
 type refusedFilter struct {
 	current, previous []uint64
 	rotatedAt         time.Time
@@ -51,8 +52,8 @@
 	return true
 }
 
-// rotate forgets the older generation, so that a refusal is remembered for one to
-// two generations.
+// rotate clears the older generation once per refusedGeneration, so that a refusal is
+// remembered for one to two generations.
 func (f *refusedFilter) rotate(now time.Time) {
 	if now.Sub(f.rotatedAt) < refusedGeneration {
 		return
@@ -77,7 +78,7 @@
 	return bits
 }
 
-// hash is 64 bits of an attempt's name.
+// hash returns a 64-bit hash of the key.
 func (k Key) hash() uint64 {
 	var buf [64]byte
 	b := append(buf[:0], k.RequestID...)
--- a/agent/gate/revoke.go
+++ b/agent/gate/revoke.go
@@ -6,38 +6,38 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Revocation asks the gate to end an attempt.
+// Revocation is a request to report the outcome of an attempt, or to prevent it from running.
 type Revocation struct {
 	Key         Key
 	Incarnation uint64
-	// Age bounds the time since the attempt was first sent from above, when the
-	// revocation was sent; zero when the asker can't tell.
+	// Age is an upper bound of the time from the first dispatch of the attempt to the sending
+	// of the revocation; zero if the sender does not know it.
 	Age time.Duration
 }
 
-// RevokeResult is what the gate knows of an attempt that was given up on.
+// RevokeResult is what the gate knows about a revoked attempt.
 type RevokeResult struct {
 	Verdict Verdict
-	// Running says that the attempt is in progress; ask again for its outcome.
+	// Running reports whether the attempt is in progress; revoke it again for its outcome.
 	Running bool
 }
 
-// Revoke tells what became of an attempt, and when it did not arrive, makes sure
-// that it will never run.
+// Revoke returns the outcome of an attempt. An attempt that waits is refused; if the attempt
+// did not arrive, a tombstone ensures that it will never run.
 func (g *Gate) Revoke(now time.Time, r Revocation) RevokeResult {
 	if r.Incarnation != g.incarnation {
-		// The process that may have run it is gone with its records.
-		return unknownResult(apiv1.Reason_REASON_STALE_INCARNATION, "agent was restarted since")
+		// The records of the process that may have run it are lost.
+		return unknownResult(apiv1.Reason_REASON_STALE_INCARNATION, "agent has restarted since the dispatch")
 	}
 	if rec := g.records.get(now, r.Key); rec != nil {
 		g.revokeWaiting(now, rec)
 		return rec.revokeResult()
 	}
 	if !g.recordsCover(now, r.Age) {
-		return unknownResult(apiv1.Reason_REASON_UNSPECIFIED, "records do not reach back that far")
+		return unknownResult(apiv1.Reason_REASON_UNSPECIFIED, "attempt is older than the oldest record")
 	}
 	if !g.tombstones.add(now, r.Key) {
-		return unknownResult(apiv1.Reason_REASON_OVERLOADED, "no room for another tombstone")
+		return unknownResult(apiv1.Reason_REASON_OVERLOADED, "too many tombstones are stored")
 	}
 	return RevokeResult{Verdict: Verdict{
 		Outcome: apiv1.Outcome_OUTCOME_NOT_RUN,
@@ -46,9 +46,9 @@
 	}}
 }
 
-// recordsCover reports whether an attempt first sent that long ago would have a
-// record if it had been let through. Without this check an attempt that ran and
-// whose record was dropped since would be called "not run", and be run again.
+// recordsCover reports whether an attempt of that age would still have a record if it had
+// been admitted. Without this check, an attempt that ran and whose record has been dropped
+// would be reported as not run, and be run again.
 func (g *Gate) recordsCover(now time.Time, age time.Duration) bool {
 	if g.records.horizon.IsZero() {
 		return true // No record was ever dropped.
@@ -56,8 +56,8 @@
 	return age > 0 && now.Add(-age-g.limits.RevokeMargin).After(g.records.horizon)
 }
 
-// revokeWaiting ends an attempt that waits. Its dispatch has arrived; the tombstone
-// is for a copy of it that is still under way when the record is gone.
+// revokeWaiting refuses an attempt that waits. Its dispatch has arrived; the tombstone is
+// for a copy of the dispatch that arrives after the record has been dropped.
 func (g *Gate) revokeWaiting(now time.Time, r *record) {
 	if !r.waiting() {
 		return
--- a/agent/gate/stats.go
+++ b/agent/gate/stats.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// meanDivisor is the weight of the newest response time in the moving average, as a
-	// divisor.
+	// meanDivisor is the inverse of the weight of the newest response time in the
+	// exponential moving average.
 	meanDivisor = 8
-	// fastestWindow is how long a quickest answer counts, at least.
+	// fastestWindow is the length of a window; a fastest response counts for one to two windows.
 	fastestWindow = 10 * time.Second
-	// minFastestSamples is how many answers a window needs to be believed.
+	// minFastestSamples is the number of responses in the last two windows below which the
+	// fastest one is not used.
 	minFastestSamples = 20
 	minRetryAfter     = time.Millisecond
 )
 
-// responseStats is what the gate learns of a target's response times.
+// responseStats holds statistics of a target's response times.
 type responseStats struct {
 	mean    time.Duration
 	current window
@@ -50,8 +51,8 @@
 	s.current = window{start: now}
 }
 
-// fastest is the quickest answer of late, zero when too few are known. Old windows
-// are dropped, so refusals for want of time end by themselves.
+// fastest returns the shortest recent response time, zero if there are too few samples. Old
+// windows are dropped, so refusals of short deadlines stop even if no response follows.
 func (s *responseStats) fastest(now time.Time) time.Duration {
 	s.rollWindow(now)
 	if s.current.samples+s.last.samples < minFastestSamples {
@@ -75,8 +76,8 @@
 	}
 }
 
-// nextFreeSlot estimates when one of n slots becomes free that nobody waits for: with n
-// independent requests in progress one ends every mean/n.
+// nextFreeSlot estimates the time until one of n slots is free and no attempt waits for it.
+// With n independent requests in progress, one ends every mean/n.
 func (t *target) nextFreeSlot(n int) time.Duration {
 	ends := time.Duration(1 + len(t.waiting))
 	return max(ends*t.stats.mean/time.Duration(n), minRetryAfter)
--- a/agent/gate/targets.go
+++ b/agent/gate/targets.go
@@ -8,26 +8,26 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Announcement is what a target says about itself, valid for TTL.
+// Announcement describes a target as the target reports it, valid for TTL.
 type Announcement struct {
 	Name    string
 	Service string
-	// Address is the IP and port that the target answers HTTP on.
+	// Address is the IP address and port at which the target serves HTTP.
 	Address string
-	// Slots and Connections are zero when the target leaves them to its service.
+	// Slots and Connections are zero if the limits of the service apply.
 	Slots       int
 	Connections int
 	TTL         time.Duration
 }
 
-// leaveState says why a target is leaving.
+// leaveState is whether and why a target is leaving.
 type leaveState int
 
 const (
 	staying leaveState = iota
-	// withdrawn: the target said that it leaves.
+	// withdrawn: the target itself reported that it leaves.
 	withdrawn
-	// drained: an operator made it leave; renewals don't bring it back.
+	// drained: an operator drained the target; a renewal does not end this.
 	drained
 )
 
@@ -41,21 +41,21 @@
 	stats      responseStats
 }
 
-// AnnounceResult is what became of an announcement.
+// AnnounceResult is the result of an announcement.
 type AnnounceResult int
 
 const (
-	// Announced: the target is known now, or something about it changed.
+	// Announced: the target was added, had expired, or has changed.
 	Announced AnnounceResult = iota
-	// Renewed: nothing changed but the time it is valid for.
+	// Renewed: only the expiry changed.
 	Renewed
-	// RefusedLeaving: the target said a moment ago that it leaves.
+	// RefusedLeaving: the target has withdrawn and is not removed yet.
 	RefusedLeaving
-	// RefusedFull: the host has too many targets.
+	// RefusedFull: the host has MaxTargets targets already.
 	RefusedFull
 )
 
-// MaxTargets bounds the targets of one host.
+// MaxTargets bounds the number of targets of one host.
 const MaxTargets = 256
 
 // Announce adds a target or renews it.
@@ -72,7 +72,7 @@
 		g.targets[a.Name] = t
 	}
 	if t.leaveState == withdrawn {
-		// A renewal that crossed the withdrawal would bring back a target that is
+		// A renewal sent before the withdrawal would add the target again although it is
 		// about to stop, and its next requests would be lost.
 		return RefusedLeaving
 	}
@@ -83,12 +83,12 @@
 	}
 	t.Announcement = a
 	t.expiresAt = now.Add(a.TTL)
-	g.reviewWaiting(now, t) // There may be more slots, or another service.
+	g.reviewWaiting(now, t) // The number of slots or the service may have changed.
 	return result
 }
 
-// Withdraw makes a target leave because it says so. It returns the requests in
-// progress, and whether the target was known.
+// Withdraw marks a target as leaving at its own request. It returns the number of its
+// requests in progress, and whether the target is known.
 func (g *Gate) Withdraw(now time.Time, name string) (inFlight int, known bool) {
 	t := g.targets[name]
 	if t == nil {
@@ -98,8 +98,8 @@
 	return t.inFlight, true
 }
 
-// Drain makes a target leave on an operator's word; an empty name means all
-// targets, also those that will announce themselves.
+// Drain marks a target as leaving at an operator's request. An empty name drains all
+// targets, including those that announce themselves later.
 func (g *Gate) Drain(now time.Time, name string) (inFlight int, known bool) {
 	if name == "" {
 		g.drainAll = true
@@ -129,9 +129,9 @@
 	g.reviewWaiting(now, t)
 }
 
-// Expire removes targets that have left with nothing in progress, and notes those
-// whose announcement ran out. What waits is looked at again. Call it several times
-// per second: a gap is taken as a sign that the process stood still.
+// Expire removes targets that have left and have nothing in progress, marks those whose
+// announcement has expired as leaving, and reviews the waiting attempts. Call it several
+// times per second: a longer gap is treated as a pause of the process.
 func (g *Gate) Expire(now time.Time) {
 	if g.expireOverdue(now) {
 		g.stalledUntil = now.Add(g.limits.StallGrace)
@@ -139,7 +139,7 @@
 	g.lastExpireAt = now
 	for name, t := range g.targets {
 		if t.leaveState == staying && now.After(t.expiresAt) && t.leftAt.Before(t.expiresAt) {
-			t.leftAt = now // The revision below tells the entries once.
+			t.leftAt = now // Set once per expiry, so that the revision grows once.
 			g.revision++
 		}
 		g.reviewWaiting(now, t)
@@ -150,8 +150,8 @@
 	}
 }
 
-// isRemovable reports whether a leaving target can be forgotten. A drained one that still
-// renews stays known, so that it stays drained.
+// isRemovable reports whether a leaving target can be removed. A drained target that still
+// renews its announcement is kept, so that it stays drained.
 func (g *Gate) isRemovable(t *target, now time.Time) bool {
 	if t.inFlight > 0 || now.Sub(t.leftAt) < g.limits.DepartedTargetRetention {
 		return false
@@ -169,7 +169,7 @@
 	return t.leaveState != staying || now.After(t.expiresAt)
 }
 
-// slots is the smaller of what the service grants and what the target announced.
+// slots returns the smaller of the limits that the service declares and the target announced.
 func (g *Gate) slots(t *target) int {
 	return effectiveLimit(t.Slots, int(g.services[t.Service].GetSlots()), g.limits.DefaultSlots)
 }
@@ -190,8 +190,8 @@
 	return byDefault
 }
 
-// load counts what waits too: an entry that sees only the full slots would take one
-// target with a queue for as good as another without.
+// load returns the target's load, including the attempts that wait: an entry that saw only
+// the full slots could not tell a target with a queue from one without.
 func (g *Gate) load(t *target) *apiv1.Load {
 	return &apiv1.Load{
 		InFlight:       int32(t.inFlight + len(t.waiting)),
@@ -200,10 +200,10 @@
 	}
 }
 
-// Revision grows with each change that entries have to hear of.
+// Revision returns a number that grows with each change that must be announced to entries.
 func (g *Gate) Revision() uint64 { return g.revision }
 
-// Targets describes the targets, sorted by name.
+// Targets returns a description of each target, sorted by name.
 func (g *Gate) Targets(now time.Time) []*apiv1.TargetInfo {
 	infos := make([]*apiv1.TargetInfo, 0, len(g.targets))
 	for _, t := range g.targets {
@@ -220,7 +220,7 @@
 	return infos
 }
 
-// Reserved returns the size of each target on the host, as its service declares it.
+// Reserved returns the resources of each target on the host, as its service declares them.
 func (g *Gate) Reserved() []*apiv1.Resources {
 	sizes := make([]*apiv1.Resources, 0, len(g.targets))
 	for _, t := range g.targets {
@@ -229,7 +229,7 @@
 	return sizes
 }
 
-// Addresses returns where the targets are.
+// Addresses returns the addresses of the targets.
 func (g *Gate) Addresses() []string {
 	addresses := make([]string, 0, len(g.targets))
 	for _, t := range g.targets {
--- a/agent/gate/tombstones.go
+++ b/agent/gate/tombstones.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// tombstones remembers attempts that were revoked before their dispatch arrived.
-// Only a hash is kept: two attempts with one hash make the gate refuse an innocent
-// one, which is truthful.
+// tombstones stores attempts that were revoked before a dispatch of them arrived. Only a
+// hash is stored. On a hash collision the gate refuses an attempt that was not revoked; the
+// reply "not run" is still true.
 type tombstones struct {
 	limits Limits
 	set    map[uint64]struct{}
@@ -22,8 +22,9 @@
 	return tombstones{limits: limits, set: make(map[uint64]struct{})}
 }
 
-// add reports false when there is no room: then the dispatch could still come and
-// be run, and nobody may be told that it will not.
+// add stores a tombstone and reports whether the key has one now. It returns false if the
+// set is full: the dispatch could then still arrive and run, so it must not be reported as
+// not run.
 func (ts *tombstones) add(now time.Time, k Key) bool {
 	ts.expire(now)
 	h := k.hash()
--- a/agent/gate/waiting.go
+++ b/agent/gate/waiting.go
@@ -10,12 +10,12 @@
 	"github.com/cairnlift/cairnlift/pipeline"
 )
 
-// MaxWaiting is how many attempts may wait for a slot of one target. A refused attempt
-// leaves the slot that comes free next idle while the entry tries elsewhere; two that
-// wait fill it. More would wait longer here than a redirect takes.
+// MaxWaiting is the default number of attempts that may wait for a slot of one target. If an
+// attempt is refused, the next free slot stays idle while the entry tries another target; two
+// waiting attempts fill it. More would wait longer here than a redirect takes.
 const MaxWaiting = 2
 
-// Decision is what became of an attempt that waited: it runs, or it was refused.
+// Decision is the decision about an attempt that waited: it runs, or it is refused.
 type Decision struct {
 	Key       Key
 	Admission Admission
@@ -26,12 +26,13 @@
 	record   *record
 	dispatch Dispatch
 	deadline time.Time
-	// latestStart leaves the target's mean response time until the deadline.
+	// latestStart is the deadline less the target's mean response time.
 	latestStart time.Time
 }
 
-// compare orders urgent attempts ahead of batch ones, and those of a kind by deadline. One
-// target has one response time, so that is also the order of slack.
+// compare orders urgent attempts before batch attempts, and attempts of equal priority by
+// deadline. All of them expect the same response time from the target, so this is also the
+// order of their slack.
 func (w *waiter) compare(other *waiter) int {
 	if w.dispatch.Batch != other.dispatch.Batch {
 		if other.dispatch.Batch {
@@ -42,46 +43,46 @@
 	return w.deadline.Compare(other.deadline)
 }
 
-// Decisions returns what was decided about waiting attempts since the last call.
-// Call it after every other method: an attempt that may run holds a slot already.
+// Decisions returns the decisions about waiting attempts since the last call. Call it after
+// every other method: an attempt that may run already occupies a slot.
 func (g *Gate) Decisions() []Decision {
 	made := g.decisions
 	g.decisions = nil
 	return made
 }
 
-// TimeOut refuses an attempt that waits, because its latest start has come. It
-// changes nothing for an attempt that was decided about before.
+// TimeOut refuses an attempt that waits because its latest start has been reached. It does
+// nothing if the attempt has been decided already.
 func (g *Gate) TimeOut(now time.Time, k Key) {
 	r := g.records.byKey[k]
 	if r == nil || !r.waiting() {
 		return
 	}
-	// There may be time for a quicker target: the entry judges that.
+	// There may be time for a faster target; the entry decides that.
 	g.refuseWaiting(now, r, apiv1.Reason_REASON_SLOTS_FULL, noSlotInTimeMessage)
 }
 
-const noSlotInTimeMessage = "no slot came free in time"
+const noSlotInTimeMessage = "no slot became free in time"
 
-// Cancel refuses an attempt that waits, because its entry went away. It changes
-// nothing for an attempt that was decided about before.
+// Cancel refuses an attempt that waits because its entry canceled the call or disconnected.
+// It does nothing if the attempt has been decided already.
 func (g *Gate) Cancel(now time.Time, k Key) {
 	if r := g.records.byKey[k]; r != nil && r.waiting() {
-		g.refuseWaiting(now, r, apiv1.Reason_REASON_CANCELED, "entry went away while it waited for a slot")
+		g.refuseWaiting(now, r, apiv1.Reason_REASON_CANCELED, "entry canceled the dispatch while it waited for a slot")
 	}
 }
 
-// maxInFlight is how many attempts a target may have in progress.
+// maxInFlight returns the number of attempts that a target may have in progress.
 func (g *Gate) maxInFlight(t *target) int { return min(g.slots(t), g.connections(t)) }
 
-// hasFreeSlot reports whether a new attempt may start: nothing overtakes what waits.
+// hasFreeSlot reports whether a new attempt may start. It must not overtake waiting ones.
 func (g *Gate) hasFreeSlot(t *target) bool {
 	return len(t.waiting) == 0 && t.inFlight < g.maxInFlight(t)
 }
 
-// canWait reports whether an attempt may join the queue. What can't finish within its
-// deadline by the mean response time is refused now, while its entry can still try
-// another target.
+// canWait reports whether an attempt may wait for a slot. An attempt that would miss its
+// deadline by the mean response time is refused now, while its entry can still try another
+// target.
 func (g *Gate) canWait(a *admission) bool {
 	t := a.target
 	if len(t.waiting) >= g.limits.MaxWaiting {
@@ -102,7 +103,7 @@
 	return &waiter{record: r, dispatch: d, deadline: deadline, latestStart: deadline.Add(-t.stats.mean)}
 }
 
-// enqueue lets an attempt wait.
+// enqueue adds an attempt to the waiting ones of its target.
 func (g *Gate) enqueue(r *record, d Dispatch, deadline time.Time) Admission {
 	t := r.target
 	w := t.newWaiter(r, d, deadline)
@@ -113,8 +114,8 @@
 	return Admission{Wait: true, LatestStart: w.latestStart, Load: g.load(t)}
 }
 
-// refuseWaiting refuses an attempt that waits. Its record answers a copy of it; the filter
-// of refused attempts does so when the record has to go early.
+// refuseWaiting refuses an attempt that waits. A copy of its dispatch is answered from its
+// record, or refused by the filter of refused attempts if the record is dropped early.
 func (g *Gate) refuseWaiting(now time.Time, r *record, reason apiv1.Reason, message string) {
 	t := r.target
 	t.waiting = slices.DeleteFunc(t.waiting, func(w *waiter) bool { return w.record == r })
@@ -135,12 +136,12 @@
 	}
 }
 
-// reviewWaiting looks at what waits at a target: what must not start any more is refused
-// at once, the rest starts as far as there are slots.
+// reviewWaiting reviews the attempts that wait for a target: it refuses those that must not
+// start any more, and starts the others while there are free slots.
 //
-// A leaving target, an agent that closes or stood still, or a configuration that
-// went stale would refuse the attempt if it came now. Held back until its slot it would
-// be refused too late to go elsewhere, or be run after all.
+// A leaving target, an agent that closes or was paused, or a stale configuration would refuse
+// the attempt if it arrived now. If the attempt kept waiting, it would be refused too late
+// for the entry to try another target, or be run although it must not.
 func (g *Gate) reviewWaiting(now time.Time, t *target) {
 	if len(t.waiting) == 0 {
 		return
@@ -152,13 +153,13 @@
 			continue
 		}
 		if t.inFlight < g.maxInFlight(t) {
-			t.waiting = slices.Delete(t.waiting, 0, 1) // All before it have started or are gone.
+			t.waiting = slices.Delete(t.waiting, 0, 1) // All before it have started or were refused.
 			g.addDecision(w.record.key, g.startAttempt(now, w.record, w.deadline))
 		}
 	}
 }
 
-// dispatchAt is the dispatch as it would read if it came now.
+// dispatchAt returns the dispatch with its times as they would be if it arrived now.
 func (w *waiter) dispatchAt(now time.Time) Dispatch {
 	d := w.dispatch
 	d.Remaining = w.deadline.Sub(now)
@@ -168,7 +169,7 @@
 	return d
 }
 
-// checkLatestStart refuses an attempt that waited past its latest start.
+// checkLatestStart refuses an attempt that has waited past its latest start.
 func (g *Gate) checkLatestStart(_ context.Context, a *admission) pipeline.Status {
 	if a.now.After(a.latestStart) {
 		return a.notRun(apiv1.Reason_REASON_SLOTS_FULL, noSlotInTimeMessage)
