--- a/agent/forward/conn.go
+++ b/agent/forward/conn.go
@@ -10,10 +10,10 @@
 	"github.com/cockroachdb/errors"
 )
 
-var errDiscarded = errors.New("connection gave an answer that belongs to another request")
+var errDiscarded = errors.New("connection carried a response to another request")
 
-// countingConn counts the bytes handed to the kernel, so that after an error it is
-// certain whether any part of a request can have reached the target.
+// countingConn counts the bytes passed to the kernel, so that after an error it is
+// known whether any part of a request can have reached the target.
 type countingConn struct {
 	net.Conn
 	written   atomic.Int64
@@ -30,14 +30,14 @@
 	return n, err
 }
 
-// discard closes the connection and keeps any later request off it. Without the
-// mark a request that got hold of it just before could be written and then lost.
+// discard closes the connection and prevents further writes to it. Without the flag, a
+// request that was given the connection just before could be written and then lost.
 func (c *countingConn) discard() {
 	c.discarded.Store(true)
 	_ = c.Conn.Close()
 }
 
-// writeTracker follows the connections that one request was given.
+// writeTracker records the connections that one request was given.
 type writeTracker struct {
 	mu    sync.Mutex
 	conns []usedConn
@@ -62,14 +62,14 @@
 	s.conns = append(s.conns, usedConn{conn: c, writtenBefore: c.written.Load()})
 }
 
-// noConnection reports whether the request was not even given a connection.
+// noConnection reports whether the request was given no connection.
 func (s *writeTracker) noConnection() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) == 0
 }
 
-// anyWritten reports whether any byte of the request was written.
+// anyWritten reports whether any byte of the request was written to a connection.
 func (s *writeTracker) anyWritten() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/agent/forward/forward.go
+++ b/agent/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward carries attempts to targets over HTTP and says truthfully what
-// became of each: a whole answer, certainly not run, or unknown.
+// Package forward sends attempts to targets over HTTP and determines the outcome of each: a
+// complete response, certainly not run, or unknown.
 package forward
 
 import (
@@ -22,15 +22,15 @@
 )
 
 const (
-	// idleTimeout closes unused connections early: the longer one is kept, the
-	// likelier the target closes it just as a request is written, which leaves
-	// that request's outcome unknown.
+	// idleTimeout is the time from the last use of a connection until it is closed. It is
+	// short because the longer a connection is kept, the likelier the target closes it just
+	// as a request is written, which leaves the outcome of that request unknown.
 	idleTimeout = 5 * time.Second
 	dialTimeout = time.Second
-	// maxHeaderBytes bounds the header of an answer.
+	// maxHeaderBytes bounds the header of a response.
 	maxHeaderBytes = 1 << 20
-	// maxUnsentTries bounds how many dead connections one attempt may meet before a
-	// byte of it is written.
+	// maxUnsentTries bounds the tries of one attempt. Another try is made only if the
+	// connection broke before any byte was written.
 	maxUnsentTries = 3
 )
 
@@ -42,20 +42,20 @@
 	Request     *apiv1.HttpRequest
 }
 
-// Forwarder holds the connections to the targets of one host.
+// Forwarder manages the connections to the targets of one host.
 type Forwarder struct {
 	maxResponseBytes int64
 	mu               sync.Mutex
 	transports       map[string]*http.Transport
 }
 
-// New returns a Forwarder that takes answers of up to maxResponseBytes.
-func New(maxAnswerBytes int64) *Forwarder {
-	return &Forwarder{maxResponseBytes: maxAnswerBytes, transports: make(map[string]*http.Transport)}
+// New returns a Forwarder that accepts responses of up to maxResponseBytes.
+func New(maxResponseBytes int64) *Forwarder {
+	return &Forwarder{maxResponseBytes: maxResponseBytes, transports: make(map[string]*http.Transport)}
 }
 
-// Retain closes the idle connections to every address that is not listed. Requests
-// in progress finish.
+// Retain closes the idle connections to every address that is not listed. Requests in
+// progress are not interrupted.
 func (f *Forwarder) Retain(addresses []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,8 +70,8 @@
 // Close closes all idle connections.
 func (f *Forwarder) Close() { f.Retain(nil) }
 
-// transport returns the address's own connection pool. A changed bound on
-// connections takes a new pool; the old one ends with its last request.
+// transport returns the connection pool of an address. If the limit of connections has
+// changed, it creates a new pool; the old one closes with its last request.
 func (f *Forwarder) transport(address string, connections int) *http.Transport {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,8 +105,8 @@
 	}
 }
 
-// Do forwards an attempt and reads the whole answer. It returns before ctx's
-// deadline or soon after. Nothing is ever sent twice.
+// Do forwards an attempt and reads the complete response. It returns before ctx's deadline or
+// shortly after. It never sends an attempt twice: it tries again only if no byte was written.
 func (f *Forwarder) Do(ctx context.Context, a Attempt) gate.Verdict {
 	if v, ok := checkRequest(a.Request); !ok {
 		return v
@@ -129,8 +129,8 @@
 	return unsentVerdict(ctx, err)
 }
 
-// tryOnce makes one try. The error is nil when the verdict stands; otherwise written
-// says whether any byte of the request left.
+// tryOnce tries to forward the attempt once. If the error is nil, the verdict is final;
+// otherwise written reports whether any byte of the request was written.
 func (f *Forwarder) tryOnce(ctx context.Context, t *http.Transport, a Attempt) (v gate.Verdict, written bool, err error) {
 	track := &writeTracker{}
 	req, err := newRequest(track.trace(ctx), a)
@@ -147,7 +147,7 @@
 	defer resp.Body.Close()
 	if echo := resp.Header.Get(RequestIDHeader); echo != "" && echo != a.Key.RequestID {
 		track.discard()
-		return unknownVerdict(apiv1.Reason_REASON_WRONG_ANSWER, "target answered request "+echo), true, nil
+		return unknownVerdict(apiv1.Reason_REASON_WRONG_ANSWER, "target sent the response to request "+echo), true, nil
 	}
 	body, err := f.readBody(resp)
 	if err != nil {
@@ -157,11 +157,11 @@
 	return responseVerdict(a.Request.Method, resp, body), true, nil
 }
 
-// newRequest builds a request that net/http can't send again by itself. When a
-// reused connection breaks before the answer, it repeats a request with a safe method
-// or an idempotency key that has no body, or one that can be rewound. So a body can't
-// be rewound, safe methods get an empty one in place of none, and the key is hidden;
-// TestReusedConnection shows what happens otherwise.
+// newRequest returns a request that net/http can't retry. If a reused connection breaks
+// before the response, net/http retries a request with a safe method or an idempotency key,
+// provided that it has no body or one that can be rewound. Therefore bodies can't be rewound,
+// safe methods get an empty body instead of none, and the key is hidden; TestReusedConnection
+// shows the failure otherwise.
 func newRequest(ctx context.Context, a Attempt) (*http.Request, error) {
 	u, err := url.ParseRequestURI(a.Request.Uri)
 	if err != nil {
@@ -184,14 +184,15 @@
 	return req.WithContext(ctx), nil
 }
 
-// nonRewindableBody hides the reader's type, by which net/http would know how to rewind it.
+// nonRewindableBody hides the type of the reader, from which net/http could tell how to rewind
+// it.
 type nonRewindableBody struct{ io.Reader }
 
 // Close implements io.Closer.
 func (nonRewindableBody) Close() error { return nil }
 
-// usuallyHasNoBody names the methods that net/http repeats when they have no body.
-// For the others an empty body stays nil, so that "Content-Length: 0" is sent.
+// usuallyHasNoBody reports whether net/http retries requests of the method that have no body.
+// For other methods an empty body stays nil, so that "Content-Length: 0" is sent.
 func usuallyHasNoBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
@@ -200,21 +201,21 @@
 	return false
 }
 
-// readBody reads the body to its stated end. An answer whose length is not stated
-// ends with its connection, so a cut one looks whole: it is refused.
+// readBody reads the complete body. It rejects a response without a declared length: such a
+// response ends with its connection, so a truncated one can't be told from a complete one.
 func (f *Forwarder) readBody(resp *http.Response) ([]byte, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
 		return nil, errors.New("target switched protocols")
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-		return nil, errors.New("answer does not state its length")
+		return nil, errors.New("response does not declare its length")
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, f.maxResponseBytes+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "answer broke off")
+		return nil, errors.Wrap(err, "response was truncated")
 	}
 	if int64(len(body)) > f.maxResponseBytes {
-		return nil, errors.Newf("answer is larger than %d bytes", f.maxResponseBytes)
+		return nil, errors.Newf("response is larger than %d bytes", f.maxResponseBytes)
 	}
 	return body, nil
 }
@@ -234,7 +235,7 @@
 	return v
 }
 
-// checkRequest refuses what can't be forwarded by one answer per request.
+// checkRequest refuses requests that can't be forwarded as one request with one response.
 func checkRequest(r *apiv1.HttpRequest) (gate.Verdict, bool) {
 	switch {
 	case r.GetMethod() == "" || !strings.HasPrefix(r.GetUri(), "/"):
@@ -250,24 +251,24 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// unsentVerdict is the verdict when no byte of the request was written.
+// unsentVerdict returns the verdict if no byte of the request was written.
 func unsentVerdict(ctx context.Context, err error) gate.Verdict {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return notRunVerdict(apiv1.Reason_REASON_DEADLINE, "deadline passed before anything was sent")
 	case ctx.Err() != nil:
-		return notRunVerdict(apiv1.Reason_REASON_CANCELED, "caller went away before anything was sent")
+		return notRunVerdict(apiv1.Reason_REASON_CANCELED, "dispatch was canceled before anything was sent")
 	}
 	return notRunVerdict(apiv1.Reason_REASON_TARGET_UNREACHABLE, err.Error())
 }
 
-// brokenVerdict is the verdict when the request may have reached the target.
+// brokenVerdict returns the verdict if the request may have reached the target.
 func brokenVerdict(ctx context.Context, err error) gate.Verdict {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return unknownVerdict(apiv1.Reason_REASON_DEADLINE, "deadline passed while the target worked")
+		return unknownVerdict(apiv1.Reason_REASON_DEADLINE, "deadline passed before the target responded")
 	case ctx.Err() != nil:
-		return unknownVerdict(apiv1.Reason_REASON_CANCELED, "caller went away while the target worked")
+		return unknownVerdict(apiv1.Reason_REASON_CANCELED, "dispatch was canceled before the target responded")
 	}
 	return unknownVerdict(apiv1.Reason_REASON_BROKEN_ANSWER, err.Error())
 }
--- a/agent/forward/forward_test.go
+++ b/agent/forward/forward_test.go
@@ -16,8 +16,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// scriptedTarget is a raw server: it reads requests, counts them by id, and lets a script
-// write whatever bytes it likes.
+// scriptedTarget is a TCP server that reads HTTP requests, counts them by request ID, and
+// responds with the bytes that a script returns.
 type scriptedTarget struct {
 	address       string
 	mu            sync.Mutex
@@ -25,31 +25,31 @@
 	conns         int
 }
 
-// newScriptedTarget answers the nth request of a connection with script(n); an empty
-// string closes the connection without a word, "wait" keeps silent.
+// newScriptedTarget answers the nth request of a connection with script(n); an empty string
+// closes the connection without a response, "wait" keeps it open without one.
 func newScriptedTarget(t *testing.T, script func(n int) string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	tg := &scriptedTarget{address: l.Addr().String(), requestCounts: map[string]int{}}
+	target := &scriptedTarget{address: l.Addr().String(), requestCounts: map[string]int{}}
 	go func() {
 		for {
 			c, err := l.Accept()
 			if err != nil {
 				return
 			}
-			tg.mu.Lock()
-			tg.conns++
-			tg.mu.Unlock()
-			go tg.serve(c, script)
+			target.mu.Lock()
+			target.conns++
+			target.mu.Unlock()
+			go target.serve(c, script)
 		}
 	}()
-	return tg
+	return target
 }
 
-func (tg *scriptedTarget) serve(c net.Conn, script func(n int) string) {
+func (target *scriptedTarget) serve(c net.Conn, script func(n int) string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 1; ; n++ {
@@ -58,24 +58,24 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
-		tg.mu.Lock()
-		tg.requestCounts[req.Header.Get(RequestIDHeader)]++
-		tg.mu.Unlock()
-		answer := script(n)
-		if answer == "wait" {
+		target.mu.Lock()
+		target.requestCounts[req.Header.Get(RequestIDHeader)]++
+		target.mu.Unlock()
+		response := script(n)
+		if response == "wait" {
 			_, _ = r.Peek(1)
 			return
 		}
-		if _, err := io.WriteString(c, answer); err != nil || answer != completeResponse && answer != mismatchedResponse {
+		if _, err := io.WriteString(c, response); err != nil || response != completeResponse && response != mismatchedResponse {
 			return
 		}
 	}
 }
 
-func (tg *scriptedTarget) requestCount(id string) int {
-	tg.mu.Lock()
-	defer tg.mu.Unlock()
-	return tg.requestCounts[id]
+func (target *scriptedTarget) requestCount(id string) int {
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	return target.requestCounts[id]
 }
 
 const (
@@ -90,27 +90,27 @@
 	}}
 }
 
-// Symptom: one attempt is charged twice, and the agent knows of one.
-// Sequence: a connection is reused; the target reads the request, runs it, and the
-// connection breaks before the answer; net/http sends the request again by itself.
-// Cause: it takes requests without a body, or with an idempotency key, as safe to repeat.
+// TestReusedConnection checks that the target gets each attempt once. On a reused connection
+// that breaks after the target has read and run the request, net/http retries requests without
+// a body or with an idempotency key, so the target would run one attempt twice and the agent
+// would know of one run only.
 func TestReusedConnection(t *testing.T) {
 	for _, test := range []struct{ method, body string }{
 		{"GET", ""}, {"HEAD", ""}, {"OPTIONS", ""}, {"POST", ""}, {"DELETE", ""}, {"PUT", "b"}, {"GET", "b"},
 	} {
-		tg := newScriptedTarget(t, func(n int) string {
+		target := newScriptedTarget(t, func(n int) string {
 			if n == 1 {
 				return completeResponse
 			}
 			return ""
 		})
 		f := New(1 << 20)
-		if v := f.Do(t.Context(), newAttempt(tg.address, "first", "GET", "")); v.Outcome != apiv1.Outcome_OUTCOME_ANSWERED {
+		if v := f.Do(t.Context(), newAttempt(target.address, "first", "GET", "")); v.Outcome != apiv1.Outcome_OUTCOME_ANSWERED {
 			t.Fatalf("%v: first request: %v", test, v)
 		}
-		v := f.Do(t.Context(), newAttempt(tg.address, "second", test.method, test.body))
-		if n := tg.requestCount("second"); n != 1 {
-			t.Errorf("%v: target got the attempt %d times", test, n)
+		v := f.Do(t.Context(), newAttempt(target.address, "second", test.method, test.body))
+		if n := target.requestCount("second"); n != 1 {
+			t.Errorf("%v: target received the attempt %d times", test, n)
 		}
 		if v.Outcome != apiv1.Outcome_OUTCOME_UNKNOWN {
 			t.Errorf("%v: %v", test, v)
@@ -119,36 +119,36 @@
 	}
 }
 
-// Symptom: a caller gets part of an answer, another's answer, or a "not run" that is false.
-// Sequence: each case is what a target does with the connection, and the only true outcome.
-// Cause: an answer that is passed on without a look at its end or its request id, or a
-// broken connection that is taken for one on which nothing arrived.
+// TestOutcomes checks the outcome for each way in which a target may use the connection. It
+// guards against returning a truncated response or the response to another request, because
+// its end or its request ID is not checked, and against reporting "not run" for a request that
+// reached the target before the connection broke.
 func TestOutcomes(t *testing.T) {
 	tests := map[string]struct {
-		answer  string
-		outcome apiv1.Outcome
-		reason  apiv1.Reason
+		response string
+		outcome  apiv1.Outcome
+		reason   apiv1.Reason
 	}{
-		"whole":           {completeResponse, apiv1.Outcome_OUTCOME_ANSWERED, 0},
+		"complete":        {completeResponse, apiv1.Outcome_OUTCOME_ANSWERED, 0},
 		"failed":          {"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nok", apiv1.Outcome_OUTCOME_FAILED, 0},
 		"truncated":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"chunk cut":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
-		"chunks whole":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", apiv1.Outcome_OUTCOME_ANSWERED, 0},
-		"length unstated": {"HTTP/1.1 200 OK\r\n\r\nok", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
+		"chunks complete": {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", apiv1.Outcome_OUTCOME_ANSWERED, 0},
+		"no length":       {"HTTP/1.1 200 OK\r\n\r\nok", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"too large":       {"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + strings.Repeat("x", 200), apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
-		"other's answer":  {mismatchedResponse, apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_WRONG_ANSWER},
+		"wrong response":  {mismatchedResponse, apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_WRONG_ANSWER},
 		"not HTTP":        {"hello", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"switching":       {"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
-		"silent":          {"wait", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_DEADLINE},
+		"no response":     {"wait", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_DEADLINE},
 	}
 	for name, test := range tests {
-		tg := newScriptedTarget(t, func(int) string { return test.answer })
+		target := newScriptedTarget(t, func(int) string { return test.response })
 		f := New(100)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
-		if test.answer == "wait" {
+		if test.response == "wait" {
 			ctx, cancel = context.WithTimeout(t.Context(), 50*time.Millisecond)
 		}
-		v := f.Do(ctx, newAttempt(tg.address, "r", "POST", "b"))
+		v := f.Do(ctx, newAttempt(target.address, "r", "POST", "b"))
 		cancel()
 		if v.Outcome != test.outcome || v.Reason != test.reason || (v.Response != nil) != (test.reason == 0) {
 			t.Errorf("%s: %v %v %s", name, v.Outcome, v.Reason, v.Message)
@@ -157,10 +157,9 @@
 	}
 }
 
-// Symptom: a request that could have run elsewhere is answered "unknown". Sequence: the
-// connection is refused, the time is up, the entry is gone or the request can't be
-// encoded, all before its first byte is sent. Cause: a failure before the sending is
-// not told from one after; "not run" is right only when not a byte was sent.
+// TestNothingSent checks that an attempt of which no byte was sent is reported as not run:
+// the connection is refused, the deadline has passed, the dispatch is canceled, or the request
+// can't be encoded. Reported as unknown, it could not be retried on another target.
 func TestNothingSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -170,10 +169,10 @@
 	_ = l.Close()
 	past, cancel := context.WithDeadline(t.Context(), time.Unix(1, 0))
 	defer cancel()
-	gone, giveUp := context.WithCancel(t.Context())
-	giveUp()
-	bad := newAttempt(closed, "r", "POST", "b")
-	bad.Request.Headers = []*apiv1.Header{{Name: "x", Values: []string{"a\nb"}}}
+	canceled, cancelDispatch := context.WithCancel(t.Context())
+	cancelDispatch()
+	badHeader := newAttempt(closed, "r", "POST", "b")
+	badHeader.Request.Headers = []*apiv1.Header{{Name: "x", Values: []string{"a\nb"}}}
 	tests := map[string]struct {
 		ctx     context.Context
 		attempt Attempt
@@ -181,9 +180,9 @@
 	}{
 		"refused":    {t.Context(), newAttempt(closed, "r", "POST", "b"), apiv1.Reason_REASON_TARGET_UNREACHABLE},
 		"late":       {past, newAttempt(closed, "r", "POST", "b"), apiv1.Reason_REASON_DEADLINE},
-		"canceled":   {gone, newAttempt(closed, "r", "GET", ""), apiv1.Reason_REASON_CANCELED},
+		"canceled":   {canceled, newAttempt(closed, "r", "GET", ""), apiv1.Reason_REASON_CANCELED},
 		"trace":      {t.Context(), newAttempt(closed, "r", "TRACE", ""), apiv1.Reason_REASON_BAD_REQUEST},
-		"bad header": {t.Context(), bad, apiv1.Reason_REASON_BAD_REQUEST},
+		"bad header": {t.Context(), badHeader, apiv1.Reason_REASON_BAD_REQUEST},
 	}
 	for name, test := range tests {
 		v := New(100).Do(test.ctx, test.attempt)
@@ -193,26 +192,26 @@
 	}
 }
 
-// Symptom: after an answer that belongs to another request, the next request gets
-// the answer of the one before it. Sequence: each answer names another request.
-// Cause: the connection whose answers are out of step is used again.
+// TestConnectionAfterWrongAnswer checks that a connection is not reused after a response that
+// names another request. Its responses are out of step, so the next request would get the
+// response to the previous one.
 func TestConnectionAfterWrongAnswer(t *testing.T) {
-	tg := newScriptedTarget(t, func(int) string { return mismatchedResponse })
+	target := newScriptedTarget(t, func(int) string { return mismatchedResponse })
 	f := New(100)
 	defer f.Close()
 	for i := range 3 {
-		f.Do(t.Context(), newAttempt(tg.address, fmt.Sprint(i), "POST", "b"))
+		f.Do(t.Context(), newAttempt(target.address, fmt.Sprint(i), "POST", "b"))
 	}
-	tg.mu.Lock()
-	defer tg.mu.Unlock()
-	if tg.conns != 3 {
-		t.Fatalf("3 answers out of step on %d connections", tg.conns)
+	target.mu.Lock()
+	defer target.mu.Unlock()
+	if target.conns != 3 {
+		t.Fatalf("3 mismatched responses on %d connections", target.conns)
 	}
 }
 
-// Symptom: a target waits for a body that does not come, or takes a forged request id
-// for the agent's. Sequence: the caller sends fields that concern its own connection,
-// a wrong length and an id. Cause: fields passed on that are the agent's to set.
+// TestHeaders checks that the agent does not forward header fields that it sets itself or that
+// apply to the caller's connection. Otherwise a target waits for a body that does not arrive,
+// or accepts a forged request ID.
 func TestHeaders(t *testing.T) {
 	h := requestHeader("id", 7, []*apiv1.Header{
 		{Name: "connection", Values: []string{"x-hop, close"}},
--- a/agent/forward/headers.go
+++ b/agent/forward/headers.go
@@ -10,14 +10,14 @@
 )
 
 const (
-	// RequestIDHeader carries the request id to the target. A target that echoes it
-	// lets the agent detect an answer that belongs to another request.
+	// RequestIDHeader carries the request ID to the target. If the target echoes it, the
+	// agent can detect a response that belongs to another request.
 	RequestIDHeader = "Cairnlift-Request-Id"
 	// AttemptHeader carries the attempt number to the target.
 	AttemptHeader = "Cairnlift-Attempt"
 )
 
-// hopByHop lists the fields that concern one connection only (RFC 9110, section
+// hopByHop lists the header fields that apply to a single connection (RFC 9110, section
 // 7.6.1), and Expect, whose handshake ends at the agent.
 var hopByHop = []string{
 	"Connection", "Expect", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
@@ -35,7 +35,7 @@
 	}
 }
 
-// requestHeader builds the header fields that the target sees.
+// requestHeader returns the header fields that are sent to the target.
 func requestHeader(id string, attempt uint32, fields []*apiv1.Header) http.Header {
 	h := make(http.Header, len(fields)+3)
 	for _, f := range fields {
@@ -43,21 +43,21 @@
 		h[name] = append(h[name], f.Values...)
 	}
 	stripHopByHop(h)
-	h.Del("Content-Length") // The length of the body at hand is sent.
+	h.Del("Content-Length") // net/http sets it to the length of the body.
 	h.Del("Host")
 	h.Set(RequestIDHeader, id)
 	h.Set(AttemptHeader, strconv.FormatUint(uint64(attempt), 10))
 	if _, ok := h["User-Agent"]; !ok {
-		h.Set("User-Agent", "") // Keeps net/http from adding its own.
+		h.Set("User-Agent", "") // Prevents net/http from adding its own.
 	}
 	hideIdempotencyKey(h)
 	return h
 }
 
-// hideIdempotencyKey writes the key's field name in lower case. Field names are
-// case-insensitive to the target, but net/http looks for the canonical form and,
-// when it finds it, sends a request without a body once more by itself after a reused
-// connection broke. The target would run it twice under one attempt.
+// hideIdempotencyKey writes the field name of the idempotency key in lower case. Field names
+// are case-insensitive for the target, but net/http looks for the canonical form and, if it
+// finds it, retries a request without a body after a reused connection has broken. The target
+// would run the request twice for one attempt.
 func hideIdempotencyKey(h http.Header) {
 	for _, name := range []string{"Idempotency-Key", "X-Idempotency-Key"} {
 		if values, ok := h[name]; ok {
@@ -76,8 +76,8 @@
 	return ""
 }
 
-// responseHeaders drops what concerned the connection to the target. The length is
-// kept for HEAD only, where it says what GET would have answered.
+// responseHeaders returns the header fields without those of the connection to the target. It
+// keeps the length for HEAD only, where it is the length of the response to GET.
 func responseHeaders(method string, h http.Header) []*apiv1.Header {
 	stripHopByHop(h)
 	if method != http.MethodHead {
