--- a/agent/agent.go
+++ b/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is the process beside the targets of one host: the gate in front
-// of them, their announcements, heartbeats to the home entry, and leases at the
-// platform's worker. Its decisions are made by the packages gate, home and lease,
-// which do no I/O; this package is the driver around them.
+// Package agent is the process that runs next to the targets of one host. It controls the
+// admission of requests to them, receives their announcements, sends heartbeats to the home
+// entry, and maintains the leases of the platform's worker. The packages gate, home and lease
+// make its decisions and do no I/O; this package is the driver around them.
 package agent
 
 import (
@@ -28,31 +28,31 @@
 )
 
 const (
-	// maxDispatchBytes bounds a dispatch as entries send it.
+	// maxDispatchBytes bounds the size of an encoded dispatch request.
 	maxDispatchBytes = 32 << 20
-	// maxTargetResponseBytes bounds a target's answer.
+	// maxTargetResponseBytes bounds the size of a target's response.
 	maxTargetResponseBytes = 16 << 20
-	// expireInterval is how often targets and leases are looked over.
+	// expireInterval is the time between checks for expired announcements and attempts.
 	expireInterval = 100 * time.Millisecond
 	headerTimeout  = 5 * time.Second
 	idleTimeout    = 2 * time.Minute
 )
 
-// Options is what an agent is made from.
+// Options configures an agent.
 type Options struct {
 	Settings *settings.Agent
-	// Logger defaults to none, Metrics to a registry of its own.
+	// Logger defaults to a no-op logger, Metrics to a new registry.
 	Logger  *zap.Logger
 	Metrics metrics.Registry
-	// Worker is nil on a host that runs no platform worker.
+	// Worker is nil on a host without a platform worker.
 	Worker worker.Worker
-	// Now defaults to the wall clock at the start plus what BootNow has counted
-	// since, and BootNow to worker.Now.
+	// Now defaults to the wall clock at the start plus the time that BootNow has advanced
+	// since. BootNow defaults to worker.Now.
 	Now     func() time.Time
 	BootNow func() time.Duration
 }
 
-// Agent is one agent process.
+// Agent is an agent process.
 type Agent struct {
 	settings *settings.Agent
 	log      *zap.Logger
@@ -70,23 +70,24 @@
 	latency          *latency.Recorder
 	pendingDecisions map[gate.Key]chan gate.Admission
 
-	// worker is nil on a host that runs no platform worker.
+	// worker is nil on a host without a platform worker.
 	worker *workerDriver
 
 	selector       *home.Selector
 	entries        []apiv1.Control
 	heartbeatState heartbeatState
-	// heartbeatRequested asks the heartbeat loop for a heartbeat soon.
+	// heartbeatRequested requests a heartbeat before the interval has passed.
 	heartbeatRequested chan struct{}
-	// leaveAcknowledged is closed once an entry knows that the agent is leaving.
+	// leaveAcknowledged is closed when an entry has acknowledged that the agent is leaving.
 	leaveAcknowledged chan struct{}
 	leaveOnce         sync.Once
 }
 
-// New binds both addresses of an agent. Run serves them and closes them in the end.
+// New returns an agent and binds its two addresses. Run serves them, and closes them when it
+// returns.
 func New(o Options) (*Agent, error) {
 	if o.Settings == nil || len(o.Settings.Entries) == 0 {
-		return nil, errors.New("agent needs settings with at least one entry")
+		return nil, errors.New("agent settings must name at least one entry")
 	}
 	o.setDefaults()
 	a := &Agent{
@@ -109,7 +110,8 @@
 	interval := o.Settings.HeartbeatInterval.Duration
 	timeouts := home.TimeoutBounds{
 		Min: max(interval, minHeartbeatTimeout),
-		// What an answer confirms counts from when its heartbeat was sent: a later one confirms nothing.
+		// A confirmation dates from the sending of its heartbeat, so a response after the
+		// staleness bound confirms nothing.
 		Max: o.Settings.StalenessBound.Duration,
 	}
 	a.selector = home.New(len(o.Settings.Entries), interval, timeouts, rng)
@@ -135,21 +137,20 @@
 	}
 }
 
-// steadyClock is not moved when somebody sets the wall clock, and counts the time
-// that the host was suspended. With time.Now, whose monotonic reading stands still
-// meanwhile, an agent that wakes would take a configuration from before as confirmed
-// a moment ago.
+// steadyClock returns a clock that ignores changes of the wall clock and includes the time
+// for which the host was suspended. The monotonic reading of time.Now stops meanwhile, so an
+// agent that resumes would treat a configuration from before the suspension as just confirmed.
 func steadyClock(bootNow func() time.Duration) func() time.Time {
 	wall, boot := time.Now().Round(0), bootNow()
 	return func() time.Time { return wall.Add(bootNow() - boot) }
 }
 
-// newIncarnation tells this start of the agent from every other one. There is no
-// disk to count starts on, so it is the wall clock in nanoseconds: two starts never
-// share it unless the clock was set back to the very nanosecond. When a clock was
-// set back, a younger incarnation may be the smaller number; so the gate and
-// member.Directory compare incarnations for equality only, and the one heard last
-// is current.
+// newIncarnation returns a number that distinguishes this start of the agent from all others.
+// The agent has no disk on which to count starts, so it uses the wall clock in nanoseconds: two
+// starts get the same number only if the clock was set back to the same nanosecond. After a
+// clock was set back, a later incarnation may have the smaller number. Therefore the gate and
+// member.Directory compare incarnations only for equality, and the one received last is
+// current.
 func newIncarnation(now time.Time) uint64 { return uint64(now.UnixNano()) }
 
 func rngSeed(name string, incarnation uint64) int64 {
@@ -169,17 +170,17 @@
 	return nil
 }
 
-// Address returns the IP and port that entries dispatch to.
+// Address returns the IP address and port to which entries dispatch.
 func (a *Agent) Address() string { return a.entryListener.Addr().String() }
 
-// LocalAddress returns the IP and port that targets announce themselves at.
+// LocalAddress returns the IP address and port at which targets announce themselves.
 func (a *Agent) LocalAddress() string { return a.localListener.Addr().String() }
 
-// Incarnation returns what tells this start of the agent from others.
+// Incarnation returns the number of this start of the agent; see newIncarnation.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
 
-// Run serves until ctx ends and then shuts down gracefully: it tells its home
-// entry, refuses new work, and finishes what is in progress within the bound in its
+// Run serves until ctx ends and then shuts down gracefully: it announces to its home entry
+// that it leaves, refuses new work, and finishes requests in progress within the bound in its
 // settings.
 func (a *Agent) Run(ctx context.Context) error {
 	a.log.Info("serving", zap.String("address", a.Address()), zap.String("local_address", a.LocalAddress()),
@@ -234,7 +235,7 @@
 	}
 }
 
-// expiryLoop lets announcements run out and closes connections to targets that are gone.
+// expiryLoop expires announcements and closes connections to targets that were removed.
 func (a *Agent) expiryLoop(ctx context.Context) {
 	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
@@ -249,7 +250,7 @@
 	}
 }
 
-// updateGauges sets the gauges.
+// updateGauges sets the gauges, and closes idle connections to addresses without a target.
 func (a *Agent) updateGauges() {
 	a.mu.Lock()
 	inFlight, waiting := a.gate.InFlight(), a.gate.Waiting()
@@ -264,8 +265,8 @@
 	a.forwarder.Retain(addresses)
 }
 
-// updateGate runs f on the gate, delivers what it decided about waiting attempts, and
-// wakes the heartbeat when entries have to hear of the change.
+// updateGate calls f with the gate, delivers the gate's decisions about waiting attempts, and
+// requests a heartbeat if the change must be announced to entries.
 func (a *Agent) updateGate(f func(*gate.Gate)) {
 	a.mu.Lock()
 	before := a.gate.Revision()
@@ -278,7 +279,7 @@
 	}
 }
 
-// requestHeartbeat asks for a heartbeat soon. Requests that come together make one heartbeat.
+// requestHeartbeat requests a heartbeat soon. Concurrent requests result in one heartbeat.
 func (a *Agent) requestHeartbeat() {
 	select {
 	case a.heartbeatRequested <- struct{}{}:
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -18,10 +18,9 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// Symptom: an agent that has started answers no dispatch, or still runs them for a
-// target that was withdrawn. Sequence: a target announces itself, is sent a request,
-// is withdrawn, and is sent another. Cause: one of the parts in between, which the
-// tests of each part can't show, does not pass on what it got.
+// TestDispatchEndToEnd checks that a target gets a request after it has announced itself, and
+// none after it has withdrawn. It guards against faults between the parts of the agent, which
+// the tests of each part can't detect.
 func TestDispatchEndToEnd(t *testing.T) {
 	t.Parallel()
 	r := newHarness(t, &fakeEntry{}, nil, echoID)
@@ -39,19 +38,19 @@
 	}
 }
 
-// Symptom: a request is cut off, or told "not run" although it ran, when an agent is
-// stopped on purpose.
-// Sequence: requests keep coming while the agent announces that it leaves, refuses, and
-// stops. The target's own record is compared with what the entry was told.
-// Cause: the servers close before the last reply is written, or before the gate refuses.
+// TestShutdownUnderLoad checks that a graceful shutdown neither interrupts a request nor
+// reports one as not run although it ran. Requests arrive while the agent announces that it
+// leaves, refuses work and stops, and the replies are compared with the requests that the
+// target received. It fails if the servers close before the last reply is written, or before
+// the gate refuses.
 func TestShutdownUnderLoad(t *testing.T) {
 	t.Parallel()
 	var ran sync.Map
-	var told atomic.Bool
+	var leaveReceived atomic.Bool
 	e := &fakeEntry{respond: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		if req.GetAgent().GetLeaving() {
-			time.Sleep(100 * time.Millisecond) // Long enough to be caught refusing too early.
-			told.Store(true)
+			time.Sleep(100 * time.Millisecond) // Long enough to detect that the agent refuses too early.
+			leaveReceived.Store(true)
 		}
 		return &apiv1.HeartbeatResponse{Configuration: testConfiguration, ConfigurationVersion: 1}
 	}}
@@ -66,17 +65,17 @@
 			id := fmt.Sprintf("%d-%d", n, i)
 			resp, err := r.dispatch(t.Context(), id, "POST")
 			if err != nil {
-				t.Errorf("%s was cut off: %v", id, err)
+				t.Errorf("%s was interrupted: %v", id, err)
 				return
 			}
 			if _, hasRun := ran.Load(id); hasRun != (resp.Outcome == apiv1.Outcome_OUTCOME_ANSWERED) {
-				t.Errorf("%s ran: %v, told %v %v", id, hasRun, resp.Outcome, resp.Reason)
+				t.Errorf("%s ran: %v, reported as %v %v", id, hasRun, resp.Outcome, resp.Reason)
 			}
 			if resp.Reason == apiv1.Reason_REASON_SHUTTING_DOWN {
-				if !told.Load() {
-					t.Error("refused before the entry could know")
+				if !leaveReceived.Load() {
+					t.Error("refused before the entry knew that the agent leaves")
 				}
-				return // An entry goes elsewhere.
+				return // An entry would try another target.
 			}
 			if answers.Add(1) == 50 {
 				r.stop()
@@ -94,9 +93,8 @@
 	}
 }
 
-// Symptom: an agent that was told to stop never does. Sequence: a request runs longer
-// than the shutdown bound. Cause: a wait for what is in progress that has no end. The
-// request is cut off and counted.
+// TestShutdownBound checks that a request that runs longer than the shutdown bound does not
+// prevent the agent from stopping. The request is interrupted and counted.
 func TestShutdownBound(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}), make(chan struct{})
@@ -114,10 +112,10 @@
 	}
 }
 
-// Symptom: a resend under the same key finds no answer, although the request ran.
-// Sequence: the entry that sent a request dies while the target works on it. A
-// request with a safe method is given up; any other finishes and its answer can be
-// asked for. Cause: the attempt ends with the connection that its dispatch came on.
+// TestEntryDisconnects checks what happens to a running request whose entry disconnects: a
+// request with a safe method is canceled, any other finishes and its response can be queried.
+// If the attempt ended with the connection of its dispatch, a retry under the same key would
+// find no response although the request ran.
 func TestEntryDisconnects(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
@@ -129,25 +127,25 @@
 		}
 		echoID(w, req)
 	})
-	leave := func(id, method string) {
+	disconnectDuring := func(id, method string) {
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() { <-arrived; cancel() }()
 		if resp, err := r.dispatch(ctx, id, method); err == nil {
-			t.Errorf("canceled dispatch answered %v", resp)
+			t.Errorf("canceled dispatch returned %v", resp)
 		}
 	}
 	revoke := r.revoke
-	leave("get", "GET")
-	r.eventually("GET is given up", func() bool { return !revoke("get").Running })
-	leave("post", "POST")
+	disconnectDuring("get", "GET")
+	r.eventually("GET is canceled", func() bool { return !revoke("get").Running })
+	disconnectDuring("post", "POST")
 	if !revoke("post").Running {
-		t.Error("POST was given up")
+		t.Error("POST was canceled")
 	}
 	close(release)
 	r.eventually("POST finishes", func() bool { return !revoke("post").Running })
 	answer := revoke("post").Response
 	if string(answer.GetBody()) != "/pitch?n=1 post" || answer.GetBodyChecksum() != xxhash.Sum64(answer.GetBody()) {
-		t.Errorf("answer of POST: %v", answer)
+		t.Errorf("response to POST: %v", answer)
 	}
 	if resp := revoke("never"); resp.Outcome != apiv1.Outcome_OUTCOME_NOT_RUN {
 		t.Errorf("unknown attempt: %v", resp)
@@ -157,12 +155,11 @@
 	}
 }
 
-// Symptom: a caller hears of its refusal only when a slot comes free, or never, or
-// its slot stays taken.
-// Sequence: all four slots are taken and one more request waits. Meanwhile a slot
-// comes free, its time runs out, it is revoked, its entry goes away, the target
-// leaves, or the agent stops. Cause: the decision is not handed to the dispatch
-// that waits for it.
+// TestWaitingDispatchIsAnsweredAtOnce checks that a waiting dispatch gets its decision as soon
+// as it is made. All four slots are occupied and one more request waits. Then a slot becomes
+// free, its time expires, it is revoked, its entry disconnects, the target leaves, or the agent
+// stops. If the decision is not delivered to the dispatch, the caller is refused only when a
+// slot becomes free or never, or the slot stays occupied.
 func TestWaitingDispatchIsAnsweredAtOnce(t *testing.T) {
 	t.Parallel()
 	list := func(r *harness) string { _, text := r.callLocal("GET", "", ""); return text }
@@ -172,7 +169,7 @@
 		reason    apiv1.Reason
 	}{
 		"slot":    {time.Minute, func(_ *harness, release chan struct{}, _ func()) { release <- struct{}{} }, apiv1.Reason_REASON_UNSPECIFIED},
-		"lapse":   {time.Second, func(*harness, chan struct{}, func()) {}, apiv1.Reason_REASON_SLOTS_FULL},
+		"timeout": {time.Second, func(*harness, chan struct{}, func()) {}, apiv1.Reason_REASON_SLOTS_FULL},
 		"revoke":  {time.Minute, func(r *harness, _ chan struct{}, _ func()) { r.revoke("w") }, apiv1.Reason_REASON_REVOKED},
 		"cancel":  {time.Minute, func(_ *harness, _ chan struct{}, cancel func()) { cancel() }, apiv1.Reason_REASON_CANCELED},
 		"leaving": {time.Minute, func(r *harness, _ chan struct{}, _ func()) { r.callLocal("DELETE", "t1", "") }, apiv1.Reason_REASON_TARGET_LEAVING},
@@ -187,7 +184,7 @@
 			for i := range 4 {
 				running.Go(func() { _, _ = r.dispatch(context.Background(), fmt.Sprint("run-", i), "POST") })
 			}
-			r.eventually("slots are taken", func() bool { return strings.Contains(list(r), `"in_flight":4`) })
+			r.eventually("slots are occupied", func() bool { return strings.Contains(list(r), `"in_flight":4`) })
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
 			replies := make(chan *apiv1.DispatchResponse, 1)
@@ -195,15 +192,15 @@
 				resp, err := r.dispatchWithin(ctx, "w", "POST", test.remaining)
 				if err != nil {
 					r.eventually("wait ends", func() bool { return strings.Contains(list(r), `"in_flight":4`) })
-					fate := r.revoke("w")
-					resp = &apiv1.DispatchResponse{Outcome: fate.Outcome, Reason: fate.Reason, RetryAfterMs: 1}
+					result := r.revoke("w")
+					resp = &apiv1.DispatchResponse{Outcome: result.Outcome, Reason: result.Reason, RetryAfterMs: 1}
 				}
 				replies <- resp
 			}()
-			r.eventually("one waits", func() bool { return len(replies) > 0 || strings.Contains(list(r), `"in_flight":5`) })
+			r.eventually("one request waits", func() bool { return len(replies) > 0 || strings.Contains(list(r), `"in_flight":5`) })
 			test.end(r, release, cancel)
 			if test.reason == apiv1.Reason_REASON_UNSPECIFIED {
-				r.eventually("the one that waited runs", func() bool { return strings.Contains(list(r), `"in_flight":4`) })
+				r.eventually("the waiting request runs", func() bool { return strings.Contains(list(r), `"in_flight":4`) })
 				close(release)
 			}
 			resp := <-replies
@@ -219,9 +216,9 @@
 	}
 }
 
-// Symptom: requests go to a target that nobody can reach, or that has no slots.
-// Sequence: a target announces itself with a mistake. Cause: the mistake is taken over
-// or passed over; it has to be refused with an error that names it, and change nothing.
+// TestInvalidAnnouncements checks that an invalid announcement is refused with an error that
+// names the fault, and changes nothing. Otherwise requests are sent to a target that is
+// unreachable or has no slots.
 func TestInvalidAnnouncements(t *testing.T) {
 	t.Parallel()
 	r := newHarness(t, &fakeEntry{}, nil, echoID)
@@ -253,29 +250,28 @@
 	leaves, _ := r.callLocal("DELETE", "t1", "")
 	returns, _ := r.callLocal("PUT", "t1", good)
 	if leaves != http.StatusOK || returns != http.StatusConflict {
-		t.Errorf("leaving answers %d, a renewal that crosses it %d", leaves, returns)
+		t.Errorf("withdrawal returns %d, a renewal after it %d", leaves, returns)
 	}
 }
 
-// Symptom: an entry that restarted never learns of a target, or an agent falls back to an
-// older configuration.
-// Sequence: the preferred entry is dead; the next one forgets the announcement once,
-// and answers with an older configuration than the agent has.
-// Cause: the request to send the announcement again is passed over, or the last
-// configuration that came is taken in place of the one with the highest version.
+// TestHeartbeatFailover checks heartbeats while the preferred entry is unreachable and the next
+// one loses the announcement once and returns an older configuration. If the agent ignored the
+// request to send its announcement again, a restarted entry would never learn of its targets;
+// if it applied the last configuration received instead of the one with the highest version,
+// its configuration would revert.
 func TestHeartbeatFailover(t *testing.T) {
 	t.Parallel()
-	forget := true
+	loseAnnouncement := true
 	versions := []uint64{2, 1}
 	e := &fakeEntry{unreachable: []settings.Peer{{Name: "dead", Address: "127.0.0.1:1"}}}
-	// One letter per heartbeat: W with the whole announcement, - without.
-	shape := ""
+	// One character per heartbeat: W with the whole announcement, - without.
+	sequence := ""
 	e.respond = func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
-		resp := &apiv1.HeartbeatResponse{ResendAgent: req.Agent == nil && forget}
-		forget = forget && !resp.ResendAgent
-		shape += map[bool]string{true: "-", false: "W"}[req.Agent == nil]
-		if len(shape) > 2 && req.ConfigurationVersion != 2 {
-			t.Errorf("heartbeat %d has version %d", len(shape), req.ConfigurationVersion)
+		resp := &apiv1.HeartbeatResponse{ResendAgent: req.Agent == nil && loseAnnouncement}
+		loseAnnouncement = loseAnnouncement && !resp.ResendAgent
+		sequence += map[bool]string{true: "-", false: "W"}[req.Agent == nil]
+		if len(sequence) > 2 && req.ConfigurationVersion != 2 {
+			t.Errorf("heartbeat %d has version %d", len(sequence), req.ConfigurationVersion)
 		}
 		if len(versions) > 0 {
 			resp.Configuration = &apiv1.Configuration{Version: versions[0]}
@@ -284,21 +280,21 @@
 		return resp
 	}
 	r := newHarness(t, e, nil, echoID)
-	r.eventually("announced whole again after it was forgotten, and then not", func() bool {
+	r.eventually("whole announcement sent again after the entry lost it, and then omitted", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return strings.Contains(shape, "-W-")
+		return strings.Contains(sequence, "-W-")
 	})
 }
 
-// Symptom: an agent reports itself unready for as long as its entries are slow, and callers
-// are refused although its targets are fine.
-// Sequence: the only entry takes 600 ms for each answer, as on a host short of processors.
-// Cause: a timeout of a quarter of a second for every heartbeat, however many have failed.
+// TestSlowEntry checks that the agent gets a configuration from an entry that takes 600 ms for
+// each response, as on a host with too little processor time. With a fixed heartbeat timeout of
+// 250 ms, however many heartbeats have failed, the agent stays unready while its entries are
+// slow, and callers are refused although its targets are healthy.
 func TestSlowEntry(t *testing.T) {
 	t.Parallel()
 	r := newHarness(t, &fakeEntry{responseDelay: 600 * time.Millisecond}, nil, nil)
-	r.eventually("the configuration that a late answer brings is in force", func() bool {
+	r.eventually("the configuration in a late response is in force", func() bool {
 		return r.entry.received(func(b *apiv1.HeartbeatRequest) bool { return b.ConfigurationVersion == 1 })
 	})
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -12,8 +12,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// BenchmarkDispatch compares a request straight to a target with the same through the
-// agent's Dispatch, with 1 and 32 in flight per processor.
+// BenchmarkDispatch compares a request sent directly to a target with the same request sent
+// through the agent's Dispatch, with 1 and 32 requests in flight per processor.
 func BenchmarkDispatch(b *testing.B) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 256))
--- a/agent/configuration_test.go
+++ b/agent/configuration_test.go
@@ -9,11 +9,10 @@
 	"github.com/cairnlift/cairnlift/configdelta"
 )
 
-// Symptom: an agent runs targets with slots that no version declares, or gets the
-// whole configuration with each heartbeat. Sequence: an answer brings a damaged
-// delta, then one is lost on the way, then they arrive whole.
-// Cause: a delta applied without comparing its digest, or a request for the whole
-// that is never taken back.
+// TestConfigurationDeltas checks deltas that are corrupt, then missing one, then correct. If a
+// delta is applied without comparing its digest, targets run with slots that no version
+// declares; if the request for the whole configuration is never reset, each heartbeat transfers
+// it.
 func TestConfigurationDeltas(t *testing.T) {
 	t.Parallel()
 	version := func(v uint64) *apiv1.Configuration {
@@ -24,22 +23,22 @@
 	answers := []*apiv1.HeartbeatResponse{
 		{Configuration: version(1)},
 		{Deltas: []*apiv1.ConfigurationDelta{damaged}},
-		{ResendAgent: true}, // The entry is busy elsewhere and brings nothing.
+		{ResendAgent: true}, // The entry requests the announcement and sends no configuration.
 		{Configuration: version(2)},
 		{Deltas: []*apiv1.ConfigurationDelta{configdelta.Diff(version(2), version(3)), configdelta.Diff(version(3), version(4))}},
 		{Deltas: []*apiv1.ConfigurationDelta{configdelta.Diff(version(5), version(6))}},
 		{Configuration: version(6)},
 	}
-	// Version that each heartbeat names, and a w when it asks for the whole.
-	asked := ""
+	// The version in each heartbeat, followed by w if it requests the whole configuration.
+	requested := ""
 	e := &fakeEntry{respond: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		resp := &apiv1.HeartbeatResponse{}
 		if len(answers) > 0 {
 			resp, answers = answers[0], answers[1:]
 		}
-		asked += fmt.Sprint(req.ConfigurationVersion)
+		requested += fmt.Sprint(req.ConfigurationVersion)
 		if req.WholeConfiguration {
-			asked += "w"
+			requested += "w"
 		}
 		return resp
 	}}
@@ -47,11 +46,11 @@
 	r.eventually("the last version is in force", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return strings.Contains(asked, "6")
+		return strings.Contains(requested, "6")
 	})
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !strings.HasPrefix(asked, "011w1w244w6") {
-		t.Errorf("asked %s", asked)
+	if !strings.HasPrefix(requested, "011w1w244w6") {
+		t.Errorf("requested %s", requested)
 	}
 }
--- a/agent/harness_test.go
+++ b/agent/harness_test.go
@@ -20,12 +20,12 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// fakeEntry stands in for an entry host: it records heartbeats and answers each.
+// fakeEntry is a fake entry that records heartbeats and responds to each.
 type fakeEntry struct {
 	apiv1.Control
-	unreachable   []settings.Peer // Entries before this one that do not answer.
-	shutdownBound time.Duration   // Of the agent, 10 s when zero.
-	responseDelay time.Duration   // Of each answer.
+	unreachable   []settings.Peer // Entries preferred to this one that do not respond.
+	shutdownBound time.Duration   // Shutdown bound of the agent, 10 s if zero.
+	responseDelay time.Duration   // Delay of each response.
 	respond       func(*apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse
 	mu            sync.Mutex
 	heartbeats    []*apiv1.HeartbeatRequest
@@ -55,7 +55,7 @@
 
 var testConfiguration = &apiv1.Configuration{Version: 1, Services: []*apiv1.Service{{Name: "bookings", Slots: 4}}}
 
-// harness is an agent between one entry and one target.
+// harness runs an agent with one entry and one target.
 type harness struct {
 	t       testing.TB
 	entry   *fakeEntry
@@ -107,8 +107,8 @@
 	})
 }
 
-// awaitSlots waits until the slots of the first configuration are in force, and
-// returns what the agent then says of its targets.
+// awaitSlots waits until the slots of the first configuration are in force, and returns the
+// list of targets that the agent then reports.
 func (r *harness) awaitSlots() (targets string) {
 	r.t.Helper()
 	r.eventually("the configuration's slots are in force", func() bool {
@@ -118,7 +118,7 @@
 	return targets
 }
 
-// callLocal calls the agent's local interface about one target, or all when name is empty.
+// callLocal calls the agent's local interface for one target, or for all if name is empty.
 func (r *harness) callLocal(method, name, body string) (int, string) {
 	path := strings.TrimSuffix("/v1/targets/"+name, "/")
 	req, _ := http.NewRequest(method, "http://"+r.agent.LocalAddress()+path, strings.NewReader(body))
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -16,23 +16,26 @@
 )
 
 const (
-	// minHeartbeatSpacing bounds the rate of heartbeats when much changes at once.
+	// minHeartbeatSpacing is the shortest time from the end of a heartbeat to the next one. It
+	// limits their rate during many changes.
 	minHeartbeatSpacing = 20 * time.Millisecond
-	// minHeartbeatTimeout is well above the time that an entry takes between distant
-	// availability zones, and short beside the time without news after which a target is left out.
+	// minHeartbeatTimeout is well above the response time of an entry in a distant
+	// availability zone, and short compared with the time without an update after which
+	// targets are no longer used.
 	minHeartbeatTimeout = 250 * time.Millisecond
 )
 
-// heartbeatState is what the heartbeat loop remembers between two heartbeats; only
-// that loop uses it.
+// heartbeatState is the state of the heartbeat loop between two heartbeats. Only that loop
+// uses it.
 type heartbeatState struct {
-	// acknowledgedBy and revision name the announcement that an entry acknowledged; entry
-	// is -1 when none did.
+	// acknowledgedBy is the entry that acknowledged the announcement of
+	// acknowledgedRevision, -1 if there is none.
 	acknowledgedBy       int
 	acknowledgedRevision uint64
-	// configuration is the one in force; deltas are applied to it.
+	// configuration is the one in force, to which deltas are applied.
 	configuration *apiv1.Configuration
-	// needWholeConfiguration asks for the configuration whole, after deltas that did not fit.
+	// needWholeConfiguration is set after deltas that could not be applied: the next heartbeat
+	// requests the whole configuration.
 	needWholeConfiguration bool
 }
 
@@ -50,7 +53,7 @@
 	return clients
 }
 
-// heartbeatLoop sends one message per interval, and one soon after each change.
+// heartbeatLoop sends one heartbeat per interval, and one soon after each change.
 func (a *Agent) heartbeatLoop(ctx context.Context) {
 	a.heartbeatState.acknowledgedBy = -1
 	interval := a.settings.HeartbeatInterval.Duration
@@ -85,8 +88,8 @@
 	}
 }
 
-// sendHeartbeat sends one heartbeat. On an error it returns how long to wait
-// before the next entry is tried.
+// sendHeartbeat sends one heartbeat. On an error it returns the delay until the next entry is
+// tried.
 func (a *Agent) sendHeartbeat(ctx context.Context) (time.Duration, error) {
 	sent := a.now()
 	entry := a.selector.Pick(sent)
@@ -103,8 +106,8 @@
 		return wait, errors.Wrap(err, "heartbeat")
 	}
 	a.metrics.heartbeats.Inc(1)
-	answered := a.now()
-	a.selector.Succeeded(answered, entry, answered.Sub(sent))
+	respondedAt := a.now()
+	a.selector.Succeeded(respondedAt, entry, respondedAt.Sub(sent))
 	a.heartbeatState.acknowledgedBy, a.heartbeatState.acknowledgedRevision = entry, req.Revision
 	if req.Agent.GetLeaving() {
 		a.leaveOnce.Do(func() { close(a.leaveAcknowledged) })
@@ -118,8 +121,8 @@
 	return 0, nil
 }
 
-// heartbeatRequest announces the agent whole when this entry has not acknowledged
-// the present revision yet.
+// heartbeatRequest returns the next heartbeat. It includes the whole announcement of the agent
+// unless this entry has acknowledged the current revision.
 func (a *Agent) heartbeatRequest(now time.Time, entry int) *apiv1.HeartbeatRequest {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -139,7 +142,7 @@
 	return req
 }
 
-// agentInfo is called with mu held.
+// agentInfo returns the announcement of the agent. The caller must hold mu.
 func (a *Agent) agentInfo(now time.Time) *apiv1.AgentInfo {
 	l := a.settings.Location
 	return &apiv1.AgentInfo{
@@ -158,9 +161,9 @@
 	}
 }
 
-// applyConfiguration takes over configuration and its confirmation. The age in the reply counts
-// from when the entry answered; counted from when the heartbeat was sent, it can only come
-// out too old, never too fresh.
+// applyConfiguration applies the configuration in a heartbeat response and its confirmation.
+// The confirmed age is measured when the entry responds. It is subtracted from the time at
+// which the heartbeat was sent, so the confirmation can only appear too old, never too recent.
 func (a *Agent) applyConfiguration(sent time.Time, resp *apiv1.HeartbeatResponse) {
 	c := a.receivedConfiguration(resp)
 	a.updateGate(func(g *gate.Gate) {
@@ -174,10 +177,10 @@
 	})
 }
 
-// receivedConfiguration returns the configuration that an answer brings, nil when none. Deltas
-// that don't lead from the one in force to one of their digest are left, and the
-// next heartbeat asks for the whole: were they applied as far as they fit, targets
-// would run with slots that no version declares.
+// receivedConfiguration returns the configuration in a heartbeat response, nil if there is
+// none. If deltas don't apply to the configuration in force or the result does not have their
+// digest, they are ignored and the next heartbeat requests the whole configuration: a partial
+// update would run targets with slots that no version declares.
 func (a *Agent) receivedConfiguration(resp *apiv1.HeartbeatResponse) *apiv1.Configuration {
 	if len(resp.Deltas) == 0 {
 		a.heartbeatState.needWholeConfiguration = a.heartbeatState.needWholeConfiguration && resp.Configuration == nil
@@ -186,13 +189,14 @@
 	c, err := configdelta.ApplyChain(a.heartbeatState.configuration, resp.Deltas)
 	a.heartbeatState.needWholeConfiguration = err != nil
 	if err != nil {
-		a.log.Warn("changes of the configuration don't fit, asking for all of it", zap.Error(err))
+		a.log.Warn("configuration deltas cannot be applied; requesting the whole configuration", zap.Error(err))
 		return nil
 	}
 	return c
 }
 
-// workerHeartbeat is called with mu held.
+// workerHeartbeat returns the worker's part of a heartbeat, nil if there is none. The caller
+// must hold mu.
 func (a *Agent) workerHeartbeat(now time.Time) *apiv1.WorkerHeartbeat {
 	hb := a.worker.heartbeat()
 	if hb != nil {
@@ -202,8 +206,8 @@
 	return hb
 }
 
-// followOrders hands on the leader's orders. Latency reports that reached it are
-// not sent again.
+// followOrders passes on the leader's orders, and drops the latency reports that have reached
+// the leader.
 func (a *Agent) followOrders(ctx context.Context, req *apiv1.HeartbeatRequest, resp *apiv1.HeartbeatResponse) {
 	if a.worker == nil || resp.Orders == nil {
 		return
--- a/agent/local.go
+++ b/agent/local.go
@@ -24,7 +24,7 @@
 	maxSlots             = 1 << 16
 )
 
-// namePattern is what names of targets and services look like.
+// namePattern matches the valid names of targets and services.
 var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,127}$`)
 
 // announcement is the body of PUT /v1/targets/:name.
@@ -36,7 +36,7 @@
 	TTLMs       int64  `json:"ttl_ms"`
 }
 
-// targetStatus is one target as GET /v1/targets lists it.
+// targetStatus is a target in the response to GET /v1/targets.
 type targetStatus struct {
 	Name        string `json:"name"`
 	Service     string `json:"service"`
@@ -46,12 +46,12 @@
 	InFlight    int32  `json:"in_flight"`
 }
 
-// errorBody is the body of every refusal.
+// errorBody is the body of every error response.
 type errorBody struct {
 	Error string `json:"error"`
 }
 
-// localHandler answers the targets of this host, health probes and metrics.
+// localHandler serves the targets of this host, health checks and metrics.
 func (a *Agent) localHandler() http.Handler {
 	r := httprouter.New()
 	r.PUT("/v1/targets/:name", a.putTarget)
@@ -60,7 +60,7 @@
 	r.GET("/livez", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { writeJSON(w, http.StatusOK, "ok") })
 	r.GET("/readyz", a.getReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		_, _ = io.WriteString(w, metricstext.Format(a.metrics.registry)) // a client that left gets nothing
+		_, _ = io.WriteString(w, metricstext.Format(a.metrics.registry)) // A client that has disconnected gets no response.
 	})
 	return r
 }
@@ -76,9 +76,9 @@
 	switch result {
 	case gate.RefusedLeaving:
 		w.Header().Set("Retry-After", "1")
-		writeError(w, http.StatusConflict, "target "+ann.Name+" is leaving; announce it again once it is gone")
+		writeError(w, http.StatusConflict, "target "+ann.Name+" is leaving; announce it again after it was removed")
 	case gate.RefusedFull:
-		writeError(w, http.StatusInsufficientStorage, fmt.Sprintf("host has %d targets already", gate.MaxTargets))
+		writeError(w, http.StatusInsufficientStorage, fmt.Sprintf("host already has %d targets", gate.MaxTargets))
 	case gate.Announced:
 		a.log.Info("target announced", zap.String("target", ann.Name), zap.String("service", ann.Service),
 			zap.String("address", ann.Address))
@@ -128,8 +128,8 @@
 	return nil
 }
 
-// deleteTarget makes a target leave. It answers 200 with nothing in progress and
-// 202 otherwise; the target asks again until it may stop.
+// deleteTarget marks a target as leaving. It responds with 200 if the target has no requests
+// in progress and with 202 otherwise; the target repeats the request until it may stop.
 func (a *Agent) deleteTarget(w http.ResponseWriter, _ *http.Request, p httprouter.Params) {
 	name := p.ByName("name")
 	var inFlight int
@@ -160,8 +160,8 @@
 	writeJSON(w, http.StatusOK, list)
 }
 
-// getReady says whether the agent would take a dispatch: it must not be shutting down
-// and must have heard of a configuration within the staleness bound.
+// getReady reports whether the agent admits dispatches: it must not be shutting down, and its
+// configuration must have been confirmed within the staleness bound.
 func (a *Agent) getReady(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	a.mu.Lock()
 	retiring, age := a.gate.Retiring(), a.now().Sub(a.gate.ConfirmedAt())
--- a/agent/main.go
+++ b/agent/main.go
@@ -10,12 +10,11 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// Main runs cairnlift-agent with the command line's arguments and returns its
-// exit code.
+// Main runs cairnlift-agent with the command line arguments and returns its exit code.
 func Main(args []string) int {
 	return daemon.Program[*settings.Agent]{
 		Name: "cairnlift-agent",
-		Help: "Stands in front of the targets of one host and keeps its worker's leases.",
+		Help: "Controls the admission of requests to the targets of one host and maintains its worker's leases.",
 		Load: settings.LoadAgent,
 		Log:  func(s *settings.Agent) settings.Log { return s.Log },
 		Run: func(ctx context.Context, s *settings.Agent, log *zap.Logger) error {
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -9,7 +9,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// agentMetrics are the agent's metrics. Names end up in /metrics as they stand here.
+// agentMetrics holds the agent's metrics. /metrics exports them under the names registered
+// here.
 type agentMetrics struct {
 	registry       metrics.Registry
 	responseTime   metrics.Timer
--- a/agent/server.go
+++ b/agent/server.go
@@ -13,11 +13,11 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// service implements apiv1.Agent. A refusal is a reply, never a twirp error.
+// service implements apiv1.Agent. It returns refusals as replies, never as twirp errors.
 type service struct{ a *Agent }
 
-// Dispatch runs one attempt through fence, deduplicate, fresh, target, slot, await,
-// forward, record and reply.
+// Dispatch passes one attempt through the gate's filters (fence, deduplicate, fresh, target,
+// slot), waits for a slot if necessary, forwards it, records the outcome and replies.
 func (s *service) Dispatch(ctx context.Context, req *apiv1.DispatchRequest) (*apiv1.DispatchResponse, error) {
 	a := s.a
 	arrived := a.now()
@@ -26,13 +26,13 @@
 		v := gate.Verdict{
 			Outcome: apiv1.Outcome_OUTCOME_NOT_RUN,
 			Reason:  apiv1.Reason_REASON_BAD_REQUEST,
-			Message: "dispatch lacks its request id, attempt or request",
+			Message: "dispatch lacks a request ID, an attempt number or a request",
 		}
 		return dispatchResponse(key, v, nil), nil
 	}
-	admission, waits := a.admit(arrived, key, req)
+	admission, decided := a.admit(arrived, key, req)
 	if admission.Wait {
-		admission = a.awaitDecision(ctx, key, admission.LatestStart, waits)
+		admission = a.awaitDecision(ctx, key, admission.LatestStart, decided)
 		a.metrics.waitTime.Update(a.now().Sub(arrived))
 	}
 	if !admission.Run {
@@ -44,14 +44,14 @@
 	return dispatchResponse(key, verdict, load), nil
 }
 
-// runAndRecord runs an admitted attempt and finishes it at the gate, whatever happens: a
-// panic on the way would otherwise keep the slot taken for good.
+// runAndRecord runs an admitted attempt and finishes it at the gate, also after a panic, which
+// would otherwise occupy the slot permanently.
 func (a *Agent) runAndRecord(ctx context.Context, key gate.Key, req *apiv1.DispatchRequest, ad gate.Admission) (v gate.Verdict, load *apiv1.Load) {
 	began := a.now()
 	a.mu.Lock()
 	a.latency.Began(began, req.Target, req.Service)
 	a.mu.Unlock()
-	v = gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Message: "forwarding broke off"}
+	v = gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Message: "forwarding was aborted"}
 	defer func() {
 		ended := a.now()
 		a.mu.Lock()
@@ -77,15 +77,16 @@
 	}
 }
 
-// millisToDuration converts without overflow: a huge age must not come out as a small one.
+// millisToDuration converts milliseconds and saturates instead of overflowing: a huge age must
+// not turn into a small one.
 func millisToDuration(ms int64) time.Duration {
 	const most = int64(math.MaxInt64 / time.Millisecond)
 	return time.Duration(min(max(ms, -most), most)) * time.Millisecond
 }
 
-// forwardAttempt forwards an admitted attempt. When the entry goes away, a request with a safe
-// method (RFC 9110, section 9.2.1) is given up; any other goes on, because a resend
-// under the same idempotency key may ask for its answer.
+// forwardAttempt forwards an admitted attempt. If the entry cancels the call or disconnects, a
+// request with a safe method (RFC 9110, section 9.2.1) is canceled; any other continues,
+// because a retry under the same idempotency key may request its response.
 func (a *Agent) forwardAttempt(ctx context.Context, key gate.Key, req *apiv1.DispatchRequest, ad gate.Admission) gate.Verdict {
 	if !isSafeMethod(req.Request.Method) {
 		ctx = context.WithoutCancel(ctx)
@@ -143,7 +144,7 @@
 	}, nil
 }
 
-// Drain implements apiv1.Agent. A target that is not here has nothing in progress.
+// Drain implements apiv1.Agent. An unknown target has no requests in progress.
 func (s *service) Drain(_ context.Context, req *apiv1.DrainRequest) (*apiv1.DrainResponse, error) {
 	var inFlight int
 	s.a.updateGate(func(g *gate.Gate) { inFlight, _ = g.Drain(s.a.now(), req.Target) })
--- a/agent/shutdown.go
+++ b/agent/shutdown.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// drainPollInterval is how often a closing agent looks whether everything has finished.
+	// drainPollInterval is the time between checks whether all requests have finished.
 	drainPollInterval = 10 * time.Millisecond
-	// leaveTimeout is how long a closing agent still takes work while it tries to tell
-	// an entry that it leaves.
+	// leaveTimeout is how long an agent that shuts down still admits work while it waits for
+	// an entry to acknowledge that it leaves.
 	leaveTimeout = time.Second
-	// refusalPeriod is how long a closing agent goes on refusing after its last request
-	// ended. A dispatch that finds its connection closed may have been read or not, and
-	// its outcome is unknown; one that is refused is tried elsewhere. By then the
-	// entries have heard.
+	// refusalPeriod is how long the agent still answers dispatches with refusals after its
+	// last request has ended. If a dispatch finds its connection closed, it is uncertain
+	// whether it was read, and its outcome is unknown; a refused dispatch is retried on
+	// another target. After this period the entries know that the agent leaves.
 	refusalPeriod = time.Second
 )
 
-// shutDown tells the home entry that the agent leaves, then refuses new work and
-// waits for what is in progress. Telling comes first, so that the entries send
-// elsewhere what would only be refused here. Heartbeats go on all the while: the
-// worker's leases are renewed until the next agent takes over.
+// shutDown announces to the home entry that the agent leaves, then refuses new work and waits
+// for requests in progress. The announcement comes first, so that entries choose other targets
+// instead of being refused here. Heartbeats continue throughout: the worker's leases are
+// renewed until the next agent takes over.
 func (a *Agent) shutDown(ctx context.Context, gateServer, localServer *http.Server) {
 	ctx, cancel := context.WithTimeout(ctx, a.settings.ShutdownBound.Duration)
 	defer cancel()
@@ -41,15 +41,15 @@
 	a.metrics.cutRequests.Inc(int64(cut))
 	if cut == 0 {
 		sleep(ctx, refusalPeriod)
-		_ = gateServer.Shutdown(ctx) // Waits for the last replies to be written.
+		_ = gateServer.Shutdown(ctx) // Waits until the last replies are written.
 	}
 	_ = gateServer.Close()
 	_ = localServer.Close()
 	a.log.Info("stopped", zap.Int("cut_requests", cut), zap.Duration("took", a.now().Sub(started)))
 }
 
-// closeWhenRetiring asks for a connection to be closed with each reply of a closing
-// agent, so that no entry holds one on which it could still send when the server stops.
+// closeWhenRetiring closes a connection after each reply of an agent that shuts down, so that
+// no entry keeps a connection on which it could still send when the server stops.
 func (a *Agent) closeWhenRetiring(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		a.mu.Lock()
@@ -68,7 +68,7 @@
 	select {
 	case <-a.leaveAcknowledged:
 	case <-ctx.Done():
-		a.log.Warn("no entry heard that this agent leaves")
+		a.log.Warn("no entry acknowledged that this agent leaves")
 	}
 }
 
--- a/agent/waiting.go
+++ b/agent/waiting.go
@@ -8,8 +8,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// admit asks the gate about a dispatch. The channel gets the decision about an
-// attempt that waits.
+// admit passes a dispatch to the gate. If the attempt waits, the gate's decision about it is
+// sent to the returned channel.
 func (a *Agent) admit(now time.Time, key gate.Key, req *apiv1.DispatchRequest) (gate.Admission, <-chan gate.Admission) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -23,23 +23,23 @@
 	return ad, decided
 }
 
-// deliverDecisions hands the gate's decisions to the dispatches that wait for them. It is
-// called with the lock held, after everything that can make the gate decide: a decision
-// left lying would keep its slot taken and its caller without an answer.
+// deliverDecisions sends the gate's decisions to the dispatches that wait for them. It must be
+// called after every operation that can make the gate decide: an undelivered decision would
+// occupy its slot and leave its caller without a response. The caller must hold mu.
 func (a *Agent) deliverDecisions() {
 	for _, d := range a.gate.Decisions() {
 		decided := a.pendingDecisions[d.Key]
 		if decided == nil {
-			panic("invariant: the gate decides once about each attempt that waits")
+			panic("invariant: the gate decides once about each waiting attempt")
 		}
 		decided <- d.Admission
 		delete(a.pendingDecisions, d.Key)
 	}
 }
 
-// awaitDecision returns what the gate decided about an attempt that waits. It ends at the
-// latest start, or when the entry goes away: unlike a request that runs, one that waits
-// has nothing to lose, and a resend is told that it was not run.
+// awaitDecision returns the gate's decision about an attempt that waits. It refuses the attempt
+// at its latest start, or when the entry cancels the call or disconnects: unlike a running
+// request, a waiting one can be canceled without loss, and a retry gets the outcome "not run".
 func (a *Agent) awaitDecision(ctx context.Context, key gate.Key, latest time.Time, decided <-chan gate.Admission) gate.Admission {
 	timer := time.NewTimer(latest.Sub(a.now()))
 	defer timer.Stop()
@@ -52,5 +52,5 @@
 	case <-timer.C:
 	}
 	a.updateGate(func(g *gate.Gate) { end(g, a.now(), key) })
-	return <-decided // There is one now, or was one already.
+	return <-decided // The decision has been made, by end or before it.
 }
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -18,17 +18,18 @@
 
 const (
 	workerCallTimeout = time.Second
-	// checkpointTimeout leaves time for the stop that follows: an attempt that is
-	// being stopped is not renewed.
+	// checkpointTimeout leaves time for the following stop: an attempt that is being stopped
+	// is not renewed.
 	checkpointTimeout = 3 * time.Second
 	maxParallelStarts = 8
-	// pollsPerHeartbeat is how often per heartbeat interval the worker is asked for ended tasks.
+	// pollsPerHeartbeat is the number of times per heartbeat interval that the worker is
+	// queried for ended tasks.
 	pollsPerHeartbeat = 4
 	minPollSpacing    = 20 * time.Millisecond
 	bootIDPath        = "/proc/sys/kernel/random/boot_id"
 )
 
-// workerDriver carries the decisions of a lease.Manager out at the platform's worker.
+// workerDriver executes the decisions of a lease.Manager at the platform's worker.
 type workerDriver struct {
 	agent  *Agent
 	worker worker.Worker
@@ -37,10 +38,10 @@
 	mu      sync.Mutex // Guards manager, usage and observed.
 	manager *lease.Manager
 	usage   []*apiv1.UsageReport
-	// observedAt is when the worker last answered.
+	// observedAt is the time of the last query that the worker answered.
 	observedAt time.Duration
 
-	ordersMu sync.Mutex // Held while orders are carried out.
+	ordersMu sync.Mutex // Held while orders are executed.
 	group    *failstop.Group
 }
 
@@ -48,8 +49,8 @@
 	return &workerDriver{agent: a, worker: w, log: log.Named("lease"), manager: lease.New(a.bootNow())}
 }
 
-// pollLoop looks at the worker several times per heartbeat, so that a heartbeat never
-// waits for a worker that hangs, and wakes the heartbeat when a task has ended.
+// pollLoop queries the worker several times per heartbeat interval, so that a heartbeat never
+// waits for a hanging worker, and requests a heartbeat when a task has ended.
 func (d *workerDriver) pollLoop(ctx context.Context) {
 	spacing := max(d.agent.settings.HeartbeatInterval.Duration/pollsPerHeartbeat, minPollSpacing)
 	for {
@@ -60,15 +61,15 @@
 	}
 }
 
-// observe asks the worker what it has and runs. A failure is logged and leaves the
-// last observation to grow old.
+// observe queries the worker for its capacity and tasks. It logs a failure and then keeps the
+// last observation, which becomes stale.
 func (d *workerDriver) observe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, workerCallTimeout)
 	defer cancel()
-	asked := d.agent.bootNow()
+	queriedAt := d.agent.bootNow()
 	o, err := d.readObservation(ctx)
 	if err != nil {
-		d.log.Warn("worker does not answer", zap.Error(err))
+		d.log.Warn("worker does not respond", zap.Error(err))
 		return
 	}
 	usage, err := d.worker.Usage(ctx)
@@ -77,8 +78,8 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.usage, d.observedAt = usage, asked
-	if d.manager.Observe(asked, o) {
+	d.usage, d.observedAt = usage, queriedAt
+	if d.manager.Observe(queriedAt, o) {
 		d.agent.requestHeartbeat()
 	}
 }
@@ -98,9 +99,9 @@
 	return o, nil
 }
 
-// bootID stands for the worker's instance when it names no incarnation: it changes
-// when the host restarts. Tasks that such a worker loses otherwise are noticed as
-// missing once their leases have expired.
+// bootID returns the ID of the worker's instance for a worker that reports no incarnation. It
+// changes when the host restarts. If such a worker loses tasks in another way, they are
+// detected as missing after their leases have expired.
 func bootID() (string, error) {
 	b, err := os.ReadFile(bootIDPath)
 	return string(b), err
@@ -115,9 +116,9 @@
 	return sum
 }
 
-// heartbeat returns the worker's part of a heartbeat that is about to be sent. It is
-// nil when the worker has not answered of late: then nothing is renewed, for nobody
-// knows what runs.
+// heartbeat returns the worker's part of a heartbeat that is about to be sent. It returns nil
+// if the worker has not answered recently: no lease is renewed then, because it is unknown
+// which tasks run.
 func (d *workerDriver) heartbeat() *apiv1.WorkerHeartbeat {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,13 +137,12 @@
 	return hb
 }
 
-// followOrdersAsync carries out orders without holding up the heartbeats: while the worker
-// hangs, they still keep the host's targets announced. Orders that come while
-// earlier ones are still being carried out are skipped: the leader repeats what it
-// does not see done.
+// followOrdersAsync executes orders without delaying the heartbeats, which keep the host's
+// targets announced while the worker hangs. Orders that arrive while earlier ones are being
+// executed are skipped: the leader repeats orders until their effect is reported.
 func (d *workerDriver) followOrdersAsync(ctx context.Context, o *apiv1.WorkerOrders) {
 	if !d.ordersMu.TryLock() {
-		d.log.Warn("orders skipped, the worker is slow", zap.Uint64("sequence", o.Sequence))
+		d.log.Warn("orders skipped; the worker is still executing earlier ones", zap.Uint64("sequence", o.Sequence))
 		return
 	}
 	d.group.Go("orders", func() {
@@ -167,7 +167,7 @@
 		d.throttle(ctx, t)
 	}
 	for _, s := range actions.Refused {
-		d.log.Info("start refused", taskField(s.Task), attemptField(s.Task), zap.String("reason", "no room"))
+		d.log.Info("start refused", taskField(s.Task), attemptField(s.Task), zap.String("reason", "insufficient capacity"))
 	}
 	d.startAll(ctx, actions)
 	d.forget(ctx, actions.Forget)
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(ctx, workerCallTimeout)
 	defer cancel()
 	if err := d.worker.Renew(ctx, tasks, deadline); err != nil {
-		d.log.Warn("renewal failed", zap.Int("tasks", len(tasks)), zap.Error(err))
+		d.log.Warn("lease renewal failed", zap.Int("tasks", len(tasks)), zap.Error(err))
 	}
 }
 
@@ -203,7 +203,7 @@
 	ctx, cancel := context.WithTimeout(ctx, workerCallTimeout)
 	defer cancel()
 	if err := d.worker.Forget(ctx, tasks); err != nil {
-		d.log.Warn("ended tasks not forgotten", zap.Int("tasks", len(tasks)), zap.Error(err))
+		d.log.Warn("ended tasks could not be removed from the worker", zap.Int("tasks", len(tasks)), zap.Error(err))
 	}
 }
 
@@ -233,8 +233,8 @@
 		zap.Duration("deadline", a.Deadline), zap.Error(err))
 }
 
-// startResult reads an error of Start. Only a refusal says for certain that the
-// worker did nothing.
+// startResult classifies an error of Start. Only a refusal proves that the worker did not
+// start the task.
 func startResult(err error) lease.StartResult {
 	var refusal *worker.Error
 	switch {
@@ -248,8 +248,8 @@
 	return lease.StartUnknown
 }
 
-// stop takes the checkpoint that was asked for, then stops. Without the reply to
-// the checkpoint the stop goes ahead: the last durable one counts.
+// stop takes a checkpoint if the order requests one, then stops the task. It stops the task
+// also if the checkpoint call fails: the last durable checkpoint is used then.
 func (d *workerDriver) stop(ctx context.Context, s *apiv1.StopTask) {
 	checkpoint := ""
 	var checkpointErr error
--- a/agent/worker_test.go
+++ b/agent/worker_test.go
@@ -14,12 +14,12 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// fakeLeader stands in for the control group: it wants one task to run, and later to stop.
+// fakeLeader is a fake control group that orders one task to run, and later to stop.
 type fakeLeader struct {
 	mu              sync.Mutex
 	evict           bool
 	attempt         uint64
-	statuses        []*apiv1.TaskStatus // Reports on the task, in order.
+	statuses        []*apiv1.TaskStatus // Status reports of the task, in order.
 	usageReports    int
 	firstTaskCounts map[uint64]int // Tasks in the first heartbeat of each agent incarnation.
 }
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// newWorker serves a stand-in worker and returns its client, record and faults.
+// newWorker serves a fake worker and returns its client, its recorder and its address.
 func newWorker(t *testing.T) (*worker.Client, *fakes.Recorder[fakes.RunEvent], string) {
 	record, err := fakes.NewRecorder[fakes.RunEvent]("")
 	if err != nil {
@@ -89,18 +89,16 @@
 	req, _ := http.NewRequest("PUT", "http://"+address+fakes.PathFaults, strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode >= 300 {
-		t.Fatalf("fault not armed: %v", err)
+		t.Fatalf("fault not injected: %v", err)
 	}
 	_ = resp.Body.Close()
 }
 
-// Symptom: a task runs twice or is lost when replies of the worker get lost and
-// the agent is restarted.
-// Sequence: the reply to the start is lost; the task runs under renewals; the agent
-// restarts and reports it before anything else; the task is evicted, and the reply to
-// its checkpoint is lost.
-// Cause: a lost reply is taken for a refusal, or a new agent starts from nothing
-// without a look at what its worker runs.
+// TestLeaseSurvivesLostRepliesAndRestart checks that a task is neither run twice nor lost when
+// replies of the worker are lost and the agent restarts. The reply to the start is lost, the
+// task runs and is renewed, the restarted agent reports it in its first heartbeat, the task is
+// evicted, and the reply to its checkpoint is lost. It fails if the agent treats a lost reply
+// as a refusal, or starts without querying which tasks its worker runs.
 func TestLeaseSurvivesLostRepliesAndRestart(t *testing.T) {
 	t.Parallel()
 	hostWorker, record, address := newWorker(t)
@@ -121,7 +119,7 @@
 	r.stop()
 	<-r.done
 	r = newHarness(t, &fakeEntry{respond: l.respond}, hostWorker, nil)
-	r.eventually("the next agent reports what runs", func() bool {
+	r.eventually("the next agent reports the running task", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		return l.firstTaskCounts[r.agent.Incarnation()] == 1
@@ -134,7 +132,7 @@
 	if st := l.lastStatus(apiv1.TaskPhase_TASK_PHASE_STOPPED); st.Checkpoint == "" {
 		t.Errorf("checkpoint lost: %v", st)
 	}
-	r.eventually("the acknowledged end is forgotten", func() bool {
+	r.eventually("the acknowledged end is removed from the worker", func() bool {
 		tasks, err := hostWorker.Tasks(t.Context())
 		return err == nil && len(tasks) == 0
 	})
@@ -143,7 +141,7 @@
 	}
 }
 
-// hangingWorker answers nothing until its caller gives up.
+// hangingWorker does not respond until its caller's context ends.
 type hangingWorker struct{ worker.Worker }
 
 func (hangingWorker) Info(ctx context.Context) (*apiv1.WorkerInfo, error) {
@@ -151,19 +149,19 @@
 	return nil, ctx.Err()
 }
 
-// Symptom: targets vanish from the entries, although only the worker's process hangs.
-// Sequence: the worker answers no call until its caller gives up.
-// Cause: heartbeats that wait for the worker. They go on, and renew nothing.
+// TestHangingWorker checks that heartbeats continue while the worker hangs, and renew no lease.
+// If heartbeats waited for the worker, entries would drop the host's targets although only the
+// worker's process hangs.
 func TestHangingWorker(t *testing.T) {
 	t.Parallel()
 	e := &fakeEntry{}
 	r := newHarness(t, e, hangingWorker{}, nil)
-	r.eventually("heartbeats go on without the worker", func() bool {
+	r.eventually("heartbeats continue without the worker", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
 		return len(e.heartbeats) >= 10
 	})
 	if e.received(func(b *apiv1.HeartbeatRequest) bool { return b.Worker != nil }) {
-		t.Error("leases were renewed for a worker that nobody has heard")
+		t.Error("leases were renewed for a worker that has not responded")
 	}
 }
