--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -59,7 +59,7 @@
 		time.Sleep(20 * time.Millisecond)
 		echoID(w, req)
 	})
-	var answers atomic.Int64
+	var responses atomic.Int64
 	caller := func(n int) {
 		for i := 0; ; i++ {
 			id := fmt.Sprintf("%d-%d", n, i)
@@ -77,7 +77,7 @@
 				}
 				return // An entry would try another target.
 			}
-			if answers.Add(1) == 50 {
+			if responses.Add(1) == 50 {
 				r.stop()
 			}
 		}
@@ -143,9 +143,9 @@
 	}
 	close(release)
 	r.eventually("POST finishes", func() bool { return !revoke("post").Running })
-	answer := revoke("post").Response
-	if string(answer.GetBody()) != "/pitch?n=1 post" || answer.GetBodyChecksum() != xxhash.Sum64(answer.GetBody()) {
-		t.Errorf("response to POST: %v", answer)
+	response := revoke("post").Response
+	if string(response.GetBody()) != "/pitch?n=1 post" || response.GetBodyChecksum() != xxhash.Sum64(response.GetBody()) {
+		t.Errorf("response to POST: %v", response)
 	}
 	if resp := revoke("never"); resp.Outcome != apiv1.Outcome_OUTCOME_NOT_RUN {
 		t.Errorf("unknown attempt: %v", resp)
--- a/agent/configuration_test.go
+++ b/agent/configuration_test.go
@@ -20,7 +20,7 @@
 	}
 	damaged := configdelta.Diff(version(1), version(2))
 	damaged.Services[0].Insert[0] = &apiv1.Service{Name: "bookings", Slots: 9}
-	answers := []*apiv1.HeartbeatResponse{
+	responses := []*apiv1.HeartbeatResponse{
 		{Configuration: version(1)},
 		{Deltas: []*apiv1.ConfigurationDelta{damaged}},
 		{ResendAgent: true}, // The entry requests the announcement and sends no configuration.
@@ -33,8 +33,8 @@
 	requested := ""
 	e := &fakeEntry{respond: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		resp := &apiv1.HeartbeatResponse{}
-		if len(answers) > 0 {
-			resp, answers = answers[0], answers[1:]
+		if len(responses) > 0 {
+			resp, responses = responses[0], responses[1:]
 		}
 		requested += fmt.Sprint(req.ConfigurationVersion)
 		if req.WholeConfiguration {
--- a/agent/gate/checks_test.go
+++ b/agent/gate/checks_test.go
@@ -65,12 +65,12 @@
 
 func (s *simulation) checkMemory() {
 	attempts, tombstones := s.gate.RecordCounts()
-	answers := 0
+	responseBytes := 0
 	for _, r := range s.gate.records.byKey {
-		answers += proto.Size(r.verdict.Response)
+		responseBytes += proto.Size(r.verdict.Response)
 	}
-	if attempts > 8 || tombstones > 8 || answers > 24 {
-		s.fail("memory is not bounded: %d attempts, %d tombstones, %d bytes of responses", attempts, tombstones, answers)
+	if attempts > 8 || tombstones > 8 || responseBytes > 24 {
+		s.fail("memory is not bounded: %d attempts, %d tombstones, %d bytes of responses", attempts, tombstones, responseBytes)
 	}
 }
 
--- a/agent/gate/filters.go
+++ b/agent/gate/filters.go
@@ -75,8 +75,9 @@
 	return a.notRun(apiv1.Reason_REASON_STALE_CONFIGURATION, "configuration was not confirmed within the staleness bound")
 }
 
-// stalled reports whether the agent was paused until less than StallGrace ago. Without this
-// check, an agent that resumes would run requests whose callers have long timed out.
+// stalled reports whether Expire is overdue, which indicates a pause of the agent, or was
+// overdue until less than StallGrace ago. Without this check, an agent that resumes would run
+// requests whose callers have long timed out.
 func (g *Gate) stalled(now time.Time) bool {
 	return now.Before(g.stalledUntil) || g.expireOverdue(now)
 }
--- a/agent/gate/refused.go
+++ b/agent/gate/refused.go
@@ -52,8 +52,8 @@
 	return true
 }
 
-// rotate clears the older generation once per refusedGeneration, so that a refusal is
-// remembered for one to two generations.
+// rotate clears the older generation if the current one is at least refusedGeneration old, so
+// that a refusal is remembered for one to two generations.
 func (f *refusedFilter) rotate(now time.Time) {
 	if now.Sub(f.rotatedAt) < refusedGeneration {
 		return
--- a/agent/gate/revoke.go
+++ b/agent/gate/revoke.go
@@ -34,7 +34,7 @@
 		return rec.revokeResult()
 	}
 	if !g.recordsCover(now, r.Age) {
-		return unknownResult(apiv1.Reason_REASON_UNSPECIFIED, "attempt is older than the oldest record")
+		return unknownResult(apiv1.Reason_REASON_UNSPECIFIED, "attempt may be older than the oldest record")
 	}
 	if !g.tombstones.add(now, r.Key) {
 		return unknownResult(apiv1.Reason_REASON_OVERLOADED, "too many tombstones are stored")
--- a/agent/gate/stats.go
+++ b/agent/gate/stats.go
@@ -6,7 +6,7 @@
 	// meanDivisor is the inverse of the weight of the newest response time in the
 	// exponential moving average.
 	meanDivisor = 8
-	// fastestWindow is the length of a window; a fastest response counts for one to two windows.
+	// fastestWindow is the shortest time for which a fastest response counts.
 	fastestWindow = 10 * time.Second
 	// minFastestSamples is the number of responses in the last two windows below which the
 	// fastest one is not used.
