--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -100,14 +100,14 @@
 	if err != nil {
 		a.metrics.lostHeartbeats.Inc(1)
 		a.heartbeatState.acknowledgedBy = -1
-		wait := a.selector.Failed(a.now(), entry)
+		wait := a.selector.RecordFailure(a.now(), entry)
 		a.log.Warn("heartbeat not answered", zap.String("entry", a.settings.Entries[entry].Name),
 			zap.Duration("next_try", wait), zap.Error(err))
 		return wait, errors.Wrap(err, "heartbeat")
 	}
 	a.metrics.heartbeats.Inc(1)
 	respondedAt := a.now()
-	a.selector.Succeeded(respondedAt, entry, respondedAt.Sub(sent))
+	a.selector.RecordSuccess(respondedAt, entry, respondedAt.Sub(sent))
 	a.heartbeatState.acknowledgedBy, a.heartbeatState.acknowledgedRevision = entry, req.Revision
 	if req.Agent.GetLeaving() {
 		a.leaveOnce.Do(func() { close(a.leaveAcknowledged) })
@@ -213,7 +213,7 @@
 		return
 	}
 	a.mu.Lock()
-	a.latency.Sent(len(req.Worker.GetLatency()))
+	a.latency.DropSent(len(req.Worker.GetLatency()))
 	a.mu.Unlock()
 	a.worker.followOrdersAsync(ctx, resp.Orders)
 }
--- a/agent/server.go
+++ b/agent/server.go
@@ -49,7 +49,7 @@
 func (a *Agent) runAndRecord(ctx context.Context, key gate.Key, req *apiv1.DispatchRequest, ad gate.Admission) (v gate.Verdict, load *apiv1.Load) {
 	began := a.now()
 	a.mu.Lock()
-	a.latency.Began(began, req.Target, req.Service)
+	a.latency.RequestStarted(began, req.Target, req.Service)
 	a.mu.Unlock()
 	v = gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Message: "forwarding was aborted"}
 	defer func() {
@@ -58,7 +58,7 @@
 		defer a.mu.Unlock()
 		load = a.gate.Finish(ended, key, v)
 		a.deliverDecisions()
-		a.latency.Ended(ended, req.Target, ended.Sub(began), v.Response != nil)
+		a.latency.RequestEnded(ended, req.Target, ended.Sub(began), v.Response != nil)
 	}()
 	v = a.forwardAttempt(ctx, key, req, ad)
 	return v, load
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -153,10 +153,10 @@
 
 func (d *workerDriver) followOrders(ctx context.Context, o *apiv1.WorkerOrders) {
 	d.mu.Lock()
-	actions := d.manager.Orders(d.agent.bootNow(), o)
+	actions := d.manager.ApplyOrders(d.agent.bootNow(), o)
 	d.mu.Unlock()
-	if actions.Dropped != "" {
-		d.log.Warn("orders dropped", zap.Uint64("sequence", o.Sequence), zap.String("reason", actions.Dropped))
+	if actions.DropReason != "" {
+		d.log.Warn("orders dropped", zap.Uint64("sequence", o.Sequence), zap.String("reason", actions.DropReason))
 		return
 	}
 	d.renew(ctx, actions.Renew, actions.Deadline)
@@ -224,7 +224,7 @@
 		message = err.Error()
 	}
 	d.mu.Lock()
-	renew := d.manager.Started(s, startResult(err), message, a.Deadline)
+	renew := d.manager.RecordStart(s, startResult(err), message, a.Deadline)
 	d.mu.Unlock()
 	if renew {
 		d.renew(ctx, []*apiv1.TaskAttempt{s.Task}, a.Deadline)
@@ -241,7 +241,7 @@
 	case err == nil:
 		return lease.StartDone
 	case worker.Refused(err, worker.CodeExpired):
-		return lease.StartLate
+		return lease.StartExpired
 	case errors.As(err, &refusal):
 		return lease.StartRefused
 	}
@@ -260,7 +260,7 @@
 	defer cancel()
 	err := d.worker.Stop(stopCtx, s.Task)
 	d.mu.Lock()
-	d.manager.Stopped(s.Task, checkpoint, err == nil)
+	d.manager.RecordStop(s.Task, checkpoint, err == nil)
 	d.mu.Unlock()
 	d.log.Info("stopped", taskField(s.Task), attemptField(s.Task), zap.String("reason", s.Reason),
 		zap.String("checkpoint", checkpoint), zap.NamedError("checkpoint_error", checkpointErr), zap.Error(err))
--- a/internal/slopes/probe_agent.go
+++ b/internal/slopes/probe_agent.go
@@ -25,7 +25,7 @@
 			hb := m.Heartbeat(now)
 			_, err := proto.Marshal(&apiv1.HeartbeatRequest{Worker: hb})
 			must(err)
-			m.Orders(now, &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence, Renewed: true, LeaseMs: 6000})
+			m.ApplyOrders(now, &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence, Renewed: true, LeaseMs: 6000})
 		})
 	})
 	r.measure("gateRecord", "agent: attempts remembered for two minutes", "B", "attempt", taskSizes, func(n int) float64 {
