--- a/quorum/node/groupsize.go
+++ b/quorum/node/groupsize.go
@@ -23,7 +23,7 @@
 			continue
 		}
 		g.Voters++
-		if s.Role == quorum.Leader && (r.Id == s.ID || s.SilentTicks[r.Id] < recentTicks) {
+		if s.Role == quorum.Leader && (r.Id == s.ID || s.TicksSinceContact[r.Id] < recentTicks) {
 			g.Heard++
 		}
 	}
--- a/quorum/node/loop.go
+++ b/quorum/node/loop.go
@@ -196,7 +196,7 @@
 	}
 	if len(rd.Entries) > 0 {
 		took := time.Since(started)
-		n.raft.ReportSave(took)
+		n.raft.ReportSaveDuration(took)
 		n.meters.save.Update(took.Microseconds())
 		n.meters.batch.Update(int64(len(rd.Entries)))
 	}
--- a/quorum/node/membership.go
+++ b/quorum/node/membership.go
@@ -16,7 +16,7 @@
 var ErrNoReplica = errors.New("no such replica")
 
 // AddLearner adds a replica that receives the log but has no vote. Errors are
-// those of Propose, and quorum.ErrMembershipPending or quorum.ErrMembershipChange.
+// those of Propose, and quorum.ErrMembershipPending or quorum.ErrMembershipChangeRefused.
 func (n *Node) AddLearner(ctx context.Context, r *apiv1.Replica) error {
 	learner := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Spare: r.Spare}
 	return n.change(ctx, withLearner(n.Status().Membership, learner))
@@ -188,7 +188,7 @@
 // answers reports whether a replica was heard within some ticks, and in this term: a
 // new leader starts to count silence anew.
 func answers(s quorum.Status, id uint64, within int) bool {
-	return id == s.ID || s.Match[id] > 0 && s.SilentTicks[id] < within
+	return id == s.ID || s.Match[id] > 0 && s.TicksSinceContact[id] < within
 }
 
 // giveVote makes a learner a voter that is no spare, or that takes a voter's place. One
@@ -196,7 +196,7 @@
 // else would ever be repaired.
 func giveVote(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
 	for _, r := range s.Membership.GetReplicas() {
-		if r.Learner && !r.Spare && caughtUp(s, r.Id) && s.SilentTicks[r.Id] < p.recentTicks {
+		if r.Learner && !r.Spare && caughtUp(s, r.Id) && s.TicksSinceContact[r.Id] < p.recentTicks {
 			return withVoter(s.Membership, r.Id), "give a vote to " + r.Name
 		}
 	}
@@ -223,7 +223,7 @@
 // silentVoter returns a voter that was not heard for replaceTicks.
 func silentVoter(s quorum.Status, replaceTicks int) *apiv1.Replica {
 	for _, r := range s.Membership.GetReplicas() {
-		if !r.Learner && r.Id != s.ID && s.SilentTicks[r.Id] >= replaceTicks {
+		if !r.Learner && r.Id != s.ID && s.TicksSinceContact[r.Id] >= replaceTicks {
 			return r
 		}
 	}
--- a/quorum/node/node.go
+++ b/quorum/node/node.go
@@ -67,7 +67,7 @@
 
 	// Owned by the event loop.
 	raft      *quorum.Raft
-	stored    quorum.Stored
+	stored    quorum.StoredState
 	hardState *apiv1.HardState
 	applied   uint64
 	// snapshotAt is the index of the newest snapshot, or of one being stored.
@@ -220,7 +220,7 @@
 	}
 	n.raft = r
 	n.hardState = n.stored.HardState
-	n.stored = quorum.Stored{}
+	n.stored = quorum.StoredState{}
 	n.publish()
 	return nil
 }
--- a/quorum/node/size.go
+++ b/quorum/node/size.go
@@ -58,7 +58,7 @@
 func takeCensus(s quorum.Status, p membershipPolicy) census {
 	c := census{whole: true}
 	for _, r := range s.Membership.GetReplicas() {
-		silent := s.SilentTicks[r.Id]
+		silent := s.TicksSinceContact[r.Id]
 		if r.Id != s.ID && silent >= p.goneTicks {
 			c.countGone(r)
 			continue
