--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -7,7 +7,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// newBenchCluster returns a group led by replica 1 after that many commands.
+// newBenchCluster returns a group led by replica 1 that has committed about that many
+// entries.
 func newBenchCluster(b *testing.B, voters, entries int) *cluster {
 	cfg := Config{ElectionTicks: 10, HeartbeatTicks: 1, MaxEntriesPerMessage: 256, MaxInflight: 16, MaxUncommitted: 1 << 20}
 	c := newCluster(b, 1, cfg, voters)
@@ -19,7 +20,8 @@
 	return c
 }
 
-// commitCommands has commands of 128 bytes committed on all replicas, without any disk.
+// commitCommands proposes commands of 128 bytes and steps all replicas, without disks, until
+// the commands are committed and applied everywhere.
 func (c *cluster) commitCommands(commands int) {
 	for range commands {
 		if _, _, err := c.replicas[1].Propose(make([]byte, 128)); err != nil {
@@ -41,8 +43,8 @@
 	}
 }
 
-// BenchmarkCommit measures what a command costs all cores of a group together,
-// alone and in groups, after logs of several lengths.
+// BenchmarkCommit measures the total processor time of a group per command, for single
+// commands and batches and for logs of several lengths.
 func BenchmarkCommit(b *testing.B) {
 	for _, voters := range []int{1, 3, 5} {
 		for _, batch := range []int{1, 64} {
@@ -60,8 +62,8 @@
 	}
 }
 
-// BenchmarkStep measures a follower's handling of an append that it refuses with
-// a hint, which searches its log.
+// BenchmarkStep measures how long a follower takes to reject an append with a hint, for
+// which it searches its log.
 func BenchmarkStep(b *testing.B) {
 	for _, entries := range []int{1 << 10, 1 << 14, 1 << 18} {
 		h := newBenchCluster(b, 3, entries).replicas[2]
--- a/quorum/cluster_test.go
+++ b/quorum/cluster_test.go
@@ -12,13 +12,13 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// testReplica is a replica's process with its disk and its state machine, which keeps
-// all commands.
+// testReplica is a replica's process with its disk and its state machine. The state machine
+// keeps all commands.
 type testReplica struct {
 	*Raft
 	disk                   StoredState
 	up, frozen, lost       bool
-	pendingReady           *Ready // nil when none is being worked on
+	pendingReady           *Ready // nil when no Ready is being processed
 	synced                 bool
 	state                  []string
 	applied                uint64
@@ -26,22 +26,23 @@
 	starts, readsRequested uint64
 }
 
-// cluster is a group on a fake network, with a record of what was ever true.
+// cluster is a group on a simulated network. It records the committed entries and the
+// leaders of the whole run, against which the replicas are checked.
 type cluster struct {
 	testing.TB
 	cfg            Config
 	seed           uint64
-	compactionTail int // entries that compaction leaves
+	compactionTail int // entries that stay in memory after compaction
 	replicas       map[uint64]*testReplica
-	ids            []uint64 // of hosts, in order
+	ids            []uint64 // of replicas, in order
 	messages       []*apiv1.QuorumMessage
-	partition      map[uint64]int // hosts on different sides can't talk
+	partition      map[uint64]int // replicas with different values can't communicate
 	brokenLinks    map[[2]uint64]bool
 	committed      []*apiv1.LogEntry
-	commitTerms    []uint64           // in which term each was known to be committed
+	commitTerms    []uint64           // term in which each entry was first applied
 	leaders        map[uint64]uint64  // by term
 	proposed       map[[2]uint64]bool // by index and term
-	readFloor      uint64             // what a read that starts now has to see
+	readFloor      uint64             // lowest index that a new read must return
 }
 
 func newCluster(t testing.TB, seed uint64, cfg Config, voters int) *cluster {
@@ -74,7 +75,7 @@
 	cfg.ID, cfg.Rand = id, rand.New(rand.NewPCG(c.seed, id<<32|h.starts))
 	var err error
 	if h.Raft, err = New(cfg, h.disk); err != nil {
-		c.fail("start of %d: %v", id, err)
+		c.fail("start of replica %d: %v", id, err)
 	}
 	h.up, h.frozen, h.pendingReady, h.readsRequested, h.compactionTail = true, false, nil, 0, c.compactionTail
 	c.restore(h, h.disk.Snapshot)
@@ -93,7 +94,8 @@
 	}
 }
 
-// persist writes the first parts of the current Ready, in its order.
+// persist writes the given number of parts of the pending Ready, in order: the hard state,
+// the snapshot, then each entry.
 func (h *testReplica) persist(parts int) {
 	rd := h.pendingReady
 	if rd.HardState != nil && parts > 0 {
@@ -118,20 +120,21 @@
 	return err
 }
 
-// takeReady gets the next Ready and checks what it says of the leader.
+// takeReady gets the next Ready, and checks election safety, leader completeness and the limit
+// of messages in flight.
 func (c *cluster) takeReady(h *testReplica) {
 	rd := h.Ready()
 	h.pendingReady, h.synced = &rd, false
 	if rd.Role != Leader {
 		return
 	}
-	was, known := c.leaders[rd.Term]
-	if known && was != h.id {
-		c.fail("election safety: %d and %d lead in term %d", was, h.id, rd.Term)
+	previous, known := c.leaders[rd.Term]
+	if known && previous != h.id {
+		c.fail("election safety: replicas %d and %d are both leaders in term %d", previous, h.id, rd.Term)
 	}
 	for i, e := range c.committed {
 		if !known && c.commitTerms[i] < rd.Term && e.Index > h.log.baseIndex && !h.log.matches(e.Index, e.Term) {
-			c.fail("leader completeness: %d leads in term %d without entry %d", h.id, rd.Term, e.Index)
+			c.fail("leader completeness: replica %d is the leader of term %d without entry %d", h.id, rd.Term, e.Index)
 		}
 	}
 	c.leaders[rd.Term] = h.id
@@ -142,7 +145,7 @@
 	}
 }
 
-// finishReady sends and applies what is persisted.
+// finishReady sends the messages of the persisted Ready, applies its entries and advances.
 func (c *cluster) finishReady(h *testReplica) {
 	rd := h.pendingReady
 	h.pendingReady = nil
@@ -162,7 +165,7 @@
 		c.committed, c.commitTerms = append(c.committed, e), append(c.commitTerms, term)
 	}
 	if e.Index != h.applied+1 || !proto.Equal(c.committed[e.Index-1], e) {
-		c.fail("state machine safety: %d applies %v after %d, before it was %v", h.id, e, h.applied, c.committed[e.Index-1])
+		c.fail("state machine safety: replica %d applies %v after entry %d; the committed entry is %v", h.id, e, h.applied, c.committed[e.Index-1])
 	}
 	h.applied = e.Index
 	if e.Kind == apiv1.EntryKind_ENTRY_KIND_COMMAND {
@@ -179,11 +182,11 @@
 		return
 	}
 	if err := h.Step(m); err != nil || len(m.Entries) > c.cfg.MaxEntriesPerMessage {
-		c.fail("replica %d refuses %v: %v", m.To, m, err)
+		c.fail("replica %d rejected message %v: %v", m.To, m, err)
 	}
 }
 
-// processReady does all that a host has to do.
+// processReady processes Readys until a replica has no more work.
 func (c *cluster) processReady(h *testReplica) {
 	for h.up && (h.pendingReady != nil || h.HasReady()) {
 		if h.pendingReady == nil {
@@ -194,7 +197,7 @@
 	}
 }
 
-// runUntilIdle runs everything until nothing is left to do.
+// runUntilIdle processes Readys and delivers messages until there are none.
 func (c *cluster) runUntilIdle() {
 	for {
 		for _, id := range c.ids {
@@ -209,7 +212,7 @@
 	}
 }
 
-// changeMembership returns the membership with one step taken.
+// changeMembership returns a copy of the membership with the given step applied.
 func changeMembership(m *apiv1.Membership, step string, id uint64) *apiv1.Membership {
 	next := proto.CloneOf(m)
 	i := slices.IndexFunc(next.Replicas, func(r *apiv1.Replica) bool { return r.Id == id })
@@ -228,15 +231,15 @@
 	return next
 }
 
-// checkLogMatching is the paper's log matching: where two logs hold the same term at an
-// index they hold the same entry there, and before it.
+// checkLogMatching checks the paper's log matching property: if two logs hold entries with the
+// same index and term, these entries are identical, and so are the preceding ones.
 func (c *cluster) checkLogMatching() {
 	for n := range len(c.ids) * len(c.ids) {
 		x, y := &c.replicas[c.ids[n/len(c.ids)]].log, &c.replicas[c.ids[n%len(c.ids)]].log
 		for i := max(x.baseIndex, y.baseIndex) + 2; i <= min(x.lastIndex(), y.lastIndex()); i++ {
 			v, w := x.slice(i-1, i), y.slice(i-1, i)
 			if v[1].Term == w[1].Term && !(proto.Equal(v[0], w[0]) && proto.Equal(v[1], w[1])) {
-				c.fail("log matching: two logs differ at %d, not in its term", i)
+				c.fail("log matching: two logs have the same term at index %d, but differ there or in the entry before", i)
 			}
 		}
 	}
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -4,9 +4,10 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// campaign starts an election, or with PreCandidate only asks whether it could
-// be won (thesis, 9.6). The pre-vote changes neither term nor vote anywhere, so a
-// replica that was cut off does not come back with a term that deposes a leader.
+// campaign starts an election, or with PreCandidate a pre-vote that finds out whether an
+// election could be won (thesis, 9.6). A pre-vote changes neither the term nor the vote
+// of any replica, so a replica that was partitioned does not return with a newer term
+// that deposes the leader.
 func (r *Raft) campaign(role Role, transfer bool) {
 	term := r.term + 1
 	if role == PreCandidate {
@@ -36,15 +37,15 @@
 	}
 }
 
-// handleVoteRequest grants at most one vote a term, and only to a candidate whose
-// log is up to date. The vote is in the hard state that is synced before the
-// answer leaves: a replica that forgot it over a restart could vote twice, and
-// two leaders could win the term. Learners answer too, since a replica that was
-// made a voter may not know it yet.
+// handleVoteRequest grants at most one vote per term, and only to a candidate whose log
+// is up to date. The vote is part of the hard state, which is synced before the response
+// is sent: a replica that lost its vote in a restart could vote twice, and two candidates
+// could win the same term. Learners respond too, since a replica that was promoted to a
+// voter may not have received that entry yet.
 func (r *Raft) handleVoteRequest(m *apiv1.QuorumMessage) {
 	preVote := m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE
-	free := r.vote == m.GetFrom() || r.vote == 0 && r.leader == 0 || preVote && m.GetTerm() > r.term
-	grant := free && r.log.upToDate(m.GetIndex(), m.GetLogTerm()) && !(preVote && r.awaitsOtherCandidate(m.GetFrom()))
+	canVote := r.vote == m.GetFrom() || r.vote == 0 && r.leader == 0 || preVote && m.GetTerm() > r.term
+	grant := canVote && r.log.upToDate(m.GetIndex(), m.GetLogTerm()) && !(preVote && r.awaitsOtherCandidate(m.GetFrom()))
 	r.sendVoteResponse(m, grant)
 	if grant && !preVote {
 		r.vote = m.GetFrom()
@@ -55,8 +56,9 @@
 	}
 }
 
-// sendVoteResponse answers a vote request. A granted pre-vote repeats the proposed
-// term; a refusal carries the own term, so that the candidate can catch up.
+// sendVoteResponse responds to a vote or pre-vote request. A granted response carries the
+// term of the request; a rejection carries this replica's term, so that the candidate can
+// catch up.
 func (r *Raft) sendVoteResponse(m *apiv1.QuorumMessage, grant bool) {
 	kind := apiv1.MessageKind_MESSAGE_KIND_VOTE_RESPONSE
 	if m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE {
@@ -69,8 +71,8 @@
 	r.send(&apiv1.QuorumMessage{Kind: kind, To: m.GetFrom(), Term: term, Reject: !grant})
 }
 
-// handleVoteResponse counts an answer of the election that is going on. One to an
-// earlier pre-vote has another term and does not count.
+// handleVoteResponse counts a response in the current election. A response to an earlier
+// pre-vote has a different term and is ignored.
 func (r *Raft) handleVoteResponse(m *apiv1.QuorumMessage) {
 	preVote := m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE
 	switch {
@@ -85,42 +87,44 @@
 	r.recordVote(m.GetFrom(), !m.GetReject())
 }
 
-// recordVote counts the first answer of each voter and reports whether it decided
-// the election. A majority of the voters wins; any two majorities share a voter,
-// who votes once a term: election safety.
+// recordVote counts the first response of each voter and reports whether it decided the
+// election. A candidate wins with the votes of a majority. Any two majorities share a
+// voter, which votes once per term, so at most one candidate wins a term (election
+// safety).
 func (r *Raft) recordVote(from uint64, granted bool) bool {
-	if _, answered := r.votes[from]; !answered {
+	if _, responded := r.votes[from]; !responded {
 		r.votes[from] = granted
 	}
-	voters, won, lost := 0, 0, 0
+	voters, grants, rejections := 0, 0, 0
 	for _, replica := range r.membership.current().GetReplicas() {
 		if replica.GetLearner() {
 			continue
 		}
 		voters++
-		if granted, answered := r.votes[replica.GetId()]; answered && granted {
-			won++
-		} else if answered {
-			lost++
+		if granted, responded := r.votes[replica.GetId()]; responded && granted {
+			grants++
+		} else if responded {
+			rejections++
 		}
 	}
 	switch {
-	case won > voters/2 && r.role == PreCandidate:
+	case grants > voters/2 && r.role == PreCandidate:
 		r.campaign(Candidate, false)
 		return true
-	case won > voters/2:
+	case grants > voters/2:
 		r.becomeLeader()
 		return true
-	case lost > voters/2:
+	case rejections > voters/2:
 		r.becomeFollower(r.term, 0)
 		return true
 	}
 	return false
 }
 
-// becomeLeader takes up the office with an empty entry. Entries of earlier terms
-// can't be committed by counting (5.4.2), so without it they, and every read
-// that needs to know the commit index, would wait for the next proposal.
+// becomeLeader makes this replica the leader and appends an empty entry. Entries of
+// earlier terms can't be committed by counting copies (section 5.4.2 of the paper), so
+// without the empty entry they, and every linearizable read, would wait for the next
+// proposal.
 func (r *Raft) becomeLeader() {
 	r.reset(Leader, r.term)
 	r.setLeader(r.id)
--- a/quorum/errors.go
+++ b/quorum/errors.go
@@ -2,42 +2,47 @@
 
 import "github.com/cockroachdb/errors"
 
-// Outcomes of calls on a Raft. Each of them left the replica unchanged.
+// Errors returned by calls on a Raft. A call that returns one of them has left the replica
+// unchanged.
 var (
-	// ErrNotLeader says that only the leader of the group can do this.
+	// ErrNotLeader is returned for an operation that only the leader can do.
 	ErrNotLeader = errors.New("this replica is not the leader")
-	// ErrOverloaded says that too many entries wait for a majority.
+	// ErrOverloaded is returned when the leader has too many uncommitted entries.
 	ErrOverloaded = errors.New("too many uncommitted entries")
-	// ErrTooLarge says that a command is longer than MaxCommandBytes.
+	// ErrTooLarge is returned for a command longer than MaxCommandBytes.
 	ErrTooLarge = errors.New("command too large")
-	// ErrTransferring says that leadership is being handed to another replica.
+	// ErrTransferring is returned while leadership is being transferred.
 	ErrTransferring = errors.New("leadership is being transferred")
-	// ErrMembershipPending says that an earlier change, or the first entry of the
-	// leader's term, is not committed yet.
+	// ErrMembershipPending is returned when an earlier change, or the first entry of
+	// the leader's term, is not committed yet.
 	ErrMembershipPending = errors.New("a membership change must wait for an earlier entry")
-	// ErrMembershipChangeRefused says that a change is not one of the allowed single steps.
+	// ErrMembershipChangeRefused is returned for a membership that is invalid, or not one
+	// allowed step from the current one.
 	ErrMembershipChangeRefused = errors.New("membership change refused")
-	// ErrNotCaughtUp says that a learner lags too far to become a voter.
+	// ErrNotCaughtUp is returned when a learner lags too far behind to become a voter.
 	ErrNotCaughtUp = errors.New("learner is not caught up")
-	// ErrNotVoter says that the named replica has no vote in the group.
+	// ErrNotVoter is returned when the given replica is not a voter of the group.
 	ErrNotVoter = errors.New("replica is not a voter")
-	// ErrUnresponsive says that a replica was silent for an election timeout.
-	ErrUnresponsive = errors.New("replica is not heard")
-	// ErrNotApplied says that a snapshot was offered of an index not applied yet.
+	// ErrUnresponsive is returned when there was no contact with the given replica for an
+	// election timeout.
+	ErrUnresponsive = errors.New("replica is not responding")
+	// ErrNotApplied is returned for a snapshot at an index that is not applied yet.
 	ErrNotApplied = errors.New("index is not applied")
-	// ErrCompacted says that a newer snapshot exists.
+	// ErrCompacted is returned when a snapshot at the index or a later one exists.
 	ErrCompacted = errors.New("index is already compacted")
-	// ErrInvalidMessage says that a message is malformed or meant for another replica.
+	// ErrInvalidMessage is returned for a message that is malformed or addressed to another
+	// replica.
 	ErrInvalidMessage = errors.New("unusable message")
-	// ErrInvalidStoredState says that what was found on the disk cannot be a replica's state.
-	ErrInvalidStoredState = errors.New("unusable stored state")
-	// ErrLostEntries says that entries which this replica had acknowledged are
-	// missing. It must stop for good and return under a new id.
+	// ErrInvalidStoredState is returned when the state on the disk violates the rules of the
+	// log.
+	ErrInvalidStoredState = errors.New("invalid stored state")
+	// ErrLostEntries is returned when entries that this replica acknowledged are
+	// missing. The replica must stop, and may return only under a new id.
 	ErrLostEntries = errors.New("acknowledged entries are missing from the log")
 )
 
-// invariantViolated stops the process because the named invariant does not hold: going on
-// could only spread the damage to the other replicas.
+// invariantViolated panics because an invariant does not hold. Continuing could spread the
+// damage to other replicas.
 func invariantViolated(format string, args ...any) {
-	panic(errors.AssertionFailedf("quorum: broken invariant: "+format, args...))
+	panic(errors.AssertionFailedf("quorum: invariant violated: "+format, args...))
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -6,12 +6,12 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// entryOverhead is what an entry costs beyond its data, in bytes, rounded up.
+// entryOverhead is the size of an entry beyond its data, in bytes, rounded up.
 const entryOverhead = 32
 
-// raftLog is the part of the log that is kept in memory: everything after the
-// base, which is the last compacted entry. Entries are never changed once they
-// are in it, so slices handed out may share them.
+// raftLog is the part of the log that is kept in memory: all entries after the base,
+// which is the last compacted entry. Entries are never modified once they are in the
+// log, so returned slices may share them.
 //
 //	base <= applied <= commit <= last, and stable <= last
 type raftLog struct {
@@ -19,7 +19,7 @@
 	baseTerm  uint64
 	entries   []*apiv1.LogEntry
 	stable    uint64 // last entry known to be on the disk
-	writing   uint64 // last entry that is on the disk after the current Ready
+	writing   uint64 // last entry that will be on the disk after the current Ready
 	commit    uint64
 	applied   uint64
 }
@@ -33,8 +33,8 @@
 	return term
 }
 
-// term returns the term of the entry at index, and false when it is compacted
-// or beyond the end.
+// term returns the term of the entry at index, and false when that entry is compacted or
+// beyond the end of the log.
 func (l *raftLog) term(index uint64) (uint64, bool) {
 	if index == l.baseIndex {
 		return l.baseTerm, true
@@ -46,33 +46,33 @@
 }
 
 func (l *raftLog) matches(index, term uint64) bool {
-	own, ok := l.term(index)
-	return ok && own == term
+	logTerm, ok := l.term(index)
+	return ok && logTerm == term
 }
 
-// upToDate is the election restriction of the paper (5.4.1): a vote goes only to
-// a candidate whose last entry is not older than the voter's. A committed entry
-// is on a majority, every majority that elects has a member of that one, and
-// that member refuses a candidate without the entry: leader completeness.
+// upToDate implements the election restriction of the paper (section 5.4.1): a vote is
+// granted only to a candidate whose last entry is at least as up to date as the voter's.
+// A committed entry is on a majority. Every majority that elects a leader includes a
+// replica of that one, which rejects a candidate without the entry (leader completeness).
 func (l *raftLog) upToDate(index, term uint64) bool {
-	own := l.lastTerm()
-	return term > own || term == own && index >= l.lastIndex()
+	lastTerm := l.lastTerm()
+	return term > lastTerm || term == lastTerm && index >= l.lastIndex()
 }
 
-// slice copies the entries from..to, both included.
+// slice returns a copy of the entries from..to, inclusive.
 func (l *raftLog) slice(from, to uint64) []*apiv1.LogEntry {
 	if from > to {
 		return nil
 	}
 	if from <= l.baseIndex || to > l.lastIndex() {
-		invariantViolated("entries %d to %d asked of a log that holds %d to %d", from, to, l.baseIndex+1, l.lastIndex())
+		invariantViolated("entries %d to %d requested from a log that holds %d to %d", from, to, l.baseIndex+1, l.lastIndex())
 	}
 	part := l.entries[from-l.baseIndex-1 : to-l.baseIndex]
 	return append([]*apiv1.LogEntry(nil), part...)
 }
 
-// batch copies entries from index on, up to count and about maxBytes, but at
-// least one if there is any.
+// batch returns a copy of the entries starting at from, at most count of them and at most
+// maxBytes in total, but at least one if there is any.
 func (l *raftLog) batch(from uint64, count, maxBytes int) []*apiv1.LogEntry {
 	to, size := from, 0
 	for to <= l.lastIndex() && to-from < uint64(count) {
@@ -85,7 +85,7 @@
 	return l.slice(from, to-1)
 }
 
-// size returns about how many bytes the entries from..to take, both included.
+// size returns the approximate size of the entries from..to, inclusive, in bytes.
 func (l *raftLog) size(from, to uint64) int {
 	total := 0
 	for _, e := range l.entries[from-l.baseIndex-1 : to-l.baseIndex] {
@@ -98,8 +98,8 @@
 	return len(e.GetData()) + entryOverhead
 }
 
-// firstConflict returns the index of the first of the entries that the log does
-// not hold with the same term, or 0 when it holds them all.
+// firstConflict returns the index of the first entry that the log does not hold with the
+// same term, or 0 when it holds all of them.
 func (l *raftLog) firstConflict(entries []*apiv1.LogEntry) uint64 {
 	for _, e := range entries {
 		if !l.matches(e.GetIndex(), e.GetTerm()) {
@@ -109,16 +109,16 @@
 	return 0
 }
 
-// append puts entries, which are contiguous, at their indexes and cuts off
-// what they replace. Cutting off a committed entry would break state machine
-// safety, so it stops the process.
+// append adds entries, which must be contiguous, at their indexes and truncates the log
+// where they replace existing ones. It panics if a committed entry would be replaced,
+// since that would violate state machine safety.
 func (l *raftLog) append(entries []*apiv1.LogEntry) {
 	if len(entries) == 0 {
 		return
 	}
 	before := entries[0].GetIndex() - 1
 	if before < l.commit {
-		invariantViolated("committed entry %d would be replaced (committed up to %d)", before+1, l.commit)
+		invariantViolated("committed entry %d would be replaced (commit index %d)", before+1, l.commit)
 	}
 	if before > l.lastIndex() {
 		invariantViolated("entry %d would leave a gap after %d", before+1, l.lastIndex())
@@ -130,26 +130,27 @@
 
 func (l *raftLog) commitTo(index uint64) {
 	if index > l.lastIndex() {
-		invariantViolated("commit of entry %d, but the log ends at %d", index, l.lastIndex())
+		invariantViolated("commit index would be %d, but the log ends at %d", index, l.lastIndex())
 	}
 	l.commit = max(l.commit, index)
 }
 
-// acceptReady returns the entries that are not on the disk yet.
+// acceptReady returns the entries that are not on the disk yet, and records that they are
+// being written.
 func (l *raftLog) beginWrite() []*apiv1.LogEntry {
 	l.writing = l.lastIndex()
 	return l.slice(l.stable+1, l.writing)
 }
 
-// finishWrite notes that what was handed out is on the disk. Entries that were
-// replaced meanwhile are not: append has set the mark back before them.
+// finishWrite records that the entries of the last beginWrite are on the disk. Entries that
+// were replaced since then are not: append has moved writing back before them.
 func (l *raftLog) finishWrite() {
 	l.stable = max(l.stable, l.writing)
 }
 
-// lastWithTermAtMost returns the highest index up to the given one whose term is at
-// most term. A follower and its leader use it to skip a whole run of terms that
-// can't match in one step (section 5.3's faster backtracking).
+// lastWithTermAtMost returns the highest index, at most the given one, whose term is at most
+// term, and the term at that index. A follower and its leader use it to skip all entries
+// of terms that can't match in one step (the faster backtracking of section 5.3).
 func (l *raftLog) lastWithTermAtMost(index, term uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	if index <= l.baseIndex {
@@ -164,8 +165,8 @@
 	return found, foundTerm
 }
 
-// tailStart returns the index from which on, and up to the given one, there are
-// at most count entries of at most maxBytes.
+// tailStart returns the lowest index such that the entries after it, up to and including
+// the given index, are at most count and take at most maxBytes.
 func (l *raftLog) tailStart(index uint64, count, maxBytes int) uint64 {
 	start, size := index, 0
 	for start > l.baseIndex && index-start < uint64(count) {
@@ -178,8 +179,8 @@
 	return start
 }
 
-// compact drops the entries up to index from memory. What remains is copied, so
-// that the dropped ones are really released.
+// compact drops the entries up to index from memory. It copies the remaining ones, so
+// that the memory of the dropped ones is released.
 func (l *raftLog) compact(index uint64) {
 	term, ok := l.term(index)
 	if !ok || index == l.baseIndex {
@@ -189,7 +190,7 @@
 	l.baseIndex, l.baseTerm = index, term
 }
 
-// restore replaces the log by a snapshot that ends at index and term.
+// restore replaces the log with a snapshot whose last entry has the given index and term.
 func (l *raftLog) restore(index, term uint64) {
 	*l = raftLog{baseIndex: index, baseTerm: term, stable: index, writing: index, commit: index, applied: index}
 }
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -7,15 +7,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// membershipAt is the membership from the entry at index on.
+// membershipAt is a membership with the index of its entry, from which it is in effect.
 type membershipAt struct {
 	index      uint64
 	membership *apiv1.Membership
 }
 
-// membershipHistory holds the memberships of the kept log, oldest first. The
-// newest is in effect from the moment it is appended, committed or not (4.1 of
-// the thesis); when its entry is cut off, the one before is in effect again.
+// membershipHistory holds the memberships of the log in memory, oldest first. The newest
+// is in effect as soon as it is appended, even before it is committed (thesis, 4.1). When
+// its entry is truncated, the previous one is in effect again.
 type membershipHistory struct {
 	items []membershipAt
 }
@@ -27,7 +27,7 @@
 	return h.items[len(h.items)-1].membership
 }
 
-// lastIndex is the index of the entry that brought the current membership.
+// lastIndex returns the index of the entry that holds the current membership.
 func (h *membershipHistory) lastIndex() uint64 {
 	if len(h.items) == 0 {
 		return 0
@@ -35,7 +35,7 @@
 	return h.items[len(h.items)-1].index
 }
 
-// at returns the membership in effect at index.
+// at returns the membership that is in effect at index.
 func (h *membershipHistory) at(index uint64) *apiv1.Membership {
 	var found *apiv1.Membership
 	for _, item := range h.items {
@@ -46,14 +46,14 @@
 	return found
 }
 
-// truncate drops the memberships of the entries from index on.
+// truncate drops the memberships of entries at index and after it.
 func (h *membershipHistory) truncate(index uint64) {
 	for len(h.items) > 0 && h.lastIndex() >= index {
 		h.items = h.items[:len(h.items)-1]
 	}
 }
 
-// compact drops what was in effect only before index.
+// compact drops the memberships that were in effect only before index.
 func (h *membershipHistory) compact(index uint64) {
 	for len(h.items) > 1 && h.items[1].index <= index {
 		h.items = h.items[1:]
@@ -64,7 +64,7 @@
 	h.items = []membershipAt{{index: meta.GetIndex(), membership: meta.GetMembership()}}
 }
 
-// membershipsIn decodes the memberships among the entries.
+// membershipsIn decodes and validates the memberships among the entries.
 func membershipsIn(entries []*apiv1.LogEntry) ([]membershipAt, error) {
 	var found []membershipAt
 	for _, e := range entries {
@@ -73,17 +73,18 @@
 		}
 		m := &apiv1.Membership{}
 		if err := proto.Unmarshal(e.GetData(), m); err != nil {
-			return nil, errors.Wrapf(ErrInvalidMessage, "membership at %d: %v", e.GetIndex(), err)
+			return nil, errors.Wrapf(ErrInvalidMessage, "decode membership at index %d: %v", e.GetIndex(), err)
 		}
 		if err := validateMembership(m); err != nil {
-			return nil, errors.Wrapf(err, "membership at %d", e.GetIndex())
+			return nil, errors.Wrapf(err, "membership at index %d", e.GetIndex())
 		}
 		found = append(found, membershipAt{index: e.GetIndex(), membership: m})
 	}
 	return found, nil
 }
 
-// validateMembership checks what must be true of any membership.
+// validateMembership returns an error unless replica ids are unique and not 0, there is at
+// least one voter, and the group has at most MaxReplicas replicas.
 func validateMembership(m *apiv1.Membership) error {
 	voters := 0
 	seen := map[uint64]bool{}
@@ -97,7 +98,7 @@
 		}
 	}
 	if voters == 0 || len(seen) > MaxReplicas {
-		return errors.Wrapf(ErrMembershipChangeRefused, "%d voters among %d replicas (at most %d)", voters, len(seen), MaxReplicas)
+		return errors.Wrapf(ErrMembershipChangeRefused, "%d voters among %d replicas; at least 1 voter and at most %d replicas are allowed", voters, len(seen), MaxReplicas)
 	}
 	return nil
 }
@@ -125,15 +126,14 @@
 	return r.isVoter(r.id)
 }
 
-// ProposeMembership appends a membership that differs from the current one in one
-// step: a learner added, a caught-up learner made a voter, a replica removed, or
-// a name or address changed. With one step at a time any majority of the old
-// voters shares a member with any majority of the new ones, so the two can't
-// elect two leaders in a term; hence a step waits until the one before is
-// committed. It also waits for an entry of the leader's own term: leaders of
-// different terms could else have started different steps from the same
-// membership, whose majorities need not meet (the fault that Ongaro reported in
-// 2015).
+// ProposeMembership appends a membership that differs from the current one in one step: a
+// learner is added, a caught-up learner becomes a voter, a replica is removed, or a name or
+// address changes. Since each step changes at most one voter, any majority of the old
+// voters overlaps with any majority of the new ones, so the two can't elect two leaders in
+// a term. For this reason, a step must wait until the previous one is committed. It must
+// also wait until an entry of the leader's own term is committed: otherwise, leaders of
+// different terms could start different steps from the same membership, whose majorities
+// need not overlap (the fault that Ongaro reported in 2015).
 func (r *Raft) ProposeMembership(next *apiv1.Membership) (index, term uint64, err error) {
 	if err := r.checkCanPropose(); err != nil {
 		return 0, 0, err
@@ -156,13 +156,13 @@
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
-// committedOwnTerm reports whether an entry of the current term is committed, so
-// that the commit index covers everything committed in earlier terms.
+// committedOwnTerm reports whether an entry of the current term is committed. Only then
+// does the commit index cover everything that was committed in earlier terms.
 func (r *Raft) committedOwnTerm() bool {
 	return r.log.matches(r.log.commit, r.term)
 }
 
-// checkStep reports whether next is one allowed step from the current membership.
+// checkStep returns an error unless next is one allowed step from the current membership.
 func (r *Raft) checkStep(next *apiv1.Membership) error {
 	current := r.membership.current()
 	steps := 0
@@ -182,12 +182,12 @@
 		}
 	}
 	if steps != 1 {
-		return errors.Wrapf(ErrMembershipChangeRefused, "%d differences instead of one", steps)
+		return errors.Wrapf(ErrMembershipChangeRefused, "%d differences instead of 1", steps)
 	}
-	// Without a majority that lives, the step could never be committed, nor the next
-	// one that would mend it.
+	// Without a majority of responding voters, neither this step nor a later one that
+	// reverts it could be committed.
 	if !r.majorityRecentlyActive(next) {
-		return errors.Wrap(ErrMembershipChangeRefused, "too few of the voters left can be heard")
+		return errors.Wrap(ErrMembershipChangeRefused, "too few of the voters left are responding")
 	}
 	return nil
 }
@@ -201,24 +201,24 @@
 	case after.GetLearner():
 		return errors.Wrapf(ErrMembershipChangeRefused, "voter %d can't become a learner", after.GetId())
 	case before.GetName() != after.GetName() || before.GetAddress() != after.GetAddress():
-		return errors.Wrapf(ErrMembershipChangeRefused, "replica %d changes its vote and its address at once", after.GetId())
+		return errors.Wrapf(ErrMembershipChangeRefused, "replica %d must not become a voter and change its name or address in one step", after.GetId())
 	}
 	return r.checkCaughtUp(after.GetId())
 }
 
-// checkCaughtUp refuses a vote to a learner that is silent, or lags by more than
-// one message. It would count for the size of a majority while it can't
-// acknowledge anything new: commits would stop until it has caught up, and a
-// second loss in that time would stop the group.
+// checkCaughtUp returns an error if a learner is unresponsive or lags by more than one
+// message, so that it does not become a voter. Such a voter would raise the size of a
+// majority while it can't acknowledge new entries. Commits would stop until it has caught
+// up, and a second loss in that time would stop the group.
 func (r *Raft) checkCaughtUp(id uint64) error {
 	p := r.progress[id]
 	if r.recentlyActive(id) && r.almostCaughtUp(p) {
 		return nil
 	}
-	return errors.Wrapf(ErrNotCaughtUp, "replica %d holds %d of %d entries", id, p.match, r.log.lastIndex())
+	return errors.Wrapf(ErrNotCaughtUp, "replica %d has acknowledged the log up to %d of %d", id, p.match, r.log.lastIndex())
 }
 
-// syncProgress makes the leader's progress follow the membership. A leader that
+// syncProgress makes the keys of the leader's progress match the membership. A leader that
 // removed itself keeps its own item until it steps down.
 func (r *Raft) syncProgress() {
 	current := r.membership.current()
@@ -237,10 +237,10 @@
 	}
 }
 
-// stepDownIfRemoved makes a leader step down once its own removal is committed. Until
-// then it leads a group that it does not count itself in (thesis, 4.2.2). It
-// hands over to the replica that holds most, so that the group is not without a
-// leader for an election timeout.
+// stepDownIfRemoved makes a leader step down once its own removal is committed. Until then
+// it leads a group without counting itself in majorities (thesis, 4.2.2). It hands over to
+// the voter with the longest acknowledged log, so that the group is not without a leader
+// for an election timeout.
 func (r *Raft) stepDownIfRemoved() {
 	if r.isVoter(r.id) || r.membership.lastIndex() > r.log.commit {
 		return
--- a/quorum/progress.go
+++ b/quorum/progress.go
@@ -5,44 +5,46 @@
 	"time"
 )
 
-// progressState is how a leader sends entries to one follower.
+// progressState determines how a leader sends entries to one follower.
 type progressState int
 
 const (
-	// probing: where the logs agree is unknown; one message at a time.
+	// probing means that the last matching entry of the two logs is unknown. The leader
+	// sends one message at a time.
 	probing progressState = iota
-	// replicating: the logs agree; messages follow each other without waiting.
+	// replicating means that the logs match up to match. The leader sends messages
+	// without waiting for responses.
 	replicating
-	// restoring: a snapshot is on its way; nothing else is sent.
+	// restoring means that a snapshot has been sent. The leader sends no entries.
 	restoring
 )
 
-// progress is what a leader knows of one replica, itself included.
+// progress is a leader's replication state of one replica, which may be the leader itself.
 type progress struct {
 	state progressState
 	// match is the last entry known to be on the replica's disk.
 	match uint64
 	// next is the first entry to send.
 	next uint64
-	// inflight holds the last index of each unanswered message, oldest first.
+	// inflight holds the last index of each unacknowledged message, oldest first.
 	inflight []uint64
-	// probeSent: the one message of the probing state is unanswered.
+	// probeSent is set while the message of the probing state is unacknowledged.
 	probeSent bool
-	// forceSend: send a message even if there is nothing new, so that the answer shows
-	// whether earlier ones were lost.
+	// forceSend is set to send a message even if there is nothing new, so that the
+	// response shows whether earlier messages were lost.
 	forceSend bool
-	// sentCommit is the commit index that the last message carried, as far as it
-	// applies to the entries up to that message.
+	// sentCommit is the commit index in the last message, limited to the last entry of
+	// that message.
 	sentCommit uint64
-	// ackedRound is the last heartbeat round that the replica answered.
+	// ackedRound is the last heartbeat round that the replica acknowledged.
 	ackedRound uint64
-	// ticksSinceContact is how long ago the replica was heard.
+	// ticksSinceContact is the number of ticks since the replica's last response.
 	ticksSinceContact int
-	// restoreIndex is the index of the snapshot on its way, and restoreTicks how
-	// long ago it was sent.
+	// restoreIndex is the index of the snapshot that was sent, and restoreTicks the
+	// number of ticks since then.
 	restoreIndex uint64
 	restoreTicks int
-	// saveDuration is how long the replica says that its saves take at most, 0 while unknown.
+	// saveDuration is the longest of the last saves that the replica reported, 0 while unknown.
 	saveDuration time.Duration
 }
 
@@ -53,13 +55,13 @@
 	p.next = p.match + 1
 }
 
-// recordAck notes that the replica holds the log up to index.
+// recordAck records that the replica's disk holds the log up to index.
 func (p *progress) recordAck(index uint64) {
 	p.probeSent = false
 	p.match = max(p.match, index)
 	p.next = max(p.next, index+1)
-	answered, _ := slices.BinarySearch(p.inflight, index+1)
-	p.inflight = slices.Delete(p.inflight, 0, answered)
+	acked, _ := slices.BinarySearch(p.inflight, index+1)
+	p.inflight = slices.Delete(p.inflight, 0, acked)
 	switch p.state {
 	case probing:
 		p.setState(replicating)
@@ -70,9 +72,8 @@
 	}
 }
 
-// recordReject notes that the replica's log does not hold the entry at index, and
-// that the logs may agree up to hint. It returns false for an answer that later
-// ones have made obsolete.
+// recordReject records that the replica's log does not match at index, and that the logs may
+// match up to hint. It returns false for an outdated response.
 func (p *progress) recordReject(index, hint uint64) bool {
 	if p.state == restoring || index <= p.match {
 		return false
@@ -85,15 +86,16 @@
 	return true
 }
 
-// markUnreachable notes that messages to the replica were lost. The next one waits
-// for a sign of life: a snapshot is too much to send again and again in vain.
+// markUnreachable records that messages to the replica were lost. The next append
+// message or snapshot is sent only after a response: a snapshot is too large to be sent
+// repeatedly to a replica that can't be reached.
 func (p *progress) markUnreachable() {
 	p.setState(probing)
 	p.probeSent = true
 }
 
-// quorumValue returns the highest value that a majority of the voters has
-// reached, given one value per voter. It sorts them.
+// quorumValue returns the highest value that a majority of the voters has reached, given
+// one value per voter. It sorts values in place.
 func quorumValue(values []uint64) uint64 {
 	if len(values) == 0 {
 		return 0
@@ -102,7 +104,7 @@
 	return values[(len(values)-1)/2]
 }
 
-// recordSend notes a message with that many entries.
+// recordSend records that a message with that many entries and that commit index was sent.
 func (p *progress) recordSend(entries int, commit uint64) {
 	p.sentCommit = min(commit, p.next-1+uint64(entries))
 	p.forceSend = false
--- a/quorum/raft.go
+++ b/quorum/raft.go
@@ -8,60 +8,61 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Config holds a replica's settings. Times are counted in ticks; how long a
-// tick lasts is up to the driver, and must be the same in the whole group.
+// Config holds a replica's settings. Times are counted in ticks. The driver chooses
+// the length of a tick, which must be the same in the whole group.
 type Config struct {
-	// ID is unique over the group's whole life: a replica that lost its disk
-	// returns under a new one, since under the old one it could vote a second
-	// time in a term, or be counted for entries it no longer has.
+	// ID must never be used twice in a group. A replica that lost its disk must return
+	// under a new id: under the old one it could vote a second time in a term, or be
+	// counted for entries that it no longer has.
 	ID uint64
-	// ElectionTicks is the shortest election timeout; each one is drawn from
+	// ElectionTicks is the shortest election timeout. Each timeout is drawn from
 	// [ElectionTicks, 2*ElectionTicks).
 	ElectionTicks int
 	// HeartbeatTicks is the time between two heartbeats of a leader.
 	HeartbeatTicks int
-	// MaxEntriesPerMessage bounds one append message, besides MaxMessageBytes.
+	// MaxEntriesPerMessage limits the entries of one append message, in addition to
+	// MaxMessageBytes.
 	MaxEntriesPerMessage int
-	// MaxInflight bounds the unanswered append messages to one follower.
+	// MaxInflight limits the unacknowledged append messages to one follower.
 	MaxInflight int
-	// MaxUncommitted bounds the entries of a leader's log that wait for a majority.
+	// MaxUncommitted limits the uncommitted entries of a leader's log.
 	MaxUncommitted int
-	// Rand spreads election timeouts and names forwarded reads. The driver seeds
-	// it differently at every start.
+	// Rand randomizes election timeouts and the tokens of forwarded reads. The driver
+	// must seed it differently at every start.
 	Rand *rand.Rand
 }
 
 const (
-	// MaxCommandBytes bounds the data of one entry.
+	// MaxCommandBytes limits the data of one entry.
 	MaxCommandBytes = 4 << 20
-	// MaxMessageBytes bounds the entries of one append message, which still
-	// carries one entry if that alone is longer.
+	// MaxMessageBytes limits the entries of one append message. An entry that alone
+	// exceeds the limit is sent in a message of its own.
 	MaxMessageBytes = 1 << 20
-	// MaxReplicas bounds a group, learners included.
+	// MaxReplicas limits the replicas of a group, including learners.
 	MaxReplicas = 15
-	// MaxUncommittedBytes bounds, besides Config.MaxUncommitted, what waits for a
-	// majority; one more command may reach beyond it.
+	// MaxUncommittedBytes limits the size of a leader's uncommitted entries, in addition
+	// to Config.MaxUncommitted. The last accepted command may exceed it.
 	MaxUncommittedBytes = 32 << 20
-	// maxCommittedPerReady bounds the entries handed out to be applied at once.
+	// maxCommittedPerReady limits the committed entries in one Ready.
 	maxCommittedPerReady = 1024
 )
 
 func (c Config) validate() error {
 	switch {
 	case c.ID == 0:
-		return errors.New("quorum: a replica's id must not be 0")
+		return errors.New("quorum: ID must not be 0")
 	case c.HeartbeatTicks <= 0 || c.ElectionTicks <= c.HeartbeatTicks:
-		return errors.New("quorum: the election timeout must be longer than the time between heartbeats")
+		return errors.New("quorum: ElectionTicks must be greater than HeartbeatTicks, and HeartbeatTicks greater than 0")
 	case c.MaxEntriesPerMessage <= 0 || c.MaxInflight <= 0 || c.MaxUncommitted <= 0:
-		return errors.New("quorum: every bound must be above 0")
+		return errors.New("quorum: MaxEntriesPerMessage, MaxInflight and MaxUncommitted must be greater than 0")
 	case c.Rand == nil:
-		return errors.New("quorum: a source of randomness is needed")
+		return errors.New("quorum: Rand must be set")
 	}
 	return nil
 }
 
-// Raft is one replica's consensus core. It is not safe for concurrent use.
-// Messages and entries that it took or handed out must not be changed.
+// Raft is the consensus core of one replica. It is not safe for concurrent use.
+// Messages and entries that were passed to it or returned by it must not be modified.
 type Raft struct {
 	cfg  Config
 	id   uint64
@@ -71,44 +72,46 @@
 
 	leader     uint64
 	log        raftLog
-	snapshot   *apiv1.QuorumSnapshot // newest, nil when there is none
+	snapshot   *apiv1.QuorumSnapshot // the newest one, or nil
 	membership membershipHistory
 
-	// progress is set while leading, with one item per replica, itself included.
+	// progress holds the replication state of each replica, including this one. It is
+	// set only on a leader.
 	progress map[uint64]*progress
-	// votes is set while a candidate: who answered, and whether in favour.
+	// votes holds, by replica, whether it granted its vote. It is set only on a
+	// candidate or pre-candidate.
 	votes map[uint64]bool
-	// transferee is who the leader hands over to, 0 when to nobody, and
-	// transferElapsed since when.
+	// transferee is the replica that leadership is being transferred to, or 0, and
+	// transferElapsed the ticks since that transfer began.
 	transferee      uint64
 	transferElapsed int
-	// uncommittedBytes is the size of a leader's entries that wait for a majority.
+	// uncommittedBytes is the size of a leader's uncommitted entries.
 	uncommittedBytes int
 	reads            reads
 
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	// startupTicks are the ticks left in which a replica that has just started asks for
-	// pre-votes early; see early.go.
+	// startupTicks is the number of ticks left in which a replica that has just started
+	// requests pre-votes early; see startup.go.
 	startupTicks int
-	// voteWindowTicks are the ticks left in which the candidate that got this replica's vote is
-	// expected to win; see early.go.
+	// voteWindowTicks is the number of ticks left in which the candidate that got this
+	// replica's vote is expected to win; see startup.go.
 	voteWindowTicks int
 
 	messages   []*apiv1.QuorumMessage
 	readStates []ReadState
-	// appendsPending: there may be something to send to a follower.
+	// appendsPending is set when there may be something to send to a follower.
 	appendsPending bool
 	ready          readyState
 	saveDurations  durationWindow
-	// compactionTail is the constant of that name, but in tests.
+	// compactionTail equals the constant of that name, except in tests.
 	compactionTail int
 }
 
-// New returns a replica that continues from what is stored. A replica without
-// any stored state waits to be taken in by a group. A new group starts from a
-// snapshot at index 1 and term 1 that holds the membership.
+// New returns a replica that continues from its stored state. A replica without
+// stored state waits until a group adds it. A new group starts from a snapshot at
+// index 1 and term 1 that holds the membership.
 func New(cfg Config, stored StoredState) (*Raft, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
@@ -145,15 +148,15 @@
 	if hs == nil {
 		r.term = stored.Snapshot.GetMeta().GetTerm()
 	}
-	// The commit index is saved only once the entries are, so a log that ends
-	// before it has lost entries that this replica had acknowledged. It could
-	// help to elect a leader without them: it must not go on.
+	// The commit index is saved only after the entries, so a log that ends before it
+	// has lost entries that this replica acknowledged. The replica must not start: its
+	// vote could elect a leader that lacks these entries.
 	if hs.GetCommit() > r.log.lastIndex() {
-		return errors.Wrapf(ErrLostEntries, "committed up to %d, the log ends at %d", hs.GetCommit(), r.log.lastIndex())
+		return errors.Wrapf(ErrLostEntries, "commit index is %d, but the log ends at %d", hs.GetCommit(), r.log.lastIndex())
 	}
 	r.log.commitTo(hs.GetCommit())
 	if r.log.lastTerm() > r.term {
-		return errors.Wrapf(ErrInvalidStoredState, "term %d is older than the last entry's", r.term)
+		return errors.Wrapf(ErrInvalidStoredState, "stored term %d is lower than the term of the last entry", r.term)
 	}
 	return nil
 }
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// Tick tells the replica that one more tick has passed.
+// Tick advances the replica's clock by one tick.
 func (r *Raft) Tick() {
 	r.electionElapsed++
 	r.tickStartup()
@@ -189,15 +192,15 @@
 	case r.isVoter(r.id):
 		r.campaign(PreCandidate, false)
 	case r.leader != 0:
-		// Without a vote there is no election to lose the leader in. A replica that
-		// believed in one for ever would not notice that the group has forgotten it, or
-		// never took it in.
+		// A replica without a vote does not campaign, so it would keep its last known
+		// leader forever, and would not notice that the group has removed it or never
+		// added it.
 		r.becomeFollower(r.term, 0)
 	}
 }
 
 func (r *Raft) tickLeader() {
-	r.electionElapsed = 0 // a leader hears itself
+	r.electionElapsed = 0 // a leader counts as its own contact
 	for _, p := range r.progress {
 		p.ticksSinceContact++
 		p.restoreTicks++
@@ -216,29 +219,29 @@
 	}
 }
 
-// majorityRecentlyActive reports whether a leader heard a majority of the voters within an
-// election timeout. One that did not steps down (check-quorum): cut off, it would
-// else believe in its office for as long as the cut lasts, and take work that it
-// can never commit.
+// majorityRecentlyActive reports whether a leader had contact with a majority of the
+// voters within an election timeout. A leader that had none steps down (check-quorum).
+// Otherwise, a partitioned leader would consider itself the leader for as long as the
+// partition lasts, and accept proposals that it can never commit.
 func (r *Raft) majorityRecentlyActive(m *apiv1.Membership) bool {
-	heard, voters := 0, 0
+	active, voters := 0, 0
 	for _, replica := range m.GetReplicas() {
 		if replica.GetLearner() {
 			continue
 		}
 		voters++
 		if r.recentlyActive(replica.GetId()) {
-			heard++
+			active++
 		}
 	}
-	return heard > voters/2
+	return active > voters/2
 }
 
 func (r *Raft) recentlyActive(id uint64) bool {
 	return id == r.id || r.progress[id].ticksSinceContact < r.cfg.ElectionTicks
 }
 
-// Status returns the replica's view of its group.
+// Status returns the replica's current view of its group.
 func (r *Raft) Status() Status {
 	s := Status{
 		ID:         r.id,
@@ -261,7 +264,8 @@
 	return s
 }
 
-// reset prepares for a role in a term. The vote lasts as long as the term.
+// reset clears the state of the previous role and enters a role in a term. The vote is
+// kept within a term.
 func (r *Raft) reset(role Role, term uint64) {
 	if term != r.term {
 		r.term, r.vote = term, 0
@@ -278,8 +282,8 @@
 	r.setLeader(leader)
 }
 
-// setLeader notes who leads. Reads that wait for the one before are refused:
-// nobody is left to confirm them.
+// setLeader records the current leader, 0 when it is unknown. When the leader changes,
+// pending reads are rejected, since the previous leader can no longer confirm them.
 func (r *Raft) setLeader(leader uint64) {
 	if r.leader == leader {
 		return
--- a/quorum/read.go
+++ b/quorum/read.go
@@ -6,47 +6,48 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// maxReads bounds the reads that wait on one replica; more are refused at once.
+// maxReads limits the pending reads of one replica; further reads are rejected immediately.
 const maxReads = 4096
 
-// readRequest is a read that a leader has to confirm, for itself or a follower.
+// readRequest is a read that the leader must confirm, for itself or for a follower.
 type readRequest struct {
 	from    uint64
 	context uint64
 }
 
-// readRound is a round of heartbeats that confirms the reads taken before it.
+// readRound is a round of heartbeats that confirms the reads received before it.
 type readRound struct {
 	number   uint64
 	index    uint64
 	requests []readRequest
 }
 
-// forwardedRead is a follower's read that its leader was asked to confirm.
+// forwardedRead is a read that a follower has forwarded to its leader for confirmation.
 type forwardedRead struct {
 	context uint64
-	// token names the read to the leader. It is random and not the context, since
-	// a caller that restarts may count contexts afresh: an answer on the way to its
-	// earlier self would then pass for one to a new read, with too old an index.
+	// token identifies the read in messages to the leader. It is random, since a replica
+	// that restarts may use the same contexts again: a response to a read before the
+	// restart would be taken for the response to a new read, and its index would be too
+	// low.
 	token uint64
 	ticks int
 }
 
-// reads holds what is known of linearizable reads (thesis, 6.4). A leader
-// notes its commit index, then proves with a round of heartbeats that it still
-// leads: whatever was acknowledged before the read began is at or below that
-// index, since no later leader can have committed anything by then.
+// reads holds the state of linearizable reads (thesis, 6.4). The leader records its commit
+// index, then confirms with a round of heartbeats that it still is the leader. Everything
+// that was acknowledged before the read began is at or below that index, since no later
+// leader can have committed anything by then.
 type reads struct {
 	round       uint64
 	waiting     []readRequest
 	rounds      []readRound
-	unconfirmed int // requests in rounds
+	unconfirmed int // number of requests in rounds
 	forwarded   []forwardedRead
 }
 
-// ReadIndex asks for an index to read at. The answer is a ReadState with the same
-// context, which may say that no leader could confirm it. Rounds are shared: all
-// reads asked for between two Readys cost one round of heartbeats.
+// ReadIndex requests an index to read at. The result is a ReadState with the same context,
+// which is rejected if no leader confirmed the read. Rounds are shared: all reads requested
+// between two Readys need one round of heartbeats.
 func (r *Raft) ReadIndex(context uint64) {
 	switch {
 	case r.role == Leader:
@@ -90,8 +91,9 @@
 	})
 }
 
-// canStartReadRound: before an entry of the own term is committed, a leader does
-// not know how far its predecessors committed, and its index could be too low.
+// canStartReadRound reports whether a leader can start a round for its waiting reads. Until
+// an entry of its own term is committed, it does not know how far its predecessors have
+// committed, and its commit index could be too low.
 func (r *Raft) canStartReadRound() bool {
 	return r.role == Leader && len(r.reads.waiting) > 0 && r.committedOwnTerm()
 }
@@ -108,8 +110,9 @@
 	r.confirmReads()
 }
 
-// confirmReads answers the rounds that a majority has acknowledged. An answer to a
-// later round also answers the earlier ones: its heartbeat left after theirs.
+// confirmReads confirms the reads of the rounds that a majority has acknowledged. A
+// response to a later round also acknowledges the earlier ones, since its heartbeat was
+// sent after theirs.
 func (r *Raft) confirmReads() {
 	if len(r.reads.rounds) == 0 {
 		return
@@ -136,8 +139,8 @@
 	r.reads.forwarded = slices.Delete(r.reads.forwarded, i, i+1)
 }
 
-// expireForwardedReads refuses forwarded reads that got no answer within an
-// election timeout: the request or its answer was lost.
+// expireForwardedReads rejects forwarded reads that got no response within an election
+// timeout, since the request or its response was lost.
 func (r *Raft) expireForwardedReads() {
 	for i := range r.reads.forwarded {
 		r.reads.forwarded[i].ticks++
@@ -148,7 +151,7 @@
 	}
 }
 
-// rejectReads refuses everything that waits, when the leader changes.
+// rejectReads rejects all pending reads. It is called when the leader changes.
 func (r *Raft) rejectReads() {
 	for _, round := range r.reads.rounds {
 		r.reads.waiting = append(r.reads.waiting, round.requests...)
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -4,30 +4,30 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// hardState is what must be on the disk before a message leaves.
+// hardState is the state that must be on the disk before a message is sent.
 type hardState struct {
 	term, vote, commit uint64
 }
 
-// readyState tracks what was handed out and what is on the disk.
+// readyState tracks what the last Ready contained.
 type readyState struct {
-	// saved is the hard state that was handed out last.
+	// saved is the hard state of the last Ready that had one.
 	saved hardState
-	// snapshot is received and not handed out yet.
+	// snapshot is a received snapshot that has not been in a Ready yet.
 	snapshot *apiv1.QuorumSnapshot
-	// role, term and leader are what the last Ready said.
+	// role, term and leader are those of the last Ready.
 	role         Role
 	term, leader uint64
 
-	// outstanding: a Ready waits for its Advance; its last committed entry is at
-	// applied.
+	// outstanding is set between a Ready and its Advance. applied is the index of the
+	// last committed entry in that Ready.
 	outstanding bool
 	applied     uint64
 }
 
-// hardState returns what to persist. The commit index in it is only a hint that
-// saves work after a restart, so it is bounded by what is already on the disk: a
-// log that ends before it then surely lost entries, however a write was torn.
+// hardState returns the hard state to persist. Its commit index only saves work after a
+// restart, so it is limited to entries that are already on the disk. A log that ends before
+// it has therefore lost entries, even if a write was torn.
 func (r *Raft) hardState() hardState {
 	hs := hardState{term: r.term, vote: r.vote, commit: r.ready.saved.commit}
 	if r.ready.snapshot == nil {
@@ -36,8 +36,8 @@
 	return hs
 }
 
-// mustSaveHardState reports whether the hard state has to be persisted. A new commit index
-// alone is not worth a sync.
+// mustSaveHardState reports whether the hard state must be persisted. A new commit index
+// alone does not justify a sync.
 func (r *Raft) mustSaveHardState(hs hardState) bool {
 	saved := r.ready.saved
 	if hs.term != saved.term || hs.vote != saved.vote {
@@ -46,7 +46,7 @@
 	return hs != saved && r.log.stable < r.log.lastIndex()
 }
 
-// HasReady reports whether there is anything for the driver to do.
+// HasReady reports whether there is work for the driver.
 func (r *Raft) HasReady() bool {
 	switch {
 	case r.ready.outstanding:
@@ -63,11 +63,10 @@
 	return r.mustSaveHardState(r.hardState())
 }
 
-// Ready returns what the driver has to do now. The next one may be taken only
-// after Advance.
+// Ready returns the next work for the driver. It must not be called again before Advance.
 func (r *Raft) Ready() Ready {
 	if r.ready.outstanding {
-		invariantViolated("a Ready was taken before the one before it was advanced")
+		invariantViolated("Ready was called twice without Advance")
 	}
 	if r.canStartReadRound() {
 		r.startReadRound()
@@ -94,8 +93,9 @@
 	return out
 }
 
-// nextCommitted returns the committed entries to apply next. They may be among
-// the entries to persist, since those come first.
+// nextCommitted returns the committed entries to apply next. They may include entries of
+// the same Ready that are still to be persisted, since the driver persists before it
+// applies.
 func (r *Raft) nextCommitted() []*apiv1.LogEntry {
 	to := min(r.log.commit, r.log.applied+maxCommittedPerReady)
 	return r.log.slice(r.log.applied+1, to)
@@ -110,12 +110,12 @@
 	}
 }
 
-// Advance says that everything in the last Ready is done. Only now does a leader
-// count its own entries: it may crash before they are synced, and a majority that
-// counted them would then be one copy short.
+// Advance reports that all work of the last Ready is done. Only then does a leader count
+// its own copies of the entries: if it crashed before they were synced, a majority that
+// included them would lack one copy.
 func (r *Raft) Advance() {
 	if !r.ready.outstanding {
-		invariantViolated("Advance without a Ready")
+		invariantViolated("Advance was called without Ready")
 	}
 	r.ready.outstanding = false
 	r.log.applied = max(r.log.applied, r.ready.applied)
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -6,9 +6,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Propose appends a command to the leader's log. The command is committed once
-// an entry with this index and this term is handed out as committed; an entry of
-// another term at the index says that it never will be.
+// Propose appends a command to the leader's log. The command is committed when a Ready
+// contains an entry with this index and term in Committed. If it contains an entry of
+// another term at that index, the command will never be committed.
 func (r *Raft) Propose(data []byte) (index, term uint64, err error) {
 	if err := r.checkCanPropose(); err != nil {
 		return 0, 0, err
@@ -34,21 +34,21 @@
 	return nil
 }
 
-// appendAsLeader adds an entry to the own log. It is sent by the next Ready, with
-// all others that came until then, and counts for this replica only once Advance
-// says that it is on the disk.
+// appendAsLeader appends an entry to the leader's own log. The next Ready sends it together
+// with all other entries appended until then. The leader's copy counts only after Advance
+// has reported that it is on the disk.
 func (r *Raft) appendAsLeader(kind apiv1.EntryKind, data []byte) *apiv1.LogEntry {
 	e := &apiv1.LogEntry{Term: r.term, Index: r.log.lastIndex() + 1, Kind: kind, Data: data}
 	if err := r.appendToLog([]*apiv1.LogEntry{e}); err != nil {
-		invariantViolated("the leader's own entry %d is malformed: %v", e.GetIndex(), err)
+		invariantViolated("the leader appended a malformed entry %d: %v", e.GetIndex(), err)
 	}
 	r.uncommittedBytes += entrySize(e)
 	r.appendsPending = true
 	return e
 }
 
-// appendToLog puts entries into the log, and the memberships among them into
-// effect; those of entries that are cut off lose theirs.
+// appendToLog appends entries to the log and puts the memberships among them into effect.
+// Memberships of truncated entries are no longer in effect.
 func (r *Raft) appendToLog(entries []*apiv1.LogEntry) error {
 	if len(entries) == 0 {
 		return nil
@@ -63,7 +63,7 @@
 	return nil
 }
 
-// flushAppends sends each follower what it lacks, as far as the bounds allow.
+// flushAppends sends each follower the entries that it lacks, within the limits.
 func (r *Raft) flushAppends() {
 	r.appendsPending = false
 	for _, replica := range r.membership.current().GetReplicas() {
@@ -75,8 +75,8 @@
 	}
 }
 
-// sendAppend sends the next message to a follower, and reports whether there may
-// be more to send.
+// sendAppend sends the next append message or a snapshot to a follower, if there is anything
+// to send, and reports whether there may be more.
 func (r *Raft) sendAppend(to uint64) bool {
 	p := r.progress[to]
 	full := len(p.inflight) >= r.cfg.MaxInflight
@@ -87,14 +87,14 @@
 	case !hasNew && !p.forceSend && p.sentCommit >= min(r.log.commit, p.next-1) && p.state != probing:
 		return false
 	}
-	previous, ok := r.log.term(p.next - 1)
+	previousTerm, ok := r.log.term(p.next - 1)
 	if !ok {
 		r.sendSnapshot(to, p)
 		return false
 	}
 	m := &apiv1.QuorumMessage{
 		Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND, To: to,
-		Index: p.next - 1, LogTerm: previous, Commit: r.log.commit,
+		Index: p.next - 1, LogTerm: previousTerm, Commit: r.log.commit,
 	}
 	if hasNew {
 		m.Entries = r.log.batch(p.next, r.cfg.MaxEntriesPerMessage, MaxMessageBytes)
@@ -104,37 +104,38 @@
 	return p.state == replicating && hasNew
 }
 
-// handleAppend is a follower's side of log matching (5.3): entries are taken only
-// after one that both logs hold with the same term, so by induction the logs are
-// the same up to there. The answer leaves after the entries are synced: a leader
-// counts it, and counts on them to survive a power cut.
+// handleAppend is the follower's part of log matching (section 5.3 of the paper). Entries
+// are accepted only after an entry that both logs hold with the same term, so by induction
+// the logs are identical up to there. The response is sent after the entries are synced: a
+// leader that counts it relies on them surviving a power cut.
 func (r *Raft) handleAppend(m *apiv1.QuorumMessage) error {
 	if err := checkEntries(m); err != nil {
 		return err
 	}
-	answer := &apiv1.QuorumMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, To: m.GetFrom(), SaveMicros: r.saveMicros()}
+	response := &apiv1.QuorumMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND_RESPONSE, To: m.GetFrom(), SaveMicros: r.saveMicros()}
 	switch {
 	case m.GetIndex() < r.log.commit:
-		// What is committed is in the leader's log too: they match up to there.
-		answer.Index = r.log.commit
+		// Committed entries are in the leader's log too, so the logs match up to there.
+		response.Index = r.log.commit
 	case !r.log.matches(m.GetIndex(), m.GetLogTerm()):
-		answer.Reject, answer.Index = true, m.GetIndex()
-		answer.RejectHint, answer.LogTerm = r.log.lastWithTermAtMost(m.GetIndex(), m.GetLogTerm())
+		response.Reject, response.Index = true, m.GetIndex()
+		response.RejectHint, response.LogTerm = r.log.lastWithTermAtMost(m.GetIndex(), m.GetLogTerm())
 	default:
 		if err := r.appendMissing(m.GetEntries()); err != nil {
 			return err
 		}
-		answer.Index = m.GetIndex() + uint64(len(m.GetEntries()))
-		// Beyond the last entry of this message the log may still be an old one's.
-		r.log.commitTo(min(m.GetCommit(), answer.Index))
+		response.Index = m.GetIndex() + uint64(len(m.GetEntries()))
+		// After the last entry of this message, the log may still hold entries of a
+		// previous leader.
+		r.log.commitTo(min(m.GetCommit(), response.Index))
 	}
-	r.send(answer)
+	r.send(response)
 	return nil
 }
 
-// appendMissing appends the entries that are missing. Those that the log holds
-// stay, even when more follow them: the message may be an old one, and what it
-// cut off could already be counted by the leader.
+// appendMissing appends the entries that the log does not hold. If the log already holds
+// all of them, it is not truncated after them: the message may be an old one, and the
+// leader may already count the entries that follow.
 func (r *Raft) appendMissing(entries []*apiv1.LogEntry) error {
 	conflict := r.log.firstConflict(entries)
 	if conflict == 0 {
@@ -147,10 +148,10 @@
 	term := m.GetLogTerm()
 	for i, e := range m.GetEntries() {
 		if e.GetIndex() != m.GetIndex()+1+uint64(i) || e.GetTerm() < term || e.GetTerm() > m.GetTerm() {
-			return errors.Wrapf(ErrInvalidMessage, "entry %d of term %d after index %d", e.GetIndex(), e.GetTerm(), m.GetIndex())
+			return errors.Wrapf(ErrInvalidMessage, "entry %d of term %d is not valid after index %d", e.GetIndex(), e.GetTerm(), m.GetIndex())
 		}
 		if len(e.GetData()) > MaxCommandBytes {
-			return errors.Wrapf(ErrInvalidMessage, "entry %d holds %d bytes", e.GetIndex(), len(e.GetData()))
+			return errors.Wrapf(ErrInvalidMessage, "entry %d is too large: %d bytes", e.GetIndex(), len(e.GetData()))
 		}
 		term = e.GetTerm()
 	}
@@ -172,7 +173,7 @@
 		return
 	}
 	if m.GetIndex() > r.log.lastIndex() {
-		invariantViolated("replica %d acknowledged entry %d, the leader's log ends at %d", m.GetFrom(), m.GetIndex(), r.log.lastIndex())
+		invariantViolated("replica %d acknowledged entry %d, but the leader's log ends at %d", m.GetFrom(), m.GetIndex(), r.log.lastIndex())
 	}
 	p.recordAck(m.GetIndex())
 	r.appendsPending = true
@@ -180,10 +181,11 @@
 	r.continueTransfer(m.GetFrom())
 }
 
-// advanceCommit commits what a majority of the voters has on its disks, but by
-// counting only entries of the own term; those before are committed with them.
-// An entry of an earlier term on a majority could still be replaced by a leader
-// who never saw it and has a newer last entry (figure 8 of the paper).
+// advanceCommit commits the entries that a majority of the voters has on disk. Only entries
+// of the leader's own term are committed by counting copies; earlier entries are committed
+// along with them. An entry of an earlier term, even if a majority holds it, could still be
+// replaced by a leader that never received it and whose last entry is newer (figure 8 of
+// the paper).
 func (r *Raft) advanceCommit() {
 	index := r.quorumOf(func(p *progress) uint64 { return p.match })
 	if index <= r.log.commit || !r.log.matches(index, r.term) {
@@ -195,7 +197,8 @@
 	r.stepDownIfRemoved()
 }
 
-// quorumOf returns the highest value that a majority of the voters has reached.
+// quorumOf returns the highest value that a majority of the voters has reached, according
+// to their progress.
 func (r *Raft) quorumOf(value func(*progress) uint64) uint64 {
 	var buffer [MaxReplicas]uint64
 	values := buffer[:0]
@@ -216,19 +219,19 @@
 		p := r.progress[replica.GetId()]
 		r.send(&apiv1.QuorumMessage{
 			Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT, To: replica.GetId(),
-			// A follower's log is the leader's only up to its match.
+			// A follower's log is known to match the leader's only up to match.
 			Commit:  min(p.match, r.log.commit),
 			Context: r.reads.round,
 		})
 	}
 }
 
-// handleHeartbeat takes over the commit index. It is never beyond what this
-// replica acknowledged, so a log that ends before it has lost entries that were
-// counted: that replica must not stay in the group.
+// handleHeartbeat adopts the leader's commit index. It is never beyond the entries that
+// this replica acknowledged, so a log that ends before it has lost entries that were
+// counted, and this replica must not stay in the group.
 func (r *Raft) handleHeartbeat(m *apiv1.QuorumMessage) error {
 	if m.GetCommit() > r.log.lastIndex() {
-		return errors.Wrapf(ErrLostEntries, "committed up to %d, the log ends at %d", m.GetCommit(), r.log.lastIndex())
+		return errors.Wrapf(ErrLostEntries, "commit index is %d, but the log ends at %d", m.GetCommit(), r.log.lastIndex())
 	}
 	r.log.commitTo(m.GetCommit())
 	r.send(&apiv1.QuorumMessage{
@@ -247,7 +250,8 @@
 	p.probeSent = false
 	r.retrySnapshot(p)
 	if p.match < r.log.lastIndex() {
-		// Messages may have been lost with nothing after them to show it.
+		// The last append messages may have been lost, which no later message would
+		// reveal.
 		p.forceSend = true
 		r.appendsPending = true
 	}
@@ -256,8 +260,8 @@
 	r.continueTransfer(m.GetFrom())
 }
 
-// ReportUnreachable tells a leader that messages to a replica were lost, so that
-// it asks where their logs agree instead of waiting for answers.
+// ReportUnreachable reports to a leader that messages to a replica were lost, so that it
+// probes for the last matching entry instead of waiting for responses.
 func (r *Raft) ReportUnreachable(id uint64) {
 	if p := r.progress[id]; p != nil && id != r.id {
 		p.markUnreachable()
--- a/quorum/script_test.go
+++ b/quorum/script_test.go
@@ -12,9 +12,10 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// TestScripts runs the scripts of testdata: commands with their arguments, mostly
-// a replica's id first. "=> text" names the error that the last one of a line must
-// end in. After each command the group settles, unless the line starts with "-".
+// TestScripts runs the scripts in testdata. A line is a list of commands, separated by
+// semicolons; the first argument of most commands is a replica's id. "=> text" requires
+// that the last command of the line fails with an error that contains the text. After each
+// command all messages are delivered, unless the line starts with "-".
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -47,7 +48,7 @@
 	manualDelivery bool
 }
 
-// runAll returns the error of the last command; an earlier one must have none.
+// runAll returns the error of the last command. All earlier commands must succeed.
 func (s *script) runAll(t *testing.T, commands []string) error {
 	for i, command := range commands {
 		if err := s.run(t, strings.Fields(command)); err != nil {
@@ -92,18 +93,18 @@
 
 func (s *script) command(name string, id uint64, h *testReplica, args []string) error {
 	switch name {
-	case "blank": // a replica without any state
+	case "blank": // add a replica without any state
 		s.add(id, StoredState{})
-	case "cut": // from all others
+	case "cut": // partition a replica from all others
 		s.partition[id] = 1
-	case "unlink": // only the way between two replicas
+	case "unlink": // break the link between two replicas
 		s.brokenLinks[[2]uint64{id, parseUint(args[0])}], s.brokenLinks[[2]uint64{parseUint(args[0]), id}] = true, true
 	case "heal":
 		clear(s.partition)
 		clear(s.brokenLinks)
 	case "crash":
 		h.up = false
-	case "tear": // a write of which only the first parts reach the disk
+	case "tear": // persist only the first parts of a Ready, then crash
 		s.takeReady(h)
 		h.persist(int(parseUint(args[0])))
 		h.up = false
@@ -116,7 +117,7 @@
 			}
 		}
 		s.processReady(h)
-	case "elect": // once the others have not heard a leader for long enough
+	case "elect": // let election timeouts expire until the replica is elected
 		s.expireElectionTimers()
 		for n := 0; n < 100 && h.role != Leader; n++ {
 			h.Tick()
@@ -143,7 +144,7 @@
 		h.ReadIndex(parseUint(args[0]))
 	case "compact":
 		return h.compact()
-	case "deliver": // what is on the wire from one replica to the next of a path
+	case "deliver": // deliver the messages from each replica to the next one of a path
 		for _, arg := range args {
 			s.deliverBetween(id, parseUint(arg))
 			id = parseUint(arg)
@@ -152,14 +153,14 @@
 		s.processReady(h)
 	case "drop":
 		s.messages = nil
-	case "forge": // a message: kind, sender, term, index, log term, commit
+	case "forge": // step a message: kind, sender, term, index, log term, commit
 		m := &apiv1.QuorumMessage{
 			Kind: apiv1.MessageKind(apiv1.MessageKind_value["MESSAGE_KIND_"+args[0]]), From: parseUint(args[1]), To: id,
 			Term: parseUint(args[2]), Index: parseUint(args[3]), LogTerm: parseUint(args[4]), Commit: parseUint(args[5]),
 		}
 		m.Snapshot = &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: m.Index, Term: m.LogTerm, Membership: h.membership.current()}}
 		return h.Step(m)
-	case "reload": // with the last entry gone from the disk
+	case "reload": // start with the last entry missing from the disk
 		h.disk.Entries = h.disk.Entries[:len(h.disk.Entries)-1]
 		_, err := New(h.cfg, h.disk)
 		return err
@@ -167,7 +168,7 @@
 		got := h.describe()
 		for _, arg := range args {
 			if key, value, _ := strings.Cut(arg, "="); got[key] != value {
-				return fmt.Errorf("%s is %q in %v", arg, got[key], got)
+				return fmt.Errorf("want %s, got %q in %v", arg, got[key], got)
 			}
 		}
 	default:
@@ -195,7 +196,7 @@
 	s.processReady(s.replicas[to])
 }
 
-// describe returns what "want" compares.
+// describe returns the values that the command "want" compares.
 func (h *testReplica) describe() map[string]string {
 	s := h.Status()
 	list := func(items any) string { return strings.ReplaceAll(strings.Trim(fmt.Sprint(items), "[]"), " ", ",") }
--- a/quorum/simulation_test.go
+++ b/quorum/simulation_test.go
@@ -11,14 +11,14 @@
 )
 
 var (
-	seeds     = flag.Uint64("seeds", 300, "seeds of TestSimulation")
-	firstSeed = flag.Uint64("first-seed", 1, "first seed of TestSimulation")
+	seeds     = flag.Uint64("seeds", 300, "number of seeds that TestSimulation runs")
+	firstSeed = flag.Uint64("first-seed", 1, "first seed that TestSimulation runs")
 )
 
-// TestSimulation runs random groups at virtual time under everything that the
-// network, the disks, the scheduler and the operators can do to them, and checks
-// the properties of the paper's figure 3 and that reads are linearizable. Once the
-// faults end, each group must work again with everything acknowledged in place.
+// TestSimulation runs random groups in virtual time with random faults of the network, the
+// disks and the scheduler, and with random operator actions. It checks the properties of
+// the paper's figure 3 and that reads are linearizable. After the faults end, each group
+// must work again and hold everything that was acknowledged.
 func TestSimulation(t *testing.T) {
 	done := map[string]int{}
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
@@ -38,7 +38,7 @@
 	*cluster
 	*rand.Rand
 	delays     map[*apiv1.QuorumMessage]int // steps until delivery
-	readFloors map[[2]uint64]uint64         // floor by host and context
+	readFloors map[[2]uint64]uint64         // read floor by replica and context
 	faultFree  bool
 	counts     map[string]int
 }
@@ -76,8 +76,8 @@
 	}
 }
 
-// stepDriver takes the driver one step further, so that calls and messages come between
-// any two of its steps.
+// stepDriver advances a replica's driver by one step, so that calls and messages can occur
+// between any two steps.
 func (s *simulation) stepDriver(h *testReplica) {
 	switch {
 	case s.faultFree:
@@ -94,8 +94,8 @@
 	}
 }
 
-// randomCall lets callers and operators ask something of a host. Contexts of reads
-// start afresh with the host.
+// randomCall makes a random call of a caller or an operator on a replica. Contexts of reads
+// start from 1 again when the replica restarts.
 func (s *simulation) randomCall(h *testReplica) {
 	switch n := s.IntN(100); {
 	case n < 45:
@@ -117,8 +117,8 @@
 	}
 }
 
-// randomMembershipChange is the operators' part: it puts new replicas in the place of lost ones,
-// and otherwise adds, promotes and removes at random.
+// randomMembershipChange proposes a membership change as an operator would: it replaces lost
+// replicas, and otherwise adds, promotes and removes replicas at random.
 func (s *simulation) randomMembershipChange(leader *testReplica) {
 	m := leader.membership.current()
 	i := slices.IndexFunc(m.Replicas, func(r *apiv1.Replica) bool { return s.replicas[r.Id].lost || r.Learner })
@@ -142,12 +142,12 @@
 	}
 }
 
-// checkReads checks a host's confirmed reads: each must see everything that was
+// checkReads checks the confirmed reads of a replica: each must see everything that was
 // acknowledged or read before it began.
 func (s *simulation) checkReads(h *testReplica) {
 	for _, a := range h.readResults {
 		if floor := s.readFloors[[2]uint64{h.id, a.Context}]; !a.Rejected && a.Index < floor {
-			s.fail("stale read at %d on %d, entry %d was acknowledged before", a.Index, h.id, floor)
+			s.fail("stale read at index %d on replica %d; entry %d was acknowledged before", a.Index, h.id, floor)
 		}
 		if !a.Rejected && h.applied >= a.Index {
 			s.readFloor = max(s.readFloor, h.applied)
@@ -157,12 +157,12 @@
 	h.readResults = nil
 }
 
-// injectFault does at random what a host, its disk or the network can suffer. Of what
-// was being written at a crash, a random first part has reached the disk.
+// injectFault injects a random fault of a replica's process, its disk or the network. At a crash
+// during a write, a random first part of the write is on the disk.
 func (s *simulation) injectFault() {
 	id := s.randomID()
 	h := s.replicas[id]
-	switch n := s.IntN(1000 * (1 + int(s.seed%4))); { // groups differ in how often
+	switch n := s.IntN(1000 * (1 + int(s.seed%4))); { // the fault rate depends on the seed
 	case n < 6 && h.up:
 		if h.pendingReady != nil && !h.synced {
 			h.persist(s.IntN(len(h.pendingReady.Entries) + 2))
@@ -187,8 +187,8 @@
 	}
 }
 
-// mayLoseDisk allows to lose a disk for good only while the newest leader's committed
-// membership has three voters and none that was lost before it.
+// mayLoseDisk reports whether a disk may be lost permanently: only while the newest leader's
+// committed membership has at least three voters and no replica whose disk is lost.
 func (s *simulation) mayLoseDisk(id uint64) bool {
 	newest := s.replicas[id]
 	for _, h := range s.replicas {
@@ -209,8 +209,8 @@
 		newest.committedOwnTerm() && newest.membership.lastIndex() <= newest.log.commit
 }
 
-// deliverDue delivers what is due, in any order, some of it twice or never. What
-// comes for a frozen host waits, and is taken in some time after it wakes.
+// deliverDue delivers the messages whose delay has passed, in any order, some of them twice or
+// never. Messages to a frozen replica are delivered some time after it resumes.
 func (s *simulation) deliverDue() {
 	wire := s.messages
 	s.messages = nil
@@ -236,7 +236,8 @@
 	}
 }
 
-// randomDelay and work keep to the paper's timing requirement (5.6) once the faults end.
+// randomDelay returns the delay of a message in steps. After the faults end, randomDelay and
+// stepDriver meet the timing requirement of the paper (section 5.6).
 func (s *simulation) randomDelay() int {
 	switch {
 	case s.faultFree:
@@ -247,8 +248,8 @@
 	return s.IntN(4)
 }
 
-// checkRecovery ends the faults and checks that the group works, that everything
-// acknowledged is there, and that nobody disturbs it.
+// checkRecovery ends the faults, and checks that the group works, that it holds everything that
+// was acknowledged, and that no further election takes place.
 func (s *simulation) checkRecovery() {
 	s.faultFree = true
 	clear(s.partition)
@@ -277,11 +278,11 @@
 		}
 	}
 	if leader == nil || terms != len(s.leaders) {
-		s.fail("%d elections, then %d without a fault", terms, len(s.leaders)-terms)
+		s.fail("no leader after recovery, or elections in the fault-free phase: %d terms with a leader before, %d more since", terms, len(s.leaders)-terms)
 	}
 	for _, r := range leader.membership.current().GetReplicas() {
 		if h := s.replicas[r.Id]; h.up && (h.applied != leader.log.lastIndex() || h.applied < s.readFloor) {
-			s.fail("replica %d ends at %d, the leader at %d, acknowledged up to %d", r.Id, h.applied, leader.log.lastIndex(), s.readFloor)
+			s.fail("replica %d has applied up to %d; the leader's log ends at %d, acknowledged up to %d", r.Id, h.applied, leader.log.lastIndex(), s.readFloor)
 		}
 	}
 }
--- a/quorum/slowdisk.go
+++ b/quorum/slowdisk.go
@@ -8,18 +8,19 @@
 )
 
 const (
-	// slowSaveThreshold is what a leader's saves must take before it looks for a faster voter:
-	// below it callers lose less than an election costs them.
+	// slowSaveThreshold is the save duration from which a leader looks for a faster
+	// voter. Below it, callers lose less time than an election costs them.
 	slowSaveThreshold = 30 * time.Millisecond
-	// minSpeedup is how many times as fast another voter must be. Two disks of one kind
-	// differ by less, so leadership does not wander between them.
+	// minSpeedup is how many times faster the disk of another voter must be. Two disks
+	// of the same kind differ by less, so leadership does not move back and forth
+	// between them.
 	minSpeedup = 4
-	// saveSamples is the number of saves that a disk is judged by: a stall that is over
-	// after one or two is not worth an election.
+	// saveSamples is the number of last saves by which a disk is rated. A stall that
+	// ends after one or two saves is not worth an election.
 	saveSamples = 3
 )
 
-// durationWindow are how long the last saves of entries took, oldest first.
+// durationWindow holds the durations of the last saves of entries, oldest first.
 type durationWindow struct {
 	samples []time.Duration
 }
@@ -31,8 +32,8 @@
 	s.samples = append(s.samples, took)
 }
 
-// min is the shortest of the last saves: a disk is surely slow if even that is long.
-// 0 until there were enough.
+// min returns the shortest of the last saves, or 0 until there were saveSamples of them. If
+// even the shortest is long, the disk is slow.
 func (s *durationWindow) min() time.Duration {
 	if len(s.samples) < saveSamples {
 		return 0
@@ -40,8 +41,8 @@
 	return slices.Min(s.samples)
 }
 
-// max is the longest of the last saves: a disk is surely fast if even that is short.
-// 0 until there were enough.
+// max returns the longest of the last saves, or 0 until there were saveSamples of them. If
+// even the longest is short, the disk is fast.
 func (s *durationWindow) max() time.Duration {
 	if len(s.samples) < saveSamples {
 		return 0
@@ -49,11 +50,11 @@
 	return slices.Max(s.samples)
 }
 
-// ReportSaveDuration tells the core how long the driver took to store and sync entries.
+// ReportSaveDuration reports how long the driver took to store and sync entries.
 func (r *Raft) ReportSaveDuration(took time.Duration) { r.saveDurations.add(took) }
 
-// saveMicros is what this replica tells its leader of its disk, in microseconds; at
-// least 1 once it is known.
+// saveMicros returns the save duration that this replica reports to its leader, in
+// microseconds. It is 0 while unknown, and otherwise at least 1.
 func (r *Raft) saveMicros() uint64 {
 	if len(r.saveDurations.samples) < saveSamples {
 		return 0
@@ -61,17 +62,16 @@
 	return uint64(max(1, r.saveDurations.max().Microseconds()))
 }
 
-// FasterVoter returns the voter that a leader with a slow disk should hand over to.
-//
-// What goes wrong without it: a leader hears the others' acknowledgements only between
-// two syncs of its own, so with a slow disk each commit lasts at least as long as one,
-// and callers wait although a majority of the disks is fast.
+// FasterVoter returns the voter to which a leader with a slow disk should transfer
+// leadership. A leader receives acknowledgements only between two of its own syncs, so with
+// a slow disk each commit takes at least as long as one sync, and callers wait although a
+// majority of the disks is fast.
 func (r *Raft) FasterVoter() (id uint64, found bool) {
-	own := r.saveDurations.min()
-	if r.role != Leader || r.transferee != 0 || own < slowSaveThreshold {
+	leaderSave := r.saveDurations.min()
+	if r.role != Leader || r.transferee != 0 || leaderSave < slowSaveThreshold {
 		return 0, false
 	}
-	fastest := own / minSpeedup
+	fastest := leaderSave / minSpeedup
 	for _, replica := range r.membership.current().GetReplicas() {
 		p := r.progress[replica.GetId()]
 		if replica.GetLearner() || replica.GetId() == r.id || !r.recentlyActive(replica.GetId()) || !r.almostCaughtUp(p) {
@@ -84,12 +84,12 @@
 	return id, id != 0
 }
 
-// almostCaughtUp reports whether a replica lacks no more than one message can bring.
+// almostCaughtUp reports whether a replica lacks no more entries than fit in one message.
 func (r *Raft) almostCaughtUp(p *progress) bool {
 	return p.state == replicating && p.match+uint64(r.cfg.MaxEntriesPerMessage) >= r.log.lastIndex()
 }
 
-// recordSaveDuration takes in what a replica's answer tells of its disk.
+// recordSaveDuration records the save duration in a replica's response.
 func (p *progress) recordSaveDuration(m *apiv1.QuorumMessage) {
 	if micros := m.GetSaveMicros(); micros > 0 {
 		p.saveDuration = time.Duration(micros) * time.Microsecond
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// compactionTail and compactionTailBytes bound the entries before a snapshot
-	// that stay in memory, so that a follower that lags by a few does not need the
-	// whole snapshot.
+	// compactionTail and compactionTailBytes limit the entries before a snapshot that
+	// stay in memory, so that a follower that lags by a few entries does not need the
+	// snapshot.
 	compactionTail      = 256
 	compactionTailBytes = 1 << 20
-	// snapshotTimeouts is how many election timeouts a follower has for taking in
-	// a snapshot before it is sent again.
+	// snapshotTimeouts is the time from sending a snapshot to sending it again if the
+	// follower has not acknowledged it, in election timeouts.
 	snapshotTimeouts = 4
 )
 
-// Compact takes in the state machine's snapshot at an applied index, and returns
-// it with what else a replica needs to continue from it: term and membership at
-// that index. The log in memory is dropped up to shortly before it.
+// Compact records the state machine's snapshot at an applied index, and returns it together
+// with the term and the membership at that index, which a replica needs to continue from
+// it. It drops the log in memory except for a short tail before that index.
 func (r *Raft) Compact(index uint64, snapshotData []byte) (*apiv1.QuorumSnapshot, error) {
 	if index > r.log.applied {
-		return nil, errors.Wrapf(ErrNotApplied, "index %d, applied up to %d", index, r.log.applied)
+		return nil, errors.Wrapf(ErrNotApplied, "snapshot at index %d, but the log is applied up to %d", index, r.log.applied)
 	}
 	if index <= r.snapshot.GetMeta().GetIndex() {
-		return nil, errors.Wrapf(ErrCompacted, "index %d, newest snapshot at %d", index, r.snapshot.GetMeta().GetIndex())
+		return nil, errors.Wrapf(ErrCompacted, "snapshot at index %d, but the newest one is at %d", index, r.snapshot.GetMeta().GetIndex())
 	}
 	term, ok := r.log.term(index)
 	if !ok {
@@ -40,8 +40,7 @@
 	return r.snapshot, nil
 }
 
-// sendSnapshot sends the newest snapshot to a follower whose next entry is
-// compacted.
+// sendSnapshot sends the newest snapshot to a follower whose next entry is compacted.
 func (r *Raft) sendSnapshot(to uint64, p *progress) {
 	p.setState(restoring)
 	p.restoreIndex = r.snapshot.GetMeta().GetIndex()
@@ -51,22 +50,22 @@
 	})
 }
 
-// retrySnapshot goes back to probing when a follower that is alive has not taken
-// in its snapshot in time: the message may be lost.
+// retrySnapshot returns to probing if a responding follower has not acknowledged its
+// snapshot in time, since the message may be lost.
 func (r *Raft) retrySnapshot(p *progress) {
 	if p.state == restoring && p.restoreTicks > snapshotTimeouts*r.cfg.ElectionTicks {
 		p.setState(probing)
 	}
 }
 
-// handleSnapshot replaces the log by a snapshot that reaches further than what is
-// committed here. When the log holds the snapshot's last entry, everything up to
-// it is the same, and only the commit index moves (figure 13 of the paper): what
-// follows it may be acknowledged already and must stay.
+// handleSnapshot replaces the log with a snapshot that is ahead of this replica's commit
+// index. If the log holds the snapshot's last entry, the logs are identical up to it, and
+// only the commit index advances (figure 13 of the paper): the entries after it may already
+// be acknowledged and must stay.
 func (r *Raft) handleSnapshot(m *apiv1.QuorumMessage) error {
 	meta := m.GetSnapshot().GetMeta()
 	if err := validateMembership(meta.GetMembership()); err != nil || meta.GetIndex() == 0 || meta.GetTerm() > r.term {
-		return errors.Wrapf(ErrInvalidMessage, "snapshot at %d of term %d: %v", meta.GetIndex(), meta.GetTerm(), err)
+		return errors.Wrapf(ErrInvalidMessage, "invalid snapshot at index %d of term %d: %v", meta.GetIndex(), meta.GetTerm(), err)
 	}
 	switch {
 	case meta.GetIndex() <= r.log.commit:
--- a/quorum/startup.go
+++ b/quorum/startup.go
@@ -1,27 +1,29 @@
 package quorum
 
-// A replica that starts knows its group from its disk, but not whether the group has a
-// leader. Where one leads, its heartbeat comes within a tick or two. Where all replicas
-// start together, as after a power cut, none comes, and to wait a whole election timeout for
-// it keeps every caller waiting for that long. So a replica that has just started and heard
-// nothing asks for a pre-vote after a few ticks already. That is harmless where a leader is
-// there: a pre-vote changes nothing, and replicas that hear the leader refuse it.
+// A replica that starts loads its group's membership from its disk, but does not know
+// whether the group has a leader. If there is one, its heartbeat arrives within a tick or
+// two. If all replicas start together, as after a power cut, no heartbeat arrives, and
+// waiting for a whole election timeout would delay every caller by that time. So a replica
+// that has just started and has received nothing requests pre-votes after a few ticks. This
+// is harmless if a leader exists: a pre-vote changes no state, and replicas that have
+// contact with the leader ignore it.
 const (
-	// firstPreVoteTicks is the time until the first voter of the membership asks, and
-	// preVoteStepTicks what each further one waits longer: were all to ask at once, they
-	// would split the votes.
+	// firstPreVoteTicks is the time from the start of the first voter in the membership to
+	// its pre-vote request. Each further voter waits preVoteStepTicks longer: if all sent
+	// their requests at once, they would split the votes.
 	firstPreVoteTicks = 2
 	preVoteStepTicks  = 2
-	// bootstrapIndex is where the log of a new group ends.
+	// bootstrapIndex is the last index in the log of a new group.
 	bootstrapIndex = 1
 )
 
-// beginStartup opens the time of early pre-votes. It ends with the first leader that is heard of,
-// and after two election timeouts: a replica that is cut off need not ask ten times a second.
+// beginStartup starts the period of early pre-votes. It ends when this replica learns of a
+// leader, and at the latest after two election timeouts, so that a partitioned replica does
+// not keep sending requests ten times per second.
 //
-// A group that is being founded waits as usual. What goes wrong otherwise: the first two of
-// three members commit before the third knows that it is one, and if a disk is lost then, no
-// majority is left that knows the group.
+// A group that is being bootstrapped uses the normal timeout. Otherwise, the first two of
+// three members could commit entries before the third knows that it is a member, and if a
+// disk were lost at that time, no majority that knows the group would be left.
 func (r *Raft) beginStartup() {
 	if r.log.lastIndex() > bootstrapIndex {
 		r.startupTicks = 2 * r.cfg.ElectionTicks
@@ -35,7 +37,8 @@
 
 func (r *Raft) inStartup() bool { return r.startupTicks > 0 }
 
-// campaignTimeout returns the ticks without a leader after which this replica asks for pre-votes.
+// campaignTimeout returns the number of ticks without a leader after which this replica
+// requests pre-votes.
 func (r *Raft) campaignTimeout() int {
 	if r.inStartup() {
 		return min(r.electionTimeout, firstPreVoteTicks+preVoteStepTicks*r.voterRank())
@@ -43,7 +46,7 @@
 	return r.electionTimeout
 }
 
-// voterRank is the number of voters before this replica in the membership.
+// voterRank returns the number of voters before this replica in the membership.
 func (r *Raft) voterRank() int {
 	rank := 0
 	for _, replica := range r.membership.current().GetReplicas() {
@@ -57,17 +60,17 @@
 	return rank
 }
 
-// startVoteWindow notes that this replica gave its vote just now: it does not campaign itself until
-// a whole election timeout has passed.
+// startVoteWindow records that this replica has just granted its vote. It ends the period of
+// early pre-votes, so the replica itself campaigns only after a whole election timeout.
 func (r *Raft) startVoteWindow() {
 	r.voteWindowTicks = r.cfg.ElectionTicks / 2
 	r.startupTicks = 0
 }
 
-// awaitsOtherCandidate reports whether a candidate other than from got this replica's vote a moment
-// ago and has not been heard of since. What goes wrong without it: the winner's disk is slow
-// to store its vote, so its first heartbeat comes after the early pre-vote of a replica that has
-// just started, and that one wins an election that nobody needs.
+// awaitsOtherCandidate reports whether a candidate other than from got this replica's vote
+// within the vote window and has not announced its victory yet. Without this check, a winner
+// with a slow disk could send its first heartbeat only after the early pre-vote of a replica
+// that has just started, and that replica would win an unnecessary election.
 func (r *Raft) awaitsOtherCandidate(from uint64) bool {
 	return r.leader == 0 && r.voteWindowTicks > 0 && r.vote != from
 }
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -6,11 +6,11 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Step takes in a message of another replica. An error that is not ErrLostEntries
-// only says that the message was unusable.
+// Step handles a message from another replica. Any error other than ErrLostEntries means
+// that the message was unusable and has been dropped.
 func (r *Raft) Step(m *apiv1.QuorumMessage) error {
 	if m.GetTo() != r.id || m.GetFrom() == r.id || m.GetFrom() == 0 {
-		return errors.Wrapf(ErrInvalidMessage, "message from %d to %d came to %d", m.GetFrom(), m.GetTo(), r.id)
+		return errors.Wrapf(ErrInvalidMessage, "message from %d to %d was delivered to %d", m.GetFrom(), m.GetTo(), r.id)
 	}
 	if r.fromNonMember(m) {
 		return nil
@@ -27,10 +27,10 @@
 	return r.dispatch(m)
 }
 
-// fromNonMember reports whether m is to be dropped as the answer of a replica that is
-// no member (any more) to this leader. A removed replica with a newer term would
-// else depose the leader of a group that it does not belong to. To drop a message
-// is always safe: it could have been lost.
+// fromNonMember reports whether m is a response to this leader from a replica that is
+// not a member. Such a message is dropped: a removed replica with a newer term could
+// otherwise depose the leader of a group that it no longer belongs to. Dropping a
+// message is always safe, since messages can be lost anyway.
 func (r *Raft) fromNonMember(m *apiv1.QuorumMessage) bool {
 	return r.role == Leader && isResponse(m.GetKind()) && r.progress[m.GetFrom()] == nil
 }
@@ -61,8 +61,9 @@
 	return false
 }
 
-// handleNewerTerm handles the newer term of a message (5.1): whoever learns of a newer
-// term follows in it. It returns false when the message is to be ignored.
+// handleNewerTerm handles a message with a newer term (section 5.1 of the paper): a
+// replica that learns of a newer term becomes a follower in it. It returns false when
+// the message is to be ignored.
 func (r *Raft) handleNewerTerm(m *apiv1.QuorumMessage) bool {
 	kind := m.GetKind()
 	if isVoteRequest(kind) && !m.GetTransfer() && r.leaderRecentlyActive() {
@@ -70,9 +71,9 @@
 	}
 	switch {
 	case kind == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		// Its term is only a proposal.
+		// The term of a pre-vote request is only a proposal.
 	case kind == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE && !m.GetReject():
-		// The answer repeats the proposed term.
+		// A granted pre-vote carries the proposed term.
 	case isFromLeader(kind):
 		r.becomeFollower(m.GetTerm(), m.GetFrom())
 	default:
@@ -81,16 +82,19 @@
 	return true
 }
 
-// leaderRecentlyActive reports whether there was a sign of a living leader within the
-// shortest election timeout. A vote is refused then (thesis, 4.2.3): a replica
-// that was cut off or removed could else depose a leader that all others hear.
+// leaderRecentlyActive reports whether this replica received a message from its leader
+// within the shortest election timeout. While that is so, vote requests are ignored
+// (thesis, 4.2.3): a replica that was partitioned or removed could otherwise depose a
+// leader that all others can reach.
 func (r *Raft) leaderRecentlyActive() bool {
 	return r.leader != 0 && r.electionElapsed < r.cfg.ElectionTicks
 }
 
-// respondToStaleTerm tells a replica that its term has passed. A leader has to know to
-// step down; and since votes and pre-votes don't reach a group that hears its
-// leader, a replica stuck in a newer term would else neither follow nor be heard.
+// respondToStaleTerm informs the sender of an outdated message of the current term. A
+// stale leader needs this to step down. It also frees a replica whose term is newer than
+// its group's: the group ignores its vote requests while the leader is active, so only
+// this response to the leader's messages makes the group adopt the newer term, in which
+// that replica can follow again.
 func (r *Raft) respondToStaleTerm(m *apiv1.QuorumMessage) {
 	switch {
 	case isFromLeader(m.GetKind()):
@@ -103,7 +107,7 @@
 	}
 }
 
-// dispatch handles a message of the own term, or about a pre-vote.
+// dispatch handles a message of the current term, or a pre-vote message.
 func (r *Raft) dispatch(m *apiv1.QuorumMessage) error {
 	if isFromLeader(m.GetKind()) {
 		r.acceptLeader(m.GetFrom())
@@ -130,15 +134,15 @@
 	case apiv1.MessageKind_MESSAGE_KIND_READ_INDEX_RESPONSE:
 		r.handleReadIndexResponse(m)
 	default:
-		return errors.Wrapf(ErrInvalidMessage, "kind %d", m.GetKind())
+		return errors.Wrapf(ErrInvalidMessage, "unknown message kind %d", m.GetKind())
 	}
 	return nil
 }
 
-// acceptLeader accepts the leader of the current term.
+// acceptLeader makes this replica a follower of the leader of the current term.
 func (r *Raft) acceptLeader(leader uint64) {
 	if r.role == Leader {
-		invariantViolated("replicas %d and %d both lead in term %d", r.id, leader, r.term)
+		invariantViolated("replicas %d and %d are both leaders in term %d", r.id, leader, r.term)
 	}
 	if r.role != Follower || r.leader != leader {
 		r.becomeFollower(r.term, leader)
--- a/quorum/transfer.go
+++ b/quorum/transfer.go
@@ -6,11 +6,12 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// TransferLeadership hands leadership to a voter (thesis, 3.10): proposals are
-// refused, the voter is brought up to date and told to start an election at once.
-// If that takes longer than an election timeout it is given up, and this replica
-// goes on leading. That the other voters hear a leader does not stop the
-// election, since its requests are marked; the votes are counted as in any other.
+// TransferLeadership transfers leadership to a voter (thesis, 3.10). Proposals are rejected
+// during the transfer; the voter is brought up to date and then told to start an election
+// immediately. If that takes longer than an election timeout, the transfer is abandoned and
+// this replica stays the leader. The vote requests of this election are marked, so that
+// voters consider them although they have contact with a leader. Votes are counted as in any
+// other election.
 func (r *Raft) TransferLeadership(to uint64) error {
 	switch {
 	case r.role != Leader:
@@ -29,9 +30,9 @@
 	return nil
 }
 
-// continueTransfer lets the transferee start its election once it holds the whole
-// log; with less it could not win. It is called at each answer of the transferee,
-// since the message can be lost; one too many has a term that has passed.
+// continueTransfer tells the transferee to start its election once it holds the whole log,
+// without which it could not win. It is called at each response of the transferee, since
+// the message can be lost. A superfluous message is ignored, since its term is outdated.
 func (r *Raft) continueTransfer(id uint64) {
 	if r.role != Leader || id != r.transferee {
 		return
@@ -45,8 +46,8 @@
 	r.send(&apiv1.QuorumMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_TIMEOUT_NOW, To: to})
 }
 
-// handleTimeoutNow starts an election without a pre-vote, which the voters that
-// hear the leader would refuse.
+// handleTimeoutNow starts an election without a pre-vote, since voters that have contact
+// with the leader would ignore the pre-vote.
 func (r *Raft) handleTimeoutNow(m *apiv1.QuorumMessage) {
 	if r.role != Leader && r.isVoter(r.id) {
 		r.campaign(Candidate, true)
