--- a/quorum/wal/errors.go
+++ b/quorum/wal/errors.go
@@ -2,11 +2,12 @@
 
 import "fmt"
 
-// DamageError says that what was synced to the disk earlier can't be read back.
-// A replica must not start on it: it could have promised what it no longer knows.
+// DamageError reports that data that was synced to the disk can't be read back. A replica
+// must not start on such a disk: it may have acknowledged entries or granted a vote that it
+// no longer knows about.
 type DamageError struct {
 	File string
-	// Offset is where the unreadable part begins, in bytes from the file's start.
+	// Offset is the start of the unreadable part, in bytes from the start of the file.
 	Offset int64
 	Reason string
 }
@@ -16,9 +17,9 @@
 	return fmt.Sprintf("%s is damaged at offset %d: %s", e.File, e.Offset, e.Reason)
 }
 
-// WriteError says that the disk refused a write or a sync. The log refuses all
-// use after the first one: the kernel may drop the pages of a failed sync and
-// report success for the next, so nothing written since is known to be stored.
+// WriteError reports that a write, a sync or another change of the disk failed. After the
+// first one the log rejects all further use: the kernel may drop the pages of a failed sync
+// and report success for the next one, so it is unknown what has been stored since.
 type WriteError struct {
 	Op    string
 	File  string
@@ -27,13 +28,13 @@
 
 // Error implements error.
 func (e *WriteError) Error() string {
-	return fmt.Sprintf("%s of %s failed, the log is closed to further use: %v", e.Op, e.File, e.Cause)
+	return fmt.Sprintf("%s of %s failed, the log can no longer be used: %v", e.Op, e.File, e.Cause)
 }
 
-// Unwrap returns the cause, for errors.Is with syscall.ENOSPC and the like.
+// Unwrap returns the cause, so that errors.Is finds for example syscall.ENOSPC.
 func (e *WriteError) Unwrap() error { return e.Cause }
 
-// LockedError says that another process uses the folder.
+// LockedError reports that another process has locked the folder.
 type LockedError struct{ Folder string }
 
 // Error implements error.
--- a/quorum/wal/export_test.go
+++ b/quorum/wal/export_test.go
@@ -2,7 +2,7 @@
 
 import "google.golang.org/protobuf/proto"
 
-// EncodeSegment returns the file of a segment whose frames hold the payloads.
+// EncodeSegment returns the content of a segment file with one frame per payload.
 func EncodeSegment(sequence uint64, payloads ...[]byte) []byte {
 	b := header{sequence: sequence, salt: 1}.encode()
 	for _, p := range payloads {
@@ -11,7 +11,7 @@
 	return b
 }
 
-// MustMarshal returns the encoding of a record.
+// MustMarshal returns the encoding of a message, and panics if it can't be encoded.
 func MustMarshal(r proto.Message) []byte {
 	b, err := proto.Marshal(r)
 	if err != nil {
@@ -20,5 +20,5 @@
 	return b
 }
 
-// EncodeBlob returns a checksummed file with that payload.
+// EncodeBlob returns the content of a checksummed file with the given payload.
 func EncodeBlob(payload []byte) []byte { return encodeBlob(payload) }
--- a/quorum/wal/frame.go
+++ b/quorum/wal/frame.go
@@ -8,12 +8,12 @@
 
 // A segment file is a header followed by frames.
 //
-//	header: magic (8 bytes), sequence (8), salt (8), CRC-32C of these (4)
+//	header: magic (8 bytes), sequence (8), salt (8), CRC-32C of the preceding (4)
 //	frame:  magic (4 bytes), payload length (4), CRC-32C (4), payload
 //
-// A frame's checksum also covers the segment's salt, a random number: bytes of
-// an older file in a reused block, or a frame that a caller wrote into an
-// entry's data, are never taken for a frame of this segment.
+// A frame's checksum also covers the payload length and the segment's salt, a random
+// number. So neither the bytes of an older file in a reused block, nor a frame that a
+// caller wrote into an entry's data, are taken for a frame of this segment.
 //
 // Numbers are little-endian.
 const (
@@ -68,8 +68,8 @@
 	return append(b, payload...)
 }
 
-// decodeFrame returns the payload of the frame that b begins with, and the
-// frame's whole size.
+// decodeFrame returns the payload and the total size of the frame at the start of b. It
+// returns false if there is no valid frame.
 func decodeFrame(b []byte, salt uint64) (payload []byte, size int, ok bool) {
 	if len(b) < frameHeaderSize || binary.LittleEndian.Uint32(b) != frameMagic {
 		return nil, 0, false
@@ -86,7 +86,7 @@
 	return payload, size, true
 }
 
-// findFrame returns the offset of the first whole frame in b, or -1.
+// findFrame returns the offset of the first valid frame in b, or -1.
 func findFrame(b []byte, salt uint64) int {
 	magic := binary.LittleEndian.AppendUint32(nil, frameMagic)
 	for from := 0; ; from++ {
--- a/quorum/wal/fs.go
+++ b/quorum/wal/fs.go
@@ -11,31 +11,31 @@
 // File is a file open for appending.
 type File interface {
 	io.Writer
-	// Sync returns once everything written is on the disk.
+	// Sync returns after everything written is on the disk.
 	Sync() error
 	Truncate(size int64) error
 	Close() error
 }
 
-// FS is the part of a file system that the log needs. A created, renamed or
-// removed name is durable only after SyncDir.
+// FS is the subset of file system operations that the log needs. The creation, renaming or
+// removal of a file is durable only after SyncDir.
 type FS interface {
 	MkdirAll(folder string) error
 	// List returns the names of a folder's files.
 	List(folder string) ([]string, error)
 	ReadFile(path string) ([]byte, error)
-	// Create makes an empty file for appending; an existing one is emptied.
+	// Create opens an empty file for appending, and truncates an existing one.
 	Create(path string) (File, error)
-	// Append opens an existing file to write at its end.
+	// Append opens an existing file for appending.
 	Append(path string) (File, error)
 	Rename(from, to string) error
 	Remove(path string) error
 	SyncDir(folder string) error
-	// Lock takes the lock file at path for this process, or returns *LockedError.
+	// Lock locks the file at path for this process, or returns a *LockedError.
 	Lock(path string) (io.Closer, error)
 }
 
-// OS is the operating system's file system.
+// OS implements FS with the file system of the operating system.
 type OS struct{}
 
 const (
@@ -43,7 +43,8 @@
 	fileMode   = 0o640
 )
 
-// osFile syncs with fdatasync, which stores the size too but no time stamps.
+// osFile is a file that syncs with fdatasync, which stores the data and the file's size, but
+// not its time stamps.
 type osFile struct{ *os.File }
 
 // Sync implements File.
@@ -114,7 +115,7 @@
 	return d.Sync()
 }
 
-// Lock implements FS with flock, which the kernel drops when the process dies.
+// Lock implements FS with flock. The kernel releases the lock when the process ends.
 func (OS) Lock(path string) (io.Closer, error) {
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
--- a/quorum/wal/identity.go
+++ b/quorum/wal/identity.go
@@ -11,11 +11,12 @@
 
 const identityFile = "identity"
 
-// Identity returns whose data the folder holds, nil when it is empty.
+// Identity returns the identity of the replica whose data the folder holds, or nil when the
+// folder is empty.
 func (l *Log) Identity() (*apiv1.ReplicaIdentity, error) {
 	names, err := l.fs.List(l.folder)
 	if err != nil {
-		return nil, errors.Wrap(err, "log folder can't be listed")
+		return nil, errors.Wrap(err, "list log folder")
 	}
 	path := l.path(identityFile)
 	if !slices.Contains(names, identityFile) {
@@ -23,30 +24,30 @@
 	}
 	b, err := l.fs.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "identity can't be read")
+		return nil, errors.Wrap(err, "read identity")
 	}
 	payload, ok := decodeBlob(b)
 	id := &apiv1.ReplicaIdentity{}
 	if !ok || proto.Unmarshal(payload, id) != nil || id.ReplicaId == 0 {
-		return nil, &DamageError{File: path, Reason: "the checksum does not match"}
+		return nil, &DamageError{File: path, Reason: "checksum mismatch or invalid identity"}
 	}
 	return id, nil
 }
 
-// requireNoLog refuses a log without an identity: it belongs to a replica that is
-// not known, and going on under a new id would count it twice.
+// requireNoLog returns an error if there is a log without an identity. The log belongs to a
+// replica whose id is unknown, and a new id would make the group count that replica twice.
 func (l *Log) requireNoLog(names []string) error {
 	seqs, err := segmentSequences(l.folder, names)
 	if err != nil {
 		return err
 	}
 	if len(seqs) > 0 || len(snapshotIDs(names)) > 0 {
-		return &DamageError{File: l.path(identityFile), Reason: "the file is missing but there is a log"}
+		return &DamageError{File: l.path(identityFile), Reason: "the file is missing, but there is a log"}
 	}
 	return nil
 }
 
-// SaveIdentity stores whose data the folder holds.
+// SaveIdentity stores the identity of the replica whose data the folder holds.
 func (l *Log) SaveIdentity(id *apiv1.ReplicaIdentity) error {
 	if l.err != nil {
 		return l.err
--- a/quorum/wal/load.go
+++ b/quorum/wal/load.go
@@ -11,14 +11,14 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// Load implements quorum.Storage. It is called once, before any Save.
+// Load implements quorum.Storage. It must be called once, before the first Save.
 func (l *Log) Load() (quorum.StoredState, error) {
 	if l.err != nil {
 		return quorum.StoredState{}, l.err
 	}
 	names, err := l.fs.List(l.folder)
 	if err != nil {
-		return quorum.StoredState{}, errors.Wrap(err, "log folder can't be listed")
+		return quorum.StoredState{}, errors.Wrap(err, "list log folder")
 	}
 	names, err = l.removeTemporary(names)
 	if err != nil {
@@ -30,7 +30,7 @@
 	}
 	l.snapshots = snapshotIDs(names)
 	if len(l.snapshots) > 0 && len(l.segments) == 0 {
-		return quorum.StoredState{}, &DamageError{File: l.folder, Reason: "there are snapshots but no log"}
+		return quorum.StoredState{}, &DamageError{File: l.folder, Reason: "there are snapshots, but no log"}
 	}
 	snapshot, err := l.newestSnapshot(r)
 	if err != nil {
@@ -39,7 +39,7 @@
 	entries, ok := r.entriesAfter(snapshot.GetMeta())
 	if !ok {
 		first := l.path(segmentName(l.segments[0].sequence))
-		return quorum.StoredState{}, &DamageError{File: first, Reason: "the log begins after the newest snapshot's end"}
+		return quorum.StoredState{}, &DamageError{File: first, Reason: "entries between the newest snapshot and the start of the log are missing"}
 	}
 	l.hardState = raiseHardState(snapshot.GetMeta(), r.hardState)
 	if err := l.openLastSegment(); err != nil {
@@ -54,9 +54,9 @@
 	return quorum.StoredState{HardState: l.hardState, Snapshot: snapshot, Entries: entries}, nil
 }
 
-// raiseHardState brings a hard state up to the snapshot that is stored: a snapshot
-// arrives committed, and from a leader whose term is at least its own. Nobody
-// got this replica's vote in a term that it had not stored.
+// raiseHardState raises a hard state to the stored snapshot: a snapshot contains only committed
+// entries, and the leader that sent it had at least the snapshot's term. The vote is cleared
+// with a new term, since this replica can't have voted in a term that it had not stored.
 func raiseHardState(m *apiv1.SnapshotMeta, hs *apiv1.HardState) *apiv1.HardState {
 	if hs == nil {
 		return nil
@@ -83,7 +83,7 @@
 	return kept, nil
 }
 
-// readSegments replays all segments and remembers where the last one ends.
+// readSegments replays all segments, and sets l.segments and the size of the last one.
 func (l *Log) readSegments(names []string, r *replay) error {
 	seqs, err := segmentSequences(l.folder, names)
 	if err != nil {
@@ -93,12 +93,12 @@
 		path := l.path(segmentName(seq))
 		b, err := l.fs.ReadFile(path)
 		if err != nil {
-			return errors.Wrap(err, "segment can't be read")
+			return errors.Wrap(err, "read segment")
 		}
 		last := i == len(seqs)-1
 		if _, ok := decodeHeader(b); last && !ok && len(b) <= headerSize {
-			// A power cut while the file was created: the header is synced before
-			// any frame is written, so this file never held one.
+			// The power failed while the file was created. The header is synced before
+			// any frame is written, so this file never held a frame.
 			event.SegmentUnfinished.Write(l.logger, event.File(path))
 			return l.remove(segmentName(seq))
 		}
@@ -108,16 +108,16 @@
 		}
 		l.segments = append(l.segments, s)
 		l.size = size
-		if cut := int64(len(b)) - size; cut > 0 {
-			event.TornRecordCut.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(cut)))
+		if torn := int64(len(b)) - size; torn > 0 {
+			event.TornRecordCut.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(torn)))
 		}
 	}
 	return nil
 }
 
-// openLastSegment opens the last segment for appending. What Load read may still be
-// unsynced when only the process died: it is synced before anyone acts on it,
-// or a power cut later could take back what this replica then acknowledged.
+// openLastSegment opens the last segment for appending, truncates a torn record and syncs it. If
+// only the process died, the data that Load read may still be unsynced. Without this sync, a
+// later power cut could lose data on which this replica based an acknowledgement.
 func (l *Log) openLastSegment() error {
 	if len(l.segments) == 0 {
 		if err := l.syncFolder(); err != nil {
--- a/quorum/wal/replay.go
+++ b/quorum/wal/replay.go
@@ -6,21 +6,22 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// maxIndex bounds indexes, so that none overflows while it is counted on.
+// maxIndex limits indexes, so that index arithmetic can't overflow.
 const maxIndex = 1 << 62
 
-// replay rebuilds the log from its records, oldest first.
+// replay rebuilds the log from its records, applied in the order in which they were written.
 type replay struct {
 	hardState *apiv1.HardState
-	// entries are consecutive and begin at first.
+	// first is the index of the first entry; entries are consecutive.
 	first   uint64
 	entries []*apiv1.LogEntry
+	// started is set once first is known.
 	started bool
 }
 
 func (r *replay) last() uint64 { return r.first + uint64(len(r.entries)) - 1 }
 
-// contains reports whether the log holds the entry of that index and term.
+// contains reports whether the log holds an entry with the given index and term.
 func (r *replay) contains(index, term uint64) bool {
 	if !r.started || index < r.first || index > r.last() {
 		return false
@@ -41,11 +42,11 @@
 	return r.appendEntries(rec.Entries)
 }
 
-// applySnapshot handles the record of a stored snapshot. Entries before it stay, so
-// that an older snapshot can stand in for a damaged one. A log that doesn't
-// contain the snapshot's last entry is replaced as a whole. Nothing is known
-// from a snapshot whose preceding entries were dropped: the entries that follow
-// in the log tell where it begins, and after checks that against the snapshots.
+// applySnapshot applies the record of a stored snapshot. Entries before the snapshot are kept,
+// so that an older snapshot can replace a damaged one. A log that does not contain the
+// snapshot's last entry is replaced as a whole. If the entries before the snapshot have been
+// dropped, the record does not show where the log begins: the next entries do, and
+// entriesAfter checks that index against the snapshots.
 func (r *replay) applySnapshot(m *apiv1.SnapshotMeta) {
 	if !r.started || m.Index < r.first || r.contains(m.Index, m.Term) {
 		return
@@ -59,7 +60,8 @@
 	r.started = true
 }
 
-// appendEntries appends entries, which replace those of the same and higher indexes.
+// appendEntries appends the entries of one record, which replace existing entries with the same
+// and higher indexes.
 func (r *replay) appendEntries(entries []*apiv1.LogEntry) error {
 	if len(entries) == 0 {
 		return nil
@@ -83,14 +85,14 @@
 	return nil
 }
 
-// continuesFrom reports whether entries after a snapshot fit the log as recorded.
-// They don't when the process died between storing the snapshot and recording it.
+// continuesFrom reports whether new entries after a snapshot would continue the recorded log.
+// They would not if the process died between storing the snapshot and recording it.
 func (r *replay) continuesFrom(m *apiv1.SnapshotMeta) bool {
 	return !r.started || r.contains(m.Index, m.Term) || r.first == m.Index+1
 }
 
-// entriesAfter returns the entries that follow a snapshot. With ok false the log can't
-// continue it: entries between are missing.
+// entriesAfter returns the entries after a snapshot. ok is false if entries between the snapshot
+// and the start of the log are missing.
 func (r *replay) entriesAfter(m *apiv1.SnapshotMeta) (entries []*apiv1.LogEntry, ok bool) {
 	index := m.GetIndex()
 	if !r.started || r.last() < index {
@@ -100,8 +102,8 @@
 		return nil, false
 	}
 	if r.first <= index && !r.contains(index, m.GetTerm()) {
-		// The snapshot came from the leader and the process died before it was
-		// recorded: the log is the conflicting one that the snapshot replaces.
+		// The snapshot came from the leader, and the process died before the snapshot was
+		// recorded. The log conflicts with the snapshot, which replaces it.
 		return nil, true
 	}
 	return r.entries[index+1-r.first:], true
--- a/quorum/wal/segment.go
+++ b/quorum/wal/segment.go
@@ -13,7 +13,7 @@
 
 const segmentSuffix = ".log"
 
-// segment is what the log remembers of a segment file.
+// segment holds the metadata of a segment file.
 type segment struct {
 	sequence uint64
 	salt     uint64
@@ -32,8 +32,8 @@
 	s.lastIndex = max(s.lastIndex, r.Snapshot.GetIndex())
 }
 
-// segmentSequences returns the sequence numbers of a folder's segment files in
-// order. A missing one is damage: the log drops files only from the front.
+// segmentSequences returns the sequence numbers of a folder's segment files in ascending
+// order. It reports a gap as damage, since the log removes only its oldest segments.
 func segmentSequences(folder string, names []string) ([]uint64, error) {
 	var seqs []uint64
 	for _, n := range names {
@@ -55,18 +55,18 @@
 	return seqs, nil
 }
 
-// readSegment passes a segment's records to visit and returns the size of its
-// whole part.
+// readSegment passes a segment's records to visit, and returns the size of the part with
+// valid frames.
 //
-// One save is one frame, and it is synced before the next begins. So a power cut
-// can break only the last frame of the last segment: what it held was promised
-// to nobody, and the caller cuts it off. A broken frame with a whole one behind
-// it, or in an earlier segment, was synced once; reading on would skip entries
-// that this replica acknowledged, so this is damage.
+// Each save writes one frame and syncs it before the next save begins. So a power cut can
+// corrupt only the last frame of the last segment. The content of that frame was never
+// acknowledged, and the caller truncates it. A corrupt frame that is followed by a valid
+// one, or that is in an earlier segment, was synced before; skipping it would lose entries
+// that this replica acknowledged, so it is reported as damage.
 func readSegment(path string, b []byte, last bool, visit func(*apiv1.WalRecord) error) (segment, int64, error) {
 	h, ok := decodeHeader(b)
 	if !ok {
-		return segment{}, 0, &DamageError{File: path, Reason: "the header is broken"}
+		return segment{}, 0, &DamageError{File: path, Reason: "the header is corrupt"}
 	}
 	s := segment{sequence: h.sequence, salt: h.salt}
 	if filepath.Base(path) != segmentName(h.sequence) {
@@ -77,10 +77,10 @@
 		payload, size, ok := decodeFrame(b[offset:], h.salt)
 		if !ok {
 			if !last {
-				return s, 0, &DamageError{File: path, Offset: int64(offset), Reason: "a frame in an earlier segment is broken"}
+				return s, 0, &DamageError{File: path, Offset: int64(offset), Reason: "a frame in an earlier segment is corrupt"}
 			}
 			if next := findFrame(b[offset+1:], h.salt); next >= 0 {
-				return s, 0, &DamageError{File: path, Offset: int64(offset), Reason: "a frame is broken and whole frames follow it"}
+				return s, 0, &DamageError{File: path, Offset: int64(offset), Reason: "a frame is corrupt, and valid frames follow it"}
 			}
 			return s, int64(offset), nil
 		}
--- a/quorum/wal/snapshot.go
+++ b/quorum/wal/snapshot.go
@@ -15,16 +15,16 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// A snapshot file, like the identity file, is a magic, the payload's XXH64 and
-// the payload.
+// A snapshot file, like the identity file, consists of a magic, the XXH64 checksum of the
+// payload, and the payload.
 const (
 	snapshotSuffix  = ".snapshot"
 	temporarySuffix = ".tmp"
 	damagedSuffix   = ".damaged"
 	blobMagic       = "CAIRNBLB"
 	blobHeaderSize  = 16
-	// retainedSnapshots is how many snapshots stay on the disk: if the newest can't be
-	// read, the one before it and the log since then hold the same state.
+	// retainedSnapshots is the number of snapshots that are kept on the disk. If the newest
+	// one can't be read, the previous one and the log since then hold the same state.
 	retainedSnapshots = 2
 )
 
@@ -43,10 +43,10 @@
 	return payload, binary.LittleEndian.Uint64(b[8:]) == xxhash.Sum64(payload)
 }
 
-// writeBlob stores a file as a whole. The order is what makes it safe: a rename
-// that reaches the disk before the data would leave a good name on an empty
-// file, and a rename that isn't synced can be undone by a power cut after the
-// log that it replaces was dropped.
+// writeBlob stores a file atomically: it writes and syncs a temporary file, renames it, and
+// syncs the folder. The order matters. A rename that reached the disk before the data would
+// leave an empty file under the final name, and a rename that is not synced could be undone
+// by a power cut after the log that the file replaces was dropped.
 func (l *Log) writeBlob(name string, payload []byte) error {
 	temporary := l.path(name + temporarySuffix)
 	if err := l.writeFile(temporary, encodeBlob(payload)); err != nil {
@@ -80,14 +80,14 @@
 	return nil
 }
 
-// snapshotID names a snapshot file without its content.
+// snapshotID identifies a snapshot file.
 type snapshotID struct{ index, term uint64 }
 
 func (s snapshotID) name() string {
 	return fmt.Sprintf("%016x-%016x%s", s.index, s.term, snapshotSuffix)
 }
 
-// snapshotIDs returns the snapshots among a folder's files, oldest first.
+// snapshotIDs returns the ids of the snapshots among a folder's files, oldest first.
 func snapshotIDs(names []string) []snapshotID {
 	var ids []snapshotID
 	for _, n := range names {
@@ -111,20 +111,20 @@
 func decodeSnapshot(path string, b []byte) (*apiv1.QuorumSnapshot, error) {
 	payload, ok := decodeBlob(b)
 	if !ok {
-		return nil, &DamageError{File: path, Reason: "the checksum does not match"}
+		return nil, &DamageError{File: path, Reason: "checksum mismatch"}
 	}
 	s := &apiv1.QuorumSnapshot{}
 	if err := proto.Unmarshal(payload, s); err != nil {
 		return nil, &DamageError{File: path, Offset: blobHeaderSize, Reason: err.Error()}
 	}
 	if s.Meta == nil || s.Meta.Index > maxIndex || filepath.Base(path) != (snapshotID{s.Meta.Index, s.Meta.Term}).name() {
-		return nil, &DamageError{File: path, Offset: blobHeaderSize, Reason: "the file holds another snapshot"}
+		return nil, &DamageError{File: path, Offset: blobHeaderSize, Reason: "the file name does not match the snapshot in the file"}
 	}
 	return s, nil
 }
 
-// newestSnapshot reads the newest snapshot. An older one stands in for a damaged
-// one only where the log shows every entry from it to the damaged one.
+// newestSnapshot reads the newest snapshot that is not damaged. It returns an older one only
+// if the log holds every entry from that snapshot to the damaged ones.
 func (l *Log) newestSnapshot(r *replay) (*apiv1.QuorumSnapshot, error) {
 	var damage error
 	var damaged []snapshotID
@@ -133,7 +133,7 @@
 		path := l.path(id.name())
 		b, err := l.fs.ReadFile(path)
 		if err != nil {
-			return nil, errors.Wrap(err, "snapshot can't be read")
+			return nil, errors.Wrap(err, "read snapshot")
 		}
 		s, err := decodeSnapshot(path, b)
 		if err == nil {
@@ -149,7 +149,8 @@
 	return nil, damage
 }
 
-// coversAll reports whether the log leads from a snapshot to each later one.
+// coversAll reports whether the log holds all entries from a snapshot up to each of the later
+// ones.
 func (r *replay) coversAll(from snapshotID, to []snapshotID) bool {
 	for _, id := range to {
 		if r.first > from.index+1 || !r.contains(id.index, id.term) {
@@ -159,8 +160,8 @@
 	return true
 }
 
-// renameDamaged renames damaged snapshots, so that they stay for inspection but are
-// not counted among the kept ones.
+// renameDamaged renames damaged snapshots, so that they remain for inspection but do not count as
+// retained snapshots.
 func (l *Log) renameDamaged(ids []snapshotID) error {
 	for _, id := range ids {
 		path := l.path(id.name())
--- a/quorum/wal/wal.go
+++ b/quorum/wal/wal.go
@@ -1,16 +1,15 @@
-// Package wal keeps a replica's part of the replicated log in a folder: segment
-// files of checksummed records, snapshots, and the replica's identity. It
-// implements quorum.Storage.
+// Package wal stores a replica's copy of the replicated log in a folder: segment files of
+// checksummed records, snapshots, and the replica's identity. It implements quorum.Storage.
 //
-// What is on the disk counts only once it is synced, and names in a folder only
-// once the folder is synced. A record that a power cut left torn at the very end
-// is cut off; anything else that can't be read stops the replica with a
-// *DamageError. After a failed write or sync the log refuses all use.
+// Data counts as stored only after the file is synced, and a file name only after its
+// folder is synced. A record at the very end that a power cut left torn is truncated. Any
+// other data that can't be read stops the replica with a *DamageError. After a failed write
+// or sync the log rejects all further use.
 //
-// Not told apart: a last record that was synced and later rotted looks like a
-// torn one. And after a failed sync the kernel may show a restarted process the
-// last record from memory and call it synced: a replica whose disk reported such
-// an error is to be restarted with an empty folder, on a sound disk.
+// Two faults are not detected. A last record that was synced and later damaged looks like a
+// torn one. And after a failed sync, the kernel may return the last record from memory to a
+// restarted process and report it as synced. A replica whose disk reported such an error
+// must be restarted with an empty folder, on a disk without errors.
 package wal
 
 import (
@@ -32,26 +31,27 @@
 	defaultSegmentBytes = 16 << 20
 )
 
-// Options say where the log is kept.
+// Options configures a log.
 type Options struct {
+	// Folder is the folder that holds the log.
 	Folder string
-	// FS is the operating system's when nil.
+	// FS defaults to the file system of the operating system.
 	FS FS
 	// Logger may be nil.
 	Logger *zap.Logger
-	// SegmentBytes is the size at which a new segment begins; 16 MiB when 0.
+	// SegmentBytes is the size from which a new segment is begun; it defaults to 16 MiB.
 	SegmentBytes int64
 }
 
-// Log is a replica's data folder. Its methods are called from one goroutine, but
-// for StageSnapshot.
+// Log is a replica's data folder. Its methods must be called from one goroutine, except for
+// StageSnapshot.
 type Log struct {
 	fs           FS
 	folder       string
 	logger       *zap.Logger
 	segmentBytes int64
 	lock         io.Closer
-	// err is the first write error; it is final.
+	// err is the first write error. It is never reset.
 	err error
 
 	loaded    bool
@@ -59,7 +59,7 @@
 	file      File
 	size      int64
 	hardState *apiv1.HardState
-	// hardStateDirty is set while only the commit index changed since the last write.
+	// hardStateDirty is set while hardState may differ from the last written one.
 	hardStateDirty bool
 	snapshots      []snapshotID
 	buffer         []byte
@@ -67,8 +67,8 @@
 
 var _ quorum.Storage = (*Log)(nil)
 
-// Open takes the folder for this process, creating it when missing. It returns
-// *LockedError when another process has it.
+// Open locks the folder for this process and creates it if it is missing. It returns a
+// *LockedError if another process has locked it.
 func Open(o Options) (*Log, error) {
 	l := &Log{fs: o.FS, folder: o.Folder, logger: o.Logger, segmentBytes: o.SegmentBytes}
 	if l.fs == nil {
@@ -108,8 +108,8 @@
 	return nil
 }
 
-// rotate begins a new segment with a copy of the hard state, so that earlier
-// segments can be dropped.
+// rotate begins a new segment with a copy of the hard state, so that earlier segments can be
+// removed.
 func (l *Log) rotate() error {
 	s := segment{sequence: 1, salt: randomSalt()}
 	if n := len(l.segments); n > 0 {
@@ -140,7 +140,7 @@
 
 func randomSalt() uint64 {
 	var b [8]byte
-	rand.Read(b[:]) // Never fails, by its documentation.
+	rand.Read(b[:]) // Documented to never fail.
 	return binary.LittleEndian.Uint64(b[:])
 }
 
@@ -160,14 +160,14 @@
 	return nil
 }
 
-// append writes one record as one synced frame.
+// append writes a record as one frame and syncs it.
 func (l *Log) append(r *apiv1.WalRecord) error {
 	payload, err := proto.Marshal(r)
 	if err != nil {
 		return l.fail("encode", l.folder, err)
 	}
 	if len(payload) > maxPayload {
-		return l.fail("encode", l.folder, errors.Newf("a record of %d bytes is too large", len(payload)))
+		return l.fail("encode", l.folder, errors.Newf("record of %d bytes exceeds the limit", len(payload)))
 	}
 	current := &l.segments[len(l.segments)-1]
 	l.buffer = appendFrame(l.buffer[:0], current.salt, payload)
@@ -179,16 +179,16 @@
 	return nil
 }
 
-// Save implements quorum.Storage. A change of nothing but the commit index is
-// kept back until the next write: commitIndex is volatile in the Raft paper, a
-// replica learns it again from its leader, and a sync per commit would double
-// the syncs of a follower.
+// Save implements quorum.Storage. If only the commit index has changed, it is not written
+// until the next write. The commit index is volatile state in the Raft paper: a replica
+// learns it again from its leader, and a sync per commit would double the syncs of a
+// follower.
 func (l *Log) Save(hs *apiv1.HardState, entries []*apiv1.LogEntry) error {
 	if err := l.checkUsable(); err != nil {
 		return err
 	}
-	voted := hs != nil && (hs.Term != l.hardState.GetTerm() || hs.Vote != l.hardState.GetVote())
-	write := voted || len(entries) > 0
+	termOrVoteChanged := hs != nil && (hs.Term != l.hardState.GetTerm() || hs.Vote != l.hardState.GetVote())
+	write := termOrVoteChanged || len(entries) > 0
 	if write && l.size >= l.segmentBytes {
 		if err := l.rotate(); err != nil {
 			return err
@@ -204,7 +204,7 @@
 	return l.flush(entries)
 }
 
-// flush writes the hard state, if it isn't yet, together with entries.
+// flush writes the entries, together with the hard state if it has changed.
 func (l *Log) flush(entries []*apiv1.LogEntry) error {
 	r := &apiv1.WalRecord{Entries: entries}
 	if l.hardStateDirty {
@@ -219,13 +219,13 @@
 
 func (l *Log) checkUsable() error {
 	if l.err == nil && !l.loaded {
-		panic("wal: the log is read by Load before it is written, or a torn end would be followed by whole records")
+		panic("wal: Load must be called before the log is written, so that no valid records follow a torn one")
 	}
 	return l.err
 }
 
-// SaveSnapshot implements quorum.Storage. The snapshot before it stays, and with
-// it the log since then.
+// SaveSnapshot implements quorum.Storage. The previous snapshot and the log since then are
+// kept.
 func (l *Log) SaveSnapshot(s *apiv1.QuorumSnapshot) error {
 	if err := l.checkUsable(); err != nil {
 		return err
@@ -237,9 +237,9 @@
 	return l.CommitSnapshot(s.Meta)
 }
 
-// StageSnapshot stores a snapshot's file and leaves the log alone. It is the one
-// method that may run beside others, so that a large snapshot of what this
-// replica itself applied does not hold up its log. CommitSnapshot completes it.
+// StageSnapshot stores a snapshot's file without changing the log; CommitSnapshot must
+// follow. It is the only method that may run concurrently with the others, so that a large
+// snapshot of the state that this replica applied does not block its log.
 func (l *Log) StageSnapshot(s *apiv1.QuorumSnapshot) error {
 	payload, err := proto.Marshal(s)
 	if err != nil {
@@ -248,8 +248,9 @@
 	return l.writeBlob(snapshotID{s.Meta.Index, s.Meta.Term}.name(), payload)
 }
 
-// CommitSnapshot notes a staged snapshot in the log and drops what only older
-// ones need. One that a newer snapshot has overtaken is left alone.
+// CommitSnapshot records a staged snapshot in the log, and removes the snapshots and
+// segments that are no longer needed. It does nothing if the log has recorded a snapshot at
+// the same or a higher index.
 func (l *Log) CommitSnapshot(m *apiv1.SnapshotMeta) error {
 	if err := l.checkUsable(); err != nil {
 		return err
@@ -268,15 +269,15 @@
 	return l.dropObsolete()
 }
 
-// recordSnapshot notes in the log that a snapshot is stored.
+// recordSnapshot writes to the log that a snapshot is stored.
 func (l *Log) recordSnapshot(m *apiv1.SnapshotMeta) error {
 	position := &apiv1.SnapshotMeta{Index: m.Index, Term: m.Term}
 	return l.append(&apiv1.WalRecord{HardState: l.hardState, Snapshot: position})
 }
 
-// dropObsolete removes what no kept snapshot needs. The folder is synced after each
-// segment: if a later removal reached the disk without an earlier one, the files
-// left would have a gap, which Load takes for damage.
+// dropObsolete removes the snapshots and segments that no retained snapshot needs. The folder
+// is synced after each removed segment: if a later removal reached the disk without an
+// earlier one, the remaining segments would have a gap, which Load reports as damage.
 func (l *Log) dropObsolete() error {
 	for len(l.snapshots) > retainedSnapshots {
 		if err := l.remove(l.snapshots[0].name()); err != nil {
@@ -306,7 +307,7 @@
 	return nil
 }
 
-// Close writes a commit index that was kept back and gives the folder free.
+// Close writes a commit index that has not been written yet, and unlocks the folder.
 func (l *Log) Close() error {
 	err := l.err
 	if err == nil && l.hardStateDirty {
--- a/quorum/wal/wal_test.go
+++ b/quorum/wal/wal_test.go
@@ -30,7 +30,7 @@
 	return &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: index, Term: term}, Data: fmt.Appendf(nil, "state at %d", index)}
 }
 
-// op is a save, or a snapshot when that is set.
+// op is a Save, or a SaveSnapshot if snapshot is set.
 type op struct {
 	hs       *apiv1.HardState
 	entries  []*apiv1.LogEntry
@@ -44,8 +44,8 @@
 	return s.Save(o.hs, o.entries)
 }
 
-// testOps overwrites a conflicting end, compacts, and takes in leaders'
-// snapshots both ahead of the log and in conflict with it.
+// testOps returns operations that overwrite conflicting entries, compact the log, and store
+// snapshots of a leader both ahead of the log and in conflict with it.
 func testOps() []op {
 	ops := []op{
 		{snapshot: makeSnapshot(1, 1)},
@@ -68,7 +68,7 @@
 	return ops
 }
 
-// expectedState returns what a log holds after ops, by the contract of quorum.Storage.
+// expectedState returns the state that a log must hold after ops, according to quorum.Storage.
 func expectedState(ops []op) quorum.StoredState {
 	var st quorum.StoredState
 	for _, o := range ops {
@@ -104,8 +104,8 @@
 	return es
 }
 
-// equalState ignores the commit index, which may be older than what was saved, and a
-// term that only a snapshot tells.
+// equalState compares two states. It ignores the commit index, which may be older than the
+// saved one, and allows that a term is known only from a snapshot.
 func equalState(a, b quorum.StoredState) bool {
 	same := a.HardState.GetVote() == b.HardState.GetVote()
 	same = same && max(a.HardState.GetTerm(), a.Snapshot.GetMeta().GetTerm()) == max(b.HardState.GetTerm(), b.Snapshot.GetMeta().GetTerm())
@@ -128,7 +128,7 @@
 	return l, st, err
 }
 
-// startReplica does what a replica does: its identity is stored before all else.
+// startReplica opens and loads the log as a replica does, which stores its identity first.
 func startReplica(d *waltest.Disk) (*wal.Log, quorum.StoredState, error) {
 	l, err := wal.Open(wal.Options{Folder: folder, FS: d, SegmentBytes: 150})
 	if err != nil {
@@ -145,8 +145,8 @@
 	return l, st, err
 }
 
-// runOps stores an identity and the history up to the first error; it returns how
-// many ops were acknowledged.
+// runOps stores an identity and runs testOps up to the first error. It returns the number of
+// operations that succeeded.
 func runOps(d *waltest.Disk) (*wal.Log, int, error) {
 	l, _, err := startReplica(d)
 	if err != nil {
@@ -160,12 +160,11 @@
 	return l, len(testOps()), nil
 }
 
-// Symptom: after a restart a replica lacks what it acknowledged, or won't start.
-// Sequence: each single write, sync, rename, create and removal in turn fails, by
-// a power cut, a short write, a full disk or a failed sync; the process starts
-// again, and the power is cut once more.
-// Cause: data counted as stored before its sync, a rename without a folder sync,
-// use after a failed sync, or a torn end taken for damage.
+// Guards against a replica that after a restart lacks entries that it acknowledged, or does
+// not start. The causes are data that counts as stored before its sync, a rename without a
+// folder sync, use after a failed sync, and a torn record taken for damage. Each write, sync,
+// rename, creation and removal fails in turn, by a power cut, a short write, a full disk or a
+// failed sync. Then the process starts again, and the power is cut once more.
 func TestFaultAtEveryStep(t *testing.T) {
 	d := waltest.NewDisk(0)
 	d.FailAt(0, 0)
@@ -196,10 +195,10 @@
 			return fmt.Errorf("error is not a *wal.WriteError: %w", err)
 		}
 		if fault == waltest.NoSpace && !errors.Is(err, syscall.ENOSPC) {
-			return fmt.Errorf("ENOSPC is hidden: %w", err)
+			return fmt.Errorf("error does not wrap ENOSPC: %w", err)
 		}
 		if again := l.Save(nil, makeEntries(9, 90, 90)); !errors.Is(again, err) {
-			return fmt.Errorf("use after a failed write returned %w", again)
+			return fmt.Errorf("a Save after a failed write returned another error: %w", again)
 		}
 	}
 	l.Close()
@@ -213,7 +212,8 @@
 	return checkRestart(d, acked)
 }
 
-// checkRestart starts twice, with a power cut between, and then writes on.
+// checkRestart starts the replica twice, with a power cut after each start, and then checks
+// that further writes are stored.
 func checkRestart(d *waltest.Disk, acked int) error {
 	var first quorum.StoredState
 	for n := range 2 {
@@ -223,10 +223,10 @@
 		}
 		next := min(acked+1, len(testOps()))
 		if !equalState(st, expectedState(testOps()[:acked])) && !equalState(st, expectedState(testOps()[:next])) {
-			return fmt.Errorf("start %d after %d operations found %v", n, acked, st)
+			return fmt.Errorf("start %d after %d operations loaded an unexpected state: %v", n, acked, st)
 		}
 		if n > 0 && !equalState(st, first) {
-			return fmt.Errorf("a power cut took back what the start before had read: %v, then %v", first, st)
+			return fmt.Errorf("the state loaded before a power cut differs from the state after it: %v, then %v", first, st)
 		}
 		first = st
 		l.Close()
@@ -243,16 +243,16 @@
 	d.CutPower()
 	_, again, err := open(d)
 	if err != nil || len(again.Entries) != len(st.Entries)+3 {
-		return fmt.Errorf("what was written after the restart is lost: %v, %w", again, err)
+		return fmt.Errorf("entries written after the restart are lost: %v, %w", again, err)
 	}
 	return nil
 }
 
-// Symptom: a replica with a rotten disk starts with a shorter or other log than
-// it acknowledged, and votes by it.
-// Sequence: one bit of one file flips, at each byte of each file in turn.
-// Cause: a broken record taken for a torn end, or a snapshot used unchecked.
-// Only a flip in the last record of all can't be told from a torn one.
+// Guards against a replica with a damaged disk that starts with a shorter or different log
+// than it acknowledged, and votes based on it. The causes are a corrupt record taken for a
+// torn one, and a snapshot whose checksum is not verified. One bit is flipped, in each byte
+// of each file in turn. Only damage of the very last record can't be distinguished from a
+// torn record.
 func TestDamageStopsLoad(t *testing.T) {
 	d := waltest.NewDisk(1)
 	l, n, err := runOps(d)
@@ -283,31 +283,30 @@
 			case errors.As(err, &damage):
 				stopped++
 				if !strings.HasPrefix(damage.File, folder) || damage.File == file && damage.Offset > int64(offset) {
-					t.Fatalf("damage of %s at %d is reported as %v", file, offset, err)
+					t.Fatalf("damage of %s at offset %d is reported as %v", file, offset, err)
 				}
 			case err != nil:
-				t.Fatalf("damage of %s at %d: %v", file, offset, err)
+				t.Fatalf("damage of %s at offset %d: %v", file, offset, err)
 			default:
 				survived++
 				if m := st.Snapshot.GetMeta(); !proto.Equal(st.Snapshot, makeSnapshot(m.GetIndex(), m.GetTerm())) {
-					t.Fatalf("damage of %s at %d is not noticed: the snapshot is %v", file, offset, st.Snapshot)
+					t.Fatalf("damage of %s at offset %d is not detected: the snapshot is %v", file, offset, st.Snapshot)
 				}
 				end := st.Snapshot.GetMeta().GetIndex() + uint64(len(st.Entries))
 				if end < 63 && (name != last || end < 62) {
-					t.Fatalf("damage of %s at %d is not noticed: the log ends at %d", file, offset, end)
+					t.Fatalf("damage of %s at offset %d is not detected: the log ends at %d", file, offset, end)
 				}
 			}
 		}
 	}
 	if stopped == 0 || survived == 0 {
-		t.Fatalf("%d stops, %d starts: the test reached one side only", stopped, survived)
+		t.Fatalf("damage was detected %d times and the log was loaded %d times; the test needs both", stopped, survived)
 	}
 }
 
-// Symptom: after a power cut a replica takes a new id, though it has spoken under
-// another, or a snapshot is gone whose log was dropped.
-// Sequence: the file is written and renamed, then the power is cut.
-// Cause: a rename whose folder isn't synced.
+// Guards against a replica that takes a new id after a power cut although it was already a
+// member under another one, and against the loss of a snapshot whose log was removed. A file
+// is written and renamed, then the power is cut. The cause is a rename without a folder sync.
 func TestRenamedFilesAreDurable(t *testing.T) {
 	for seed := range uint64(20) {
 		d := waltest.NewDisk(seed)
@@ -325,15 +324,14 @@
 		l, st, err := startReplica(d)
 		id, idErr := l.Identity()
 		if err != nil || idErr != nil || id.GetReplicaId() != 8 || st.Snapshot.GetMeta().GetIndex() != 9 {
-			t.Fatalf("seed %d: found %v, %v: %v %v", seed, id, st, err, idErr)
+			t.Fatalf("seed %d: loaded identity %v and state %v, errors %v and %v", seed, id, st, err, idErr)
 		}
 	}
 }
 
-// Symptom: two processes append to one log, and each spoils the other's records.
-// Sequence: a second process opens the folder while the first has it, and again
-// once the first has closed it.
-// Cause: no lock on the folder, or one that outlives its holder.
+// Guards against two processes that append to one log and corrupt each other's records, and
+// against a lock that remains after its holder has closed the log. A second process opens
+// the folder while the first one has it open, and again after the first one has closed it.
 func TestOpenLocksFolder(t *testing.T) {
 	o := wal.Options{Folder: t.TempDir()}
 	l, err := wal.Open(o)
@@ -342,7 +340,7 @@
 	}
 	var locked *wal.LockedError
 	if _, err := wal.Open(o); !errors.As(err, &locked) {
-		t.Fatalf("a second process got the folder: %v", err)
+		t.Fatalf("a second Open of a locked folder returned %v", err)
 	}
 	l.Close()
 	if l, err = wal.Open(o); err != nil {
@@ -351,9 +349,9 @@
 	l.Close()
 }
 
-// FuzzLoad feeds the reader whole frames of any content, and a torn or foreign
-// end. It must never panic, and what it accepts must take further writes and come
-// back whole.
+// FuzzLoad loads valid frames with arbitrary payloads, followed by torn or unrelated data.
+// Load must never panic. A log that it accepts must accept further writes, and return them
+// when it is loaded again.
 func FuzzLoad(f *testing.F) {
 	snap := wal.MustMarshal(makeSnapshot(4, 1))
 	first := wal.MustMarshal(&apiv1.WalRecord{HardState: &apiv1.HardState{Term: 1}, Entries: makeEntries(1, 2, 6)})
@@ -381,7 +379,7 @@
 		l.Close()
 		_, again, err := open(d)
 		if err != nil || len(again.Entries) != len(st.Entries)+2 {
-			t.Fatalf("%d entries, then %d: %v", len(st.Entries), len(again.Entries), err)
+			t.Fatalf("%d entries before two were added, then %d: %v", len(st.Entries), len(again.Entries), err)
 		}
 	})
 }
--- a/quorum/wal/waltest/disk.go
+++ b/quorum/wal/waltest/disk.go
@@ -1,5 +1,5 @@
-// Package waltest provides a disk in memory that fails on demand, for tests of
-// code that must survive power cuts and failing disks.
+// Package waltest provides an in-memory disk with fault injection, for tests of code that
+// must survive power cuts and disk failures.
 package waltest
 
 import (
@@ -17,25 +17,25 @@
 	"github.com/cairnlift/cairnlift/quorum/wal"
 )
 
-// Fault is what happens at the chosen step.
+// Fault is the kind of failure that is injected at a step.
 type Fault int
 
 const (
-	// PowerCut ends the step and all later ones with ErrPowerCut.
+	// PowerCut fails the step and all later ones with ErrPowerCut.
 	PowerCut Fault = iota
-	// ShortWrite writes a part of the bytes and reports io.ErrShortWrite.
+	// ShortWrite writes a part of the bytes and returns io.ErrShortWrite.
 	ShortWrite
-	// NoSpace reports ENOSPC, then and from then on, for what takes space.
+	// NoSpace returns ENOSPC, for this and all later steps that need space.
 	NoSpace
-	// SyncFailure reports EIO for a sync, which stores nothing.
+	// SyncFailure returns EIO for a sync, which makes nothing durable.
 	SyncFailure
 )
 
-// ErrPowerCut is what every step returns once the power is cut.
+// ErrPowerCut is returned by every step from a PowerCut fault until CutPower is called.
 var ErrPowerCut = errors.New("power cut")
 
-// Disk is a file system that remembers what is durable. Each call that changes
-// something is a step; steps are counted from 1.
+// Disk is a file system that tracks which files and contents are durable. Each call that
+// modifies or syncs something is a step; steps are counted from 1.
 type Disk struct {
 	mu         sync.Mutex
 	rand       *rand.Rand
@@ -52,8 +52,8 @@
 
 var _ wal.FS = (*Disk)(nil)
 
-// NewDisk returns an empty disk. The seed decides what a power cut leaves of
-// unsynced data.
+// NewDisk returns an empty disk. The seed determines which unsynced data survives a power
+// cut.
 func NewDisk(seed uint64) *Disk {
 	return &Disk{
 		rand:    rand.New(rand.NewPCG(seed, 1)),
@@ -63,22 +63,23 @@
 	}
 }
 
-// FailAt arranges a fault at a step, counted from now; 0 arranges none.
+// FailAt schedules a fault at a step, counted from this call. With step 0 no fault is
+// scheduled.
 func (d *Disk) FailAt(step int, f Fault) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.steps, d.failAt, d.fault = 0, step, f
 }
 
-// Steps returns the steps since FailAt was called.
+// Steps returns the number of steps since the last call of FailAt.
 func (d *Disk) Steps() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.steps
 }
 
-// CutPower loses what isn't synced, or keeps a random part of it: renames may
-// or may not have happened, and appended bytes may be there in part or as zeros.
+// CutPower simulates a power cut, which loses all or a random part of the unsynced data:
+// renames may or may not have happened, and appended bytes may be there in part or as zeros.
 // The disk then works again.
 func (d *Disk) CutPower() {
 	d.mu.Lock()
@@ -88,7 +89,8 @@
 		names = d.current
 	}
 	d.durable, d.current = map[string]*file{}, map[string]*file{}
-	// In order, so that each file gets the same draws in every run of a seed.
+	// The order is fixed, so that each file gets the same random numbers in every run of a
+	// seed.
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		b := d.contentAfterPowerCut(names[name])
 		survivor := &file{durable: b, current: slices.Clone(b)}
@@ -98,7 +100,7 @@
 	d.failAt, d.poweredOff, d.full = 0, false, false
 }
 
-// contentAfterPowerCut returns a file's bytes after a power cut.
+// contentAfterPowerCut returns the content of a file after a power cut.
 func (d *Disk) contentAfterPowerCut(f *file) []byte {
 	kept := slices.Clone(f.durable)
 	if len(f.current) <= len(f.durable) || d.rand.IntN(3) == 0 {
@@ -112,7 +114,7 @@
 	return append(kept, tail...)
 }
 
-// Corrupt flips a bit of a file, as a failing disk would.
+// Corrupt flips one bit of a file, like a failing disk.
 func (d *Disk) Corrupt(name string, offset int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -120,7 +122,7 @@
 	d.current[name].durable[offset] ^= 0x10
 }
 
-// Put stores a file of any content.
+// Put stores a durable file with the given content.
 func (d *Disk) Put(name string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -135,14 +137,14 @@
 	return slices.Sorted(maps.Keys(d.current))
 }
 
-// SetSyncDelay makes each sync of a file take a time; 0 ends it.
+// SetSyncDelay makes each sync of a file take the given time; 0 removes the delay.
 func (d *Disk) SetSyncDelay(sync time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.syncDelay = sync
 }
 
-// waitSync lasts as long as a sync does.
+// waitSync waits for the time that a sync takes.
 func (d *Disk) waitSync() {
 	d.mu.Lock()
 	slow := d.syncDelay
@@ -150,14 +152,14 @@
 	time.Sleep(slow)
 }
 
-// FreeSpace ends a NoSpace fault.
+// FreeSpace ends the effect of a NoSpace fault.
 func (d *Disk) FreeSpace() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.full = false
 }
 
-// Clone returns a disk with the same files, all durable and unlocked.
+// Clone returns a disk with the same files, all of them durable, and without locks.
 func (d *Disk) Clone() *Disk {
 	clone := NewDisk(1)
 	for _, name := range d.Names() {
@@ -167,14 +169,14 @@
 	return clone
 }
 
-// Erase leaves the disk empty, as a replaced one is.
+// Erase removes all files, as if the disk had been replaced.
 func (d *Disk) Erase() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.durable, d.current = map[string]*file{}, map[string]*file{}
 }
 
-// nextStep counts a step and returns its fault.
+// nextStep counts a step and returns the fault that is injected at it. The caller must hold d.mu.
 func (d *Disk) nextStep() (fault Fault, failed bool, err error) {
 	if d.poweredOff {
 		return 0, false, ErrPowerCut
@@ -188,7 +190,7 @@
 	return d.fault, true, nil
 }
 
-// changeFolder runs a step on the folder.
+// changeFolder runs a step that modifies the folder or truncates a file.
 func (d *Disk) changeFolder(takesSpace bool, do func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -277,7 +279,7 @@
 	return nil
 }
 
-// stepError is the error of a step that syncs.
+// stepError returns the error of a step that syncs.
 func stepError(fault Fault, failed bool, err error) error {
 	switch {
 	case err != nil:
--- a/quorum/wal/waltest/file.go
+++ b/quorum/wal/waltest/file.go
@@ -6,7 +6,8 @@
 	"syscall"
 )
 
-// file is an inode: what is on the disk and what a reader sees.
+// file is an inode. durable is its content on the disk, and current the content that a
+// reader sees.
 type file struct {
 	durable []byte
 	current []byte
@@ -18,7 +19,7 @@
 	f *file
 }
 
-// Write implements io.Writer. When the power is cut, a part is written.
+// Write implements io.Writer. At a power cut, a random part of b is written.
 func (h *handle) Write(b []byte) (int, error) {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
--- a/quorum/wal/writable.go
+++ b/quorum/wal/writable.go
@@ -8,18 +8,18 @@
 
 const (
 	probeFile = "writable"
-	// probeBytes is more than what a file system keeps in its own tables, and at least
-	// one block.
+	// probeBytes is at least one block, and more than a file system stores within its
+	// metadata.
 	probeBytes = 64 << 10
 )
 
-// CheckWritable returns nil if a folder's disk takes and syncs a write, else why not. What
-// is written is removed again.
+// CheckWritable returns an error if the disk of a folder can't store and sync a write. The file
+// that it writes is removed again.
 func CheckWritable(fs FS, folder string) error {
 	path := filepath.Join(folder, probeFile)
 	if err := probeDisk(fs, folder, path); err != nil {
-		_ = fs.Remove(path) // The disk is failing; the next probe empties the file.
-		return errors.Wrapf(err, "probe of %s", path)
+		_ = fs.Remove(path) // The disk is failing; the next probe truncates the file.
+		return errors.Wrapf(err, "probe %s", path)
 	}
 	return nil
 }
@@ -33,7 +33,7 @@
 		return err
 	}
 	if _, err := f.Write(make([]byte, probeBytes)); err != nil {
-		_ = f.Close() // The write's error says more.
+		_ = f.Close() // The write error is more specific.
 		return err
 	}
 	if err := f.Sync(); err != nil {
--- a/quorum/wal/writable_test.go
+++ b/quorum/wal/writable_test.go
@@ -7,9 +7,9 @@
 	"github.com/cairnlift/cairnlift/quorum/wal/waltest"
 )
 
-// Symptom: a replica is started on a disk that refuses its first write, again and again.
-// Sequence: each single step of the probe fails in turn, then none does.
-// Cause: a refused step that is taken for success, or a file that the probe leaves.
+// Guards against a replica that is started again and again on a disk that fails its first
+// write, because the probe ignores a failed step or leaves its file behind. Each step of the
+// probe fails in turn, then none fails.
 func TestCheckWritable(t *testing.T) {
 	disk := waltest.NewDisk(1)
 	for step := 1; ; step++ {
@@ -17,17 +17,17 @@
 		err := wal.CheckWritable(disk, "/data")
 		if err == nil {
 			if step < 3 { // Create and write take space; sync and remove do not.
-				t.Fatalf("step %d fails unnoticed", step)
+				t.Fatalf("failure of step %d is not reported", step)
 			}
 			break
 		}
 		disk.FreeSpace()
 		if err := wal.CheckWritable(disk, "/data"); err != nil {
-			t.Fatalf("after step %d: %v", step, err)
+			t.Fatalf("probe after a failure of step %d: %v", step, err)
 		}
 	}
 	names, err := disk.List("/data")
 	if err != nil || len(names) != 0 {
-		t.Errorf("%v is left, %v", names, err)
+		t.Errorf("files %v are left, error %v", names, err)
 	}
 }
