--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -107,7 +107,7 @@
 	s.last, s.told, s.toldAt = seen, now, logged
 	event.StateOfGroup.Write(s.logger,
 		event.Term(seen.term), event.LeaderAddress(seen.leader), event.Leads(seen.leads), event.Since(now.Sub(s.ledSince)),
-		event.Voters(seen.size.Voters), event.Heard(seen.size.Heard), event.Spares(seen.size.Spares),
+		event.Voters(seen.size.Voters), event.Heard(seen.size.Responsive), event.Spares(seen.size.Spares),
 		event.Version(seen.version), event.WorkerCount(seen.workers), event.Reachable(seen.reachable),
 		event.Waiting(standing.Waiting))
 }
--- a/quorum/node/slowdisk_test.go
+++ b/quorum/node/slowdisk_test.go
@@ -33,10 +33,10 @@
 // the others' acknowledgements only after its own sync, and leads on.
 // Before: each commit takes 60 ms for as long as the disk is slow. After: the last ones
 // take what a fast disk takes.
-func TestLeaderWithASlowDiskHandsOver(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestLeaderWithSlowDiskTransfersLeadership(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
-		g.WaitWhole()
+		g.WaitAllVoters()
 		leader := g.Leader()
 		g.Host(leader).Disk.Slow(slowSync)
 		times := commitTimes(g, "slow")
@@ -47,7 +47,7 @@
 			g.T.Errorf("seed %d: %s leads on", g.Seed, now)
 		}
 		for _, name := range g.Names() {
-			if !g.Has(name, "slow 0") {
+			if !g.HasCommand(name, "slow 0") {
 				g.T.Errorf("seed %d: %s lacks what was committed on the slow disk", g.Seed, name)
 			}
 		}
@@ -57,7 +57,7 @@
 // Symptom: leadership wanders and every commit waits for elections.
 // Sequence: all disks turn slow alike, as on a shared storage; or the leader's is slow
 // for two syncs only. Cause: a leader that hands over without a faster voter, or at once.
-func TestLeaderStaysWithoutAFasterVoter(t *testing.T) {
+func TestLeaderKeepsLeadershipWithoutFasterVoter(t *testing.T) {
 	slow := map[string]func(g *nodetest.Group, leader string){
 		"all": func(g *nodetest.Group, _ string) {
 			for _, name := range g.Names() {
@@ -74,9 +74,9 @@
 	}
 	for name, play := range slow {
 		t.Run(name, func(t *testing.T) {
-			forSeeds(t, 5, three, func(g *nodetest.Group) {
+			forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 				g.MustStart()
-				g.WaitWhole()
+				g.WaitAllVoters()
 				leader := g.Leader()
 				term := g.Node(leader).Status().Term
 				play(g, leader)
