--- a/quorum/node/addresses.go
+++ b/quorum/node/addresses.go
@@ -7,21 +7,22 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// maxSenders bounds the senders that are remembered without being members there.
+// maxSenders bounds the number of senders that are remembered although the membership does not
+// list them at their address.
 const maxSenders = quorum.MaxReplicas
 
-// AddressBook says where replicas are reached: the members where the membership has
-// them, and senders of messages where they said. What goes wrong without the senders:
-// a replica that is far behind, or was just taken in, knows the group as it was long
-// ago; it can't answer a leader that joined or moved since, is never seen to catch up
-// and never gets its vote. The next lost disk then ends the majority.
+// AddressBook maps replica ids to addresses: of members, as the membership lists them, and of
+// message senders, as they reported them. The senders are needed because a replica that is far
+// behind, or has just joined, knows only an old membership. Without them, it could not answer a
+// leader that joined or moved since, would never be seen to catch up and would never get its vote.
+// The next lost disk could then cost the group its majority.
 //
-// Not safe for use by several goroutines. The zero value is empty.
+// It is not safe for concurrent use. The zero value is empty.
 type AddressBook struct {
 	members map[uint64]string
-	// senders are senders that the membership does not have at their address, the one
-	// that was first heard longest ago in front. The list forgets from there: in a
-	// series of lost disks its front is of disks that are gone.
+	// senders are the senders that the membership does not list at their address, in the order in
+	// which they were first seen. The oldest one is dropped first: after a series of lost disks,
+	// the oldest senders are replicas whose disks are lost.
 	senders []sender
 }
 
@@ -30,8 +31,8 @@
 	address string
 }
 
-// SetMembers takes a membership over. A member that is new there or has moved is
-// reached where the membership says, until it is heard from elsewhere.
+// SetMembers records a membership. A member that is new or has moved is reached at its address in
+// the membership until a message reports another one.
 func (b *AddressBook) SetMembers(m *apiv1.Membership) {
 	members := map[uint64]string{}
 	for _, r := range m.GetReplicas() {
@@ -43,7 +44,7 @@
 	b.members = members
 }
 
-// RecordSender notes where the sender of a message is reached.
+// RecordSender records the address that the sender of a message reported.
 func (b *AddressBook) RecordSender(id uint64, address string) {
 	if address == "" || b.Address(id) == address {
 		return
@@ -62,7 +63,7 @@
 	b.senders = slices.DeleteFunc(b.senders, func(s sender) bool { return s.id == id })
 }
 
-// Address returns where a replica is reached, "" when that isn't known.
+// Address returns the address of a replica, or "" if it is not known.
 func (b *AddressBook) Address(id uint64) string {
 	for _, s := range b.senders {
 		if s.id == id {
@@ -72,7 +73,7 @@
 	return b.members[id]
 }
 
-// All returns the addresses of all replicas that can be reached, by id.
+// All returns the addresses of all known replicas by id.
 func (b *AddressBook) All() map[uint64]string {
 	all := map[uint64]string{}
 	for id := range b.members {
--- a/quorum/node/bench_test.go
+++ b/quorum/node/bench_test.go
@@ -20,11 +20,11 @@
 const (
 	commandBytes = 200
 	benchTick    = 50 * time.Millisecond
-	// maxLatency is the histograms' upper end, in microseconds.
+	// maxLatency is the largest value of the histograms, in microseconds.
 	maxLatency = 60_000_000
 )
 
-// noopStateMachine is a state machine that keeps nothing.
+// noopStateMachine is a state machine that stores nothing.
 type noopStateMachine struct{}
 
 func (noopStateMachine) Apply(uint64, []byte) []byte { return nil }
@@ -48,8 +48,8 @@
 	b.ReportMetric(float64(h.ValueAtQuantile(99)), "p99-"+unit)
 }
 
-// BenchmarkCommit measures commits through the leader, files synced, replicas
-// over HTTP on the loopback interface.
+// BenchmarkCommit measures commits through the leader, with synced files and with replicas that
+// communicate over HTTP on the loopback interface.
 func BenchmarkCommit(b *testing.B) {
 	for _, replicas := range []int{1, 3} {
 		for _, single := range []bool{false, true} {
@@ -94,8 +94,8 @@
 	report(b, total, "us")
 }
 
-// BenchmarkRecovery measures from the start of a lone replica to its first
-// confirmed read, against the number of log entries after its snapshot.
+// BenchmarkRecovery measures the time from the start of a single replica to its first confirmed
+// read, for several numbers of log entries after its snapshot.
 func BenchmarkRecovery(b *testing.B) {
 	for _, entries := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
@@ -148,8 +148,8 @@
 	}
 }
 
-// BenchmarkLeaderChange measures from the end of a leader to the first commit by
-// its successor: after a crash, and after a planned stop, whose own time is in it.
+// BenchmarkLeaderChange measures the time from the end of a leader to the first commit by its
+// successor, after a crash and after a planned stop. The duration of the planned stop is included.
 // The election timeout is 10 to 20 ticks of 50 ms.
 func BenchmarkLeaderChange(b *testing.B) {
 	for _, planned := range []bool{false, true} {
--- a/quorum/node/errors.go
+++ b/quorum/node/errors.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// NotLeaderError says that this replica doesn't lead. Nothing was proposed.
+// NotLeaderError reports that this replica isn't the leader. Nothing was proposed.
 type NotLeaderError struct {
-	// LeaderAddress is empty when no leader is known.
+	// LeaderAddress is empty if no leader is known.
 	LeaderAddress string
 }
 
@@ -16,20 +16,20 @@
 	return "not the leader; the leader is at " + e.LeaderAddress
 }
 
-// UnknownError says that a proposal may or may not be committed, now or later.
+// UnknownError reports that a proposal may or may not be committed, now or later.
 type UnknownError struct{ Cause string }
 
 // Error implements error.
 func (e *UnknownError) Error() string { return "proposal may or may not be committed: " + e.Cause }
 
-// OverloadedError says that nothing was proposed because too much waits already.
+// OverloadedError reports that nothing was proposed because too many requests are queued.
 type OverloadedError struct{ Cause string }
 
 // Error implements error.
 func (e *OverloadedError) Error() string { return "nothing was proposed: " + e.Cause }
 
-// StoppedError says that the replica has stopped and answers nothing more.
-// Nothing was proposed.
+// StoppedError reports that the replica has stopped and serves no more calls. Nothing was
+// proposed.
 type StoppedError struct {
 	// Cause is nil after a planned stop.
 	Cause error
@@ -46,7 +46,7 @@
 // Unwrap returns the cause.
 func (e *StoppedError) Unwrap() error { return e.Cause }
 
-// FolderError says that the data folder belongs to another replica.
+// FolderError reports that the data folder belongs to another replica.
 type FolderError struct{ Cell, Name string }
 
 // Error implements error.
@@ -54,7 +54,7 @@
 	return fmt.Sprintf("the data folder belongs to replica %s of cell %s", e.Name, e.Cell)
 }
 
-// InvariantError says that a broken invariant stopped the replica.
+// InvariantError reports that a violated invariant stopped the replica.
 type InvariantError struct{ Value any }
 
 // Error implements error.
--- a/quorum/node/export_test.go
+++ b/quorum/node/export_test.go
@@ -7,13 +7,14 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// NextMembership is the leader's choice of the next change while no voter has been
-// silent for long.
+// NextMembership returns the leader's next membership change while no voter has been unresponsive
+// for long.
 func NextMembership(s quorum.Status) (*apiv1.Membership, string) {
 	return nextMembership(s, membershipPolicy{replaceTicks: math.MaxInt, responsiveTicks: math.MaxInt})
 }
 
-// NextMembershipAfter is the choice when a voter counts as gone after some ticks.
+// NextMembershipAfter returns the next membership change if a voter counts as unresponsive after
+// some ticks.
 func NextMembershipAfter(s quorum.Status, ticks int) (*apiv1.Membership, string) {
 	return nextMembership(s, membershipPolicy{replaceTicks: ticks, responsiveTicks: ticks})
 }
--- a/quorum/node/form.go
+++ b/quorum/node/form.go
@@ -17,61 +17,60 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// How a group is formed, and why a lost disk can't break it.
+// This file forms a group. Its rules ensure that a lost disk can't corrupt a group.
 //
-// A replica's id is random and is stored before the replica says anything. So an
-// id stands for one disk: whoever comes back with an empty disk has a new id, and
-// messages for the old one, which still go to the same address, are dropped
-// (see receive). The old id never votes or acknowledges again, whatever it
-// promised; so it counts as a replica that is down, which Raft is built for.
+// A replica's id is random and is stored before the replica sends any message, so an id identifies
+// one disk. A host that returns with an empty disk has a new id, and messages for the old id,
+// which are still sent to the same address, are dropped (see receive). The old id never votes or
+// acknowledges again, whatever it promised, so it counts as a replica that is down, which Raft
+// tolerates.
 //
-// Danger 1: two groups under one name. If every host formed a group as soon as
-// all others were empty, hosts that asked at different moments around a lost disk
-// could settle on different ids. So only one host, the founder (the first peer by
-// name), may form the group, and only when every configured peer answered that it
-// is empty and what its id is. The others never decide anything: they take the
-// founder's initial membership over. Waiting for the founder costs nothing, since
-// forming needs every peer's answer anyway. Once two hosts hold the membership, a
-// founder that lost its disk finds a peer that is not empty, and joins instead.
-// A founder may lose its disk while its decision is on the way to a peer, and
-// found again under its new id. So an empty peer that answers a founder promises
-// not to take an initial membership that lacks the founder's id, and a founder
-// needs that promise of all. The promise ends when the founder's host answers, in
-// a round of questions begun after it, that it joins a group or has another id.
+// Danger 1: two groups under one name. If every host formed a group as soon as all others were
+// empty, hosts that queried each other at different times around the loss of a disk could decide
+// on different ids. Therefore only one host, the founder (the first peer by name), may form the
+// group, and only after every configured peer has reported that it is empty and what its id is.
+// The others never decide: they adopt the founder's initial membership. Waiting for the founder
+// costs nothing, since forming the group needs the answers of all peers anyway. Once two hosts
+// hold the membership, a founder that lost its disk finds a peer that is not empty, and joins
+// instead. A founder may also lose its disk while its decision is on the way to a peer, and then
+// try to form a group again under its new id. Therefore an empty peer that answers a founder
+// promises not to adopt an initial membership that lacks the founder's id, and a founder needs
+// that promise from all peers. The promise ends when the founder's host, in a round of queries
+// that began after the promise, reports that it joins a group or has another id.
 //
-// Danger 2: a member that is taken for an initial one. A replica without a group
-// takes a membership over only if it is the initial one and names its own id.
-// That id was drawn for this very disk and has stored no term, vote or entry yet,
-// so this replica is where every initial replica began: at index 1, term 1.
-// A current membership would not do, as it belongs to a later index.
+// Danger 2: a replica that is mistaken for an initial member. A replica without a group adopts a
+// membership only if that is the initial one and contains its own id. That id was generated for
+// this disk, which has stored no term, vote or entry yet, so the replica is in the state in which
+// every initial replica began: at index 1, term 1. A current membership would not be correct, as
+// it belongs to a later index.
 //
-// Danger 3: a vote that the group doesn't count on. Every other empty replica
-// joins as a learner under its new id, which has no vote until the leader made it
-// a voter by a committed entry, after it caught up. Only then does it count.
+// Danger 3: a vote that the group doesn't count on. Every other empty replica joins as a learner
+// under its new id. It has no vote until it has caught up and the leader has made it a voter by a
+// committed entry.
 //
-// Not covered: a majority of the disks lost at once. The peers that are left
-// keep an empty host from founding a new group, and an operator has to decide.
+// Not covered: the loss of a majority of the disks at once. The remaining peers prevent an empty
+// host from forming a new group, and an operator has to decide.
 
 const (
 	requestTimeout = time.Second
-	// formRoundsPerElectionTimeout of an election timeout is the pause between two rounds of questions of a
-	// replica without a group: each member of a new group is to know it before two of them
-	// can have elected a leader.
+	// formRoundsPerElectionTimeout is the number of query rounds per election timeout of a replica
+	// without a group. Each member of a new group must learn the membership before two of the
+	// members can have elected a leader.
 	formRoundsPerElectionTimeout = 4
-	// firstIndex and firstTerm are where every group's log begins.
+	// firstIndex and firstTerm are the index and term at which the log of every group begins.
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// newReplicaID returns a random id. It does not come from the seed of the
-// options: a lost disk's replica would be given its old id again.
+// newReplicaID returns a random id. It does not use Options.Seed: a replica whose disk was lost
+// would get its old id again.
 func newReplicaID() uint64 {
 	var b [8]byte
 	rand.Read(b[:]) // Never fails, by its documentation.
 	return binary.LittleEndian.Uint64(b[:])>>1 | 1
 }
 
-// formStep is what a replica without a group does next.
+// formStep is the next action of a replica without a group.
 type formStep int
 
 const (
@@ -81,8 +80,8 @@
 	stepJoin
 )
 
-// form returns once the replica knows its group. With joining set it has yet to
-// be taken in by the leader.
+// form returns once the replica knows its group. joining is set if the leader has yet to add the
+// replica.
 func (n *Node) form() (joining bool, err error) {
 	if n.stored.Snapshot != nil {
 		return false, nil
@@ -113,9 +112,9 @@
 	return false, nil
 }
 
-// tryAdopt checks the promise and, if nothing speaks against it, takes the
-// membership over in one step: from then on no founder is told that this replica
-// is empty. The founder's answer comes from a round begun with the given promise.
+// tryAdopt checks the promise and, if it allows that, adopts the membership in the same critical
+// section: from then on, no founder is told that this replica is empty. The founder's answer must
+// come from a round that began with the given promise.
 func (n *Node) tryAdopt(m *apiv1.Membership, promised uint64, founder *apiv1.IdentifyResponse) bool {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
@@ -131,14 +130,14 @@
 	return false
 }
 
-// promisedFounder returns the id of the founder that this replica said it is empty to.
+// promisedFounder returns the id of the founder that this replica reported itself empty to.
 func (n *Node) promisedFounder() uint64 {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
 	return n.view.promisedFounder
 }
 
-// sleep waits, but not longer than the replica runs.
+// sleep waits for d or until the replica is stopped.
 func (n *Node) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -148,8 +147,8 @@
 	}
 }
 
-// peers returns the other configured hosts, ordered by name, but for those that said
-// that they keep no replica: a group that waited for them would never be formed.
+// peers returns the other configured hosts, ordered by name, without those that reported that they
+// keep no replica: a group that waited for them would never be formed.
 func (n *Node) peers() []settings.Peer {
 	var others []settings.Peer
 	for _, p := range n.opts.Peers {
@@ -166,7 +165,8 @@
 	return others
 }
 
-// identifyPeers asks all other hosts who they are; an answer is nil where none came.
+// identifyPeers queries the identity of all other hosts. The answer of a host that didn't respond
+// is nil.
 func (n *Node) identifyPeers(ctx context.Context) []*apiv1.IdentifyResponse {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -176,9 +176,9 @@
 	}
 	peers := n.peers()
 	answers := make([]*apiv1.IdentifyResponse, len(peers))
-	var asking conc.WaitGroup
+	var requests conc.WaitGroup
 	for i, p := range peers {
-		asking.Go(func() {
+		requests.Go(func() {
 			answer, err := n.transport.Identify(ctx, p.Address, founder)
 			if err != nil || answer.Name != p.Name {
 				event.PeerUnidentified.Write(n.logger, event.Peer(p.Name), event.Err(err))
@@ -187,7 +187,7 @@
 			answers[i] = answer
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	for i, a := range answers {
 		if a != nil && a.ReplicaId == 0 {
 			event.PeerWithoutReplica.Write(n.logger, event.Peer(peers[i].Name))
@@ -212,8 +212,8 @@
 			return stepAdopt, a.InitialMembership
 		}
 		if self := findReplica(a.Membership, n.id()); fresh && self != nil && !self.Learner {
-			// An initial membership that the peer has not stored yet. To join that
-			// group as an empty learner would leave it without a voter's log.
+			// The peer has not stored this initial membership yet. Joining that group as an empty
+			// learner would leave it without a voter's log.
 			event.GroupNamesReplica.Write(n.logger, event.Peer(a.Name))
 		} else if a.Membership != nil {
 			group = a.Membership
@@ -240,7 +240,7 @@
 	return len(peers) == 0 || n.opts.Name < peers[0].Name
 }
 
-// initialMembership is all configured hosts under the ids that they answered.
+// initialMembership returns a membership of all configured hosts with the ids that they reported.
 func (n *Node) initialMembership(answers []*apiv1.IdentifyResponse) *apiv1.Membership {
 	m := &apiv1.Membership{Replicas: []*apiv1.Replica{
 		{Id: n.id(), Name: n.opts.Name, Address: n.opts.Address},
@@ -257,8 +257,8 @@
 	return m
 }
 
-// storeInitialMembership makes this replica one of the group's initial ones. The membership is
-// stored first: from then on, also after a restart, this replica stays with it.
+// storeInitialMembership makes this replica an initial member of the group. It stores the
+// membership first: from then on, even after a restart, the replica keeps that membership.
 func (n *Node) storeInitialMembership(m *apiv1.Membership) error {
 	data, err := n.opts.StateMachine.Snapshot()
 	if err != nil {
--- a/quorum/node/groupsize.go
+++ b/quorum/node/groupsize.go
@@ -5,17 +5,17 @@
 // GroupSize counts the replicas of a group.
 type GroupSize struct {
 	Voters int
-	// Responsive are the voters that the leader heard within an election timeout, itself
-	// included; 0 on other replicas.
+	// Responsive is the number of voters that the leader got a message from within an election
+	// timeout, including itself. It is 0 on other replicas.
 	Responsive int
-	// Spares have no vote, whether they wait for one or are about to get it.
+	// Spares is the number of replicas without a vote, including those that are about to get one.
 	Spares int
 }
 
-// GroupSize counts the group as this replica sees it.
+// GroupSize counts the replicas of the group as this replica knows it.
 func (n *Node) GroupSize() GroupSize { return groupSizeOf(n.Status(), n.opts.ElectionTicks) }
 
-func groupSizeOf(s quorum.Status, recentTicks int) GroupSize {
+func groupSizeOf(s quorum.Status, responsiveTicks int) GroupSize {
 	var g GroupSize
 	for _, r := range s.Membership.GetReplicas() {
 		if r.Learner {
@@ -23,15 +23,15 @@
 			continue
 		}
 		g.Voters++
-		if s.Role == quorum.Leader && (r.Id == s.ID || s.SilentTicks[r.Id] < recentTicks) {
+		if s.Role == quorum.Leader && (r.Id == s.ID || s.SilentTicks[r.Id] < responsiveTicks) {
 			g.Responsive++
 		}
 	}
 	return g
 }
 
-// maxVoterLag is how many entries the slowest voter's log is behind the leader's; 0 on other
-// replicas.
+// maxVoterLag returns the number of entries by which the slowest voter's log lags behind the
+// leader's. It is 0 on other replicas.
 func maxVoterLag(s quorum.Status) uint64 {
 	if s.Role != quorum.Leader {
 		return 0
--- a/quorum/node/groupsize_test.go
+++ b/quorum/node/groupsize_test.go
@@ -9,10 +9,10 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// Symptom: the metrics show a group that is whole while one follower has nothing new
-// for minutes, and nobody sees how often leaders change.
-// Sequence: a follower is cut off while the leader commits, then connected again; then
-// the leader is cut off. Cause: neither the lag nor the elections are counted.
+// Guards against metrics that show a healthy group while one follower gets no new entries for
+// minutes, and that hide how often leaders change. A follower is partitioned while the leader
+// commits, and then reconnected; then the leader is partitioned. Both the lag and the elections
+// must be counted.
 func TestGroupMetrics(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -23,17 +23,17 @@
 			g.Propose("x")
 		}
 		g.Wait("a lag of five entries", func() bool { return gaugeValue(g, leader, "quorum.lag_entries") >= 5 })
-		g.Wait("one voter not heard", func() bool { return g.Node(leader).GroupSize() == node.GroupSize{Voters: 3, Responsive: 2} })
+		g.Wait("one unresponsive voter", func() bool { return g.Node(leader).GroupSize() == node.GroupSize{Voters: 3, Responsive: 2} })
 		g.Isolate(cut, false)
 		g.Wait("no lag", func() bool { return gaugeValue(g, leader, "quorum.lag_entries") == 0 })
 		before := elections(g)
 		g.Isolate(leader, true)
 		g.Wait("another election", func() bool { return elections(g) > before })
-		g.Wait("nothing heard by the former leader", func() bool { return g.Node(leader).GroupSize().Responsive == 0 })
+		g.Wait("no responsive voters on the previous leader", func() bool { return g.Node(leader).GroupSize().Responsive == 0 })
 	})
 }
 
-// elections is the number of elections won on all hosts.
+// elections returns the number of elections won on all hosts.
 func elections(g *nodetest.Group) int64 {
 	sum := int64(0)
 	for _, name := range threeHosts {
--- a/quorum/node/history_test.go
+++ b/quorum/node/history_test.go
@@ -16,10 +16,11 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// noTimeLimit lets a check take as long as it needs: with a limit the verdict depends on the load.
+// noTimeLimit lets a check take as long as it needs. With a limit, the result would depend on the
+// load of the machine.
 const noTimeLimit time.Duration = 0
 
-// register is a register's model: an input is the value written, "" for a read.
+// register models a register: an input is the value written, or "" for a read.
 var register = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -30,8 +31,8 @@
 	},
 }
 
-// history collects the operations of concurrent clients. Its clock counts
-// events, since many happen in the same instant of virtual time.
+// history collects the operations of concurrent clients. Its clock counts events, because many
+// events happen at the same instant of virtual time.
 type history struct {
 	clock      atomic.Int64
 	mu         sync.Mutex
@@ -40,7 +41,7 @@
 	unknown    int
 }
 
-// neverReturned is when a write that may still take effect returns.
+// neverReturned is the return time of a write that may still take effect.
 const neverReturned = 1 << 60
 
 func (h *history) add(o porcupine.Operation) {
@@ -64,7 +65,7 @@
 	case errors.As(err, &unknown):
 		o.Return = neverReturned
 	case err != nil:
-		return // Not run, says the replica: it must not be seen by any read.
+		return // The replica reported that the write was not run: no read may return it.
 	}
 	h.add(o)
 }
@@ -82,30 +83,29 @@
 	h.add(o)
 }
 
-// hasEnough reports whether the history holds 50 reads and 50 acknowledged writes. How
-// many of the first 60 calls of each client succeed hangs on the scheduling of
-// goroutines, so clients go on until it does.
+// hasEnough reports whether the history holds 50 reads and 50 acknowledged writes. How many of the
+// first 60 calls of each client succeed depends on the scheduling of goroutines, so clients
+// continue until the history has enough.
 func (h *history) hasEnough() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reads >= 50 && len(h.operations)-h.reads-h.unknown >= 50
 }
 
-// Symptom: a read misses an acknowledged write, a write is seen after its caller
-// was told that it was not run, or the register goes back to an earlier value.
-// Sequence: clients write and read through all hosts while hosts are cut off,
-// lose power, and hand leadership over, several at once.
-// Cause: any fault in commits, reads, recovery or the answers to callers.
+// Guards against any fault in commits, reads, recovery or the responses to callers: a read that
+// misses an acknowledged write, a write that takes effect after its caller was told that it was
+// not run, or a register that returns to an earlier value. Clients write and read through all
+// hosts while hosts are partitioned, lose power and transfer leadership, several at once.
 func TestHistoryIsLinearizable(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		h := &history{}
 		var clients conc.WaitGroup
-		var disturbed atomic.Bool
+		var faultsDone atomic.Bool
 		for client := range 5 {
 			clients.Go(func() {
 				random := rand.New(rand.NewPCG(g.Seed, uint64(client)))
-				for i := 0; i < 60 || !disturbed.Load() || !h.hasEnough() && i < 5000; i++ {
+				for i := 0; i < 60 || !faultsDone.Load() || !h.hasEnough() && i < 5000; i++ {
 					time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
 					host := g.Host(threeHosts[random.IntN(3)])
 					n, m := host.Node, host.StateMachine
@@ -120,7 +120,7 @@
 			})
 		}
 		injectFaults(g, 25)
-		disturbed.Store(true)
+		faultsDone.Store(true)
 		clients.Wait()
 		if !h.hasEnough() {
 			g.T.Fatalf("seed %d: %d operations, %d reads, %d unknown: too few succeeded", g.Seed, len(h.operations), h.reads, h.unknown)
@@ -132,7 +132,7 @@
 	})
 }
 
-// injectFaults does one disturbance after the other to random hosts and their leader.
+// injectFaults injects one fault after the other at random hosts and their leader.
 func injectFaults(g *nodetest.Group, count int) {
 	random := rand.New(rand.NewPCG(g.Seed, 99))
 	for range count {
--- a/quorum/node/join.go
+++ b/quorum/node/join.go
@@ -8,8 +8,8 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// discoverGroup looks for the group at the control hosts that this process knows from
-// elsewhere: none of the configured peers may hold a replica any more.
+// discoverGroup queries the control hosts that this process knows from another source. It is
+// needed when no configured peer holds a replica any more.
 func (n *Node) discoverGroup() (formStep, *apiv1.Membership) {
 	for _, address := range n.opts.Discover() {
 		if m := n.membershipAt(address); m != nil {
@@ -19,21 +19,23 @@
 	return stepWait, nil
 }
 
-// membershipAt asks one host for its group, nil when it has none. Each host has its own
-// time to answer: one that is silent must not use up that of the next.
+// membershipAt returns the membership of the group that one host belongs to, nil if there is none.
+// Each request has its own timeout, so that an unresponsive host does not use up the time of the
+// next one.
 func (n *Node) membershipAt(address string) *apiv1.Membership {
 	ctx, cancel := context.WithTimeout(n.ctx, requestTimeout)
 	defer cancel()
-	answer, err := n.transport.Identify(ctx, address, 0)
+	response, err := n.transport.Identify(ctx, address, 0)
 	if err != nil {
 		event.DiscoveredUnidentified.Write(n.logger, event.Address(address), event.Err(err))
 		return nil
 	}
-	return answer.Membership
+	return response.Membership
 }
 
-// joinGroup asks the group's leader to take this replica in, until it is a member
-// at its own address. A replica that was removed does not ask again.
+// joinGroup requests the group's leader to add this replica, until it is a member at its own
+// address. It then continues with rejoinLoop, which also serves a replica that was removed from the
+// group.
 func (n *Node) joinGroup(joining bool) {
 	self := &apiv1.Replica{
 		Id: n.id(), Name: n.opts.Name, Address: n.opts.Address, Learner: true, Spare: n.opts.Spare,
@@ -51,33 +53,33 @@
 	n.rejoinLoop()
 }
 
-// rejoinLoop asks to be taken in again whenever no leader was heard of for long. A
-// voter that was silent for a while may have been replaced meanwhile, and nobody
-// sends to it any more. Its log and its vote are whole, so it comes back under its
-// own id, as a spare. Asking while it is still a member changes nothing.
+// rejoinLoop requests to join again whenever no leader has been known for ReplaceAfter. A voter
+// that was unresponsive for a while may have been replaced, and then no other replica sends
+// messages to it. Its log and vote are intact, so it rejoins under its own id, as a spare. A
+// request while it is still a member changes nothing.
 func (n *Node) rejoinLoop() {
 	self := &apiv1.Replica{Id: n.id(), Name: n.opts.Name, Address: n.opts.Address, Learner: true, Spare: true}
-	lonely := time.Duration(0)
+	leaderless := time.Duration(0)
 	for n.ctx.Err() == nil {
 		n.sleep(n.opts.electionTimeout())
-		lonely += n.opts.electionTimeout()
+		leaderless += n.opts.electionTimeout()
 		if n.Status().Leader != 0 {
-			lonely = 0
+			leaderless = 0
 			n.clearLeaderless()
 		}
-		if lonely >= n.opts.ReplaceAfter {
+		if leaderless >= n.opts.ReplaceAfter {
 			if !n.requestJoin(self) {
 				n.logLeaderless()
 			}
-			lonely = 0
+			leaderless = 0
 		}
 	}
 }
 
-// requestJoin asks each member once; a member that doesn't lead names the leader. It
-// reports whether a leader takes the replica in.
+// requestJoin sends a join request to each known host once; a member that isn't the leader returns
+// the leader's address. It reports whether a leader accepted the request.
 func (n *Node) requestJoin(self *apiv1.Replica) bool {
-	asked := map[string]bool{n.opts.Address: true}
+	tried := map[string]bool{n.opts.Address: true}
 	var addresses []string
 	for _, r := range n.groupMembership().GetReplicas() {
 		addresses = append(addresses, r.Address)
@@ -88,27 +90,27 @@
 	addresses = append(addresses, n.opts.Discover()...)
 	for i := 0; i < len(addresses) && n.ctx.Err() == nil; i++ {
 		address := addresses[i]
-		if asked[address] {
+		if tried[address] {
 			continue
 		}
-		asked[address] = true
+		tried[address] = true
 		ctx, cancel := context.WithTimeout(n.ctx, requestTimeout)
-		answer, err := n.transport.Join(ctx, address, self)
+		response, err := n.transport.Join(ctx, address, self)
 		cancel()
 		switch {
 		case err != nil:
 			if n.loggedAnswers.shouldLog(address, "unanswered") {
 				event.JoinUnanswered.Write(n.logger, event.Address(address), event.Err(err))
 			}
-		case answer.Accepted:
+		case response.Accepted:
 			if n.loggedAnswers.shouldLog(address, "accepted") {
 				event.JoinAccepted.Write(n.logger, event.LeaderAddress(address))
 			}
 			return true
-		case answer.NotLeader && answer.LeaderAddress != "":
-			addresses = append(addresses, answer.LeaderAddress)
-		case n.loggedAnswers.shouldLog(address, answer.Message):
-			event.JoinRefused.Write(n.logger, event.Address(address), event.Reason(answer.Message))
+		case response.NotLeader && response.LeaderAddress != "":
+			addresses = append(addresses, response.LeaderAddress)
+		case n.loggedAnswers.shouldLog(address, response.Message):
+			event.JoinRefused.Write(n.logger, event.Address(address), event.Reason(response.Message))
 		}
 	}
 	return false
--- a/quorum/node/leaderless.go
+++ b/quorum/node/leaderless.go
@@ -11,30 +11,31 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// logRepeatInterval is the time between lines that say the same on a group without a leader.
-// A group that lost its majority stays so until somebody helps: lines at the pace of the
-// requests to join, twice a second, would push out what came before.
+// logRepeatInterval is the time from one log line about a group without a leader to the next one
+// with the same content. A group that lost its majority stays in that state until an operator
+// intervenes. Lines at the rate of the join requests, twice a second, would displace the earlier
+// log.
 const logRepeatInterval = 10 * time.Second
 
-// voterSurvey is what became of the voters of a group, by their host's name.
+// voterSurvey is the state of a group's voters, by the name of their host.
 type voterSurvey struct {
 	voters int
-	// unresponsive don't answer; they may come back with their disks.
+	// unresponsive voters don't answer; they may return with their disks.
 	unresponsive []string
-	// diskLost answer under another id: the disk that held the vote is gone.
+	// diskLost voters answer under another id: the disk that held the vote is lost.
 	diskLost []string
 }
 
-// majorityLost reports whether the voters that may still come back are no majority.
+// majorityLost reports whether the voters that can still return are no majority.
 func (w voterSurvey) majorityLost() bool { return w.voters-len(w.diskLost) <= w.voters/2 }
 
-// surveyVoters asks every voter that this replica knows who it is.
+// surveyVoters queries the identity of every voter that this replica knows.
 func (n *Node) surveyVoters() voterSurvey {
 	ctx, cancel := context.WithTimeout(n.ctx, requestTimeout)
 	defer cancel()
 	var w voterSurvey
 	var mu sync.Mutex
-	var asking conc.WaitGroup
+	var requests conc.WaitGroup
 	for _, r := range n.groupMembership().GetReplicas() {
 		if r.Learner {
 			continue
@@ -43,14 +44,14 @@
 		if r.Id == n.id() {
 			continue
 		}
-		asking.Go(func() {
+		requests.Go(func() {
 			answer, err := n.transport.Identify(ctx, r.Address, 0)
 			mu.Lock()
 			defer mu.Unlock()
 			w.add(r, answer, err)
 		})
 	}
-	asking.Wait()
+	requests.Wait()
 	return w
 }
 
@@ -63,10 +64,10 @@
 	}
 }
 
-// logLeaderless says which voters a group without a leader misses, at most once in
-// logRepeatInterval. Whether they are silent or lost their disks decides what to do: the
-// first come back, or are brought back, with everything acknowledged; a majority of
-// lost disks is for an operator to decide on.
+// logLeaderless logs which voters are missing in a group without a leader, at most once in
+// logRepeatInterval. What to do depends on whether they are unresponsive or lost their disks:
+// unresponsive voters return, or can be brought back, with every acknowledged entry, whereas an
+// operator has to decide about a majority of lost disks.
 func (n *Node) logLeaderless() {
 	if time.Since(n.leaderlessLoggedAt) < logRepeatInterval {
 		return
@@ -85,7 +86,7 @@
 	event.GroupLeaderless.Write(n.logger, fields...)
 }
 
-// clearLeaderless ends what logLeaderless said.
+// clearLeaderless resets the state that logLeaderless reported, once a leader is known.
 func (n *Node) clearLeaderless() {
 	if n.leaderlessLoggedAt.IsZero() {
 		return
@@ -96,8 +97,8 @@
 	event.GroupLedAgain.Write(n.logger, event.LeaderID(n.Status().Leader))
 }
 
-// joinAnswers keeps the last answer to a request to join from each address, so that the
-// same one is logged once in logRepeatInterval.
+// joinAnswers holds the last response to a join request from each address, so that the same
+// response is logged only once in logRepeatInterval.
 type joinAnswers map[string]joinAnswer
 
 type joinAnswer struct {
@@ -105,7 +106,7 @@
 	at     time.Time
 }
 
-// shouldLog notes an answer and reports whether it is worth a line.
+// shouldLog records a response and reports whether to log it.
 func (r joinAnswers) shouldLog(address, reason string) bool {
 	last := r[address]
 	if last.reason == reason && time.Since(last.at) < logRepeatInterval {
--- a/quorum/node/leaderless_test.go
+++ b/quorum/node/leaderless_test.go
@@ -14,10 +14,10 @@
 	return g.Host(host).Metrics.Get(name).(metrics.Gauge).Value()
 }
 
-// Symptom: nothing is served, and the logs of the control hosts show refused requests
-// to join without a reason, twice a second.
-// Sequence: the power is cut, and two of three hosts come back with empty disks.
-// Cause: nobody says that the majority is gone, or which hosts it is.
+// Guards against an unexplained outage: no requests are served, and the logs of the control hosts
+// show refused join requests without a reason, twice a second. Power is lost, and two of three
+// hosts return with empty disks. The replicas have to report that the majority is lost, and which
+// hosts lost their disks.
 func TestLostMajorityIsReported(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -27,7 +27,7 @@
 		g.Host("c").Disk.Erase()
 		g.MustStart()
 		for _, name := range threeHosts {
-			g.Wait("two lost disks seen on "+name, func() bool { return gaugeValue(g, name, "quorum.voters_lost") == 2 })
+			g.Wait("two lost disks reported by "+name, func() bool { return gaugeValue(g, name, "quorum.voters_lost") == 2 })
 		}
 		joiner := &apiv1.Replica{Id: 7, Name: "d", Address: "d", Learner: true}
 		answer, err := g.Node("b").Service().Join(nodetest.Within(time.Second), &apiv1.JoinRequest{Cell: "test", Replica: joiner})
@@ -37,24 +37,23 @@
 	})
 }
 
-// Symptom: after a cut the metrics still say that voters are silent.
-// Sequence: a follower is cut off from the others, and is connected again.
-// Cause: what was said of a group without a leader is not taken back.
+// Guards against metrics that report unresponsive voters after a partition has ended. A follower
+// is partitioned from the others and reconnected. The gauges of a group without a leader must be
+// reset.
 func TestUnresponsiveVotersGaugeResets(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		cut := g.Followers()[0]
 		g.Isolate(cut, true)
-		g.Wait("two silent voters", func() bool { return gaugeValue(g, cut, "quorum.voters_silent") == 2 })
+		g.Wait("two unresponsive voters", func() bool { return gaugeValue(g, cut, "quorum.voters_silent") == 2 })
 		g.Isolate(cut, false)
-		g.Wait("none silent", func() bool { return gaugeValue(g, cut, "quorum.voters_silent") == 0 })
+		g.Wait("no unresponsive voter", func() bool { return gaugeValue(g, cut, "quorum.voters_silent") == 0 })
 	})
 }
 
-// Symptom: a host with an empty disk never takes part, though the group is whole.
-// Sequence: the hosts that its settings name are all replaced by others before it comes.
-// Cause: it asks nobody else.
+// Guards against a host with an empty disk that never joins a group that is running. All hosts
+// that its settings name are replaced by others before it starts. It must query other hosts too.
 func TestJoinsThroughDiscoveredHosts(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e", "f")
@@ -65,10 +64,9 @@
 	})
 }
 
-// Symptom: a host with an empty disk never takes part, though the group is whole.
-// Sequence: its settings name a host that is silent, as does what it discovered, before
-// a member of the group.
-// Cause: the silent host uses up the time for all of them, in each round.
+// Guards against a host with an empty disk that never joins a group that is running. Both its
+// settings and the discovered hosts list an unresponsive host before a member of the group. In
+// each round, the unresponsive host must not use up the time for all of them.
 func TestUnresponsiveHostDoesNotBlockDiscovery(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e", "f")
@@ -80,9 +78,8 @@
 	})
 }
 
-// Symptom: an operator can't see from the metrics that one more loss stops the group.
-// Sequence: a follower of three is down.
-// Cause: the leader does not show whom it hears.
+// Guards against metrics that don't show that one more loss stops the group. One follower of three
+// is down. The leader must report from how many voters it gets messages.
 func TestLeaderExportsGroupGauges(t *testing.T) {
 	forSeeds(t, 1, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d")
@@ -92,6 +89,6 @@
 				gaugeValue(g, leader, "quorum.learners") == 1
 		})
 		g.Kill("d", g.Followers()[0])
-		g.Wait("one voter not heard", func() bool { return gaugeValue(g, g.Leader(), "quorum.voters_heard") == 2 })
+		g.Wait("one unresponsive voter", func() bool { return gaugeValue(g, g.Leader(), "quorum.voters_heard") == 2 })
 	})
 }
--- a/quorum/node/loop.go
+++ b/quorum/node/loop.go
@@ -10,12 +10,11 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// reconcileTicks is the number of ticks between a leader's looks at the
-// membership.
+// reconcileTicks is the number of ticks between two membership checks of a leader.
 const reconcileTicks = 5
 
-// loop takes inputs until the replica is stopped or fails. All inputs that wait
-// are taken before the core's output is handled, so that they share its sync.
+// loop handles inputs until the replica is stopped or fails. It handles all queued inputs before
+// the core's output, so that they share one sync.
 func (n *Node) loop() error {
 	ticker := time.NewTicker(n.opts.Tick)
 	defer ticker.Stop()
@@ -35,7 +34,7 @@
 	}
 }
 
-// handleNextInput waits for an input.
+// handleNextInput waits for one input and handles it.
 func (n *Node) handleNextInput(ticks <-chan time.Time) error {
 	select {
 	case <-n.stop:
@@ -55,7 +54,7 @@
 	return nil
 }
 
-// handleQueuedInputs takes the messages, proposals and reads that are there already.
+// handleQueuedInputs handles the messages, proposals and reads that are already queued.
 func (n *Node) handleQueuedInputs() error {
 	for range len(n.inbox) {
 		if err := n.step(<-n.inbox); err != nil {
@@ -84,8 +83,8 @@
 	}
 }
 
-// handOverIfDiskSlow hands leadership to a voter with a much faster disk, if the own one is slow
-// and there is one.
+// handOverIfDiskSlow transfers leadership to a voter with a much faster disk, if this replica's
+// disk is slow and such a voter exists.
 func (n *Node) handOverIfDiskSlow() {
 	to, found := n.raft.FasterVoter()
 	if !found || !n.leadership.Leading || n.shuttingDown.Load() {
@@ -121,8 +120,9 @@
 	return nil
 }
 
-// handleReady does what the core asks for, in the order that it asks for, but for
-// a leader's appends. What a message promises is synced before the message leaves.
+// handleReady executes the core's output in the order that the core requires, except that a
+// leader's appends may be sent early. Everything that a message promises is synced before the
+// message is sent.
 func (n *Node) handleReady(rd quorum.Ready) error {
 	if n.leadership.Leading && (rd.Role != quorum.Leader || rd.Term != n.leadership.Term) {
 		n.setLeadership(Leadership{Term: n.leadership.Term})
@@ -148,11 +148,11 @@
 	return n.snapshot()
 }
 
-// splitMessages returns the messages that may leave before the sync, and those
-// that wait for it. A leader may replicate entries while it stores them itself
-// (thesis, 10.2.1): an append promises nothing about the leader's own disk, which
-// the core counts only at Advance. Its term must be stored, though, or another
-// leader could be elected in it after a power cut.
+// splitMessages returns the messages that may be sent before the sync, and those that must wait
+// for it. A leader may replicate entries while it stores them itself (Raft thesis, 10.2.1): an
+// append promises nothing about the leader's own disk, which the core counts only at Advance. The
+// leader's term must be stored first, however; otherwise another leader could be elected in the
+// same term after a power loss.
 func (n *Node) splitMessages(rd quorum.Ready) (early, late []*apiv1.QuorumMessage) {
 	hs := rd.HardState
 	termStored := hs == nil || hs.Term == n.hardState.GetTerm() && hs.Vote == n.hardState.GetVote()
@@ -174,10 +174,9 @@
 	n.metrics.sent.Inc(int64(len(messages)))
 }
 
-// persist stores what the core hands out. An arriving snapshot goes between the
-// new term and the new commit index: if the power is cut in between, the disk
-// never holds a snapshot of a later term than the replica's own, nor a commit
-// index beyond its log.
+// persist stores the core's output. A received snapshot is stored after the new term and before
+// the new commit index. If power is lost in between, the disk never holds a snapshot of a later
+// term than the replica's own, or a commit index beyond its log.
 func (n *Node) persist(rd quorum.Ready) error {
 	started := time.Now()
 	if rd.Snapshot != nil {
@@ -214,7 +213,7 @@
 	return n.storage.SaveSnapshot(rd.Snapshot)
 }
 
-// apply applies a committed entry and answers who proposed it.
+// apply applies a committed entry and completes its proposal.
 func (n *Node) apply(rd quorum.Ready, e *apiv1.LogEntry) {
 	var result []byte
 	if e.Kind == apiv1.EntryKind_ENTRY_KIND_COMMAND {
@@ -228,7 +227,7 @@
 	n.completeProposals(e, result)
 }
 
-// setLeadership tells of a change of leadership.
+// setLeadership records the leadership and reports a change to OnLeadership.
 func (n *Node) setLeadership(l Leadership) {
 	if n.leadership == l {
 		return
@@ -243,9 +242,8 @@
 	n.leadership = l
 }
 
-// snapshot compacts the log when enough was applied since the last time. The
-// file is written by another goroutine, so that neither heartbeats nor commits
-// wait for it.
+// snapshot compacts the log once SnapshotEntries entries were applied since the last snapshot.
+// Another goroutine writes the file, so that neither heartbeats nor commits wait for it.
 func (n *Node) snapshot() error {
 	if n.snapshotInProgress || n.applied < n.snapshotIndex+n.opts.SnapshotEntries {
 		return nil
@@ -255,7 +253,7 @@
 		return errors.Wrap(err, "state machine can't be snapshotted")
 	}
 	if len(data) > MaxSnapshotBytes {
-		// A follower could not take it in: the log stays instead, and grows.
+		// A follower would reject the snapshot. Keep the log instead; it grows.
 		event.SnapshotTooLarge.Write(n.logger, event.Bytes(len(data)))
 		n.metrics.snapshotRefused.Inc(1)
 		n.snapshotIndex = n.applied
@@ -272,7 +270,7 @@
 	return nil
 }
 
-// storeSnapshot writes a snapshot's file and has the event loop record it.
+// storeSnapshot writes a snapshot's file and then records it on the event loop.
 func (n *Node) storeSnapshot(s *apiv1.QuorumSnapshot) {
 	err := n.storage.StageSnapshot(s)
 	record := func() error {
--- a/quorum/node/membership.go
+++ b/quorum/node/membership.go
@@ -12,17 +12,17 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// ErrNoReplica says that the membership has no replica of that id.
+// ErrNoReplica reports that the membership has no replica with the given id.
 var ErrNoReplica = errors.New("no such replica")
 
-// AddLearner adds a replica that receives the log but has no vote. Errors are
-// those of Propose, and quorum.ErrMembershipPending or quorum.ErrMembershipChange.
+// AddLearner adds a replica that receives the log but has no vote. Errors are those of Propose,
+// quorum.ErrMembershipPending and quorum.ErrMembershipChange.
 func (n *Node) AddLearner(ctx context.Context, r *apiv1.Replica) error {
 	learner := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Spare: r.Spare}
 	return n.changeMembership(ctx, withLearner(n.Status().Membership, learner))
 }
 
-// Promote makes a learner a voter. Errors are also quorum.ErrNotCaughtUp and
+// Promote makes a learner a voter. Errors are those of AddLearner, quorum.ErrNotCaughtUp and
 // ErrNoReplica.
 func (n *Node) Promote(ctx context.Context, id uint64) error {
 	current := n.Status().Membership
@@ -32,8 +32,7 @@
 	return n.changeMembership(ctx, withPromoted(current, id))
 }
 
-// Remove removes a replica. One that still runs asks to be taken in again by itself, as
-// a spare.
+// Remove removes a replica. If that replica still runs, it requests to join again as a spare.
 func (n *Node) Remove(ctx context.Context, id uint64) error {
 	current := n.Status().Membership
 	if findReplica(current, id) == nil {
@@ -55,12 +54,13 @@
 	return withReplaced(m, &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Replaces: r.Replaces})
 }
 
-// withReplaced puts a replica in the place of the one with its id.
-func withReplaced(m *apiv1.Membership, by *apiv1.Replica) *apiv1.Membership {
+// withReplaced returns a membership in which replacement takes the place of the replica with its
+// id.
+func withReplaced(m *apiv1.Membership, replacement *apiv1.Replica) *apiv1.Membership {
 	next := &apiv1.Membership{}
 	for _, r := range m.GetReplicas() {
-		if r.Id == by.Id {
-			r = by
+		if r.Id == replacement.Id {
+			r = replacement
 		}
 		next.Replicas = append(next.Replicas, r)
 	}
@@ -77,9 +77,9 @@
 	return next
 }
 
-// reconcileMembership makes, on a leader, the next change towards a membership without
-// learners and predecessors. It looks only at the membership and the logs, so a
-// new leader goes on where the one before stopped.
+// reconcileMembership proposes, on a leader, the next change towards a membership without learners
+// and predecessors. It depends only on the membership and the logs, so a new leader continues
+// where the previous one stopped.
 func (n *Node) reconcileMembership() {
 	s := n.raft.Status()
 	n.metrics.updateGroupGauges(s, n.opts.ElectionTicks)
@@ -101,9 +101,10 @@
 	event.MembershipChanges.Write(n.logger, event.Change(reason))
 }
 
-// withOwnAddress notes where a leader is reached that moved while it was down. Others
-// ask the leader to note their address; it can't ask itself, and all would be referred
-// to where it was.
+// withOwnAddress returns a membership with the current address of a leader that moved while it was
+// down. Other replicas send a join request to the leader to record their address. A leader can't
+// send itself a request, and without this change all others would be redirected to its old
+// address.
 func (n *Node) withOwnAddress(s quorum.Status) (next *apiv1.Membership, reason string) {
 	self := findReplica(s.Membership, s.ID)
 	if self == nil || self.Address == n.opts.Address {
@@ -114,21 +115,21 @@
 	return withReplaced(s.Membership, moved), "note the leader's own address"
 }
 
-// nextMembership returns the change that a leader makes by itself, nil when there
-// is none. Repairs come first: of the replicas of one name the last one joined with
-// the newest disk, those before it are gone; and a spare takes the place of a voter
-// that was silent for replaceTicks. Only a group without repairs changes its size.
+// nextMembership returns the next change that a leader makes automatically, nil if there is
+// none. Repairs come first: of several replicas with one name, the last one joined with the
+// newest disk, and those before it have lost theirs; and a spare takes the place of a voter
+// that was unresponsive for replaceTicks. A group changes its size only if it needs no repair.
 //
-// Between the steps the group must bear the loss of as many disks as before, so the
-// order depends on what is known of the voter that is replaced:
+// Between the steps the group must tolerate the loss of as many disks as before, so the order
+// depends on what is known of the voter that is replaced:
 //
-//   - Its disk is lost, since its host came back with an empty one: the old replica is
-//     removed before the new one gets its vote. With the vote first, both would count,
-//     and the new disk's loss at that moment would cost a second vote of one host.
-//   - It is silent, and may hold what only it and a disk that is lost next hold: the
-//     spare gets its vote before the silent one is removed. With the removal first,
-//     three voters become two, of which no disk may be lost, and five become four, of
-//     which one may.
+//   - Its disk is lost, because its host returned with an empty one: the old replica is
+//     removed before the new one gets its vote. In the opposite order both votes would count
+//     for a while, and losing the new disk then would cost two votes of one host.
+//   - It is unresponsive, and may hold entries of which the only other copy is on the disk that
+//     is lost next: the spare gets its vote before the unresponsive voter is removed. In the
+//     opposite order, three voters would become two, which tolerate no lost disk, and five
+//     would become four, which tolerate one.
 func nextMembership(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
 	for _, choose := range []func(quorum.Status, membershipPolicy) (*apiv1.Membership, string){
 		removePredecessor, finishReplacement, promoteLearner, assignSuccessor, resizeGroup,
@@ -140,7 +141,8 @@
 	return nil, ""
 }
 
-// removePredecessor removes a replica whose disk was lost, as one of its name is there.
+// removePredecessor removes a replica whose disk was lost and that has a successor of the same
+// name.
 func removePredecessor(s quorum.Status, _ membershipPolicy) (*apiv1.Membership, string) {
 	replicas := s.Membership.GetReplicas()
 	for i, r := range replicas {
@@ -155,7 +157,7 @@
 	return nil, ""
 }
 
-// lastWithName returns the last replica of a name, nil when there is none.
+// lastWithName returns the last replica with a name, nil if there is none.
 func lastWithName(replicas []*apiv1.Replica, name string) *apiv1.Replica {
 	for _, r := range slices.Backward(replicas) {
 		if r.Name == name {
@@ -165,35 +167,35 @@
 	return nil
 }
 
-// finishReplacement removes the voter whose place another one has taken by now, and takes
-// the mark from a replica that has none to replace: the voter came back, leads, or is
-// gone.
+// finishReplacement removes a voter whose successor has its vote. It also clears the successor's
+// Replaces mark if there is nothing left to replace because the voter is responsive again, is the
+// leader or is no longer a member.
 func finishReplacement(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
 	for _, r := range s.Membership.GetReplicas() {
 		if r.Replaces == 0 {
 			continue
 		}
-		before := findReplica(s.Membership, r.Replaces)
-		if !r.Learner && before != nil && before.Id != s.ID {
-			return withRemoved(s.Membership, before.Id), "remove " + before.Name + ", replaced by " + r.Name
+		predecessor := findReplica(s.Membership, r.Replaces)
+		if !r.Learner && predecessor != nil && predecessor.Id != s.ID {
+			return withRemoved(s.Membership, predecessor.Id), "remove " + predecessor.Name + ", replaced by " + r.Name
 		}
-		if before == nil || before.Id == s.ID || isResponsive(s, before.Id, p.replaceTicks) {
+		if predecessor == nil || predecessor.Id == s.ID || isResponsive(s, predecessor.Id, p.replaceTicks) {
 			unmarked := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: r.Learner, Spare: r.Learner}
-			return withReplaced(s.Membership, unmarked), r.Name + " replaces nobody any more"
+			return withReplaced(s.Membership, unmarked), r.Name + " no longer replaces a voter"
 		}
 	}
 	return nil, ""
 }
 
-// isResponsive reports whether a replica was heard within some ticks, and in this term: a
-// new leader starts to count silence anew.
+// isResponsive reports whether a message from a replica arrived within the given ticks and in this
+// term: a new leader restarts the count of silent ticks.
 func isResponsive(s quorum.Status, id uint64, within int) bool {
 	return id == s.ID || s.Match[id] > 0 && s.SilentTicks[id] < within
 }
 
-// promoteLearner makes a learner a voter that is no spare, or that takes a voter's place. One
-// that is silent is passed over: the core would refuse it at each look, and nothing
-// else would ever be repaired.
+// promoteLearner makes a learner a voter if it is no spare or was assigned to replace a voter. It
+// skips unresponsive learners: the core would refuse the promotion at each check, and no other
+// repair would ever take place.
 func promoteLearner(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
 	for _, r := range s.Membership.GetReplicas() {
 		if r.Learner && !r.Spare && caughtUp(s, r.Id) && s.SilentTicks[r.Id] < p.responsiveTicks {
@@ -203,24 +205,25 @@
 	return nil, ""
 }
 
-// assignSuccessor makes a spare that has the whole log the successor of a voter that
-// is gone, unless one that runs is named already.
+// assignSuccessor assigns a spare with the whole log as the successor of an unresponsive voter,
+// unless a running successor is assigned already.
 func assignSuccessor(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
-	gone := unresponsiveVoter(s, p.replaceTicks)
-	if gone == nil {
+	replaced := unresponsiveVoter(s, p.replaceTicks)
+	if replaced == nil {
 		return nil, ""
 	}
 	for _, r := range s.Membership.GetReplicas() {
 		if !r.Learner || !r.Spare || !caughtUp(s, r.Id) || !isResponsive(s, r.Id, p.replaceTicks) {
 			continue
 		}
-		successor := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Replaces: gone.Id}
-		return withReplaced(s.Membership, successor), r.Name + " takes the place of " + gone.Name
+		successor := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Replaces: replaced.Id}
+		return withReplaced(s.Membership, successor), r.Name + " takes the place of " + replaced.Name
 	}
 	return nil, ""
 }
 
-// unresponsiveVoter returns a voter that was not heard for replaceTicks.
+// unresponsiveVoter returns a voter from which no message arrived for replaceTicks, nil if there
+// is none.
 func unresponsiveVoter(s quorum.Status, replaceTicks int) *apiv1.Replica {
 	for _, r := range s.Membership.GetReplicas() {
 		if !r.Learner && r.Id != s.ID && s.SilentTicks[r.Id] >= replaceTicks {
@@ -230,15 +233,15 @@
 	return nil
 }
 
-// caughtUp reports whether a replica lacks no more than one message can bring.
+// caughtUp reports whether one message can carry all entries that a replica lacks.
 func caughtUp(s quorum.Status, id uint64) bool {
 	match := s.Match[id]
 	return match > 0 && match+maxEntriesPerMessage >= s.LastIndex
 }
 
-// TransferLeadership hands leadership to the voter that holds most of the log,
-// and returns once another replica leads or ctx ends. It does nothing on a
-// replica that doesn't lead, or is alone.
+// TransferLeadership transfers leadership to the voter with the largest part of the log, and
+// returns once another replica leads or ctx ends. It does nothing on a replica that isn't the
+// leader or is the only voter.
 func (n *Node) TransferLeadership(ctx context.Context) error {
 	for {
 		changed := n.Changed()
@@ -256,7 +259,7 @@
 		if err != nil {
 			return err
 		}
-		// The core gives an attempt up after an election timeout.
+		// The core abandons an attempt after an election timeout.
 		attempt, cancel := context.WithTimeout(ctx, 2*n.opts.electionTimeout())
 		n.awaitChange(attempt, changed)
 		cancel()
@@ -274,7 +277,8 @@
 	}
 }
 
-// transferTarget returns the other voter that holds most, 0 when there is none.
+// transferTarget returns the id of the other voter with the largest part of the log, 0 if there is
+// none.
 func transferTarget(s quorum.Status) uint64 {
 	var best uint64
 	for _, r := range s.Membership.GetReplicas() {
--- a/quorum/node/membership_test.go
+++ b/quorum/node/membership_test.go
@@ -16,13 +16,11 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// Symptom: an acknowledged command is gone after a disk was replaced, or the
-// group never commits again.
-// Sequence: a follower's disk is lost and its host returns empty; it is lost
-// again before it got its vote back; it is lost a third time right after, and
-// once it is repaired another host loses its disk.
-// Cause: the new disk votes or counts under the old id, or the membership keeps
-// votes of disks that are gone until too few of the living are left.
+// Guards against an acknowledged command that is lost after a disk was replaced, or a group that
+// never commits again. A follower loses its disk and its host returns with an empty one; that disk
+// is lost before the replica gets its vote back; a third one is lost right after, and once it is
+// repaired another host loses its disk. A new disk must not vote or count under the old id, and
+// the membership must not keep votes of lost disks until too few running voters are left.
 func TestRepeatedDiskLoss(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -53,11 +51,10 @@
 	})
 }
 
-// Symptom: two groups under one name, each with a leader.
-// Sequence: hosts start one after the other and ask each other over slow links,
-// while one of them loses its disk at some moment of the group's forming.
-// Cause: hosts that decide on the initial membership by themselves, from answers
-// that are no longer true.
+// Guards against two groups under one name, each with a leader. Hosts start one after the other
+// and query each other over slow links, and one of them loses its disk at some time while the
+// group is being formed. Hosts must not decide on the initial membership by themselves, from
+// answers that are no longer true.
 func TestFormingWithLostDisk(t *testing.T) {
 	forSeeds(t, 100, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 7))
@@ -75,22 +72,21 @@
 		var initial *apiv1.Membership
 		for _, name := range threeHosts {
 			g.Wait("1 on "+name, func() bool { return g.HasCommand(name, "1") })
-			who := g.Identify(name)
+			identity := g.Identify(name)
 			if initial == nil {
-				initial = who.InitialMembership
+				initial = identity.InitialMembership
 			}
-			if who.InitialMembership != nil && !proto.Equal(who.InitialMembership, initial) {
-				g.T.Fatalf("seed %d: hosts formed two groups: %v and %v", g.Seed, initial, who.InitialMembership)
+			if identity.InitialMembership != nil && !proto.Equal(identity.InitialMembership, initial) {
+				g.T.Fatalf("seed %d: hosts formed two groups: %v and %v", g.Seed, initial, identity.InitialMembership)
 			}
 		}
 	})
 }
 
-// Symptom: after a repaired disk was lost a second time the group never commits
-// again, though two of three hosts are well.
-// Sequence: a host came back with an empty disk; while the leader brings the
-// membership to three voters, that disk is lost again after any of the steps.
-// Cause: steps in an order that needs the new disk for a majority.
+// Guards against a group that never commits again after a repaired disk was lost a second time,
+// although two of three hosts are healthy. A host returned with an empty disk; while the leader
+// restores the membership to three voters, that disk is lost again after any of the steps. No step
+// may need the new disk for a majority.
 func TestRepairStepsKeepMajorityOfRunningVoters(t *testing.T) {
 	s := quorum.Status{ID: 1, LastIndex: 10, Match: map[uint64]uint64{1: 10, 2: 10, 4: 10, 5: 10}, Membership: &apiv1.Membership{
 		Replicas: []*apiv1.Replica{{Id: 1, Name: "a"}, {Id: 2, Name: "b"}, {Id: 3, Name: "c"},
@@ -104,17 +100,17 @@
 		}
 		steps++
 		s.Membership = next
-		voters, living := 0, 0
+		voters, running := 0, 0
 		for _, r := range next.Replicas {
 			if !r.Learner {
 				voters++
 				if r.Name != "c" {
-					living++
+					running++
 				}
 			}
 		}
-		if living <= voters/2 {
-			t.Fatalf("after step %d (%s) %d of %d voters live", steps, reason, living, voters)
+		if running <= voters/2 {
+			t.Fatalf("after step %d (%s) %d of %d voters run", steps, reason, running, voters)
 		}
 	}
 	if r := s.Membership.Replicas; steps != 3 || len(r) != 3 || r[2].Id != 5 || r[2].Learner {
@@ -122,10 +118,9 @@
 	}
 }
 
-// Symptom: two leaders, or a group without a majority, after operators changed the
-// membership at the same moment.
-// Sequence: several removals and additions are asked for at once.
-// Cause: a change that starts before the one before it is committed.
+// Guards against two leaders, or a group without a majority, after operators changed the
+// membership at the same time. Two removals are requested concurrently. No change may start before
+// the previous one is committed.
 func TestConcurrentMembershipChanges(t *testing.T) {
 	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -147,7 +142,7 @@
 		operators.Wait()
 		after := leader.Status().Membership
 		if n := int(done.Load()); n == 0 || len(after.Replicas) != len(before.Replicas)-n {
-			g.T.Fatalf("seed %d: %d of two racing changes passed: %v", g.Seed, n, after)
+			g.T.Fatalf("seed %d: %d of two concurrent changes succeeded: %v", g.Seed, n, after)
 		}
 		g.Propose("2")
 	})
--- a/quorum/node/metrics.go
+++ b/quorum/node/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// metricSet are what a replica counts; docs/OPERATIONS.md says what they mean.
+// metricSet holds a replica's metrics; docs/OPERATIONS.md describes them.
 type metricSet struct {
 	proposals       metrics.Counter
 	overloaded      metrics.Counter
@@ -23,20 +23,21 @@
 	commit          metrics.Gauge
 	appliedIndex    metrics.Gauge
 	role            metrics.Gauge
-	// voters, learners and votersResponsive are what a leader sees; votersLost and
-	// votersUnresponsive what a replica found that knows no leader.
+	// voters, learners and votersResponsive are reported by a leader. votersLost and
+	// votersUnresponsive are reported by a replica that knows no leader.
 	voters             metrics.Gauge
 	learners           metrics.Gauge
 	votersResponsive   metrics.Gauge
 	votersLost         metrics.Gauge
 	votersUnresponsive metrics.Gauge
-	// elections counts those that this replica won; lag is how far a leader's slowest
-	// voter is behind, in entries.
+	// elections counts the elections that this replica won. lagEntries is the number of entries by
+	// which the slowest voter lags behind a leader.
 	elections  metrics.Counter
 	lagEntries metrics.Gauge
-	// slowDiskHandovers counts how often this replica left the leadership to a faster disk.
+	// slowDiskHandovers counts how often this replica transferred leadership to a voter with a
+	// faster disk.
 	slowDiskHandovers metrics.Counter
-	// saveDuration is the time that a synced write of entries takes, in microseconds.
+	// saveDuration is the duration of a synced write of entries, in microseconds.
 	saveDuration metrics.Histogram
 	// saveEntries is the number of entries in such a write.
 	saveEntries metrics.Histogram
@@ -78,11 +79,11 @@
 	}
 }
 
-// updateGroupGauges updates the gauges of a leader's view, and zeroes them on others.
-func (m *metricSet) updateGroupGauges(s quorum.Status, recentTicks int) {
+// updateGroupGauges sets the gauges of the group on a leader, and resets them on other replicas.
+func (m *metricSet) updateGroupGauges(s quorum.Status, responsiveTicks int) {
 	var g GroupSize
 	if s.Role == quorum.Leader {
-		g = groupSizeOf(s, recentTicks)
+		g = groupSizeOf(s, responsiveTicks)
 	}
 	m.voters.Update(int64(g.Voters))
 	m.learners.Update(int64(g.Spares))
--- a/quorum/node/node.go
+++ b/quorum/node/node.go
@@ -1,8 +1,7 @@
-// Package node drives a replica of the control group: it feeds the consensus core
-// with ticks, messages and proposals, stores and sends what the core hands out,
-// and applies committed entries to the state machine. One goroutine owns the
-// core, the log on disk and the state machine. Proposals that wait while the log
-// is synced share the next sync (group commit).
+// Package node runs a replica of the control group. It passes ticks, messages and proposals to the
+// consensus core, stores and sends what the core returns, and applies committed entries to the
+// state machine. One goroutine, the event loop, owns the core, the log on disk and the state
+// machine. Proposals that arrive while the log is being synced share the next sync (group commit).
 package node
 
 import (
@@ -22,27 +21,27 @@
 	"github.com/cairnlift/cairnlift/quorum/wal"
 )
 
-// Storage is a replica's data folder; *wal.Log implements it.
+// Storage is a replica's data folder. *wal.Log implements it.
 type Storage interface {
 	quorum.Storage
 	// Identity returns nil for an empty folder.
 	Identity() (*apiv1.ReplicaIdentity, error)
 	SaveIdentity(*apiv1.ReplicaIdentity) error
-	// StageSnapshot stores a snapshot beside other calls; CommitSnapshot then
-	// drops the log before it.
+	// StageSnapshot stores a snapshot and may run concurrently with other calls. CommitSnapshot
+	// then drops the log before the snapshot.
 	StageSnapshot(*apiv1.QuorumSnapshot) error
 	CommitSnapshot(*apiv1.SnapshotMeta) error
 }
 
-// Leadership says whether this replica leads.
+// Leadership reports whether this replica is the leader of a term.
 type Leadership struct {
 	Term uint64
-	// Leading is set once an entry of the own term is applied: the state machine
-	// then holds everything that any earlier leader acknowledged.
+	// Leading is set once an entry of the replica's own term is applied. The state machine then
+	// holds everything that any earlier leader acknowledged.
 	Leading bool
 }
 
-// Node is a running replica. Its methods may be called by many goroutines.
+// Node is a running replica. Its methods are safe for concurrent use.
 type Node struct {
 	opts      Options
 	logger    *zap.Logger
@@ -51,7 +50,7 @@
 	transport Transport
 	rand      *rand.Rand
 	identity  atomic.Pointer[apiv1.ReplicaIdentity]
-	// storedTerm is the term that was found on the disk.
+	// storedTerm is the term found on disk at start.
 	storedTerm uint64
 
 	// Inputs of the event loop.
@@ -70,7 +69,7 @@
 	stored    quorum.Stored
 	hardState *apiv1.HardState
 	applied   uint64
-	// snapshotIndex is the index of the newest snapshot, or of one being stored.
+	// snapshotIndex is the index of the newest snapshot, including one that is still being stored.
 	snapshotIndex       uint64
 	snapshotInProgress  bool
 	pendingProposals    []*proposal
@@ -80,25 +79,26 @@
 
 	// Owned by the goroutine that forms or joins the group.
 	loggedAnswers joinAnswers
-	// withoutReplica are the names of peers that keep no replica.
+	// withoutReplica holds the names of peers that reported that they keep no replica.
 	withoutReplica     map[string]bool
 	leaderlessLoggedAt time.Time
 
 	view       view
 	goroutines conc.WaitGroup
-	// staging writes snapshots' files; the folder is closed after it.
+	// staging tracks the goroutines that write snapshot files. The folder is closed after they
+	// end.
 	staging conc.WaitGroup
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// done is closed when the event loop has ended, err being final by then.
+	// done is closed when the event loop has ended; err is final before that.
 	done   chan struct{}
 	err    error
 	failed chan error
 }
 
-// Start reads the data folder and starts the replica. It returns before the
-// replica belongs to a group, since the others have to reach its handler for
-// that. Errors: *wal.LockedError, *wal.DamageError, *wal.WriteError, *FolderError.
+// Start reads the data folder and starts the replica. It returns before the replica belongs to a
+// group, because the other replicas must reach its handler to form one. Errors are
+// *wal.LockedError, *wal.DamageError, *wal.WriteError and *FolderError.
 func Start(o Options) (*Node, error) {
 	o.setDefaults()
 	n := &Node{
@@ -140,8 +140,8 @@
 	return n, nil
 }
 
-// load reads the folder. The identity is stored before anything else: a replica
-// that answered under an id which it then forgot would be counted twice.
+// load reads the data folder. It stores the identity first: a replica that answered under an id
+// and then lost that id would be counted twice.
 func (n *Node) load() error {
 	id, err := n.storage.Identity()
 	if err != nil {
@@ -180,12 +180,12 @@
 
 func (n *Node) id() uint64 { return n.identity.Load().ReplicaId }
 
-// run is the replica's goroutine.
+// run is the replica's main goroutine.
 func (n *Node) run() {
 	defer func() {
 		if v := recover(); v != nil {
-			// conc would keep the panic until Stop, and the daemon would go on
-			// without its replica: Failed tells it at once.
+			// conc would keep the panic until Stop, and the daemon would continue without its
+			// replica. finish reports the panic through Failed immediately.
 			n.finish(&InvariantError{Value: v})
 			panic(v)
 		}
@@ -234,7 +234,7 @@
 	}
 }
 
-// finish ends the replica, with an error unless the stop was planned.
+// finish ends the replica. err is nil for a planned stop.
 func (n *Node) finish(err error) {
 	n.err = err
 	n.setLeadership(Leadership{Term: n.leadership.Term})
@@ -252,16 +252,15 @@
 	}
 }
 
-// Failed yields the error that stopped the replica: a *wal.WriteError, a
-// *wal.DamageError, quorum.ErrLostEntries or an *InvariantError. After it the
-// replica answers nothing.
+// Failed returns a channel that receives the error that stopped the replica: a *wal.WriteError, a
+// *wal.DamageError, quorum.ErrLostEntries or an *InvariantError. All calls fail afterwards.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// stoppedError returns the error of all calls on a stopped replica.
+// stoppedError returns the error that every call on a stopped replica returns.
 func (n *Node) stoppedError() error { return &StoppedError{Cause: n.err} }
 
-// Stop hands leadership over, syncs and closes the log. When ctx ends first, it
-// stops without the handover. It may be called again.
+// Stop transfers leadership, then syncs and closes the log. If ctx ends first, it stops without
+// the transfer. It may be called repeatedly.
 func (n *Node) Stop(ctx context.Context) error {
 	n.shuttingDown.Store(true)
 	if err := n.TransferLeadership(ctx); err != nil && ctx.Err() != nil {
@@ -275,7 +274,8 @@
 	return n.err
 }
 
-// callOnLoop runs f on the event loop and waits for it. An error of f stops the replica.
+// callOnLoop runs f on the event loop and waits for it to return. An error from f stops the
+// replica.
 func (n *Node) callOnLoop(ctx context.Context, f func() error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
@@ -304,6 +304,6 @@
 	select {
 	case n.unreachable <- id:
 	default:
-		// The core also learns of lost messages from heartbeat answers.
+		// The core also detects lost messages from heartbeat responses.
 	}
 }
--- a/quorum/node/node_test.go
+++ b/quorum/node/node_test.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// Symptom: a command is acknowledged and missing on one of the replicas.
-// Sequence: a lone replica, and a group of three, take a hundred commands without
-// a fault. Cause: any fault in the plain path from proposal to applied entry.
+// Guards against an acknowledged command that is missing on one of the replicas, from any fault in
+// the path from proposal to applied entry. A single replica, and a group of three, process a
+// hundred commands without an injected fault.
 func TestGroupCommits(t *testing.T) {
 	for _, names := range [][]string{{"a"}, threeHosts} {
 		forSeeds(t, 3, names, func(g *nodetest.Group) {
@@ -53,10 +53,9 @@
 	}
 }
 
-// Symptom: an acknowledged command is gone after a power cut.
-// Sequence: each single step of the disk of the only replica fails in turn, and
-// the power is cut; clients get their answers until then.
-// Cause: an answer that left before its entry was synced.
+// Guards against the loss of an acknowledged command in a power loss. Each single step of the disk
+// of the only replica fails in turn, and power is lost; clients get their responses until then. No
+// response may be sent before its entry is synced.
 func TestPowerCutAtEveryStep(t *testing.T) {
 	const commands = 30
 	forSeeds(t, 1, []string{"a"}, func(g *nodetest.Group) {
@@ -86,24 +85,22 @@
 	})
 }
 
-// Symptom: a replica with a full or failing disk goes on answering, or drags the
-// group down.
-// Sequence: the leader's disk refuses a write; the others go on; the disk is
-// repaired and the replica started again.
-// Cause: a storage error that is retried or only logged.
+// Guards against a replica with a full or failing disk that continues to respond, or that blocks
+// the group. The leader's disk refuses a write; the others continue; the disk is repaired and the
+// replica restarted. A storage error must not be retried or only logged.
 func TestFailingDiskStopsReplica(t *testing.T) {
 	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
-		sick := g.Leader()
-		n := g.Node(sick)
+		failing := g.Leader()
+		n := g.Node(failing)
 		fault, cause := waltest.NoSpace, syscall.ENOSPC
 		if g.Seed%2 == 0 {
 			fault, cause = waltest.SyncFailure, syscall.EIO
 		}
-		g.Host(sick).Disk.FailAt(2-int(g.Seed%2), fault)
+		g.Host(failing).Disk.FailAt(2-int(g.Seed%2), fault)
 		var unknown *node.UnknownError
-		if err := g.ProposeOnce(sick, "2"); !errors.As(err, &unknown) {
+		if err := g.ProposeOnce(failing, "2"); !errors.As(err, &unknown) {
 			g.T.Fatalf("proposal on a failing disk returned %v", err)
 		}
 		if err := <-n.Failed(); !errors.Is(err, cause) {
@@ -114,19 +111,18 @@
 			g.T.Fatalf("stopped replica answers a read: %v", err)
 		}
 		if s := n.Status(); s.Role == quorum.Leader {
-			g.T.Fatal("stopped replica says that it leads")
+			g.T.Fatal("stopped replica reports that it is the leader")
 		}
-		g.Propose("3", sick)
-		g.Kill(sick)
-		g.MustStart(sick)
-		g.Wait("3 on the repaired replica", func() bool { return g.HasCommand(sick, "3") })
+		g.Propose("3", failing)
+		g.Kill(failing)
+		g.MustStart(failing)
+		g.Wait("3 on the repaired replica", func() bool { return g.HasCommand(failing, "3") })
 	})
 }
 
-// Symptom: an acknowledged command is on one disk only.
-// Sequence: of three replicas one is cut off, and the disk of another fails while
-// it stores a command of the leader.
-// Cause: the follower's answer leaves before the entry is synced.
+// Guards against an acknowledged command that is on one disk only. One of three replicas is
+// partitioned, and the disk of another one fails while it stores a command of the leader. The
+// follower must not respond before the entry is synced.
 func TestFollowerAcknowledgesAfterSync(t *testing.T) {
 	forSeeds(t, 4, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -134,27 +130,26 @@
 		for _, name := range threeHosts {
 			g.Wait("1 on "+name, func() bool { return g.HasCommand(name, "1") })
 		}
-		leader, Followers := g.Leader(), g.Followers()
-		g.Isolate(Followers[0], true)
+		leader, followers := g.Leader(), g.Followers()
+		g.Isolate(followers[0], true)
 		if g.Seed%2 == 0 {
-			g.Host(Followers[1]).Disk.FailAt(1, waltest.NoSpace)
+			g.Host(followers[1]).Disk.FailAt(1, waltest.NoSpace)
 		} else {
-			g.Host(Followers[1]).Disk.FailAt(2, waltest.SyncFailure)
+			g.Host(followers[1]).Disk.FailAt(2, waltest.SyncFailure)
 		}
 		if err := g.ProposeOnce(leader, "2"); err == nil {
 			g.T.Fatalf("seed %d: command is acknowledged, and only the leader has it", g.Seed)
 		}
 		var failed *wal.WriteError
-		if err := <-g.Node(Followers[1]).Failed(); !errors.As(err, &failed) {
+		if err := <-g.Node(followers[1]).Failed(); !errors.As(err, &failed) {
 			g.T.Fatalf("follower failed with %v", err)
 		}
 	})
 }
 
-// Symptom: a follower that was away stays behind for good.
-// Sequence: a follower is cut off while hundreds of changes are committed and
-// compacted away, and is then connected, or restarted, again.
-// Cause: the leader no longer has the entries and doesn't send its snapshot.
+// Guards against a follower that was unreachable and never catches up. It is partitioned while
+// hundreds of commands are committed and compacted, and is then reconnected, or restarted and
+// reconnected. The leader no longer has the entries and must send its snapshot.
 func TestFollowerFarBehindGetsSnapshot(t *testing.T) {
 	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -178,93 +173,90 @@
 	})
 }
 
-// Symptom: a caller is told that a command was not run, and it was; or a leader
-// that is cut off goes on answering.
-// Sequence: a leader is cut off in silence while it takes a command; the others
-// elect a new leader; the old one is connected again.
-// Cause: no check of the quorum, or a proposal's end that is guessed.
+// Guards against a caller that is told that a command was not run although it was, and against a
+// partitioned leader that continues to respond. A leader is partitioned without notice while it
+// processes a command; the others elect a new leader; the old one is reconnected. A leader must
+// check its quorum, and must not guess the result of a proposal.
 func TestPartitionedLeader(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
-		old := g.Leader()
-		g.Isolate(old, true)
+		previous := g.Leader()
+		g.Isolate(previous, true)
 		for _, patience := range []time.Duration{20 * time.Millisecond, time.Second} {
 			var unknown *node.UnknownError
-			_, _, err := g.Node(old).Propose(nodetest.Within(patience), []byte("lost"))
+			_, _, err := g.Node(previous).Propose(nodetest.Within(patience), []byte("lost"))
 			if !errors.As(err, &unknown) {
-				g.T.Fatalf("proposal of a leader that is cut off returned %v", err)
+				g.T.Fatalf("proposal of a partitioned leader returned %v", err)
 			}
 		}
-		g.Propose("2", old)
-		if s := g.Node(old).Status(); s.Role == quorum.Leader {
-			g.T.Fatal("the old leader still leads after another was elected")
+		g.Propose("2", previous)
+		if s := g.Node(previous).Status(); s.Role == quorum.Leader {
+			g.T.Fatal("the previous leader still leads after another was elected")
 		}
 		var notLeader *node.NotLeaderError
-		if _, err := g.Node(old).ReadBarrier(nodetest.Within(time.Second)); !errors.As(err, &notLeader) {
-			g.T.Fatalf("replica that is cut off answers a read: %v", err)
+		if _, err := g.Node(previous).ReadBarrier(nodetest.Within(time.Second)); !errors.As(err, &notLeader) {
+			g.T.Fatalf("partitioned replica answers a read: %v", err)
 		}
-		g.Isolate(old, false)
-		g.Wait("2 on the old leader", func() bool { return g.HasCommand(old, "2") })
+		g.Isolate(previous, false)
+		g.Wait("2 on the previous leader", func() bool { return g.HasCommand(previous, "2") })
 		for _, name := range threeHosts {
 			if g.HasCommand(name, "lost") {
-				g.T.Fatalf("seed %d: the late entry of the old leader is applied on %s", g.Seed, name)
+				g.T.Fatalf("seed %d: the late entry of the previous leader is applied on %s", g.Seed, name)
 			}
 		}
 	})
 }
 
-// Symptom: a read misses what a later leader acknowledged, or a late command of an
-// old leader takes effect.
-// Sequence: the leader's process stands still, others elect a leader and commit;
-// then it wakes with a proposal and a read in its queues.
-// Cause: a leader that trusts its office without asking a majority.
+// Guards against a read that misses what a later leader acknowledged, and against a late command
+// of an old leader that takes effect. The leader's process is paused while the others elect a
+// leader and commit; then it resumes with a proposal and a read in its queues. A leader must
+// confirm its leadership with a majority.
 func TestPausedLeaderResumes(t *testing.T) {
 	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
-		old := g.Leader()
-		h := g.Host(old)
+		previous := g.Leader()
+		h := g.Host(previous)
 		thaw := h.StateMachine.Freeze()
 		defer thaw()
 		type answer struct {
 			err  error
 			list []string
 		}
-		var asked conc.WaitGroup
-		defer asked.Wait()
+		var calls conc.WaitGroup
+		defer calls.Wait()
 		reads := make(chan answer, 1)
 		late := make(chan error, 1)
 		propose := func(command string) error {
 			_, _, err := h.Node.Propose(nodetest.Within(time.Minute), []byte(command))
 			return err
 		}
-		asked.Go(func() { propose("2") })
-		g.Wait("a frozen leader", func() bool { return slices.Contains(h.StateMachine.Commands(), "2") })
-		asked.Go(func() { late <- propose("late") })
-		asked.Go(func() {
+		calls.Go(func() { propose("2") })
+		g.Wait("a paused leader", func() bool { return slices.Contains(h.StateMachine.Commands(), "2") })
+		calls.Go(func() { late <- propose("late") })
+		calls.Go(func() {
 			_, err := h.Node.ReadBarrier(nodetest.Within(time.Minute))
 			reads <- answer{err, h.StateMachine.Commands()}
 		})
-		g.Propose("3", old)
+		g.Propose("3", previous)
 		thaw()
 		if a := <-reads; a.err == nil && !slices.Contains(a.list, "3") {
-			g.T.Fatalf("seed %d: woken leader answers a read without 3: %v", g.Seed, a.list)
+			g.T.Fatalf("seed %d: resumed leader answers a read without 3: %v", g.Seed, a.list)
 		}
 		if err := <-late; err == nil {
-			g.T.Fatalf("seed %d: woken leader acknowledged a late command", g.Seed)
+			g.T.Fatalf("seed %d: resumed leader acknowledged a late command", g.Seed)
 		}
-		g.Wait("3 on the old leader", func() bool { return g.HasCommand(old, "3") })
-		if g.HasCommand(old, "late") {
+		g.Wait("3 on the previous leader", func() bool { return g.HasCommand(previous, "3") })
+		if g.HasCommand(previous, "late") {
 			g.T.Fatalf("seed %d: a late command took effect", g.Seed)
 		}
 	})
 }
 
-// Symptom: a planned stop of the leader leaves the group without one for an
-// election timeout, or loses what was in progress.
-// Sequence: the leader is stopped while it has a command to commit.
-// Cause: no handover before the stop.
+// Guards against a planned stop of the leader that leaves the group without a leader for an
+// election timeout, or loses commands in progress. The leader is stopped while it has a command to
+// commit. It must transfer leadership first.
 func TestStopTransfersLeadership(t *testing.T) {
 	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
--- a/quorum/node/nodetest/group.go
+++ b/quorum/node/nodetest/group.go
@@ -1,6 +1,6 @@
-// Package nodetest runs a control group in one process, for tests of it and of
-// what is built on it: replicas with disks that fail on demand, and links that
-// can be cut. Meant for the virtual time of testing/synctest.
+// Package nodetest runs a control group in one process, for tests of the group and of code built
+// on it. The disks of the replicas fail on demand, and the links between them can be cut. It is
+// meant for the virtual time of testing/synctest.
 package nodetest
 
 import (
@@ -24,47 +24,47 @@
 const (
 	cell   = "test"
 	folder = "/data"
-	// tick makes the election timeout 100 to 200 ms.
+	// tick results in an election timeout of 100 to 200 ms.
 	tick                   = 10 * time.Millisecond
 	segmentBytes           = 4096
 	defaultSnapshotEntries = 40
 	defaultMaxVoters       = 5
-	// patience is how long Wait waits, in its polls.
+	// Wait polls every pollInterval, and fails the test after maxPolls polls.
 	pollInterval = time.Millisecond
 	maxPolls     = 60_000
 )
 
-// ReplaceAfter is how long a voter is silent before a spare takes its place: five
+// ReplaceAfter is the time from a voter's last message until a spare takes its place: five
 // election timeouts.
 const ReplaceAfter = 500 * time.Millisecond
 
-// Host is a host of the control group, with a disk that outlives its replica.
+// Host is a host of the control group, with a disk that persists when its replica stops.
 type Host struct {
 	Disk *waltest.Disk
 	// Node is nil while the replica isn't running.
 	Node         *node.Node
 	StateMachine *StateMachine
-	// Metrics are the running replica's.
+	// Metrics are the metrics of the running replica.
 	Metrics metrics.Registry
 }
 
-// Group is a control group. A host's name is its address too.
+// Group is a control group. The address of a host is its name, unless SetAddress changes it.
 type Group struct {
 	T    testing.TB
 	Seed uint64
-	// SnapshotEntries goes into the options of replicas that are started.
+	// SnapshotEntries is passed to replicas that are started.
 	SnapshotEntries uint64
-	// MaxVoters goes into the options of replicas that are started.
+	// MaxVoters is passed to replicas that are started.
 	MaxVoters int
-	// Peers are the hosts that replicas started from now on are told of, all when nil.
+	// Peers are the hosts that replicas started from now on are configured with, all hosts if nil.
 	Peers []string
-	// WithoutReplica are names of peers that answer, and keep no replica.
+	// WithoutReplica are names of peers that respond but keep no replica.
 	WithoutReplica []string
-	// Unresponsive are addresses that take questions and never answer.
+	// Unresponsive are addresses that accept identity requests and never respond.
 	Unresponsive []string
-	// Discover goes into the options of replicas that are started.
+	// Discover is passed to replicas that are started.
 	Discover func() []string
-	// IdentifyDelay is called for a question about identity and for its answer.
+	// IdentifyDelay is called once for an identity request and once for its response.
 	IdentifyDelay func()
 
 	names  []string
@@ -73,12 +73,12 @@
 	hosts  map[string]*Host
 	cut    map[[2]string]bool
 	starts uint64
-	// addresses holds the addresses of hosts that are not reached at their names.
+	// addresses holds the addresses of hosts whose address differs from their name.
 	addresses map[string]string
 }
 
-// NewGroup returns a group whose replicas don't run yet. The seed decides on
-// election timeouts, and on what power cuts leave on disks.
+// NewGroup returns a group whose replicas are not started yet. The seed determines the election
+// timeouts, and what remains on a disk after a power loss.
 func NewGroup(t testing.TB, seed uint64, names ...string) *Group {
 	g := &Group{
 		T: t, Seed: seed, SnapshotEntries: defaultSnapshotEntries, MaxVoters: defaultMaxVoters, IdentifyDelay: func() {},
@@ -90,14 +90,14 @@
 	return g
 }
 
-// Host returns a host as it is now.
+// Host returns the current state of a host.
 func (g *Group) Host(name string) Host {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return *g.hosts[name]
 }
 
-// Node returns a host's replica, nil when it isn't running.
+// Node returns a host's replica, nil if it isn't running.
 func (g *Group) Node(name string) *node.Node { return g.Host(name).Node }
 
 // Start starts a host's replica.
@@ -108,11 +108,11 @@
 		return err
 	}
 	var peers []settings.Peer
-	told := g.names
+	peerNames := g.names
 	if g.Peers != nil {
-		told = g.Peers
+		peerNames = g.Peers
 	}
-	for _, n := range told {
+	for _, n := range peerNames {
 		peers = append(peers, settings.Peer{Name: n, Address: g.AddressOf(n)})
 	}
 	m := &StateMachine{}
@@ -132,7 +132,7 @@
 	return nil
 }
 
-// AddSpare starts a host of a new name, which came to replace a member.
+// AddSpare starts a host with a new name, whose replica is a spare.
 func (g *Group) AddSpare(name string) {
 	g.T.Helper()
 	g.mu.Lock()
@@ -143,7 +143,7 @@
 	g.MustStart(name)
 }
 
-// Voters returns the names of the voters, as the leader knows them.
+// Voters returns the sorted names of the voters in the membership that the leader knows.
 func (g *Group) Voters() []string {
 	var names []string
 	for _, r := range g.Node(g.Leader()).Status().Membership.Replicas {
@@ -155,7 +155,8 @@
 	return names
 }
 
-// MustStart starts replicas, all when no names are given.
+// MustStart starts the given replicas, or all if no names are given. It fails the test on an
+// error.
 func (g *Group) MustStart(names ...string) {
 	g.T.Helper()
 	if len(names) == 0 {
@@ -168,7 +169,7 @@
 	}
 }
 
-// Kill ends replicas as a power cut does, all when no names are given.
+// Kill ends the given replicas, or all if no names are given, as a power loss does.
 func (g *Group) Kill(names ...string) {
 	if len(names) == 0 {
 		names = g.names
@@ -190,7 +191,7 @@
 	h.Disk.FailAt(1, waltest.PowerCut)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	_ = n.Stop(ended) // Its error is the power cut.
+	_ = n.Stop(ended) // The error is the injected power loss.
 	h.Disk.CutPower()
 }
 
@@ -202,7 +203,7 @@
 	g.MustStart(name)
 }
 
-// Isolate cuts a host off from all others, or connects it again.
+// Isolate cuts all links of a host, or restores them.
 func (g *Group) Isolate(name string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,31 +213,31 @@
 	}
 }
 
-// CutLink cuts one direction between two hosts, or connects it again.
+// CutLink cuts one direction of the link between two hosts, or restores it.
 func (g *Group) CutLink(from, to string, cut bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cut[[2]string{from, to}] = cut
 }
 
-// Heal ends all cuts.
+// Heal restores all links.
 func (g *Group) Heal() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	clear(g.cut)
 }
 
-// Names returns all hosts.
+// Names returns the names of all hosts.
 func (g *Group) Names() []string { return slices.Clone(g.names) }
 
-// SetAddress gives a host another address, from its next start on.
+// SetAddress changes the address of a host, from its next start on.
 func (g *Group) SetAddress(name, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.addresses[name] = address
 }
 
-// AddressOf returns a host's address: its name, unless it was moved.
+// AddressOf returns a host's address: its name, unless SetAddress changed it.
 func (g *Group) AddressOf(name string) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -250,7 +251,7 @@
 	return name
 }
 
-// hostAt returns the name of the host at an address, "" when there is none.
+// hostAt returns the name of the host with an address, "" if there is none.
 func (g *Group) hostAt(address string) string {
 	for _, name := range g.names {
 		if g.addressOf(name) == address {
@@ -260,7 +261,7 @@
 	return ""
 }
 
-// nodeAt returns the replica at the other end of a link.
+// nodeAt returns the replica at an address, or an error if the link to it is cut.
 func (g *Group) nodeAt(from, to string) (*node.Node, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -272,11 +273,11 @@
 	return h.Node, nil
 }
 
-// Wait returns once a condition holds, and ends the test if it never does.
-func (g *Group) Wait(what string, holds func() bool) {
+// Wait returns once a condition is true, and fails the test if it does not become true in time.
+func (g *Group) Wait(what string, condition func() bool) {
 	g.T.Helper()
 	for range maxPolls {
-		if holds() {
+		if condition() {
 			return
 		}
 		time.Sleep(pollInterval)
@@ -286,10 +287,10 @@
 			g.T.Logf("%s: %+v", name, n.Status())
 		}
 	}
-	g.T.Fatalf("seed %d: never: %s", g.Seed, what)
+	g.T.Fatalf("seed %d: condition never became true: %s", g.Seed, what)
 }
 
-// Leader waits for a leader with a majority among the hosts that are not in except.
+// Leader waits for a leader that has a majority and is not in except, and returns its name.
 func (g *Group) Leader(except ...string) string {
 	g.T.Helper()
 	found := ""
@@ -309,13 +310,13 @@
 	return found
 }
 
-// Followers returns the hosts that don't lead.
+// Followers returns the hosts other than the leader.
 func (g *Group) Followers() []string {
 	leader := g.Leader()
 	return slices.DeleteFunc(slices.Clone(g.names), func(n string) bool { return n == leader })
 }
 
-// Propose commits a command with whoever leads. It may be applied twice.
+// Propose commits a command through the current leader. The command may be applied twice.
 func (g *Group) Propose(command string, except ...string) {
 	g.T.Helper()
 	g.Wait("commit of "+command, func() bool {
@@ -328,7 +329,7 @@
 	})
 }
 
-// ProposeOnce proposes a command to one host, as soon as its replica leads.
+// ProposeOnce proposes a command to one host once its replica is the leader.
 func (g *Group) ProposeOnce(name, command string) error {
 	for range maxPolls {
 		_, _, err := g.Node(name).Propose(Within(time.Second), []byte(command))
@@ -338,10 +339,10 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return errors.New("replica never leads")
+	return errors.New("replica never became the leader")
 }
 
-// HasCommand reports whether a host knows a command, by a confirmed read.
+// HasCommand reports whether a host has applied a command, by a confirmed read.
 func (g *Group) HasCommand(name, command string) bool {
 	h := g.Host(name)
 	if h.Node == nil {
@@ -353,7 +354,8 @@
 	return slices.Contains(h.StateMachine.Commands(), command)
 }
 
-// WaitAllVoters waits until the running replicas are the voters, and nobody else.
+// WaitAllVoters waits until the members of the group are exactly the running replicas, all as
+// voters.
 func (g *Group) WaitAllVoters() {
 	g.T.Helper()
 	g.Wait("a whole group", func() bool {
@@ -367,7 +369,7 @@
 	})
 }
 
-// Identify asks a host who it is.
+// Identify returns the identity that a host reports.
 func (g *Group) Identify(name string) *apiv1.IdentifyResponse {
 	g.T.Helper()
 	answer, err := g.Node(name).Service().Identify(context.Background(), &apiv1.IdentifyRequest{Cell: cell})
--- a/quorum/node/nodetest/link.go
+++ b/quorum/node/nodetest/link.go
@@ -17,7 +17,7 @@
 
 const linkQueueLength = 4096
 
-// link is a replica's transport inside a group.
+// link is the transport of a replica in a Group.
 type link struct {
 	g           *Group
 	from        string
--- a/quorum/node/nodetest/statemachine.go
+++ b/quorum/node/nodetest/statemachine.go
@@ -6,12 +6,12 @@
 	"sync"
 )
 
-// StateMachine is a state machine that lists the commands that it applied.
+// StateMachine is a state machine whose state is the list of applied commands.
 type StateMachine struct {
 	mu       sync.Mutex
 	commands []string
 	restores int
-	// frozen holds up Apply until it is closed.
+	// frozen blocks Apply until it is closed; nil while Apply does not block.
 	frozen chan struct{}
 }
 
@@ -43,22 +43,22 @@
 	return json.Unmarshal(data, &m.commands)
 }
 
-// Commands returns the commands in the order of the log.
+// Commands returns the commands in log order.
 func (m *StateMachine) Commands() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.commands)
 }
 
-// Restores returns how often a snapshot replaced the state.
+// Restores returns the number of snapshots that replaced the state.
 func (m *StateMachine) Restores() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.restores
 }
 
-// Freeze makes the replica stand still at its next Apply, as a stopped process
-// does, until the returned function is called.
+// Freeze blocks the replica in its next Apply, like a paused process, until the returned function
+// is called.
 func (m *StateMachine) Freeze() (thaw func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/quorum/node/options.go
+++ b/quorum/node/options.go
@@ -11,52 +11,51 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// Options set up a replica.
+// Options configures a replica.
 type Options struct {
-	// Cell, Name and Address say who this replica is; Address is where the others
-	// reach its handler.
+	// Cell, Name and Address identify this replica. The other replicas reach its handler at
+	// Address.
 	Cell, Name, Address string
-	// Peers are the hosts of the control group, this one included. They matter
-	// only until the replica belongs to a group.
+	// Peers are the hosts of the control group, including this one. A replica uses them to form or
+	// join the group, and to rejoin it later.
 	Peers []settings.Peer
-	// Discover returns addresses of control hosts that this process knows from
-	// elsewhere; they are asked beside the peers by a replica that joins. May be nil.
+	// Discover returns addresses of control hosts that this process knows from another source. A
+	// joining replica queries them in addition to Peers. It may be nil.
 	Discover func() []string
-	// JoinOnly keeps an empty replica from forming a group or being an initial
-	// member of one: it joins the group of its peers, whenever that is there.
+	// JoinOnly prevents an empty replica from forming a group or being an initial member of one.
+	// It joins the group of its peers once that exists.
 	JoinOnly bool
-	// Spare makes a replica that joins wait as a learner until a voter is gone for
-	// ReplaceAfter, and take its place: it came to replace one, not to enlarge the
+	// Spare makes a joining replica wait as a learner until a voter has been unresponsive for
+	// ReplaceAfter, and then take that voter's place. It replaces a voter instead of enlarging the
 	// group.
 	Spare bool
-	// ReplaceAfter is how long a voter must be silent for a spare to take its place;
-	// 2.5 s when 0, five election timeouts.
+	// ReplaceAfter is the time from the last message of a voter until a spare takes its place. The
+	// default is 2.5 s, five election timeouts.
 	ReplaceAfter time.Duration
-	// MaxVoters is the number of voters that the leader brings the group to, in odd
-	// steps and as far as hosts are there, by giving votes to spares. 0 leaves the number
-	// as it was founded.
+	// MaxVoters is the number of voters that the leader grows the group to, in odd steps and as
+	// far as hosts are available, by promoting spares. 0 keeps the number of voters that the group
+	// was formed with.
 	MaxVoters int
-	// Folder is used when Storage is nil.
+	// Folder is the data folder to open if Storage is nil.
 	Folder       string
 	Storage      Storage
 	StateMachine quorum.StateMachine
-	// Transport is a TwirpTransport when nil.
+	// Transport defaults to a TwirpTransport.
 	Transport Transport
 	Logger    *zap.Logger
 	Metrics   metrics.Registry
-	// Tick is the unit of the two numbers of ticks; 50 ms, 10 and 1 when 0.
+	// Tick is the unit of ElectionTicks and HeartbeatTicks. The defaults are 50 ms, 10 and 1.
 	Tick           time.Duration
 	ElectionTicks  int
 	HeartbeatTicks int
-	// SnapshotEntries is the number of applied entries between snapshots; 10,000 when 0.
+	// SnapshotEntries is the number of applied entries between snapshots. The default is 10,000.
 	SnapshotEntries uint64
-	// Seed spreads election timeouts; a random one is taken when 0.
+	// Seed randomizes election timeouts. A random seed is drawn if it is 0.
 	Seed uint64
-	// OnLeadership is told when leadership is taken up and lost. It is called by
-	// the replica's own goroutine and must not block or call the replica.
+	// OnLeadership is called when this replica gains or loses leadership. It runs on the event
+	// loop and must not block or call the replica.
 	OnLeadership func(Leadership)
-	// SingleCommit syncs each proposal on its own, to measure what group commit
-	// saves.
+	// SingleCommit syncs each proposal separately, to measure the benefit of group commit.
 	SingleCommit bool
 }
 
@@ -106,7 +105,7 @@
 	}
 }
 
-// membershipPolicy is what these options say on the leader's own changes.
+// membershipPolicy returns the policy for the leader's automatic membership changes.
 func (o *Options) membershipPolicy() membershipPolicy {
 	return membershipPolicy{
 		replaceTicks: int(o.ReplaceAfter / o.Tick), responsiveTicks: o.ElectionTicks,
@@ -114,7 +113,7 @@
 	}
 }
 
-// electionTimeout is the shortest time without a leader before an election.
+// electionTimeout returns the shortest time without a leader before an election.
 func (o *Options) electionTimeout() time.Duration {
 	return time.Duration(o.ElectionTicks) * o.Tick
 }
--- a/quorum/node/partition_test.go
+++ b/quorum/node/partition_test.go
@@ -9,13 +9,11 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// Symptom: after a cut a host with a new disk never takes part, the group has a vote
-// less than it counts on, and the next losses end it.
-// Sequence: a host loses its disk; the leader takes the new one in and is cut off from
-// all others at the same time, so that the entry never commits; the others elect a new
-// leader, and the entry is cut off the log.
-// Cause: a replica without a vote never gives its leader up, so it believes that it was
-// taken in and does not ask again.
+// Guards against a host with a replaced disk that never rejoins, which leaves the group one vote
+// short, so that the next losses stop it. A host loses its disk; the leader adds the new disk and
+// is partitioned from all others at the same time, so that the entry never commits. The others
+// elect a new leader, and the entry is truncated from the log. A replica without a vote keeps its
+// leader, so it may assume that it was added and send no further join request.
 func TestReplacedDiskRejoinsAfterLeaderPartition(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
@@ -37,36 +35,35 @@
 		g.Propose("after the cut", leader)
 		time.Sleep(settleTime)
 		if !g.HasCommand(lost, "after the cut") {
-			g.T.Errorf("seed %d: the new disk does not take part: %v", g.Seed, g.Node(lost).Status())
+			g.T.Errorf("seed %d: the replica on the new disk did not rejoin: %v", g.Seed, g.Node(lost).Status())
 		}
 	})
 }
 
-// Symptom: a spare that was cut off for some minutes is never of use again.
-// Sequence: a spare is cut off until the group forgets it, and is connected again.
-// Cause: it still believes in the leader of that time, and does not ask.
+// Guards against a spare that is lost to the group after a partition of some minutes. The spare is
+// partitioned until the group removes it, and is then reconnected. It may still believe in its old
+// leader and send no join request.
 func TestRemovedSpareRejoinsAfterPartition(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d")
 		g.Isolate("d", true)
 		time.Sleep(2 * time.Minute)
-		g.Wait("the spare to be forgotten", func() bool {
+		g.Wait("the removal of the spare", func() bool {
 			return len(g.Node(g.Leader()).Status().Membership.Replicas) == 3
 		})
 		g.Heal()
 		g.Propose("later")
 		time.Sleep(settleTime)
 		if !g.HasCommand("d", "later") {
-			g.T.Errorf("seed %d: the spare does not take part: %v", g.Seed, g.Node("d").Status())
+			g.T.Errorf("seed %d: the spare did not rejoin: %v", g.Seed, g.Node("d").Status())
 		}
 	})
 }
 
-// Symptom: a group stays at two votes although a spare with the whole log is there.
-// Sequence: a follower comes back with an empty disk; its old vote is removed, and it is
-// gone for good before it gets the new one.
-// Cause: the leader wants to give the vote to the one that is gone, is refused, and
-// wants the same at each look.
+// Guards against a group that keeps two votes although a spare with the whole log is available. A
+// follower returns with an empty disk; its old vote is removed, and it departs permanently before
+// it gets the new one. A leader that keeps trying to promote the departed learner is refused at
+// each check and makes no other repair.
 func TestSpareReplacesDepartedLearner(t *testing.T) {
 	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d")
@@ -84,14 +81,13 @@
 	})
 }
 
-// Symptom: everybody is referred to an address where nobody is.
-// Sequence: all hosts restart, one of them at another address; that one comes to lead.
-// Cause: a replica that moved asks the leader to note its address, and the leader does
-// not ask itself.
+// Guards against redirects to an address where no replica is. All hosts restart, one of them at
+// another address, and that one becomes the leader. A replica that moved requests the leader to
+// record its address, but a leader sends itself no request.
 func TestLeaderUpdatesItsOwnAddress(t *testing.T) {
 	led := false
-	// Ids are drawn anew in each run, so any host may come to lead: with a third of a chance
-	// for each seed, forty leave it to none in one of ten million runs.
+	// Ids are random in each run, so any host may become the leader. With a chance of one third
+	// for each seed, none of forty seeds makes "a" the leader in one of ten million runs.
 	forSeeds(t, 40, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
@@ -104,17 +100,17 @@
 		led = true
 		time.Sleep(settleTime)
 		if address := g.Node("b").LeaderAddress(); address != "a, moved" {
-			g.T.Errorf("seed %d: others name %q", g.Seed, address)
+			g.T.Errorf("seed %d: another replica reports leader address %q", g.Seed, address)
 		}
 	})
 	if !led {
-		t.Error("the moved host leads with no seed")
+		t.Error("the moved host became the leader with no seed")
 	}
 }
 
-// Symptom: a host with an empty disk at a new address is never taken in.
-// Sequence: its old address takes questions and answers none.
-// Cause: the leader asks the old address for as long as the host waits for its answer.
+// Guards against a host with an empty disk at a new address that can never join. Its old address
+// accepts requests and answers none. A leader that queries the old address for as long as the host
+// waits for its response would never accept the join request.
 func TestJoinFromNewAddressWithUnresponsiveOldOne(t *testing.T) {
 	forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -127,7 +123,7 @@
 		g.MustStart(moving)
 		time.Sleep(settleTime)
 		if !g.HasCommand(moving, "1") {
-			g.T.Errorf("seed %d: the host is not taken in: %v", g.Seed, g.Node(moving).Status())
+			g.T.Errorf("seed %d: the host did not join: %v", g.Seed, g.Node(moving).Status())
 		}
 	})
 }
--- a/quorum/node/peer.go
+++ b/quorum/node/peer.go
@@ -11,9 +11,9 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// peer queues messages for one replica and sends them in order, one request at a
-// time. Snapshots are sent beside them: one takes long, and the heartbeats that
-// wait behind it would cost the leader its majority.
+// peer queues messages for one replica and sends them in order, one request at a time. Snapshots
+// are sent concurrently: a snapshot takes long, and if heartbeats waited behind it, the leader
+// would lose its majority.
 type peer struct {
 	t       *TwirpTransport
 	id      uint64
@@ -28,7 +28,7 @@
 	close     context.CancelFunc
 }
 
-// startPeerLocked starts a replica's senders; t.mu is held.
+// startPeerLocked starts the senders of a replica. The caller must hold t.mu.
 func (t *TwirpTransport) startPeerLocked(id uint64, address string) *peer {
 	p := &peer{
 		t: t, id: id, address: address,
@@ -42,8 +42,8 @@
 	return p
 }
 
-// enqueue queues a message. When the queue is full the oldest goes: every message may
-// be lost, and the newer one says more about the leader and its log.
+// enqueue queues a message. It drops the oldest message if the queue is full: any message may be
+// lost, and newer ones carry more recent information about the leader and its log.
 func (p *peer) enqueue(m *apiv1.QuorumMessage) {
 	if m.Kind == apiv1.MessageKind_MESSAGE_KIND_SNAPSHOT {
 		select {
@@ -66,7 +66,7 @@
 	}
 }
 
-// nextBatch removes the messages of the next request from the queue.
+// nextBatch removes and returns the messages for the next request.
 func (p *peer) nextBatch() []*apiv1.QuorumMessage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/quorum/node/propose.go
+++ b/quorum/node/propose.go
@@ -10,27 +10,27 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// outcome is how a proposal ended.
+// outcome is the result of a proposal or a read.
 type outcome struct {
 	result []byte
 	index  uint64
 	err    error
 }
 
-// proposal is a command, or a membership when that is set, on its way into the log.
+// proposal is a command, or a membership change if membership is set, on its way into the log.
 type proposal struct {
 	data       []byte
 	membership *apiv1.Membership
-	// claimed is set by the event loop before the entry is appended, or by a
-	// caller that gives up before that: exactly one of them gets it.
+	// claimed is set by the event loop before it appends the entry, or by a caller that gives up
+	// before that. Exactly one of them succeeds.
 	claimed     atomic.Bool
 	index, term uint64
 	done        chan outcome
 }
 
-// Propose commits a command and returns the state machine's result. Errors:
-// *NotLeaderError, *OverloadedError, *StoppedError and quorum.ErrTooLarge (surely
-// not committed); *UnknownError (may be committed).
+// Propose commits a command and returns the state machine's result. Errors are *NotLeaderError,
+// *OverloadedError, *StoppedError and quorum.ErrTooLarge, after which the command is certainly not
+// committed, and *UnknownError, after which it may be committed.
 func (n *Node) Propose(ctx context.Context, data []byte) (result []byte, index uint64, err error) {
 	o := n.submit(ctx, &proposal{data: data})
 	return o.result, o.index, o.err
@@ -64,8 +64,8 @@
 	}
 }
 
-// abandonProposal ends a proposal for its caller: with an error that says it was not
-// proposed only if the event loop can't propose it any more.
+// abandonProposal ends a proposal for its caller. It returns unproposed, an error that says that
+// nothing was proposed, only if the event loop can no longer propose the command.
 func (n *Node) abandonProposal(p *proposal, unproposed error, cause string) outcome {
 	select {
 	case o := <-p.done:
@@ -79,7 +79,7 @@
 	return outcome{err: &UnknownError{Cause: cause}}
 }
 
-// appendProposal hands a proposal to the core.
+// appendProposal passes a proposal to the core.
 func (n *Node) appendProposal(p *proposal) {
 	if !p.claimed.CompareAndSwap(false, true) {
 		return
@@ -112,8 +112,8 @@
 	return err
 }
 
-// completeProposals ends the proposals up to a committed entry. One of another term at a
-// proposal's index took its place: the proposal can never be committed.
+// completeProposals ends the proposals up to a committed entry. If the entry at a proposal's index
+// has another term, it replaced the proposal, which can never be committed.
 func (n *Node) completeProposals(e *apiv1.LogEntry, result []byte) {
 	for len(n.pendingProposals) > 0 && n.pendingProposals[0].index <= e.Index {
 		p := n.pendingProposals[0]
@@ -126,14 +126,15 @@
 	}
 }
 
-// failProposalsOfEarlierTerm ends the proposals of a leadership that is over.
+// failProposalsOfEarlierTerm fails the pending proposals of a leadership that has ended.
 func (n *Node) failProposalsOfEarlierTerm(rd quorum.Ready) {
 	if len(n.pendingProposals) > 0 && (rd.Role != quorum.Leader || rd.Term != n.pendingProposals[0].term) {
 		n.failPendingProposals("leadership was lost")
 	}
 }
 
-// failPendingProposals ends all appended proposals without knowing what becomes of them.
+// failPendingProposals fails all appended proposals with UnknownError, since they may still be
+// committed.
 func (n *Node) failPendingProposals(cause string) {
 	for _, p := range n.pendingProposals {
 		n.metrics.unknown.Inc(1)
--- a/quorum/node/read.go
+++ b/quorum/node/read.go
@@ -6,19 +6,20 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// barrier is a reader that waits until its replica has caught up.
+// barrier is a read that waits until its replica has caught up.
 type barrier struct {
 	done chan outcome
 }
 
-// readQueue batches readers: those that come while one request to the leader is
-// on its way share the next.
+// readQueue batches reads: those that arrive while a request to the leader is in flight share the
+// next request.
 type readQueue struct {
-	// waiting have not been asked for yet; asked are waiting for context's answer.
+	// waiting are not yet part of a request; inFlight wait for the response to the request
+	// numbered context.
 	waiting  []*barrier
 	inFlight []*barrier
 	context  uint64
-	// confirmed wait until the entry at their index is applied; ordered by index.
+	// confirmed wait until the entry at their index is applied. They are ordered by index.
 	confirmed []confirmedReads
 }
 
@@ -29,10 +30,9 @@
 
 func (q *readQueue) add(b *barrier) { q.waiting = append(q.waiting, b) }
 
-// ReadBarrier returns once everything that was committed in the group before the
-// call is applied to this replica's state machine. It works on followers too.
-// Errors: *NotLeaderError (no leader confirmed the read), *OverloadedError,
-// *StoppedError, or ctx's.
+// ReadBarrier returns once everything that the group committed before the call is applied to this
+// replica's state machine. It also works on followers. Errors are *NotLeaderError (no leader
+// confirmed the read), *OverloadedError, *StoppedError and ctx's error.
 func (n *Node) ReadBarrier(ctx context.Context) (index uint64, err error) {
 	b := &barrier{done: make(chan outcome, 1)}
 	select {
@@ -52,7 +52,7 @@
 	}
 }
 
-// startRead asks the core to confirm the readers that wait.
+// startRead requests a read index from the core for the waiting reads.
 func (n *Node) startRead() {
 	q := &n.reads
 	if len(q.waiting) == 0 || len(q.inFlight) > 0 {
@@ -63,8 +63,7 @@
 	n.raft.ReadIndex(q.context)
 }
 
-// finishReads takes in the core's answers and ends the readers whose index is
-// applied.
+// finishReads records the core's responses and ends the reads whose index is applied.
 func (n *Node) finishReads(states []quorum.ReadState) {
 	q := &n.reads
 	for _, s := range states {
--- a/quorum/node/rejoin_test.go
+++ b/quorum/node/rejoin_test.go
@@ -7,11 +7,10 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// Symptom: the second lost disk of a day is never repaired, and the group has no
-// majority after the next loss.
-// Sequence: a follower loses its disk and is taken in again; it comes to lead, as the
-// leader loses its disk; that one asks to be taken in, and so on for each host.
-// Cause: the replica that was taken in holds something that it can't pass on.
+// Guards against a second lost disk that is never repaired, so that the group has no majority
+// after the next loss. A follower loses its disk and rejoins; it becomes the leader, as the leader
+// loses its disk; that one requests to join, and so on for each host. A replica that rejoined must
+// be able to pass on everything that it holds.
 func TestConsecutiveDiskReplacements(t *testing.T) {
 	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
--- a/quorum/node/restart_test.go
+++ b/quorum/node/restart_test.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// startSpread is the time within which the hosts of a group that lost power are back,
-	// in the test group's time, where the shortest election timeout is 100 ms.
+	// startSpread is the time within which the hosts of a group return after a power loss, in the
+	// virtual time of the test, where the shortest election timeout is 100 ms.
 	startSpread = 60 * time.Millisecond
-	// maxTimeToLeader is the longest that a group may be without a leader once all its hosts
-	// are back: less than one election timeout, in which nothing can be learnt that its disks
-	// don't say.
+	// maxTimeToLeader is the longest time from the start of the last host until there is a leader:
+	// less than one election timeout, since waiting for one would tell the replicas nothing that
+	// is not on their disks.
 	maxTimeToLeader = 80 * time.Millisecond
 )
 
-// restartAll kills all hosts and starts them in random order within startSpread. It
-// returns how long after the last start there is a leader.
+// restartAll kills all hosts and starts them in random order within startSpread. It returns the
+// time from the last start until there is a leader.
 func restartAll(g *nodetest.Group, random *rand.Rand) time.Duration {
 	g.Kill()
 	names := g.Names()
@@ -33,10 +33,9 @@
 	return time.Since(began)
 }
 
-// Symptom: after a power cut nothing is accepted or started for a second and more, though
-// all hosts are back at once.
-// Sequence: all hosts of a group stop and start within half an election timeout of each
-// other. Cause: each waits a whole timeout or two for a leader that can't be there.
+// Guards against a second or more without service after a power loss although all hosts return
+// together. All hosts of a group stop, and start within half an election timeout of each other.
+// They must not wait one or two election timeouts for a leader that can't exist.
 func TestFullRestartElectsWithinElectionTimeout(t *testing.T) {
 	for name, hosts := range map[string][]string{"three": threeHosts, "five": {"a", "b", "c", "d", "e"}} {
 		t.Run(name, func(t *testing.T) {
@@ -56,9 +55,9 @@
 	}
 }
 
-// Symptom: a planned restart of a follower deposes the leader.
-// Sequence: followers restart one after another, at any distance from the leader's
-// heartbeats. Cause: one that has just started asks for votes before it heard the leader.
+// Guards against a planned restart of a follower that deposes the leader. Followers restart one
+// after another, at random times relative to the leader's heartbeats. A replica that has just
+// started must not request votes before the leader's heartbeat can reach it.
 func TestFollowerRestartsKeepLeader(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 6))
@@ -80,19 +79,18 @@
 	})
 }
 
-// Symptom: a new group stops for good after its first acknowledgement, though only one disk
-// was lost.
-// Sequence: three hosts found a group; the first two to know it elect a leader and commit;
-// one of them loses its disk before the third has learnt that it is a member. Cause: the third
-// takes the membership from the founder only, which has forgotten it, and the one that is
-// left has no majority.
+// Guards against a new group that stops permanently after its first acknowledgement although only
+// one disk was lost. Three hosts form a group; the first two to know the membership elect a leader
+// and commit; one of them loses its disk before the third knows that it is a member. The third
+// adopts the membership from the founder only. If the founder has lost it, the remaining member
+// has no majority.
 func TestNewGroupElectsAfterAllMembersKnowIt(t *testing.T) {
 	forSeeds(t, 40, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Leader()
 		for _, name := range g.Names() {
 			if g.Node(name).Status().Membership == nil {
-				g.T.Errorf("seed %d: there is a leader, and %s does not know the group", g.Seed, name)
+				g.T.Errorf("seed %d: there is a leader, but %s does not know the membership", g.Seed, name)
 			}
 		}
 	})
--- a/quorum/node/senders_test.go
+++ b/quorum/node/senders_test.go
@@ -14,7 +14,7 @@
 	"github.com/cairnlift/cairnlift/quorum/node"
 )
 
-// messageServer takes the messages of other replicas.
+// messageServer receives the messages of other replicas.
 type messageServer struct {
 	apiv1.Quorum
 	delivered chan *apiv1.QuorumMessage
@@ -27,7 +27,7 @@
 	return &apiv1.DeliverResponse{}, nil
 }
 
-// startMessageServer returns where a listener is reached.
+// startMessageServer starts a messageServer and returns it with its address.
 func startMessageServer(t *testing.T) (messageServer, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -36,7 +36,7 @@
 	taking := messageServer{delivered: make(chan *apiv1.QuorumMessage, 1)}
 	s := &http.Server{Handler: apiv1.NewQuorumServer(taking)}
 	t.Cleanup(func() { _ = s.Close() })
-	go s.Serve(l) //nolint:errcheck // It ends with the test.
+	go s.Serve(l) //nolint:errcheck // The server is closed at the end of the test.
 	return taking, l.Addr().String()
 }
 
@@ -48,22 +48,22 @@
 	return transport, registry
 }
 
-// awaitMessage waits until the listener has a message for a replica, or the transport
-// has counted that it could not send it.
+// awaitMessage waits until the server has received a message for a replica. It fails the test if
+// the transport has counted a message that it could not send.
 func awaitMessage(t *testing.T, taking messageServer, registry metrics.Registry, to uint64) {
 	t.Helper()
 	for {
 		select {
 		case m := <-taking.delivered:
 			if m.To != to {
-				t.Fatalf("message is for %d", m.To)
+				t.Fatalf("message is addressed to replica %d", m.To)
 			}
 			return
 		default:
 		}
 		for _, name := range []string{"quorum.messages_queue_dropped", "quorum.deliver_failures"} {
 			if registry.Get(name).(metrics.Counter).Count() > 0 {
-				t.Fatalf("the answer is lost: %s counts", name)
+				t.Fatalf("the response is lost: %s is not zero", name)
 			}
 		}
 		time.Sleep(time.Millisecond)
@@ -72,12 +72,13 @@
 
 const unreachableAddress = "127.0.0.1:1"
 
-// Symptom: a repair after a lost disk never ends once many disks were lost before it.
-// Sequence: a replica hears leader after leader that its log does not name yet, each
-// of a disk that is lost by now; then one more leader takes it in.
-// Cause: the senders that are gone fill the list of those that can be answered.
-// Evidence: the same requests to join as in the group that lost its majority for a
-// repair that never ended.
+// Guards against a disk repair that never ends after many disks were lost before it. A replica
+// gets messages from a series of leaders that its log does not name yet, each on a disk that is
+// lost now; then one more leader adds it. The recorded senders that are lost must not use up the
+// list of senders that can be answered.
+//
+// It was seen in a group that lost its majority because of a repair that never ended: the replica
+// sent the same join requests.
 func TestNewestSenderIsReachableAfterManySenders(t *testing.T) {
 	transport, registry := startTransport(t)
 	taking, address := startMessageServer(t)
@@ -90,10 +91,9 @@
 	awaitMessage(t, taking, registry, leader)
 }
 
-// Symptom: a replica that is far behind never catches up.
-// Sequence: a member moves to another address and comes to lead; a replica that was
-// down meanwhile knows the member by its former address.
-// Cause: the address in an old membership goes before the one that messages name.
+// Guards against a replica that is far behind and never catches up. A member moves to another
+// address and becomes the leader; a replica that was down meanwhile knows the member's previous
+// address. The address in messages must take precedence over that in an old membership.
 func TestSenderAddressOverridesMembership(t *testing.T) {
 	transport, registry := startTransport(t)
 	taking, address := startMessageServer(t)
--- a/quorum/node/service.go
+++ b/quorum/node/service.go
@@ -12,22 +12,21 @@
 )
 
 const (
-	// MaxSnapshotBytes bounds the state machine's snapshot, which travels in one
-	// message.
+	// MaxSnapshotBytes limits the state machine's snapshot, which is sent in one message.
 	MaxSnapshotBytes = 128 << 20
-	// MaxRequestBytes bounds the body of a request to Handler: a snapshot, or a
-	// batch of other messages, of which one entry may be quorum.MaxCommandBytes.
+	// MaxRequestBytes limits the body of a request to Handler: a snapshot, or a batch of other
+	// messages, in which one entry may have quorum.MaxCommandBytes.
 	MaxRequestBytes = MaxSnapshotBytes + 2*maxBatchBytes
 )
 
-// service answers the other replicas.
+// service serves the requests of the other replicas.
 type service struct{ n *Node }
 
-// Service returns what answers the other replicas.
+// Service returns the service for the other replicas.
 func (n *Node) Service() apiv1.Quorum { return service{n} }
 
-// Handler returns the HTTP handler for the other replicas and the path prefix
-// that it is to be mounted at, for POST requests.
+// Handler returns the HTTP handler for the other replicas' POST requests and the path prefix to
+// mount it at.
 func (n *Node) Handler() (prefix string, h http.Handler) {
 	server := apiv1.NewQuorumServer(n.Service())
 	return server.PathPrefix(), http.MaxBytesHandler(server, MaxRequestBytes)
@@ -35,7 +34,7 @@
 
 func (s service) checkRequest(cell string) error {
 	if cell != s.n.opts.Cell {
-		return twirp.NotFoundError("this replica is of another cell")
+		return twirp.NotFoundError("this replica belongs to another cell")
 	}
 	select {
 	case <-s.n.done:
@@ -56,9 +55,9 @@
 	return &apiv1.DeliverResponse{}, nil
 }
 
-// receive queues a message. One that is for another id is dropped: it is for the
-// replica that had this address before its disk was lost. An answer to it would
-// count as a promise of that one, and a vote in its name as a second vote.
+// receive queues a message for the event loop. It drops a message to another id: such a message is
+// meant for the replica that had this address before its disk was lost. A response to it would
+// count as a promise of that replica, and a vote in its name as a second vote.
 func (n *Node) receive(m *apiv1.QuorumMessage, sender string) {
 	n.metrics.received.Inc(1)
 	if m.To != n.id() {
@@ -91,7 +90,7 @@
 	}, nil
 }
 
-// Join implements apiv1.Quorum. It may be asked again for the same replica.
+// Join implements apiv1.Quorum. It may be called repeatedly for the same replica.
 func (s service) Join(ctx context.Context, r *apiv1.JoinRequest) (*apiv1.JoinResponse, error) {
 	if err := s.checkRequest(r.Cell); err != nil {
 		return nil, err
@@ -117,18 +116,19 @@
 	return &apiv1.JoinResponse{Accepted: true}, nil
 }
 
-// notLeaderResponse answers a request that only a leader can take. Without a leader it
-// says so: in a group that lost its majority this is all that a joining host learns.
+// notLeaderResponse returns the response to a request that only a leader can serve. It reports
+// explicitly that no leader is known: in a group that lost its majority, this is the only
+// information that a joining host gets.
 func (n *Node) notLeaderResponse() *apiv1.JoinResponse {
-	answer := &apiv1.JoinResponse{NotLeader: true, LeaderAddress: n.LeaderAddress()}
-	if answer.LeaderAddress == "" {
-		answer.Message = "no leader is known here"
+	response := &apiv1.JoinResponse{NotLeader: true, LeaderAddress: n.LeaderAddress()}
+	if response.LeaderAddress == "" {
+		response.Message = "no leader is known here"
 	}
-	return answer
+	return response
 }
 
-// hasVoterNamed reports whether a voter has a name. Who comes back with an empty disk
-// takes its own place and is no spare.
+// hasVoterNamed reports whether a voter has a name. A host that returns with an empty disk
+// replaces its own voter and is no spare.
 func hasVoterNamed(m *apiv1.Membership, name string) bool {
 	for _, r := range m.GetReplicas() {
 		if r.Name == name && !r.Learner {
@@ -138,13 +138,14 @@
 	return false
 }
 
-// updateAddress notes that a member has another address since it was restarted. The
-// others need a majority without it for that: hosts move one at a time.
+// updateAddress records the new address of a member that was restarted. The other replicas need a
+// majority without that member to commit the change, so hosts must move one at a time.
 func (n *Node) updateAddress(ctx context.Context, m *apiv1.Membership, member *apiv1.Replica, address string) *apiv1.JoinResponse {
 	if member.Address == address {
 		return &apiv1.JoinResponse{Accepted: true}
 	}
-	// All else stays: a spare that lost its mark would get a vote beside the voters.
+	// Keep all other fields: a spare that lost its Spare mark would get a vote in addition to the
+	// existing voters.
 	moved := proto.CloneOf(member)
 	moved.Address = address
 	if err := n.changeMembership(ctx, withReplaced(m, moved)); err != nil {
@@ -153,13 +154,15 @@
 	return &apiv1.JoinResponse{Accepted: true}
 }
 
-// joinRefusalReason keeps a second process with a name that is in use from having the
-// first one removed as its predecessor. The first is asked whether it is there.
+// joinRefusalReason returns why a replica may not join, or "". It prevents a second process with a
+// name that is in use from having the first one removed as its predecessor, by querying whether
+// the first one is running.
 func (n *Node) joinRefusalReason(ctx context.Context, m *apiv1.Membership, joiner *apiv1.Replica) string {
 	if joiner.Name == n.opts.Name {
 		return "the leader has this name"
 	}
-	// The one who asks waits requestTimeout in all, and would take silence for a refusal.
+	// The joining replica waits requestTimeout in total, and would take a missing response for a
+	// refusal.
 	ctx, cancel := context.WithTimeout(ctx, n.opts.electionTimeout())
 	defer cancel()
 	for _, r := range m.GetReplicas() {
--- a/quorum/node/size_test.go
+++ b/quorum/node/size_test.go
@@ -10,11 +10,11 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// settleTime lets a group take every host in and make the changes of its membership
-// that it wants.
+// settleTime is enough time for a group to add every host and to make all pending membership
+// changes.
 const settleTime = 10 * nodetest.ReplaceAfter
 
-// foundersAndSpares starts three founding hosts, and others that join them.
+// foundersAndSpares starts three founding hosts, and spares that join them.
 func foundersAndSpares(g *nodetest.Group, spares ...string) {
 	g.T.Helper()
 	g.MustStart()
@@ -28,17 +28,16 @@
 	time.Sleep(settleTime)
 }
 
-// Symptom: after a power cut that cost two hosts their disks nothing is served any
-// more, an acknowledged configuration can't be read back, and accepted jobs get no
-// answer. The control hosts refuse each other's requests to join until somebody
-// comes to help.
-// Sequence: six hosts with disks run the control group; a command is acknowledged;
-// the power is cut everywhere, and two hosts come back with empty disks.
-// Cause: only the three founding hosts had votes, so that two lost disks were a
-// majority, whatever the other three disks held.
-// Evidence: on a traced day of such a deployment two of the three voters come back
-// from the last power cut with empty disks. Both ask to join twice a second until the
-// end; the third answers each time that it knows no leader.
+// Guards against the loss of the majority in a power loss that costs two hosts their disks: no
+// requests are served, an acknowledged configuration can't be read back, accepted jobs get no
+// response, and the control hosts refuse each other's join requests until an operator intervenes.
+// Six hosts with disks run the control group; a command is acknowledged; power is lost on all
+// hosts, and two of them return with empty disks. If only the three founding hosts vote, two lost
+// disks are a majority, whatever the other three disks hold.
+//
+// This was seen on a traced day of such a deployment: two of the three voters returned from the
+// last power loss with empty disks. Both requested to join twice a second until the end, and the
+// third responded each time that it knew no leader.
 func TestTwoDisksLostInAPowerCut(t *testing.T) {
 	for _, spares := range [][]string{{"d", "e"}, {"d", "e", "f"}} {
 		t.Run(fmt.Sprint(3+len(spares), " hosts"), func(t *testing.T) {
@@ -61,9 +60,9 @@
 	}
 }
 
-// Symptom: a group needs one host more than it should, or bears one loss less.
-// Sequence: one host after another joins three founding ones.
-// Cause: every newcomer gets a vote, or none.
+// Guards against a group that needs one host more than it should, or tolerates one loss less. One
+// host after another joins three founding ones. The test fails if every new host gets a vote, or
+// if none does.
 func TestVoterCountFollowsHosts(t *testing.T) {
 	for spares, want := range []int{3, 3, 5, 5, 5} {
 		t.Run(fmt.Sprint(3+spares, " hosts"), func(t *testing.T) {
@@ -77,9 +76,9 @@
 	}
 }
 
-// Symptom: the operators' group of four or seven hosts loses votes by itself.
-// Sequence: a group whose number of voters is set by its settings runs for minutes.
-// Cause: the number of voters is brought to a figure that nobody asked for.
+// Guards against a group of four or seven hosts, set up by operators, that loses votes by itself.
+// A group whose number of voters is set by its settings runs for minutes. The leader must not
+// change that number.
 func TestFoundingSizeIsKept(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for _, count := range []int{4, 7} {
@@ -95,11 +94,10 @@
 	}
 }
 
-// Symptom: a host is lost while the group grows, and the next loss stops it.
-// Sequence: two spares are taken in; one of the five hosts is lost at some moment of
-// it, and another one right after; both come back with empty disks.
-// Cause: a vote that is given while a voter is silent, or to a spare that holds little
-// of the log, makes a majority of all that are left.
+// Guards against a group that the next loss stops after a host was lost while the group grew. Two
+// spares join; one of the five hosts is lost at some time during that, and returns with an empty
+// disk. A vote given while a voter is unresponsive, or to a spare with little of the log, makes
+// all remaining hosts necessary for a majority.
 func TestDiskLossDuringGrowth(t *testing.T) {
 	forSeeds(t, 60, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 2))
@@ -120,26 +118,25 @@
 	})
 }
 
-// Symptom: hosts that were taken away for good go on counting, and a group that has
-// three hosts left stops with the next loss.
-// Sequence: two of five hosts are taken away; after some minutes one more is lost.
-// Cause: the majority is still counted from five.
+// Guards against hosts that still count after they were removed permanently, so that a group with
+// three hosts left stops at the next loss. Two of five hosts are removed; after some minutes one
+// more is lost. The majority must no longer be counted from five.
 func TestGroupShrinksWhenHostsDepart(t *testing.T) {
 	forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
 		g.Kill("d", "e")
 		time.Sleep(2 * time.Minute)
 		g.Wait("three voters", func() bool { return len(g.Voters()) == 3 })
-		gone := g.Followers()
-		gone = slices.DeleteFunc(gone, func(name string) bool { return name == "d" || name == "e" })
-		g.Kill(gone[0])
+		running := g.Followers()
+		running = slices.DeleteFunc(running, func(name string) bool { return name == "d" || name == "e" })
+		g.Kill(running[0])
 		g.Propose("with one more lost")
 	})
 }
 
-// Symptom: after some hundred replaced hosts no host is taken in any more.
-// Sequence: spares join and are taken away, one after another.
-// Cause: a learner that is gone is kept for ever, and the number of replicas is bounded.
+// Guards against a group that accepts no new hosts after some hundred were replaced. Spares join
+// and are removed, one after another. The number of replicas is bounded, so departed learners must
+// not stay in the membership.
 func TestDepartedSparesAreRemoved(t *testing.T) {
 	forSeeds(t, 1, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -156,11 +153,11 @@
 	})
 }
 
-// Symptom: something acknowledged is gone, or the group never commits again.
-// Sequence: six hosts; again and again one or two of them, or all, lose their power, up
-// to two of those their disk; after each round the group repairs itself.
-// Cause: any fault in how votes are given, taken and replaced. Seeds 252 and 354 stood in
-// a group of four voters that had lost two disks, while a replaced voter's was whole.
+// Guards against the loss of an acknowledged command, or a group that never commits again, from
+// any fault in how votes are given, taken and replaced. In each round, one or two of six hosts, or
+// all, lose power, and up to two of them their disk; then the group repairs itself. Seeds 252 and
+// 354 ended in a group of four voters that had lost two disks, while the disk of a replaced voter
+// was intact.
 func TestRepeatedDoubleDiskLoss(t *testing.T) {
 	forSeeds(t, 20, threeHosts, repeatedDoubleDiskLoss)
 	for _, seed := range []uint64{252, 354} {
@@ -200,7 +197,8 @@
 	}
 }
 
-// runningVoters is the number of voters, -1 if one of them has another disk by now.
+// runningVoters returns the number of voters, or -1 if a member does not run or has another disk
+// now.
 func runningVoters(g *nodetest.Group) int {
 	voters := 0
 	for _, r := range g.Node(g.Leader()).Status().Membership.Replicas {
@@ -215,17 +213,17 @@
 	return voters
 }
 
-// Symptom: a new deployment never serves anything.
-// Sequence: one of the three hosts that the settings name has no disk.
-// Cause: the founder waits for the answer of a replica that never comes to be.
+// Guards against a new deployment that never serves requests. One of the three hosts that the
+// settings name has no disk. The founder must not wait for the answer of a replica that will never
+// exist.
 func TestFormingWithoutPeerThatKeepsNoReplica(t *testing.T) {
-	for _, hollow := range []string{"0", "n", "z"} { // before, between and after the others
+	for _, diskless := range []string{"0", "n", "z"} { // before, between and after the others
 		forSeeds(t, 3, []string{"m", "o"}, func(g *nodetest.Group) {
-			g.Peers = []string{hollow, "m", "o"}
-			g.WithoutReplica = []string{hollow}
+			g.Peers = []string{diskless, "m", "o"}
+			g.WithoutReplica = []string{diskless}
 			g.MustStart()
 			g.Propose("1")
-			g.Peers = []string{hollow}
+			g.Peers = []string{diskless}
 			g.Discover = func() []string { return []string{"m"} }
 			g.AddSpare("p")
 			g.Wait("three voters", func() bool { return len(g.Voters()) == 3 })
@@ -233,11 +231,10 @@
 	}
 }
 
-// Symptom: something acknowledged is gone, or the group never commits again.
-// Sequence: five hosts; again and again one loses its disk, while another one, the
-// leader at times, is cut off from all others or from all but one, for up to four times
-// as long as it takes to replace it.
-// Cause: any fault in what a replica does that hears no leader, or an old one.
+// Guards against the loss of an acknowledged command, or a group that never commits again, from
+// any fault in a replica that gets messages from no leader or from an old one. In each round, one
+// of five hosts loses its disk, while another one, sometimes the leader, is partitioned from all
+// others or from all but one, for up to four times as long as it takes to replace it.
 func TestDiskLossDuringPartition(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
@@ -265,7 +262,7 @@
 			for _, name := range g.Names() {
 				for past := range round + 1 {
 					if !g.HasCommand(name, fmt.Sprint(past)) {
-						g.T.Fatalf("seed %d, round %d: %d is not on %s: %v", g.Seed, round, past, name, g.Node(name).Status())
+						g.T.Fatalf("seed %d, round %d: command %d is not on %s: %v", g.Seed, round, past, name, g.Node(name).Status())
 					}
 				}
 			}
--- a/quorum/node/slowdisk_test.go
+++ b/quorum/node/slowdisk_test.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	// slowSync is what a sync takes on a slow disk; the others take no time here.
+	// slowSync is the duration of a sync on a slow disk. On the other disks a sync takes no time
+	// in this test.
 	slowSync = 60 * time.Millisecond
-	// slowCommits are enough for a leader to see that its disk stays slow.
+	// slowCommits is enough commits for a leader to detect that its disk stays slow.
 	slowCommits = 10
 )
 
-// commitTimes proposes commands one after the other and returns how long each took.
+// commitTimes proposes commands one after the other and returns the duration of each.
 func commitTimes(g *nodetest.Group, name string) []time.Duration {
 	var times []time.Duration
 	for i := range slowCommits {
@@ -27,12 +28,10 @@
 	return times
 }
 
-// Symptom: callers wait for the leader's disk with each submission, although a majority
-// of the disks is as fast as ever.
-// Sequence: the disk of the leader's host turns slow and stays so. Cause: a leader hears
-// the others' acknowledgements only after its own sync, and leads on.
-// Before: each commit takes 60 ms for as long as the disk is slow. After: the last ones
-// take what a fast disk takes.
+// Guards against commits at the speed of the leader's slow disk although a majority of the disks
+// is fast. The disk of the leader's host becomes slow and stays slow. A leader handles the others'
+// acknowledgements only after its own sync. Without a leadership transfer, each commit takes 60 ms
+// for as long as the disk is slow; with it, the last commits take as long as on a fast disk.
 func TestLeaderWithSlowDiskTransfersLeadership(t *testing.T) {
 	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -44,7 +43,7 @@
 			g.T.Errorf("seed %d: a commit still takes %v after %v", g.Seed, last, times)
 		}
 		if now := g.Leader(); now == leader {
-			g.T.Errorf("seed %d: %s leads on", g.Seed, now)
+			g.T.Errorf("seed %d: %s is still the leader", g.Seed, now)
 		}
 		for _, name := range g.Names() {
 			if !g.HasCommand(name, "slow 0") {
@@ -54,9 +53,10 @@
 	})
 }
 
-// Symptom: leadership wanders and every commit waits for elections.
-// Sequence: all disks turn slow alike, as on a shared storage; or the leader's is slow
-// for two syncs only. Cause: a leader that hands over without a faster voter, or at once.
+// Guards against leadership that moves repeatedly, so that every commit waits for elections. All
+// disks become slow together, as on shared storage, or the leader's disk is slow for only two
+// syncs. A leader must not transfer leadership without a faster voter, or as soon as its disk is
+// slow.
 func TestLeaderKeepsLeadershipWithoutFasterVoter(t *testing.T) {
 	slow := map[string]func(g *nodetest.Group, leader string){
 		"all": func(g *nodetest.Group, _ string) {
--- a/quorum/node/spare_test.go
+++ b/quorum/node/spare_test.go
@@ -12,22 +12,20 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// Symptom: after a host of the control group was replaced by one of another name,
-// the loss of one more host stops the group for good.
-// Sequence: a follower is gone for good; a host of a new name joins with an empty
-// disk; then the other follower is gone.
-// Cause: the vote of the host that is gone is kept, so that two of three voters are
-// missing, or the newcomer never gets a vote.
+// Guards against a group that the loss of one more host stops, after one host was replaced by one
+// with another name. A follower is lost permanently; a host with a new name joins with an empty
+// disk; then the other follower is lost. If the vote of the lost host is kept, or the new host
+// never gets a vote, two of three voters are missing.
 func TestSpareReplacesLostVoter(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
-		gone, other := g.Followers()[0], g.Followers()[1]
-		g.Kill(gone)
+		lost, other := g.Followers()[0], g.Followers()[1]
+		g.Kill(lost)
 		g.AddSpare("new")
 		g.Wait("the new host to vote", func() bool {
 			voters := g.Voters()
-			return len(voters) == 3 && slices.Contains(voters, "new") && !slices.Contains(voters, gone)
+			return len(voters) == 3 && slices.Contains(voters, "new") && !slices.Contains(voters, lost)
 		})
 		g.Kill(other)
 		g.Propose("2")
@@ -35,10 +33,9 @@
 	})
 }
 
-// Symptom: a newcomer to a whole group makes it need one more host for a majority.
-// Sequence: a host of a new name joins while all voters live; then one of the
-// voters is gone.
-// Cause: a spare that is given a vote beside those that it should replace.
+// Guards against a spare that raises the number of hosts needed for a majority. A host with a new
+// name joins while all voters run; then one of the voters is lost. The spare must not get a vote
+// in addition to the voter that it is to replace.
 func TestSpareStaysLearnerWhileAllVotersRun(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
@@ -48,16 +45,15 @@
 		if voters := g.Voters(); !slices.Equal(voters, threeHosts) {
 			t.Fatalf("seed %d: voters are %v", g.Seed, voters)
 		}
-		gone := g.Followers()[0]
-		g.Kill(gone)
+		lost := g.Followers()[0]
+		g.Kill(lost)
 		g.Wait("the new host to vote", func() bool { return slices.Contains(g.Voters(), "new") })
 	})
 }
 
-// Symptom: a host that was down for long never takes part again, and nobody tells.
-// Sequence: a follower is down until a spare has its place; it comes back with its
-// disk, by which it still is a voter.
-// Cause: nobody sends to a replica that was removed, and it does not ask.
+// Guards against a replaced host that never rejoins and is not reported. A follower is down until
+// a spare has replaced it; it returns with its disk, on which it is still a voter. No replica
+// sends messages to a removed one, so it has to send a join request itself.
 func TestReplacedVoterRejoinsAsSpare(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		down := returnAfter(g, "the new host to vote in its place", isReplaced)
@@ -67,8 +63,8 @@
 	})
 }
 
-// returnAfter has a follower down while a spare joins, until a condition holds; then it
-// comes back with its disk, and has the log.
+// returnAfter stops a follower, adds a spare and waits for a condition. It then restarts the
+// follower with its disk, waits until that has the log, and returns its name.
 func returnAfter(g *nodetest.Group, what string, condition func(g *nodetest.Group, down string) bool) (down string) {
 	g.T.Helper()
 	g.MustStart()
@@ -83,16 +79,16 @@
 	return down
 }
 
-// isReplaced reports whether three hosts vote, the new one among them and not the one
-// that was down.
+// isReplaced reports whether three hosts vote, including the new one and excluding the one that
+// was down.
 func isReplaced(g *nodetest.Group, down string) bool {
 	voters := g.Voters()
 	return len(voters) == 3 && slices.Contains(voters, "new") && !slices.Contains(voters, down)
 }
 
-// Symptom: a group keeps an even number of voters, or two votes for one place.
-// Sequence: a voter comes back at the moment when its successor has got the vote.
-// Cause: the replacement stops halfway, as the voter is no longer silent.
+// Guards against a group that keeps an even number of voters, or two votes for one replaced voter.
+// A voter returns at the moment when its successor has got its vote. The replacement must not stop
+// halfway because the voter is responsive again.
 func TestVoterReturnsDuringReplacement(t *testing.T) {
 	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		down := returnAfter(g, "the new host to vote", func(g *nodetest.Group, _ string) bool {
@@ -102,57 +98,58 @@
 	})
 }
 
-// Symptom: a group whose silent voter is being replaced loses one disk, and never has a
-// majority again, although the silent voter comes back with its disk.
-// Sequence: a voter is silent, and a spare takes its place; between two steps of that
-// the power is cut and as many disks are lost as the group bears.
-// Cause: the silent voter is removed before the spare has a vote, so that fewer votes
-// are left than the lost ones count against.
-// Evidence: TestRepeatedDoubleDiskLoss, seeds 252 and 354 of 400, stood in a group of
-// four voters of which two had lost their disks, with the fifth disk whole beside it.
+// Guards against the permanent loss of the majority when a group that replaces an unresponsive
+// voter loses one disk, although that voter returns with its disk. A spare replaces an
+// unresponsive voter; between two steps of that, power is lost and as many disks are lost as the
+// group tolerates. If the voter is removed before the spare has a vote, too few votes are left
+// beside the lost ones.
+//
+// TestRepeatedDoubleDiskLoss showed it with seeds 252 and 354 of 400: a group of four voters had
+// lost two disks, while the disk of the replaced fifth voter was intact.
 func TestReplacementToleratesLostDisks(t *testing.T) {
 	for voters := 3; voters <= 5; voters += 2 {
 		const ticks = 5
-		silent := uint64(voters)
-		s := statusWithUnresponsiveVoter(voters, silent, ticks)
+		unresponsive := uint64(voters)
+		s := statusWithUnresponsiveVoter(voters, unresponsive, ticks)
 		steps := 0
 		for next, _ := node.NextMembershipAfter(s, ticks); next != nil; next, _ = node.NextMembershipAfter(s, ticks) {
 			s.Membership = next
 			steps++
-			have := voterCount(next)
-			majority := have/2 + 1
-			// All come back but the lost disks.
-			if lost := voters / 2; have-lost < majority {
-				t.Errorf("%d voters, step %d: %d votes, and %d lost disks end the group", voters, steps, have, lost)
+			votes := voterCount(next)
+			majority := votes/2 + 1
+			// All voters return except those with lost disks.
+			if lost := voters / 2; votes-lost < majority {
+				t.Errorf("%d voters, step %d: %d votes do not tolerate %d lost disks", voters, steps, votes, lost)
 			}
-			// The silent one stays away.
-			if living := have - voteCount(next, silent); living < majority {
-				t.Errorf("%d voters, step %d: %d of %d votes are not enough to go on", voters, steps, living, have)
+			// The unresponsive voter does not return.
+			if running := votes - voteCount(next, unresponsive); running < majority {
+				t.Errorf("%d voters, step %d: %d of %d votes are no majority", voters, steps, running, votes)
 			}
 		}
-		if steps != 4 || voterCount(s.Membership) != voters || voteCount(s.Membership, silent) != 0 {
+		if steps != 4 || voterCount(s.Membership) != voters || voteCount(s.Membership, unresponsive) != 0 {
 			t.Errorf("%d steps lead to %v", steps, s.Membership)
 		}
 	}
 }
 
-// statusWithUnresponsiveVoter is a group with a voter that was silent for some ticks, and a spare.
-func statusWithUnresponsiveVoter(voters int, silent uint64, ticks int) quorum.Status {
-	s := quorum.Status{ID: 1, LastIndex: 10, Match: map[uint64]uint64{}, SilentTicks: map[uint64]int{silent: ticks}}
+// statusWithUnresponsiveVoter returns the status of a group with a voter that was unresponsive for
+// some ticks, and a spare.
+func statusWithUnresponsiveVoter(voters int, unresponsive uint64, ticks int) quorum.Status {
+	s := quorum.Status{ID: 1, LastIndex: 10, Match: map[uint64]uint64{}, SilentTicks: map[uint64]int{unresponsive: ticks}}
 	s.Membership = &apiv1.Membership{}
 	for id := range uint64(voters + 1) {
 		r := &apiv1.Replica{Id: id + 1, Name: fmt.Sprint("host-", id+1)}
 		r.Learner = id == uint64(voters)
 		r.Spare = r.Learner
 		s.Membership.Replicas = append(s.Membership.Replicas, r)
-		if r.Id != silent {
+		if r.Id != unresponsive {
 			s.Match[r.Id] = s.LastIndex
 		}
 	}
 	return s
 }
 
-// voteCount is 1 for a replica that is a voter.
+// voteCount returns 1 if a replica is a voter, otherwise 0.
 func voteCount(m *apiv1.Membership, id uint64) int {
 	for _, r := range m.Replicas {
 		if r.Id == id && !r.Learner {
@@ -172,9 +169,9 @@
 	return voters
 }
 
-// Symptom: a group of three has four voters, so that it needs one more host.
-// Sequence: a spare restarts at another address and asks to be taken in again.
-// Cause: the note of its new address forgets that it is a spare.
+// Guards against a group of three that gets four voters and then needs one more host for a
+// majority. A spare restarts at another address and requests to join again. The change of its
+// address must keep its Spare mark.
 func TestMovedSpareStaysSpare(t *testing.T) {
 	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "new")
@@ -192,20 +189,18 @@
 	})
 }
 
-// Symptom: the second lost disk of one host costs the group its majority.
-// Sequence: a host comes back with an empty disk, and loses that one too while its
-// replica is being repaired.
-// Cause: the new replica gets its vote while the one before it still has one, so that
-// one host costs two votes.
+// Guards against the loss of the majority after one host loses two disks in a row. A host returns
+// with an empty disk, and loses that one too while its replica is being repaired. If the new
+// replica gets its vote while the old one still has one, the host costs two votes.
 func TestRepairToleratesSecondDiskLossOnSameHost(t *testing.T) {
 	const ticks = 5
 	s := statusWithUnresponsiveVoter(3, 3, ticks)
 	s.Membership.Replicas[3].Name, s.Membership.Replicas[3].Spare = s.Membership.Replicas[2].Name, false
 	for next, _ := node.NextMembershipAfter(s, ticks); next != nil; next, _ = node.NextMembershipAfter(s, ticks) {
 		s.Membership = next
-		have := voterCount(next)
-		if lost := voteCount(next, 3) + voteCount(next, 4); have-lost < have/2+1 {
-			t.Errorf("%d votes of %d are lost with one host", lost, have)
+		votes := voterCount(next)
+		if lost := voteCount(next, 3) + voteCount(next, 4); votes-lost < votes/2+1 {
+			t.Errorf("one host costs %d of %d votes", lost, votes)
 		}
 	}
 	if voterCount(s.Membership) != 3 || voteCount(s.Membership, 4) != 1 {
@@ -213,10 +208,9 @@
 	}
 }
 
-// Symptom: a voter that was cut off for some seconds is replaced although it is back.
-// Sequence: a spare is named to take its place; the voter is heard again before the
-// spare has its vote.
-// Cause: what was decided while it was silent is carried out all the same.
+// Guards against the replacement of a voter that has returned after a partition of some seconds. A
+// spare is assigned as its successor, and the voter is responsive again before the spare has its
+// vote. The leader must not complete the replacement then.
 func TestReturnedVoterKeepsVote(t *testing.T) {
 	const ticks = 5
 	s := statusWithUnresponsiveVoter(5, 5, ticks)
--- a/quorum/node/transport.go
+++ b/quorum/node/transport.go
@@ -14,30 +14,30 @@
 	"github.com/cairnlift/cairnlift/redial"
 )
 
-// Transport carries messages to the other replicas. It may lose, delay and repeat
-// them.
+// Transport carries messages to the other replicas. It may lose, delay and repeat them.
 type Transport interface {
-	// Start is called once, before all else. The transport calls unreachable when
+	// Start is called once, before all other methods. The transport calls unreachable when
 	// messages to a replica were lost.
 	Start(unreachable func(id uint64))
-	// SetMembers says where replicas are.
+	// SetMembers sets the addresses of the members.
 	SetMembers(*apiv1.Membership)
-	// RecordSender says where the sender of a message is, which may be no member that is
-	// known here yet; see AddressBook.
+	// RecordSender records the address of the sender of a message. The sender may be a member that
+	// this replica does not know yet; see AddressBook.
 	RecordSender(id uint64, address string)
-	// Send takes messages over and never blocks.
+	// Send queues messages and never blocks.
 	Send([]*apiv1.QuorumMessage)
-	// Identify asks who is at an address; see apiv1.IdentifyRequest for founder.
+	// Identify requests the identity of the replica at an address; see apiv1.IdentifyRequest for
+	// founder.
 	Identify(ctx context.Context, address string, founder uint64) (*apiv1.IdentifyResponse, error)
 	Join(ctx context.Context, address string, r *apiv1.Replica) (*apiv1.JoinResponse, error)
 	Close()
 }
 
 const (
-	// queueLength is the number of messages that wait for one replica.
+	// queueLength is the maximum number of messages queued for one replica.
 	queueLength = 1024
-	// maxBatchBytes is the size at which a request is full, unless its first
-	// message is larger.
+	// maxBatchBytes is the maximum size of the messages in a request, unless the first one alone
+	// is larger.
 	maxBatchBytes = 4 << 20
 
 	defaultDeliverTimeout  = time.Second
@@ -46,21 +46,21 @@
 	idleTimeout            = time.Minute
 )
 
-// TwirpOptions set up a TwirpTransport.
+// TwirpOptions configures a TwirpTransport.
 type TwirpOptions struct {
 	Cell string
-	// Address is where the others reach this replica.
+	// Address is the address at which the other replicas reach this one.
 	Address string
 	Logger  *zap.Logger
 	Metrics metrics.Registry
-	// DeliverTimeout bounds one request with messages, 1 s when 0;
-	// SnapshotTimeout one with a snapshot, 30 s when 0.
+	// DeliverTimeout limits a request with messages; the default is 1 s. SnapshotTimeout limits a
+	// request with a snapshot; the default is 30 s.
 	DeliverTimeout  time.Duration
 	SnapshotTimeout time.Duration
 }
 
-// TwirpTransport sends messages over HTTP. Each replica has its own queue and
-// sender, so that one that doesn't answer holds up no other.
+// TwirpTransport sends messages over HTTP. Each replica has its own queue and sender, so that an
+// unresponsive replica does not delay messages to the others.
 type TwirpTransport struct {
 	opts        TwirpOptions
 	client      *http.Client
@@ -78,7 +78,7 @@
 	clients   map[string]apiv1.Quorum
 }
 
-// NewTwirpTransport returns a transport whose peers serve Node.Handler.
+// NewTwirpTransport returns a transport to peers that serve Node.Handler.
 func NewTwirpTransport(o TwirpOptions) *TwirpTransport {
 	if o.Logger == nil {
 		o.Logger = zap.NewNop()
@@ -107,8 +107,8 @@
 // Start implements Transport.
 func (t *TwirpTransport) Start(unreachable func(id uint64)) { t.unreachable = unreachable }
 
-// SetMembers implements Transport. Replicas that are no longer members are
-// forgotten, but for those that were heard.
+// SetMembers implements Transport. It drops replicas that are no longer members, except recorded
+// senders.
 func (t *TwirpTransport) SetMembers(m *apiv1.Membership) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,7 +127,8 @@
 	t.updatePeersLocked()
 }
 
-// updatePeersLocked makes the peers follow the addresses; t.mu is held.
+// updatePeersLocked starts and stops peers to match the known addresses. The caller must hold
+// t.mu.
 func (t *TwirpTransport) updatePeersLocked() {
 	if t.closed {
 		return
@@ -160,7 +161,7 @@
 	}
 }
 
-// clientForLocked returns the client of an address; t.mu is held.
+// clientForLocked returns the client for an address. The caller must hold t.mu.
 func (t *TwirpTransport) clientForLocked(address string) apiv1.Quorum {
 	c := t.clients[address]
 	if c == nil {
@@ -186,7 +187,7 @@
 	return t.clientFor(address).Join(ctx, &apiv1.JoinRequest{Cell: t.opts.Cell, Replica: r})
 }
 
-// Close implements Transport. Messages that wait are dropped.
+// Close implements Transport. It drops queued messages.
 func (t *TwirpTransport) Close() {
 	t.mu.Lock()
 	t.closed = true
--- a/quorum/node/twirp_test.go
+++ b/quorum/node/twirp_test.go
@@ -19,7 +19,7 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// server is a replica with a real disk behind a real listener.
+// server is a replica with a real disk and a real listener.
 type server struct {
 	node    *node.Node
 	machine *nodetest.StateMachine
@@ -69,7 +69,7 @@
 	s.http.Close()
 }
 
-// awaitLeader returns the replica that leads.
+// awaitLeader waits for a leader that confirms a read and returns it.
 func awaitLeader(t testing.TB, servers []*server) *server {
 	for range 10000 {
 		for _, s := range servers {
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// The whole of it over HTTP and real files: commits, planned stops of the leader
-// and its restarts from its folder at another address.
+// Tests the whole path over HTTP and real files: commits, planned stops of the leader, and its
+// restarts from its folder at another address.
 func TestGroupOverHTTP(t *testing.T) {
 	listeners, peers := listenAll(t, 3)
 	var servers []*server
@@ -143,7 +143,7 @@
 		}
 		time.Sleep(time.Millisecond)
 	}
-	t.Fatal("nobody is known at " + address)
+	t.Fatal("no replica is known at " + address)
 }
 
 func awaitRead(n *node.Node) {
@@ -155,24 +155,23 @@
 	}
 }
 
-// Symptom: one replica that doesn't answer holds up the messages to the others, or
-// memory grows without bound.
-// Sequence: one of two peers takes requests and never answers.
-// Cause: a sender that waits without a deadline, a shared or unbounded queue.
+// Guards against an unresponsive replica that delays the messages to the others, or makes memory
+// grow without bound. One of two peers accepts requests and never answers. A sender without a
+// timeout, or a shared or unbounded queue, would cause this.
 func TestUnresponsivePeerDoesNotBlockOthers(t *testing.T) {
 	listeners, peers := listenAll(t, 2)
-	silent := make(chan struct{})
-	got := make(chan struct{})
+	unblock := make(chan struct{})
+	received := make(chan struct{})
 	handlers := []http.HandlerFunc{
-		func(http.ResponseWriter, *http.Request) { <-silent },
-		func(http.ResponseWriter, *http.Request) { got <- struct{}{} },
+		func(http.ResponseWriter, *http.Request) { <-unblock },
+		func(http.ResponseWriter, *http.Request) { received <- struct{}{} },
 	}
 	for i, l := range listeners {
 		s := &http.Server{Handler: handlers[i]}
 		go s.Serve(l)
 		defer s.Close()
 	}
-	defer close(silent)
+	defer close(unblock)
 	registry := metrics.NewRegistry()
 	transport := node.NewTwirpTransport(node.TwirpOptions{Cell: "test", Metrics: registry, DeliverTimeout: 50 * time.Millisecond})
 	lost := make(chan uint64, 1000)
@@ -183,11 +182,11 @@
 		transport.Send([]*apiv1.QuorumMessage{{To: 1, Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT}})
 	}
 	transport.Send([]*apiv1.QuorumMessage{{To: 2, Kind: apiv1.MessageKind_MESSAGE_KIND_HEARTBEAT}})
-	<-got
+	<-received
 	if id := <-lost; id != 1 {
 		t.Errorf("replica %d is reported unreachable", id)
 	}
 	if dropped := metrics.GetOrRegisterCounter("quorum.messages_queue_dropped", registry).Count(); dropped == 0 {
-		t.Error("5,000 messages wait for a silent replica")
+		t.Error("no message to an unresponsive replica was dropped: all 5,000 are queued")
 	}
 }
--- a/quorum/node/view.go
+++ b/quorum/node/view.go
@@ -7,19 +7,19 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// view is what other goroutines see of the replica.
+// view is the state of the replica that other goroutines may read.
 type view struct {
 	mu      sync.Mutex
 	status  quorum.Status
 	changed chan struct{}
-	// pendingMembership is the membership of a group that this replica asked to join or is
-	// about to belong to.
+	// pendingMembership is the membership of a group that this replica requested to join or is
+	// about to become a member of.
 	pendingMembership *apiv1.Membership
-	// promisedFounder is the founder that this replica said it is empty to.
+	// promisedFounder is the id of the founder that this replica last reported itself empty to.
 	promisedFounder uint64
 }
 
-// publishStatus shows the core's state to other goroutines.
+// publishStatus makes the core's state visible to other goroutines.
 func (n *Node) publishStatus() {
 	s := n.raft.Status()
 	n.metrics.term.Update(int64(s.Term))
@@ -41,7 +41,8 @@
 	}
 }
 
-// publishStopped takes back that this replica leads, or knows who does.
+// publishStopped clears the role and the leader, since a stopped replica neither leads nor knows
+// the leader.
 func (n *Node) publishStopped() {
 	v := &n.view
 	v.mu.Lock()
@@ -75,13 +76,13 @@
 	return n.view.changed
 }
 
-// LeaderAddress returns where the leader is, empty when none is known.
+// LeaderAddress returns the leader's address, or "" if no leader is known.
 func (n *Node) LeaderAddress() string {
 	s := n.Status()
 	return findReplica(n.groupMembership(), s.Leader).GetAddress()
 }
 
-// otherLeaderAddress is LeaderAddress, but empty if that is this replica.
+// otherLeaderAddress returns LeaderAddress, or "" if this replica is the leader.
 func (n *Node) otherLeaderAddress() string {
 	if s := n.Status(); s.Leader == n.id() {
 		return ""
@@ -89,10 +90,11 @@
 	return n.LeaderAddress()
 }
 
-// groupMembership returns the membership, or that of the group to join.
+// groupMembership returns the current membership, or that of the group to join.
 func (n *Node) groupMembership() *apiv1.Membership { return n.membershipForFounder(0) }
 
-// membershipForFounder returns what a founder is told. To be told nothing is a promise.
+// membershipForFounder returns the membership to report to a founder. Reporting none promises that
+// founder that this replica is empty; see form.go.
 func (n *Node) membershipForFounder(founder uint64) *apiv1.Membership {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
