--- a/configdelta/configdelta.go
+++ b/configdelta/configdelta.go
@@ -29,10 +29,10 @@
 func (e *CorruptError) Error() string { return "delta can't be applied: " + e.Cause }
 
 var (
-	services = list[*apiv1.Service]{(*apiv1.Service).GetName, equal[*apiv1.Service]}
-	jobs     = list[*apiv1.Job]{(*apiv1.Job).GetName, equal[*apiv1.Job]}
-	teams    = list[*apiv1.Team]{(*apiv1.Team).GetName, equal[*apiv1.Team]}
-	lines    = list[string]{func(s string) string { return s }, func(a, b string) bool { return a == b }}
+	services = differ[*apiv1.Service]{(*apiv1.Service).GetName, equal[*apiv1.Service]}
+	jobs     = differ[*apiv1.Job]{(*apiv1.Job).GetName, equal[*apiv1.Job]}
+	teams    = differ[*apiv1.Team]{(*apiv1.Team).GetName, equal[*apiv1.Team]}
+	lines    = differ[string]{func(s string) string { return s }, func(a, b string) bool { return a == b }}
 )
 
 func equal[T proto.Message](a, b T) bool { return proto.Equal(a, b) }
@@ -100,9 +100,9 @@
 		c.Policy = d.Policy
 	}
 	var fits [4]bool
-	c.Services, fits[0] = apply(old.GetServices(), editsOf(d.Services, (*apiv1.ServiceEdit).GetInsert))
-	c.Jobs, fits[1] = apply(old.GetJobs(), editsOf(d.Jobs, (*apiv1.JobEdit).GetInsert))
-	c.Teams, fits[2] = apply(old.GetTeams(), editsOf(d.Teams, (*apiv1.TeamEdit).GetInsert))
+	c.Services, fits[0] = applyEdits(old.GetServices(), editsFromMessages(d.Services, (*apiv1.ServiceEdit).GetInsert))
+	c.Jobs, fits[1] = applyEdits(old.GetJobs(), editsFromMessages(d.Jobs, (*apiv1.JobEdit).GetInsert))
+	c.Teams, fits[2] = applyEdits(old.GetTeams(), editsFromMessages(d.Teams, (*apiv1.TeamEdit).GetInsert))
 	c.Text, fits[3] = applyText(old.GetText(), d.Text)
 	if fits != [4]bool{true, true, true, true} {
 		return nil, &CorruptError{Cause: "it reaches past the end of what it changes"}
@@ -113,13 +113,13 @@
 	return c, nil
 }
 
-// message is what the edits of every list have in common.
-type message interface {
+// editMessage is what the edits of every list have in common.
+type editMessage interface {
 	GetKeep() uint32
 	GetDrop() uint32
 }
 
-func editsOf[E message, T any](in []E, insert func(E) []T) []edit[T] {
+func editsFromMessages[E editMessage, T any](in []E, insert func(E) []T) []edit[T] {
 	out := make([]edit[T], 0, len(in))
 	for _, e := range in {
 		out = append(out, edit[T]{keep: int(e.GetKeep()), drop: int(e.GetDrop()), insert: insert(e)})
--- a/configdelta/configdelta_test.go
+++ b/configdelta/configdelta_test.go
@@ -39,7 +39,7 @@
 // configurations. Sequence: any two configurations, with items that move, repeat
 // and change; then any one field of the delta is damaged on the way. Cause: edits
 // that don't lead to the new one exactly, or a digest that is not compared.
-func TestDeltaLeadsToTheNewConfigurationOrIsRefused(t *testing.T) {
+func TestDeltaReproducesNewConfigurationOrIsRejected(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		old, new := drawConfiguration(t, 3), drawConfiguration(t, 5)
 		data, err := proto.Marshal(Diff(old, new))
@@ -99,7 +99,7 @@
 // Symptom: an answer that another overtook sets a host back. Sequence: chains from
 // two peers cross, one of them with a gap. Cause: a chain applied where it does
 // not start.
-func TestChainAppliesOnlyUnbroken(t *testing.T) {
+func TestApplyChainRejectsGaps(t *testing.T) {
 	v := func(n uint64) *apiv1.Configuration {
 		return &apiv1.Configuration{Version: n, Text: fmt.Sprint("line ", n)}
 	}
--- a/configdelta/edits.go
+++ b/configdelta/edits.go
@@ -9,8 +9,8 @@
 	insert     []T
 }
 
-// list says how to compare the items of a list.
-type list[T any] struct {
+// differ says how to compare the items of a list.
+type differ[T any] struct {
 	// key names an item; items whose key is unique on both sides anchor the edits.
 	key   func(T) string
 	equal func(a, b T) bool
@@ -19,7 +19,7 @@
 // diff returns edits that turn one list into another. It is patience diff (Bram
 // Cohen): the longest run of unique items whose order is the same on both sides
 // stays, and between two of them the equal items at either end do.
-func (l list[T]) diff(old, new []T) []edit[T] {
+func (l differ[T]) diff(old, new []T) []edit[T] {
 	var edits []edit[T]
 	kept := 0
 	gap := func(o0, o1, n0, n1 int) {
@@ -52,8 +52,8 @@
 
 // anchors returns the longest increasing run of pairs of items that are equal and
 // whose key is unique in both lists.
-func (l list[T]) anchors(old, new []T) []anchor {
-	oldAt, newAt := l.unique(old), l.unique(new)
+func (l differ[T]) anchors(old, new []T) []anchor {
+	oldAt, newAt := l.uniquePositions(old), l.uniquePositions(new)
 	var pairs []anchor
 	for i, item := range new {
 		key := l.key(item)
@@ -62,11 +62,11 @@
 			pairs = append(pairs, anchor{old: o, new: i})
 		}
 	}
-	return longestIncreasing(pairs)
+	return longestIncreasingSubsequence(pairs)
 }
 
-// unique returns the position of each key, negative where several items have it.
-func (l list[T]) unique(items []T) map[string]int {
+// uniquePositions returns the position of each key, negative where several items have it.
+func (l differ[T]) uniquePositions(items []T) map[string]int {
 	at := make(map[string]int, len(items))
 	for i, item := range items {
 		key := l.key(item)
@@ -78,9 +78,9 @@
 	return at
 }
 
-// longestIncreasing returns the longest part of pairs, which are in the order of
+// longestIncreasingSubsequence returns the longest part of pairs, which are in the order of
 // the new list, whose old positions increase.
-func longestIncreasing(pairs []anchor) []anchor {
+func longestIncreasingSubsequence(pairs []anchor) []anchor {
 	// tails[k] is the index of the pair that ends the best run of length k+1.
 	var tails []int
 	before := make([]int, len(pairs))
@@ -106,8 +106,8 @@
 	return run
 }
 
-// apply returns the edited list; false when the edits reach past its end.
-func apply[T any](old []T, edits []edit[T]) ([]T, bool) {
+// applyEdits returns the edited list; false when the edits reach past its end.
+func applyEdits[T any](old []T, edits []edit[T]) ([]T, bool) {
 	if len(edits) == 0 {
 		return old, true
 	}
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -11,10 +11,10 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// crashOf returns what a report says of a crash, nil if it tells of none. That is a departure
+// reportedCrash returns what a report says of a crash, nil if it tells of none. That is a departure
 // without notice, or the first report of the life that follows one that did not tell.
-func (l *leadership) crashOf(m *jobqueue.Machine, r *apiv1.JobsReportRequest) (*jobqueue.Worker, []*apiv1.RunWork) {
-	worker, before := m.Worker(r.Worker.GetId()), m.WorkerOf(r.Worker.GetHost())
+func (l *leaderState) reportedCrash(m *jobqueue.Machine, r *apiv1.JobsReportRequest) (*jobqueue.Worker, []*apiv1.RunWork) {
+	worker, before := m.Worker(r.Worker.GetId()), m.WorkerOnHost(r.Worker.GetHost())
 	switch {
 	case worker != nil && r.Departed:
 		if !r.Crashed || worker.Spec.Draining {
@@ -30,28 +30,28 @@
 // workBeforeCrash lists how long the runs that a worker may have begun had worked at least, those
 // that had worked for the shortest time first. told is what the agent says: if it names any, a run
 // that neither it nor an earlier report names never began, unless it was given up.
-func (l *leadership) workBeforeCrash(w *jobqueue.Worker, told []*apiv1.RunWork) []*apiv1.RunWork {
+func (l *leaderState) workBeforeCrash(w *jobqueue.Worker, told []*apiv1.RunWork) []*apiv1.RunWork {
 	byRun := map[jobqueue.RunID]*apiv1.RunWork{}
 	for _, t := range told {
 		byRun[jobqueue.RunID{Task: jobqueue.TaskIDOf(t.Task), Number: t.Run}] = t
 	}
 	var list []*apiv1.RunWork
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		work := byRun[id]
 		if o, seen := l.observed[id]; seen {
-			work = cmp.Or(work, unknown(id))
+			work = cmp.Or(work, unknownWork(id))
 			work.NeverSent = false
 			work.WorkedMs, work.Began = max(work.WorkedMs, o.At.Sub(o.FirstAt).Milliseconds()), true
 		}
 		if work == nil && len(told) == 0 {
-			work = unknown(id)
+			work = unknownWork(id)
 		}
 		if work != nil && !work.NeverSent {
 			list = append(list, work)
 		}
 	}
-	for _, id := range w.GivenUp() {
-		if work := cmp.Or(byRun[id], unknown(id)); !work.NeverSent {
+	for _, id := range w.LostRuns() {
+		if work := cmp.Or(byRun[id], unknownWork(id)); !work.NeverSent {
 			list = append(list, work)
 		}
 	}
@@ -59,39 +59,39 @@
 	return list
 }
 
-func unknown(id jobqueue.RunID) *apiv1.RunWork {
+func unknownWork(id jobqueue.RunID) *apiv1.RunWork {
 	return &apiv1.RunWork{Task: id.Task.Ref(), Run: id.Number, WorkedMs: jobqueue.UnknownMs, AtMostMs: jobqueue.UnknownMs}
 }
 
-// crashRunsTold bounds the runs that a line on a crash names.
-const crashRunsTold = 20
+// maxCrashRunsLogged bounds the runs that a line on a crash names.
+const maxCrashRunsLogged = 20
 
-// tellCrash tells of a worker's crash and of the runs that began last.
-func (d *Dispatcher) tellCrash(l *leadership, w *jobqueue.Worker, worked []*apiv1.RunWork) {
-	names := make([]string, 0, crashRunsTold)
-	for _, r := range worked[:min(len(worked), crashRunsTold)] {
+// logCrash tells of a worker's crash and of the runs that began last.
+func (d *Dispatcher) logCrash(l *leaderState, w *jobqueue.Worker, worked []*apiv1.RunWork) {
+	names := make([]string, 0, maxCrashRunsLogged)
+	for _, r := range worked[:min(len(worked), maxCrashRunsLogged)] {
 		names = append(names, fmt.Sprintf("%s %d %d", jobqueue.TaskIDOf(r.Task), r.Run, r.WorkedMs))
 	}
-	d.meters.crashes.Inc(1)
+	d.metrics.workerCrashes.Inc(1)
 	event.WorkerCrashed.Write(d.logger, event.Term(l.term), event.Worker(w.Spec.Id), event.RunningCount(len(w.Runs)),
 		event.Worked(map[string][]string{w.Spec.Id: names}))
 }
 
-// tellSuspects tells of the tasks that are suspected after a crash, and of jobs that are given up.
-func (d *Dispatcher) tellSuspects(m *jobqueue.Machine, t taken) {
+// logSuspects tells of the tasks that are suspected after a crash, and of jobs that are given up.
+func (d *Dispatcher) logSuspects(m *jobqueue.Machine, t appliedReport) {
 	var suspects []string
 	for _, w := range t.command.GetCrash().GetWorked() {
 		id := jobqueue.TaskIDOf(w.Task)
 		j := m.Job(id.Job)
-		if _, wasOpen := t.open[id.Job]; !wasOpen || j == nil {
+		if _, wasOpen := t.openJobs[id.Job]; !wasOpen || j == nil {
 			continue
 		}
-		if j.Failure == apiv1.JobFailure_JOB_FAILURE_CRASHES && j.FailedTask == id && !d.leading.overTold[id.Job] {
-			d.meters.jobsGivenUp.Inc(1)
+		if j.Failure == apiv1.JobFailure_JOB_FAILURE_CRASHES && j.FailedTask == id && !d.leader.finishLogged[id.Job] {
+			d.metrics.jobsAtCrashLimit.Inc(1)
 			event.JobGivenUp.Write(d.logger, event.Term(t.term), event.Task(id), event.Run(w.Run))
 		}
 		if task := m.Task(id); task != nil && task.Crashes.Suspect {
-			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.InRow, task.Crashes.Alone))
+			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.Consecutive, task.Crashes.SoleCause))
 		}
 	}
 	if len(suspects) > 0 {
@@ -99,8 +99,8 @@
 	}
 }
 
-// tellTrialsOver tells of the tasks whose trial went well.
-func (l *leadership) tellTrialsOver(logger *zap.Logger, over []*apiv1.RunRef) {
+// logProbationsPassed tells of the tasks whose trial went well.
+func (l *leaderState) logProbationsPassed(logger *zap.Logger, over []*apiv1.RunRef) {
 	if len(over) == 0 {
 		return
 	}
--- a/dispatch/delayedreport_test.go
+++ b/dispatch/delayedreport_test.go
@@ -14,13 +14,13 @@
 // the cut its agent reports that the worker's lease has run out, and the network then
 // delivers a report that was sent before the cut. Cause: the old report is taken for a new
 // one: the worker counts as in reach, is empty, and gets all that waits.
-func TestReportDelayedByACutDoesNotBringAWorkerBack(t *testing.T) {
-	playSim(t, 1, 2, func(t *testing.T, s *sim) {
-		s.beCalm()
+func TestReportDelayedByPartitionDoesNotMakeWorkerReachable(t *testing.T) {
+	runSim(t, 1, 2, func(t *testing.T, s *sim) {
+		s.stopFaults()
 		s.sleep(3 * time.Second)
 		h := s.hosts[0]
 		h.mu.Lock()
-		delayed, silent := h.reported, h.worker.Announced().Id
+		delayed, silent := h.lastReport, h.worker.Announced().Id
 		h.worker.Fault = func(string) fakes.OrderFault { return fakes.OrderFault{Lost: true} }
 		h.mu.Unlock()
 		// Long enough for the agent to be sure that the lease has run out, and to say so.
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -30,40 +30,40 @@
 	clockRateErrorPPM = 10_000
 	// leaseMargin is added for the granularity of timers.
 	leaseMargin = 50 * time.Millisecond
-	// idleInterval is the time between rounds when nothing calls for one: due
+	// idleRoundInterval is the time between rounds when nothing calls for one: due
 	// occurrences, leases that ran out and workers that come back are seen by it.
-	idleInterval = 100 * time.Millisecond
-	// minInterval spaces rounds out, so that what comes together is committed
+	idleRoundInterval = 100 * time.Millisecond
+	// minRoundInterval spaces rounds out, so that what comes together is committed
 	// together.
-	minInterval = 4 * time.Millisecond
+	minRoundInterval = 4 * time.Millisecond
 	// proposalTimeout bounds the leader's own commands.
 	proposalTimeout = 3 * time.Second
 	// readTimeout bounds the confirmation of a read.
 	readTimeout = time.Second
-	// keepInterval is the time between two records of what was learnt of images: some
+	// learnedSaveInterval is the time between two records of what was learnt of images: some
 	// reports' worth of it is lost with a leader.
-	keepInterval = 2 * time.Second
+	learnedSaveInterval = 2 * time.Second
 	// maxOrdersWait bounds how long an agent's call for orders is held.
 	maxOrdersWait = 2 * time.Second
 )
 
 // Dispatcher is the control host's side of submitted jobs.
 type Dispatcher struct {
-	opts    Options
-	logger  *zap.Logger
-	meters  meters
-	wake    chan struct{}
-	changed broadcast
-	// urgent and questions are those that the advisor has not been asked yet: about
+	opts         Options
+	logger       *zap.Logger
+	metrics      metricSet
+	wake         chan struct{}
+	stateChanged broadcast
+	// longRunningQuestions and questions are those that the advisor has not been asked yet: about
 	// long-running steps, and about others.
-	urgent, questions chan askedQuestion
-	advisor           *dependency.Watch
-	hosts             *dependency.Watch
+	longRunningQuestions, otherQuestions chan pendingQuestion
+	advisorWatch                         *dependency.Watch
+	hostsWatch                           *dependency.Watch
 
 	// mu guards what the leader knows beside the log. It is taken before the
 	// replica's own lock.
-	mu      sync.Mutex
-	leading *leadership
+	mu     sync.Mutex
+	leader *leaderState
 }
 
 // New returns a dispatcher; Run makes it work.
@@ -83,22 +83,22 @@
 		o.Members = func() []string { return nil }
 	}
 	return &Dispatcher{
-		opts:    o,
-		logger:  event.Dispatch.Named(o.Logger),
-		meters:  newMeters(o.Metrics),
-		wake:    make(chan struct{}, 1),
-		changed: newBroadcast(),
-
-		urgent:    make(chan askedQuestion, maxQuestions),
-		questions: make(chan askedQuestion, maxQuestions),
-		advisor:   dependency.New("advisor", o.Logger, o.Now),
-		hosts:     dependency.New("list of hosts", o.Logger, o.Now),
+		opts:         o,
+		logger:       event.Dispatch.Named(o.Logger),
+		metrics:      newMetricSet(o.Metrics),
+		wake:         make(chan struct{}, 1),
+		stateChanged: newBroadcast(),
+
+		longRunningQuestions: make(chan pendingQuestion, maxPendingQuestions),
+		otherQuestions:       make(chan pendingQuestion, maxPendingQuestions),
+		advisorWatch:         dependency.New("advisor", o.Logger, o.Now),
+		hostsWatch:           dependency.New("list of hosts", o.Logger, o.Now),
 	}
 }
 
 // Applied tells the dispatcher that the state changed. It does not block.
 func (d *Dispatcher) Applied() {
-	d.changed.notify()
+	d.stateChanged.notify()
 	select {
 	case d.wake <- struct{}{}:
 	default:
@@ -109,10 +109,10 @@
 func (d *Dispatcher) Run(ctx context.Context) {
 	var beside conc.WaitGroup
 	defer beside.Wait()
-	beside.Go(func() { d.askAdvisor(ctx) })
-	beside.Go(func() { d.tendHosts(ctx) })
-	defer d.endRunLog()
-	idle := time.NewTicker(idleInterval)
+	beside.Go(func() { d.advisorLoop(ctx) })
+	beside.Go(func() { d.hostsLoop(ctx) })
+	defer d.flushBatchedLog()
+	idle := time.NewTicker(idleRoundInterval)
 	defer idle.Stop()
 	for ctx.Err() == nil {
 		select {
@@ -121,19 +121,19 @@
 		case <-d.wake:
 		case <-idle.C:
 		}
-		if d.lead(ctx) {
+		if d.ensureLeading(ctx) {
 			d.round(ctx)
-			pause(ctx, minInterval)
+			sleep(ctx, minRoundInterval)
 		}
 	}
 }
 
-// endRunLog writes what was gathered when the process ends.
-func (d *Dispatcher) endRunLog() {
+// flushBatchedLog writes what was gathered when the process ends.
+func (d *Dispatcher) flushBatchedLog() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leading != nil {
-		d.leading.runLog.write(d.leading.term, d.opts.Now())
+	if d.leader != nil {
+		d.leader.batchedLog.flush(d.leader.term, d.opts.Now())
 	}
 }
 
@@ -145,7 +145,7 @@
 	}
 	committed := d.commitPlan(ctx, plan)
 	if len(lapsed) > 0 {
-		d.endLapses(plan.Term, lapsed, committed)
+		d.finishExpiries(plan.Term, lapsed, committed)
 	}
 }
 
@@ -166,7 +166,7 @@
 func (d *Dispatcher) decide() (plan *apiv1.PlanRuns, lapsed []string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
 		return nil, nil
 	}
@@ -180,20 +180,20 @@
 			plan.Checkpoints = append(plan.Checkpoints, l.checkpoints(jobs.Worker(id))...)
 		}
 		decision := l.planner.Plan(jobs, l.fleet(now), now, now.UnixMilli())
-		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.TrialsOver
-		for _, w := range decision.Paced {
+		plan.Starts, plan.Stops, plan.TrialsOver = decision.Starts, decision.Stops, decision.EndedProbations
+		for _, w := range decision.RepacedWorkers {
 			l.orderRevisions[w]++
-			d.meters.paceOrders.Inc(1)
+			d.metrics.paceOrders.Inc(1)
 		}
-		plan.Learnt = l.learntToKeep(now)
-		d.lookAtLongRunning(l, jobs, decision.Waits, now)
+		plan.Learnt = l.learnedToSave(now)
+		d.checkLongRunning(l, jobs, decision.Unplaced, now)
 		d.logDecision(jobs, l, plan, now)
-		d.noteWaits(l, decision.Waits, now)
-		d.putQuestions(l, decision.Questions, now)
-		l.forgetRuns(jobs)
-		l.runLog.tick(l.term, now)
+		d.recordWaits(l, decision.Unplaced, now)
+		d.enqueueQuestions(l, decision.AdviceRequests, now)
+		l.prune(jobs)
+		l.batchedLog.flushIfDue(l.term, now)
 	})
-	d.meters.planning.Since(began)
+	d.metrics.planning.Since(began)
 	if len(plan.Starts)+len(plan.Stops)+len(plan.Lapsed)+len(plan.TrialsOver) == 0 && plan.Learnt == nil {
 		return nil, nil
 	}
@@ -204,7 +204,7 @@
 	return &apiv1.Command{Body: &apiv1.Command_Jobs{Jobs: c}}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	// stateLook is the time between two looks at what a control host believes; a change
+	// stateCheckInterval is the time between two looks at what a control host believes; a change
 	// gets a line no later.
-	stateLook = 250 * time.Millisecond
-	// stateRepeat is the time between two lines that say the same.
-	stateRepeat = 5 * time.Second
-	// stateBytes is what the process logs between two such lines at most: a third of
+	stateCheckInterval = 250 * time.Millisecond
+	// stateRepeatInterval is the time between two lines that say the same.
+	stateRepeatInterval = 5 * time.Second
+	// stateRepeatBytes is what the process logs between two such lines at most: a third of
 	// what an incident's record keeps of a process, so that it always holds one.
-	stateBytes = 32 << 10
+	stateRepeatBytes = 32 << 10
 )
 
 // groupState is what a control host believes.
@@ -44,19 +44,19 @@
 // can't tell who led, how many voters were there and which configuration was in force,
 // as the lines of these changes are older than what he has.
 type StateReporter struct {
-	node       *node.Node
-	replica    *control.Replica
-	dispatcher *Dispatcher
-	logger     *zap.Logger
-	age        metrics.Gauge
-	// bytes is what the process has logged so far.
-	bytes metrics.Gauge
+	node             *node.Node
+	replica          *control.Replica
+	dispatcher       *Dispatcher
+	logger           *zap.Logger
+	configurationAge metrics.Gauge
+	// loggedBytes is what the process has logged so far.
+	loggedBytes metrics.Gauge
 
 	last groupState
-	// told is when the last line was written, toldAt after how many bytes; ledSince is
-	// since when leader and term are as they are, inForceSince the configuration.
-	told, ledSince, inForceSince time.Time
-	toldAt                       int64
+	// lastWritten is when the last line was written, loggedAt after how many bytes; leaderSince is
+	// since when leader and term are as they are, configurationSince the configuration.
+	lastWritten, leaderSince, configurationSince time.Time
+	bytesAtLastWrite                             int64
 }
 
 // NewStateReporter returns a reporter for a control host.
@@ -65,48 +65,48 @@
 ) *StateReporter {
 	now := time.Now()
 	return &StateReporter{
-		ledSince: now, inForceSince: now,
+		leaderSince: now, configurationSince: now,
 		node: n, replica: r, dispatcher: d, logger: event.Group.Named(log),
-		age:   metrics.GetOrRegisterGauge("group.configuration_age_ms", registry),
-		bytes: metrics.GetOrRegisterGauge(logging.MetricBytes, registry),
+		configurationAge: metrics.GetOrRegisterGauge("group.configuration_age_ms", registry),
+		loggedBytes:      metrics.GetOrRegisterGauge(logging.MetricBytes, registry),
 	}
 }
 
 // Run reports until ctx ends.
 func (s *StateReporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(stateLook)
+	ticker := time.NewTicker(stateCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			s.look(now)
+			s.check(now)
 		}
 	}
 }
 
-func (s *StateReporter) look(now time.Time) {
-	standing := s.dispatcher.Standing()
+func (s *StateReporter) check(now time.Time) {
+	standing := s.dispatcher.Status()
 	seen := groupState{
 		leader: s.node.LeaderAddress(), size: s.node.GroupSize(), workers: standing.Workers, reachable: standing.Reachable,
 	}
 	seen.term, seen.leads = s.replica.Leading()
 	s.replica.ReadState(func(m *state.Machine) { seen.version = m.CallerJobs().Configuration().GetVersion() })
 	if seen.term != s.last.term || seen.leader != s.last.leader {
-		s.ledSince = now
+		s.leaderSince = now
 	}
 	if seen.version != s.last.version {
-		s.inForceSince = now
+		s.configurationSince = now
 	}
-	s.age.Update(now.Sub(s.inForceSince).Milliseconds())
-	logged := s.bytes.Value()
+	s.configurationAge.Update(now.Sub(s.configurationSince).Milliseconds())
+	logged := s.loggedBytes.Value()
 	if !s.due(seen, now, logged) {
 		return
 	}
-	s.last, s.told, s.toldAt = seen, now, logged
+	s.last, s.lastWritten, s.bytesAtLastWrite = seen, now, logged
 	event.StateOfGroup.Write(s.logger,
-		event.Term(seen.term), event.LeaderAddress(seen.leader), event.Leads(seen.leads), event.Since(now.Sub(s.ledSince)),
+		event.Term(seen.term), event.LeaderAddress(seen.leader), event.Leads(seen.leads), event.Since(now.Sub(s.leaderSince)),
 		event.Voters(seen.size.Voters), event.Heard(seen.size.Responsive), event.Spares(seen.size.Spares),
 		event.Version(seen.version), event.WorkerCount(seen.workers), event.Reachable(seen.reachable),
 		event.Waiting(standing.Waiting))
@@ -115,5 +115,5 @@
 // due reports whether a line is to be written: what is seen has changed, or the last
 // line is old, or so many bytes were logged after it.
 func (s *StateReporter) due(seen groupState, now time.Time, logged int64) bool {
-	return seen != s.last || now.Sub(s.told) >= stateRepeat || logged-s.toldAt >= stateBytes
+	return seen != s.last || now.Sub(s.lastWritten) >= stateRepeatInterval || logged-s.bytesAtLastWrite >= stateRepeatBytes
 }
--- a/dispatch/kinds_test.go
+++ b/dispatch/kinds_test.go
@@ -19,7 +19,7 @@
 	kindLabelled
 	kindSpread
 	kindBackfill
-	kinds
+	kindCount
 )
 
 const specialLabel = "special"
@@ -31,7 +31,7 @@
 		step, {Count: 1, CpuMilli: 500, MemoryMb: 500, EstimatedMs: 300, After: []uint32{0}},
 	}}
 	spec.Path = "/q/" + spec.Id
-	switch number % kinds {
+	switch number % kindCount {
 	case kindGang:
 		step.Gang, step.Checkpointing = true, true
 	case kindRecurring:
@@ -49,13 +49,13 @@
 	return spec
 }
 
-// allowed is the policy of the placement advisor: each job has one host that must
+// advisorAllows is the policy of the placement advisor: each job has one host that must
 // not run it.
-func allowed(step jobqueue.StepID, worker string) bool {
-	return !strings.HasPrefix(worker, fmt.Sprintf("host%d-", numberOf(step.Job)%4))
+func advisorAllows(step jobqueue.StepID, worker string) bool {
+	return !strings.HasPrefix(worker, fmt.Sprintf("host%d-", jobNumber(step.Job)%4))
 }
 
-func numberOf(job string) int {
+func jobNumber(job string) int {
 	number, err := strconv.Atoi(strings.TrimPrefix(job, "job"))
 	if err != nil {
 		panic(err)
@@ -64,7 +64,7 @@
 }
 
 // drain has a worker leave: it says so, and its successor comes a while later.
-func (h *simSide) drain(span time.Duration) {
+func (h *simulatedHost) drain(span time.Duration) {
 	h.mu.Lock()
 	h.worker.Drain()
 	h.mu.Unlock()
@@ -78,15 +78,15 @@
 // leaders follow one another, the advisor fails now and then, and orders are lost or
 // carried out late.
 // Cause: any fault in how starts are judged, or tickets kept.
-func TestKindsOfJobsUnderTrouble(t *testing.T) {
-	playSeeds(t, 40, 4, kindsUnderTrouble)
+func TestJobKindsUnderFaults(t *testing.T) {
+	runSeeds(t, 40, 4, runJobKindsUnderFaults)
 }
 
-func kindsUnderTrouble(t *testing.T, s *sim, seed uint64) {
-	s.advisor.Allowed = allowed
-	s.advisor.Applies = func(job string) bool { return numberOf(job)%kinds == kindAdvised }
+func runJobKindsUnderFaults(t *testing.T, s *sim, seed uint64) {
+	s.advisor.Allowed = advisorAllows
+	s.advisor.Applies = func(job string) bool { return jobNumber(job)%kindCount == kindAdvised }
 	s.advisor.Fails = func(number int) bool { return number%5 == 0 }
-	s.demandTickets = true
+	s.requireTickets = true
 	for _, h := range s.hosts {
 		h.labels = []string{specialLabel}
 		h.startWorker()
@@ -100,11 +100,11 @@
 		s.submitJob(spec)
 		switch s.intN(4) {
 		case 0:
-			s.trouble()
+			s.injectFault()
 		case 1:
 			s.hosts[s.intN(len(s.hosts))].drain(time.Duration(500+s.intN(3000)) * time.Millisecond)
 		}
 		s.sleep(time.Duration(s.intN(1500)) * time.Millisecond)
 	}
-	s.endTrouble(seed)
+	s.stopFaultsAndCheck(seed)
 }
--- a/dispatch/lapse_test.go
+++ b/dispatch/lapse_test.go
@@ -9,15 +9,15 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// lapseRig is a leader with one worker, "w1" on "h1", that runs the long-running job "l1".
-type lapseRig struct {
+// expiryHarness is a leader with one worker, "w1" on "h1", that runs the long-running job "l1".
+type expiryHarness struct {
 	t *testing.T
 	s *sim
 }
 
-func playLapse(t *testing.T, test func(r *lapseRig)) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
-		r := &lapseRig{t, s}
+func runExpirySim(t *testing.T, test func(r *expiryHarness)) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
+		r := &expiryHarness{t, s}
 		s.sleep(time.Second)
 		r.report(&apiv1.JobsReportRequest{})
 		s.submitJob(&apiv1.JobSpec{Id: "l1", Host: simHost, Path: "/q/l1", Steps: []*apiv1.JobStep{
@@ -25,14 +25,14 @@
 		}})
 		s.sleep(500 * time.Millisecond)
 		r.renew()
-		if r.runs() != 1 {
+		if r.loggedRunCount() != 1 {
 			t.Fatal("the job has no run")
 		}
 		test(r)
 	})
 }
 
-func (r *lapseRig) report(q *apiv1.JobsReportRequest) *apiv1.JobsReportResponse {
+func (r *expiryHarness) report(q *apiv1.JobsReportRequest) *apiv1.JobsReportResponse {
 	r.t.Helper()
 	if q.Worker == nil {
 		q.Worker = &apiv1.JobWorker{Id: "w1", Host: "h1", Pool: simPool, CpuMilli: 4000, MemoryMb: 8000}
@@ -44,13 +44,13 @@
 	return resp
 }
 
-func (r *lapseRig) renew() {
+func (r *expiryHarness) renew() {
 	r.t.Helper()
 	r.report(&apiv1.JobsReportRequest{Running: []*apiv1.RunObservation{{Task: &apiv1.TaskRef{Job: "l1"}, Run: 1, Percent: 100}}})
 }
 
-// lapse returns the report of a lapse of the lease that the leader holds now.
-func (r *lapseRig) lapse() *apiv1.JobsReportRequest {
+// expiryReport returns the report of a lapse of the lease that the leader holds now.
+func (r *expiryHarness) expiryReport() *apiv1.JobsReportRequest {
 	r.t.Helper()
 	held, err := r.s.dispatcher.Orders(r.s.ctx, &apiv1.JobsOrdersRequest{Host: "h1"})
 	if err != nil || held.LeaseWorker != "w1" {
@@ -61,41 +61,41 @@
 	}
 }
 
-// runs is how many runs the log holds on the worker.
-func (r *lapseRig) runs() (n int) {
+// loggedRunCount is how many runs the log holds on the worker.
+func (r *expiryHarness) loggedRunCount() (n int) {
 	r.s.replica.ReadState(func(m *state.Machine) { n = len(m.CallerJobs().Worker("w1").Runs) })
 	return n
 }
 
-func (r *lapseRig) expect(q *apiv1.JobsReportRequest, outcome apiv1.JobOutcome, runs int) {
+func (r *expiryHarness) expectExpiry(q *apiv1.JobsReportRequest, outcome apiv1.JobOutcome, runs int) {
 	r.t.Helper()
-	if got := r.report(q); got.Outcome != outcome || r.runs() != runs {
-		r.t.Errorf("the lapse is answered %v, and %d runs are left; want %v and %d", got, r.runs(), outcome, runs)
+	if got := r.report(q); got.Outcome != outcome || r.loggedRunCount() != runs {
+		r.t.Errorf("the lapse is answered %v, and %d runs are left; want %v and %d", got, r.loggedRunCount(), outcome, runs)
 	}
 }
 
-func TestLapseGivesUpTheRunsOfAHost(t *testing.T) {
-	playLapse(t, func(r *lapseRig) { r.expect(r.lapse(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0) })
+func TestLeaseExpiryLosesRunsOfHost(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) { r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0) })
 }
 
 // Guards against runs that go on and are given up, as the network held a lapse up while the
 // lease was renewed.
-func TestLapseThatIsHeldUpGivesUpNoRunsOfARenewedLease(t *testing.T) {
-	playLapse(t, func(r *lapseRig) {
-		late := r.lapse()
+func TestDelayedExpiryReportKeepsRunsOfRenewedLease(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) {
+		late := r.expiryReport()
 		r.renew()
-		r.expect(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
+		r.expectExpiry(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
 	})
 }
 
 // Guards against the same where another leader counts the leases since.
-func TestLapseToldOfAnEarlierLeadersLeaseGivesUpNoRuns(t *testing.T) {
-	playLapse(t, func(r *lapseRig) {
-		late := r.lapse()
+func TestExpiryReportForPreviousLeadersLeaseKeepsRuns(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) {
+		late := r.expiryReport()
 		r.s.log.Lose(100 * time.Millisecond)
 		r.s.dispatcher = dispatch.New(dispatch.Options{Replica: r.s.replica})
 		r.s.loops.Go(func() { r.s.dispatcher.Run(r.s.ctx) })
 		r.s.sleep(time.Second)
-		r.expect(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
+		r.expectExpiry(late, apiv1.JobOutcome_JOB_OUTCOME_STALE, 1)
 	})
 }
--- a/dispatch/lateword_test.go
+++ b/dispatch/lateword_test.go
@@ -11,15 +11,15 @@
 )
 
 // Guards against a report from before a lapse that makes a dead worker one in reach.
-func TestReportFromBeforeALapseIsOutdated(t *testing.T) {
-	playLapse(t, func(r *lapseRig) {
+func TestReportFromBeforeExpiryIsOutdated(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) {
 		r.report(&apiv1.JobsReportRequest{Session: 7, Sequence: 1})
-		r.expect(r.lapse(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
+		r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
 		if got := r.report(&apiv1.JobsReportRequest{Session: 7, Sequence: 2}); got.LeaseMs != 0 {
 			t.Errorf("a report that was sent before the lapse renews the lease: %v", got)
 		}
 		r.s.sleep(200 * time.Millisecond)
-		if r.runs() > 0 {
+		if r.loggedRunCount() > 0 {
 			t.Error("the worker that went silent got work")
 		}
 	})
@@ -27,18 +27,18 @@
 
 // Guards against a start that was decided before a lapse and committed after it, and stands for
 // good on a worker that is gone.
-func TestStartCommittedAfterALapseDoesNotStand(t *testing.T) {
-	playLapse(t, func(r *lapseRig) {
-		r.expect(r.lapse(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
+func TestStartCommittedAfterExpiryIsLost(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) {
+		r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
 		term, _ := r.s.replica.Leading()
 		r.s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Plan{Plan: &apiv1.PlanRuns{
 			Term: term, Starts: []*apiv1.StartRun{{Task: &apiv1.TaskRef{Job: "l1"}, Run: 2, Worker: "w1"}},
 		}}})
-		if r.runs() == 0 {
+		if r.loggedRunCount() == 0 {
 			return
 		}
 		r.s.sleep(time.Minute)
-		if r.runs() > 0 {
+		if r.loggedRunCount() > 0 {
 			t.Error("a minute after its worker went silent, the run stands")
 		}
 	})
@@ -46,15 +46,15 @@
 
 // Guards against a leader that refuses the reports of all hosts again and again, since the call
 // of one that tells of a lapse is given up before its commit.
-func TestLapseThatItsAgentGivesUpDoesNotStopTheLeader(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
-		w := newToldWorker(s, "w1")
+func TestCanceledExpiryReportDoesNotBlockLeader(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
+		w := newScriptedWorker(s, "w1")
 		s.sleep(time.Second)
-		s.submitLasting("q", "set")
-		s.untilRun("set", 1)
-		w.silent.Store(true)
-		log := s.troubleLog(0, nil)
-		log.late.Store(int64(800 * time.Millisecond))
+		s.submitLongRunning("q", "set")
+		s.waitForRun("set", 1)
+		w.unresponsive.Store(true)
+		log := s.injectLogFaults(0, nil)
+		log.commitDelay.Store(int64(800 * time.Millisecond))
 		var refused, asked atomic.Int64
 		s.loops.Go(func() {
 			for s.ctx.Err() == nil {
@@ -93,16 +93,16 @@
 
 // Guards against a life that is at work and is ended in the log by the late first report of one
 // before it, whose start is the later one by a clock that was set back.
-func TestLateFirstReportOfAFormerLifeWithALaterClockEndsNothing(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
+func TestLateFirstReportOfPreviousIncarnationWithLaterClockIsOutdated(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		s.sleep(time.Second)
-		r := &lapseRig{t, s}
+		r := &expiryHarness{t, s}
 		life := func(id string) *apiv1.JobWorker {
 			return &apiv1.JobWorker{Id: id, Host: "h1", Pool: simPool, CpuMilli: 4000, MemoryMb: 8000}
 		}
 		r.report(&apiv1.JobsReportRequest{Worker: life("w@150"), Session: 2, Sequence: 1})
-		s.submitLasting("q", "set")
-		s.untilRun("set", 1)
+		s.submitLongRunning("q", "set")
+		s.waitForRun("set", 1)
 		r.report(&apiv1.JobsReportRequest{Worker: life("w@200"), Session: 1, Sequence: 1})
 		if len(s.runsOn("w@150")) == 0 {
 			t.Errorf("the run is given up and goes on; the log holds %v on the former life", s.runsOn("w@200"))
@@ -112,10 +112,10 @@
 
 // Guards against a worker that gets no work for good since a life that has left, and began later
 // by a clock that was set back, is remembered.
-func TestLifeWithAnEarlierClockIsTakenOnceTheOneBeforeHasLeft(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
+func TestIncarnationWithEarlierClockIsAcceptedAfterDeparture(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		s.sleep(time.Second)
-		r := &lapseRig{t, s}
+		r := &expiryHarness{t, s}
 		life := func(id string) *apiv1.JobWorker {
 			return &apiv1.JobWorker{Id: id, Host: "h1", Pool: simPool, CpuMilli: 4000, MemoryMb: 8000}
 		}
--- a/dispatch/leadership.go
+++ b/dispatch/leadership.go
@@ -11,71 +11,71 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// leadership is what the leader of a term knows beside the log.
-type leadership struct {
+// leaderState is what the leader of a term knows beside the log.
+type leaderState struct {
 	term uint64
-	// inDoubt: a plan that gives runs up may still be committed. Nothing is decided until its
+	// planInDoubt: a plan that gives runs up may still be committed. Nothing is decided until its
 	// fate is known.
-	inDoubt  bool
-	planner  *schedule.Planner
-	leases   *leaseTable
-	reports  *reportOrder
-	observed map[jobqueue.RunID]schedule.Observation
-	contacts *contacts
-	// endsLearnt is the highest sequence number of each worker's ends that the planner knows.
-	endsLearnt map[string]uint64
-	// refusalsLearnt are the refused runs that the planner knows of and the log still holds.
-	refusalsLearnt map[jobqueue.RunID]bool
+	planInDoubt bool
+	planner     *schedule.Planner
+	leases      *leaseTable
+	reports     *reportOrder
+	observed    map[jobqueue.RunID]schedule.Observation
+	contacts    *contactTracker
+	// endsRecorded is the highest sequence number of each worker's ends that the planner knows.
+	endsRecorded map[string]uint64
+	// refusalsRecorded are the refused runs that the planner knows of and the log still holds.
+	refusalsRecorded map[jobqueue.RunID]bool
 	// orderRevisions grow with each change of what is ordered to a worker beside the log.
 	orderRevisions map[string]uint64
 	// waits are the steps that found no worker in the last round.
-	waits       []schedule.Wait
-	waitsLogged map[jobqueue.StepID]waitLogged
-	runLog      *runLog
-	// saved are the runs' last checkpoints; lostTold is the epoch of each worker in which
+	waits       []schedule.UnplacedStep
+	loggedWaits map[jobqueue.StepID]loggedWait
+	batchedLog  *batchedLog
+	// savedCheckpoints are the runs' last checkpoints; lossLoggedEpoch is the epoch of each worker in which
 	// the loss of its runs was told.
-	saved    map[jobqueue.RunID]saved
-	lostTold map[string]uint64
+	savedCheckpoints map[jobqueue.RunID]savedCheckpoint
+	lossLoggedEpoch  map[string]uint64
 	// unlogged are the runs that each worker listed last and the log does not hold there.
 	unlogged map[string][]jobqueue.RunID
-	// overTold are the jobs whose end was told.
-	overTold map[string]bool
-	moves    *movesLed
-	outages  *outages
-	// keptAt is when a plan last carried what the planner has learnt, and reported is
+	// finishLogged are the jobs whose end was told.
+	finishLogged map[string]bool
+	moves        *leaderMoves
+	outages      *outages
+	// learnedSavedAt is when a plan last carried what the planner has learnt, and reported is
 	// set once a worker reported since.
-	keptAt   time.Time
-	reported bool
+	learnedSavedAt    time.Time
+	reportedSinceSave bool
 }
 
-// lead makes this replica ready to lead when it was elected.
-func (d *Dispatcher) lead(ctx context.Context) bool {
+// ensureLeading makes this replica ready to lead when it was elected.
+func (d *Dispatcher) ensureLeading(ctx context.Context) bool {
 	term, ok := d.opts.Replica.Leading()
 	d.mu.Lock()
-	current := d.leading
+	current := d.leader
 	if current != nil && (!ok || current.term != term) {
-		d.resign()
+		d.clearLeaderState()
 	}
 	d.mu.Unlock()
 	if !ok {
 		return false
 	}
-	if current != nil && current.term == term && !d.isInDoubt(current) {
+	if current != nil && current.term == term && !d.hasPlanInDoubt(current) {
 		return true
 	}
 	return d.takeOver(ctx, term)
 }
 
-func (d *Dispatcher) isInDoubt(l *leadership) bool {
+func (d *Dispatcher) hasPlanInDoubt(l *leaderState) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return l.inDoubt
+	return l.planInDoubt
 }
 
-// resign forgets what the leader of a term knows; d.mu is held.
-func (d *Dispatcher) resign() {
-	d.leading.runLog.write(d.leading.term, d.opts.Now())
-	d.leading = nil
+// clearLeaderState forgets what the leader of a term knows; d.mu is held.
+func (d *Dispatcher) clearLeaderState() {
+	d.leader.batchedLog.flush(d.leader.term, d.opts.Now())
+	d.leader = nil
 }
 
 // takeOver commits that this replica leads: once that is applied, everything of
@@ -94,93 +94,93 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leading != nil && d.leading.term == term {
-		d.endDoubt()
+	if d.leader != nil && d.leader.term == term {
+		d.resolveDoubt()
 		return true
 	}
 	now := d.opts.Now()
 	planner := schedule.New()
-	d.opts.Replica.ReadState(func(m *state.Machine) { planner.Resume(m.CallerJobs().Learnt(), now) })
-	d.leading = &leadership{
-		term:           term,
-		planner:        planner,
-		keptAt:         now,
-		leases:         newLeaseTable(now, d.opts.LeaseDuration, d.opts.ContactTimeout),
-		reports:        newReportOrder(),
-		observed:       map[jobqueue.RunID]schedule.Observation{},
-		contacts:       newContacts(d.opts.ContactTimeout),
-		endsLearnt:     map[string]uint64{},
-		refusalsLearnt: map[jobqueue.RunID]bool{},
-		orderRevisions: map[string]uint64{},
-		waitsLogged:    map[jobqueue.StepID]waitLogged{},
-		runLog:         newRunLog(d.logger),
-		saved:          map[jobqueue.RunID]saved{},
-		lostTold:       map[string]uint64{},
-		overTold:       map[string]bool{},
-		unlogged:       map[string][]jobqueue.RunID{},
-		moves:          newMovesLed(now),
-		outages:        newOutages(),
+	d.opts.Replica.ReadState(func(m *state.Machine) { planner.RestoreLearned(m.CallerJobs().Learned(), now) })
+	d.leader = &leaderState{
+		term:             term,
+		planner:          planner,
+		learnedSavedAt:   now,
+		leases:           newLeaseTable(now, d.opts.LeaseDuration, d.opts.ContactTimeout),
+		reports:          newReportOrder(),
+		observed:         map[jobqueue.RunID]schedule.Observation{},
+		contacts:         newContactTracker(d.opts.ContactTimeout),
+		endsRecorded:     map[string]uint64{},
+		refusalsRecorded: map[jobqueue.RunID]bool{},
+		orderRevisions:   map[string]uint64{},
+		loggedWaits:      map[jobqueue.StepID]loggedWait{},
+		batchedLog:       newBatchedLog(d.logger),
+		savedCheckpoints: map[jobqueue.RunID]savedCheckpoint{},
+		lossLoggedEpoch:  map[string]uint64{},
+		finishLogged:     map[string]bool{},
+		unlogged:         map[string][]jobqueue.RunID{},
+		moves:            newLeaderMoves(now),
+		outages:          newOutages(),
 	}
 	event.LeaderReady.Write(d.logger, event.Term(term), event.Index(res.Index))
 	return true
 }
 
-// ready returns what the leader of the current term knows, nil when this replica
+// readyLeader returns what the leader of the current term knows, nil when this replica
 // is not ready to lead. d.mu is held.
-func (d *Dispatcher) ready() *leadership {
+func (d *Dispatcher) readyLeader() *leaderState {
 	term, ok := d.opts.Replica.Leading()
-	if !ok || d.leading == nil || d.leading.term != term || d.leading.inDoubt {
+	if !ok || d.leader == nil || d.leader.term != term || d.leader.planInDoubt {
 		return nil
 	}
-	return d.leading
+	return d.leader
 }
 
-// endDoubt goes on leading after whatever became of a plan in doubt; d.mu is held. The leases
+// resolveDoubt goes on leading after whatever became of a plan in doubt; d.mu is held. The leases
 // stay as they are: in this term nobody else has renewed one. What goes wrong otherwise: each
 // plan that is not committed puts off the end of a silent worker's lease by a whole one.
-func (d *Dispatcher) endDoubt() {
-	d.opts.Replica.ReadState(func(m *state.Machine) { d.leading.leases.settleLapses(m.CallerJobs().Worker) })
-	d.leading.inDoubt = false
+func (d *Dispatcher) resolveDoubt() {
+	d.opts.Replica.ReadState(func(m *state.Machine) { d.leader.leases.settleExpiries(m.CallerJobs().Worker) })
+	d.leader.planInDoubt = false
 }
 
-// learntToKeep returns what the planner has learnt, if it is time to keep it for the
+// learnedToSave returns what the planner has learnt, if it is time to keep it for the
 // next leader.
-func (l *leadership) learntToKeep(now time.Time) *apiv1.Learnt {
-	if !l.reported || now.Sub(l.keptAt) < keepInterval {
+func (l *leaderState) learnedToSave(now time.Time) *apiv1.Learnt {
+	if !l.reportedSinceSave || now.Sub(l.learnedSavedAt) < learnedSaveInterval {
 		return nil
 	}
-	l.keptAt, l.reported = now, false
-	return l.planner.Learnt(now)
+	l.learnedSavedAt, l.reportedSinceSave = now, false
+	return l.planner.Learned(now)
 }
 
-// endLapses lets the leases of lapsed workers be renewed again. A plan whose fate
+// finishExpiries lets the leases of lapsed workers be renewed again. A plan whose fate
 // is unknown may still be committed, and would give runs up under leases renewed
 // meanwhile: so this replica confirms anew that it leads, which ends after whatever
 // becomes of the plan.
-func (d *Dispatcher) endLapses(term uint64, workers []string, committed bool) {
+func (d *Dispatcher) finishExpiries(term uint64, workers []string, committed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.leading == nil || d.leading.term != term {
+	if d.leader == nil || d.leader.term != term {
 		return
 	}
 	if !committed {
-		d.leading.inDoubt = true
+		d.leader.planInDoubt = true
 		return
 	}
 	for _, w := range workers {
-		d.leading.leases.endLapse(w)
+		d.leader.leases.finishExpiry(w)
 	}
 }
 
-func (l *leadership) fleet(now time.Time) schedule.Fleet { return fleetView{l, now} }
+func (l *leaderState) fleet(now time.Time) schedule.Fleet { return fleetView{l, now} }
 
 // checkpoints returns the newest known checkpoints of a worker's runs.
-func (l *leadership) checkpoints(w *jobqueue.Worker) []*apiv1.RunCheckpoint {
+func (l *leaderState) checkpoints(w *jobqueue.Worker) []*apiv1.RunCheckpoint {
 	if w == nil {
 		return nil
 	}
 	var list []*apiv1.RunCheckpoint
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		if o := l.observed[id]; o.Checkpoint != "" {
 			list = append(list, &apiv1.RunCheckpoint{Task: id.Task.Ref(), Run: id.Number, Checkpoint: o.Checkpoint})
 		}
@@ -188,23 +188,23 @@
 	return list
 }
 
-// forgetRuns drops the observations of runs that are over.
-func (l *leadership) forgetRuns(m *jobqueue.Machine) {
+// prune drops the observations of runs that are over.
+func (l *leaderState) prune(m *jobqueue.Machine) {
 	for id := range l.observed {
 		if m.Run(id) == nil {
 			delete(l.observed, id)
-			delete(l.saved, id)
+			delete(l.savedCheckpoints, id)
 		}
 	}
-	l.contacts.forget(m)
-	for id := range l.refusalsLearnt {
+	l.contacts.prune(m)
+	for id := range l.refusalsRecorded {
 		if m.Run(id) == nil {
-			delete(l.refusalsLearnt, id)
+			delete(l.refusalsRecorded, id)
 		}
 	}
-	for worker := range l.endsLearnt {
+	for worker := range l.endsRecorded {
 		if m.Worker(worker) == nil {
-			delete(l.endsLearnt, worker)
+			delete(l.endsRecorded, worker)
 		}
 	}
 	for worker := range l.unlogged {
@@ -212,24 +212,24 @@
 			delete(l.unlogged, worker)
 		}
 	}
-	for id := range l.overTold {
+	for id := range l.finishLogged {
 		if m.Job(id) == nil {
-			delete(l.overTold, id)
+			delete(l.finishLogged, id)
 		}
 	}
 }
 
 // fleetView implements schedule.Fleet.
 type fleetView struct {
-	l   *leadership
+	l   *leaderState
 	now time.Time
 }
 
 // Reachable implements schedule.Fleet.
 func (v fleetView) Reachable(worker string) bool { return v.l.leases.reachable(worker, v.now) }
 
-// HeardSince implements schedule.Fleet.
-func (v fleetView) HeardSince(worker string) (time.Time, bool) {
+// ReportingSince implements schedule.Fleet.
+func (v fleetView) ReportingSince(worker string) (time.Time, bool) {
 	return v.l.contacts.since(worker, v.now)
 }
 
--- a/dispatch/learnt_test.go
+++ b/dispatch/learnt_test.go
@@ -13,8 +13,8 @@
 // Sequence: a leader learns what a backfilling image does to a serving one, and
 // another leader follows.
 // Cause: what was learnt ended with the leader.
-func TestLearntOutlivesTheLeader(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
+func TestLearnedPressuresSurviveLeaderChange(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		worker := &apiv1.JobWorker{Id: "w1", Host: "h1", Pool: simPool, CpuMilli: 32_000, MemoryMb: 64_000}
 		report := func(running ...*apiv1.RunObservation) {
 			t.Helper()
@@ -39,7 +39,7 @@
 		}
 		s.log.Lose(time.Second)
 		s.replica.ReadState(func(m *state.Machine) {
-			pressures := m.CallerJobs().Learnt().GetPressures()
+			pressures := m.CallerJobs().Learned().GetPressures()
 			if len(pressures) != 1 || pressures[0].Mean < 0.1 {
 				t.Errorf("the next leader knows %v", pressures)
 			}
@@ -50,8 +50,8 @@
 // Symptom: an operator asks why a job waits and gets no reason.
 // Sequence: one task of a step runs, another one finds no worker with the memory.
 // Cause: the reasons of the last round are not kept.
-func TestExplanationNamesRunsAndWaits(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
+func TestExplanationListsRunsAndWaits(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
 		s.sleep(time.Second)
 		if _, err := s.dispatcher.Report(s.ctx, &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{
 			Id: "w1", Host: "h1", Pool: simPool, CpuMilli: 32_000, MemoryMb: 1000,
--- a/dispatch/leases.go
+++ b/dispatch/leases.go
@@ -15,37 +15,37 @@
 // lease that a deposed leader grants was renewed before its successor began to
 // count.
 type leaseTable struct {
-	duration time.Duration
-	contact  time.Duration
-	began    time.Time
-	byWorker map[string]*lease
+	duration       time.Duration
+	contactTimeout time.Duration
+	startedAt      time.Time
+	byWorker       map[string]*lease
 }
 
 type lease struct {
-	renewed time.Time
+	renewedAt time.Time
 	// number grows with each renewal.
 	number uint64
-	// heard is set by the first report; without one, nothing is known of the worker.
-	heard bool
-	// lapsing: a plan that gives the worker's runs up is on its way into the log.
+	// reported is set by the first report; without one, nothing is known of the worker.
+	reported bool
+	// expiring: a plan that gives the worker's runs up is on its way into the log.
 	// The lease must not be renewed until its fate is known.
-	lapsing bool
+	expiring bool
 	// epoch is the worker's when that plan was made.
 	epoch uint64
-	// lapsed: the runs were given up; the next report makes the worker usable again.
-	lapsed bool
+	// expired: the runs were given up; the next report makes the worker usable again.
+	expired bool
 	// duration is how long the lease was last granted for.
 	duration time.Duration
 }
 
 func newLeaseTable(now time.Time, duration, contact time.Duration) *leaseTable {
-	return &leaseTable{duration: duration, contact: contact, began: now, byWorker: map[string]*lease{}}
+	return &leaseTable{duration: duration, contactTimeout: contact, startedAt: now, byWorker: map[string]*lease{}}
 }
 
-func (t *leaseTable) of(worker string) *lease {
+func (t *leaseTable) get(worker string) *lease {
 	l := t.byWorker[worker]
 	if l == nil {
-		l = &lease{renewed: t.began, duration: t.duration}
+		l = &lease{renewedAt: t.startedAt, duration: t.duration}
 		t.byWorker[worker] = l
 	}
 	return l
@@ -55,18 +55,18 @@
 // the lease must not be renewed. A bound above 0 is what the agent promises to hold
 // at most, of earlier grants too.
 func (t *leaseTable) renew(worker string, now time.Time, bound time.Duration) (time.Duration, bool) {
-	l := t.of(worker)
-	if l.lapsing {
+	l := t.get(worker)
+	if l.expiring {
 		return 0, false
 	}
 	l.duration = t.duration
 	if bound > 0 {
 		l.duration = min(t.duration, bound)
 	}
-	l.renewed = now
+	l.renewedAt = now
 	l.number++
-	l.heard = true
-	l.lapsed = false
+	l.reported = true
+	l.expired = false
 	return l.duration, true
 }
 
@@ -74,52 +74,52 @@
 func (t *leaseTable) expire(workers []*jobqueue.Worker, now time.Time) []string {
 	var expired []string
 	for _, w := range workers {
-		l := t.of(w.Spec.Id)
+		l := t.get(w.Spec.Id)
 		wait := l.duration + l.duration*clockRateErrorPPM/1_000_000 + leaseMargin
 		// A run that was decided before a lapse and committed after it can't have begun: its
 		// start needs a lease that is granted after.
-		overdue := now.Sub(l.renewed) > wait && !l.lapsed || l.lapsed && len(w.Runs) > 0
-		if l.lapsing || !overdue {
+		overdue := now.Sub(l.renewedAt) > wait && !l.expired || l.expired && len(w.Runs) > 0
+		if l.expiring || !overdue {
 			continue
 		}
-		t.beginLapse(w)
+		t.beginExpiry(w)
 		expired = append(expired, w.Spec.Id)
 	}
 	return expired
 }
 
-// beginLapse begins to give up the runs of a worker; false if that has begun already.
-func (t *leaseTable) beginLapse(w *jobqueue.Worker) bool {
-	l := t.of(w.Spec.Id)
-	if l.lapsing {
+// beginExpiry begins to give up the runs of a worker; false if that has begun already.
+func (t *leaseTable) beginExpiry(w *jobqueue.Worker) bool {
+	l := t.get(w.Spec.Id)
+	if l.expiring {
 		return false
 	}
-	l.lapsing, l.epoch = true, w.Epoch
+	l.expiring, l.epoch = true, w.Epoch
 	return true
 }
 
-// settleLapses ends the expiries whose plans were in doubt, by what became of them. Those that
+// settleExpiries ends the expiries whose plans were in doubt, by what became of them. Those that
 // came to nothing are due again.
-func (t *leaseTable) settleLapses(worker func(id string) *jobqueue.Worker) {
+func (t *leaseTable) settleExpiries(worker func(id string) *jobqueue.Worker) {
 	for id, l := range t.byWorker {
-		if !l.lapsing {
+		if !l.expiring {
 			continue
 		}
 		w := worker(id)
-		l.lapsing = false
-		l.lapsed = w == nil || w.Epoch != l.epoch
+		l.expiring = false
+		l.expired = w == nil || w.Epoch != l.epoch
 	}
 }
 
-// endLapse ends an expiry that is committed.
-func (t *leaseTable) endLapse(worker string) {
-	l := t.of(worker)
-	l.lapsing = false
-	l.lapsed = true
+// finishExpiry ends an expiry that is committed.
+func (t *leaseTable) finishExpiry(worker string) {
+	l := t.get(worker)
+	l.expiring = false
+	l.expired = true
 }
 
 // reachable reports whether an order would reach the worker soon.
 func (t *leaseTable) reachable(worker string, now time.Time) bool {
 	l := t.byWorker[worker]
-	return l != nil && l.heard && !l.lapsing && !l.lapsed && now.Sub(l.renewed) < t.contact
+	return l != nil && l.reported && !l.expiring && !l.expired && now.Sub(l.renewedAt) < t.contactTimeout
 }
--- a/dispatch/lines_test.go
+++ b/dispatch/lines_test.go
@@ -21,14 +21,14 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// recordingSim is a simulation whose leader writes its lines as a daemon does, into a
+// newLoggingSim is a simulation whose leader writes its lines as a daemon does, into a
 // buffer.
-func recordingSim(ctx context.Context, t *testing.T, workers int, o dispatch.Options) (*sim, *bytes.Buffer, metrics.Registry) {
+func newLoggingSim(ctx context.Context, t *testing.T, workers int, o dispatch.Options) (*sim, *bytes.Buffer, metrics.Registry) {
 	before, end := context.WithCancel(ctx)
 	s := newSim(before, t, 1, 0)
 	end()
 	s.loops.Wait()
-	s.ctx, s.calm = ctx, true
+	s.ctx, s.faultFree = ctx, true
 	lines, registry := &bytes.Buffer{}, metrics.NewRegistry()
 	config := zap.NewProductionEncoderConfig()
 	config.NameKey, config.EncodeTime = "part", zapcore.RFC3339NanoTimeEncoder
@@ -38,7 +38,7 @@
 	s.dispatcher = dispatch.New(o)
 	s.loops.Go(func() { s.dispatcher.Run(ctx) })
 	for i := range workers {
-		h := newSimSide(s, fmt.Sprintf("host%d", i))
+		h := newSimulatedHost(s, fmt.Sprintf("host%d", i))
 		h.startWorker()
 		h.startAgent()
 		s.hosts = append(s.hosts, h)
@@ -69,12 +69,12 @@
 // Sequence: a hundred jobs of three tasks within five seconds; then a worker crashes with a
 // run on it. Cause: a line for each start and end, and none for what is lost with a
 // worker.
-func TestRunsAreTracedFromFewLines(t *testing.T) {
+func TestRunsAreTracedFromBatchedLines(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s, log, registry := recordingSim(ctx, t, 4, dispatch.Options{})
-		s.lasting = "long"
+		s, log, registry := newLoggingSim(ctx, t, 4, dispatch.Options{})
+		s.longRunningJob = "long"
 		s.sleep(2 * time.Second)
 		const jobs, tasks = 100, 3
 		for i := range jobs {
@@ -88,7 +88,7 @@
 			{Count: 1, CpuMilli: 1000, MemoryMb: 10, LongRunning: true},
 		}})
 		s.sleep(5 * time.Second)
-		worker := s.placeOf("long")
+		worker := s.firstTaskWorker("long")
 		for _, h := range s.hosts {
 			if h.incarnation() == worker {
 				h.startWorker()
@@ -124,43 +124,43 @@
 	})
 }
 
-// moodyPlatform answers nothing until it is well.
-type moodyPlatform struct{ well atomic.Bool }
+// unreliablePlatform answers nothing until it is well.
+type unreliablePlatform struct{ available atomic.Bool }
 
-var errUnwell = errors.New("the platform gives no answer")
+var errPlatformUnavailable = errors.New("the platform gives no answer")
 
-func (p *moodyPlatform) Approve(context.Context, schedule.Question) (schedule.Advice, error) {
-	if !p.well.Load() {
-		return schedule.Advice{}, errUnwell
+func (p *unreliablePlatform) Approve(context.Context, schedule.AdviceRequest) (schedule.Advice, error) {
+	if !p.available.Load() {
+		return schedule.Advice{}, errPlatformUnavailable
 	}
 	return schedule.Advice{}, nil
 }
 
-func (p *moodyPlatform) List(context.Context) (map[string]schedule.HostView, error) {
-	if !p.well.Load() {
-		return nil, errUnwell
+func (p *unreliablePlatform) List(context.Context) (map[string]schedule.HostView, error) {
+	if !p.available.Load() {
+		return nil, errPlatformUnavailable
 	}
 	return map[string]schedule.HostView{}, nil
 }
 
-func (p *moodyPlatform) Move(context.Context, uint64, string, string) (dispatch.HostAnswer, error) {
-	return 0, errUnwell
+func (p *unreliablePlatform) Move(context.Context, uint64, string, string) (dispatch.HostAnswer, error) {
+	return 0, errPlatformUnavailable
 }
 
-func (p *moodyPlatform) Maintain(context.Context, uint64, string, uint64) (dispatch.HostAnswer, error) {
-	return 0, errUnwell
+func (p *unreliablePlatform) Maintain(context.Context, uint64, string, uint64) (dispatch.HostAnswer, error) {
+	return 0, errPlatformUnavailable
 }
 
 // Symptom: tasks of an advised queue and a wave of maintenance stand still, and nothing
 // says since when the platform has given no answer.
 // Sequence: its advisor and its list of hosts fail for ten seconds. Cause: a line for
 // each call, or none.
-func TestLostPlatformIsTold(t *testing.T) {
+func TestUnreachablePlatformIsLoggedOnce(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		platform := &moodyPlatform{}
-		s, log, registry := recordingSim(ctx, t, 2, dispatch.Options{Advisor: platform, Hosts: platform})
+		platform := &unreliablePlatform{}
+		s, log, registry := newLoggingSim(ctx, t, 2, dispatch.Options{Advisor: platform, Hosts: platform})
 		s.sleep(2 * time.Second)
 		s.submitSpec(&apiv1.JobSpec{Id: "a", Host: simHost, Path: "/advised/a", Steps: []*apiv1.JobStep{
 			{Count: 1, CpuMilli: 100, MemoryMb: 10, EstimatedMs: 400},
@@ -169,7 +169,7 @@
 			Wave: &apiv1.MaintenanceWave{Number: 1, Hosts: []string{"host0"}, DurationMs: 1000, Cap: 1},
 		}}})
 		s.sleep(10 * time.Second)
-		platform.well.Store(true)
+		platform.available.Store(true)
 		s.sleep(10 * time.Second)
 		stop()
 		s.loops.Wait()
@@ -203,11 +203,11 @@
 // Sequence: a job ends after four times the time that it should have taken, beside a serving
 // task whose worker reports a tail over its objective, before it is at work and then at work.
 // Cause: lines told of runs, not of what callers got.
-func TestLinesTellLateJobsAndLongTails(t *testing.T) {
+func TestLateJobsAndObjectiveMissesAreLogged(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s, log, _ := recordingSim(ctx, t, 0, dispatch.Options{})
+		s, log, _ := newLoggingSim(ctx, t, 0, dispatch.Options{})
 		s.sleep(time.Second)
 		worker := &apiv1.JobWorker{Id: "w1", Host: "h1", Pool: simPool, CpuMilli: 32_000, MemoryMb: 64_000}
 		report := func(r *apiv1.JobsReportRequest) {
@@ -264,11 +264,11 @@
 }
 
 // Guards against a run that goes on beside another one and that nobody hears of.
-func TestRunsThatTheLogDoesNotHoldAreTold(t *testing.T) {
+func TestUnloggedRunsAreReported(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s, log, registry := recordingSim(ctx, t, 0, dispatch.Options{})
+		s, log, registry := newLoggingSim(ctx, t, 0, dispatch.Options{})
 		s.sleep(time.Second)
 		for range 4 {
 			_, err := s.dispatcher.Report(ctx, &apiv1.JobsReportRequest{
--- a/dispatch/longrunning_test.go
+++ b/dispatch/longrunning_test.go
@@ -17,45 +17,45 @@
 )
 
 const (
-	// toldEvery is the time between two reports of a hand-made agent, retryAfter that between
+	// scriptedReportInterval is the time between two reports of a hand-made agent, reportRetryInterval that between
 	// two tries of one report.
-	toldEvery  = 400 * time.Millisecond
-	retryAfter = 600 * time.Millisecond
-	// longestRestart is how long a task may be without a run once its end is in the log.
-	longestRestart = 1500 * time.Millisecond
+	scriptedReportInterval = 400 * time.Millisecond
+	reportRetryInterval    = 600 * time.Millisecond
+	// maxRestartTime is how long a task may be without a run once its end is in the log.
+	maxRestartTime = 1500 * time.Millisecond
 )
 
-// toldWorker is a worker whose reports a test makes up. It lists all runs that are ordered.
-type toldWorker struct {
+// scriptedWorker is a worker whose reports a test makes up. It lists all runs that are ordered.
+type scriptedWorker struct {
 	s    *sim
 	spec *apiv1.JobWorker
 	mu   sync.Mutex
 	ends []*apiv1.RunEnd
-	// silent has it report nothing, blind list no runs; partial has it say that it can't list all.
-	silent, blind, partial atomic.Bool
-	sequence               uint64
+	// unresponsive has it report nothing, blind list no runs; partial has it say that it can't list all.
+	unresponsive, omitRuns, partial atomic.Bool
+	sequence                        uint64
 }
 
-func newToldWorker(s *sim, name string) *toldWorker {
-	w := &toldWorker{s: s, spec: &apiv1.JobWorker{Id: name, Host: "host-" + name, Pool: simPool, CpuMilli: 8000, MemoryMb: 8000}}
+func newScriptedWorker(s *sim, name string) *scriptedWorker {
+	w := &scriptedWorker{s: s, spec: &apiv1.JobWorker{Id: name, Host: "host-" + name, Pool: simPool, CpuMilli: 8000, MemoryMb: 8000}}
 	s.loops.Go(func() {
 		for s.ctx.Err() == nil {
-			if !w.silent.Load() {
-				w.send(w.next())
+			if !w.unresponsive.Load() {
+				w.send(w.nextReport())
 			}
-			s.sleep(toldEvery)
+			s.sleep(scriptedReportInterval)
 		}
 	})
 	return w
 }
 
-// next returns the worker's next report.
-func (w *toldWorker) next() *apiv1.JobsReportRequest {
+// nextReport returns the worker's next report.
+func (w *scriptedWorker) nextReport() *apiv1.JobsReportRequest {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.sequence++
 	r := &apiv1.JobsReportRequest{Worker: w.spec, Session: 1, Sequence: w.sequence, Ends: w.ends, Partial: w.partial.Load()}
-	if w.blind.Load() {
+	if w.omitRuns.Load() {
 		return r
 	}
 	for _, id := range w.s.runsOn(w.spec.Id) {
@@ -64,7 +64,7 @@
 	return r
 }
 
-func (w *toldWorker) send(r *apiv1.JobsReportRequest) {
+func (w *scriptedWorker) send(r *apiv1.JobsReportRequest) {
 	resp, err := w.s.dispatcher.Report(w.s.ctx, r)
 	if err != nil || resp.NotLeader {
 		return
@@ -76,8 +76,8 @@
 	}
 }
 
-// fail has a run of the worker fail.
-func (w *toldWorker) fail(id jobqueue.RunID) {
+// failRun has a run of the worker fail.
+func (w *scriptedWorker) failRun(id jobqueue.RunID) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.ends = append(w.ends, &apiv1.RunEnd{Sequence: 1, Task: id.Task.Ref(), Run: id.Number, Kind: apiv1.RunEndKind_RUN_END_KIND_FAILED})
@@ -87,23 +87,23 @@
 func (s *sim) runsOn(worker string) (ids []jobqueue.RunID) {
 	s.replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(worker); w != nil {
-			ids = w.SortedRuns()
+			ids = w.SortedRunIDs()
 		}
 	})
 	return ids
 }
 
-// submitLasting hands a long-running job of one task in.
-func (s *sim) submitLasting(queue, id string) {
+// submitLongRunning hands a long-running job of one task in.
+func (s *sim) submitLongRunning(queue, id string) {
 	s.t.Helper()
 	s.submitJob(&apiv1.JobSpec{Id: id, Host: simHost, Path: fmt.Sprintf("/%s/%s", queue, id), Steps: []*apiv1.JobStep{
 		{Count: 1, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 300, LongRunning: true},
 	}})
 }
 
-// untilRun waits until a run of a job holds room that has at least a number, and returns how long that
+// waitForRun waits until a run of a job holds room that has at least a number, and returns how long that
 // took; at most for a minute.
-func (s *sim) untilRun(job string, number uint64) time.Duration {
+func (s *sim) waitForRun(job string, number uint64) time.Duration {
 	began := time.Now()
 	for time.Since(began) < time.Minute {
 		found := false
@@ -122,61 +122,61 @@
 	return time.Since(began)
 }
 
-// troubledLog commits late, or fails to.
-type troubledLog struct {
+// faultyLog commits late, or fails to.
+type faultyLog struct {
 	control.Log
-	late atomic.Int64
-	// fails are the plans that come to nothing, of those that match.
-	fails   atomic.Int64
-	matches func(p *apiv1.PlanRuns) bool
+	commitDelay atomic.Int64
+	// failuresLeft are the plans that come to nothing, of those that match.
+	failuresLeft atomic.Int64
+	matches      func(p *apiv1.PlanRuns) bool
 }
 
-func (l *troubledLog) Propose(ctx context.Context, command []byte) ([]byte, uint64, error) {
+func (l *faultyLog) Propose(ctx context.Context, command []byte) ([]byte, uint64, error) {
 	c := &apiv1.Command{}
-	if proto.Unmarshal(command, c) == nil && l.matches != nil && c.GetJobs().GetPlan() != nil && l.matches(c.GetJobs().GetPlan()) && l.fails.Add(-1) >= 0 {
+	if proto.Unmarshal(command, c) == nil && l.matches != nil && c.GetJobs().GetPlan() != nil && l.matches(c.GetJobs().GetPlan()) && l.failuresLeft.Add(-1) >= 0 {
 		return nil, 0, &control.UnknownError{Cause: "disk"}
 	}
 	select {
 	case <-ctx.Done():
 		return nil, 0, &control.UnknownError{Cause: "time"}
-	case <-time.After(time.Duration(l.late.Load())):
+	case <-time.After(time.Duration(l.commitDelay.Load())):
 	}
 	return l.Log.Propose(ctx, command)
 }
 
-// troubleLog puts the log in trouble: the first plans of those that match come to nothing.
-func (s *sim) troubleLog(fails int64, matches func(*apiv1.PlanRuns) bool) *troubledLog {
-	l := &troubledLog{Log: s.log, matches: matches}
-	l.fails.Store(fails)
+// injectLogFaults puts the log in trouble: the first plans of those that match come to nothing.
+func (s *sim) injectLogFaults(fails int64, matches func(*apiv1.PlanRuns) bool) *faultyLog {
+	l := &faultyLog{Log: s.log, matches: matches}
+	l.failuresLeft.Store(fails)
 	s.replica.Attach(l)
 	return l
 }
 
 // Guards against one failed run that counts as several since its report is sent again while its commit is late.
-func TestFailureReportedAgainBeforeItsCommitCountsOnce(t *testing.T) {
+func TestFailureReportedAgainBeforeCommitCountsOnce(t *testing.T) {
 	for tries := 1; tries <= 4; tries++ {
 		t.Run(fmt.Sprint(tries, " tries"), func(t *testing.T) {
-			playSim(t, 1, 0, func(t *testing.T, s *sim) {
-				log := s.troubleLog(0, nil)
-				w := newToldWorker(s, "w1")
+			runSim(t, 1, 0, func(t *testing.T, s *sim) {
+				log := s.injectLogFaults(0, nil)
+				w := newScriptedWorker(s, "w1")
 				s.sleep(time.Second)
-				s.submitLasting("q", "set")
-				s.untilRun("set", 1)
+				s.submitLongRunning("q", "set")
+				s.waitForRun("set", 1)
 				s.sleep(time.Second)
-				w.silent.Store(true)
-				w.fail(s.runsOn("w1")[0])
-				log.late.Store(int64(time.Duration(tries) * retryAfter))
-				r := w.next()
+				w.unresponsive.Store(true)
+				w.failRun(s.runsOn("w1")[0])
+				log.commitDelay.Store(int64(time.Duration(tries) * reportRetryInterval))
+				r := w.nextReport()
 				for range tries {
 					s.loops.Go(func() { w.send(r) })
-					s.sleep(retryAfter)
+					s.sleep(reportRetryInterval)
 				}
-				log.late.Store(0)
+				log.commitDelay.Store(0)
 				for len(s.runsOn("w1")) > 0 {
 					s.sleep(10 * time.Millisecond)
 				}
-				w.silent.Store(false)
-				if took := s.untilRun("set", 2); took > longestRestart {
+				w.unresponsive.Store(false)
+				if took := s.waitForRun("set", 2); took > maxRestartTime {
 					t.Errorf("after one failure whose report was sent %d times, the task started after %v", tries, took)
 				}
 			})
@@ -185,24 +185,24 @@
 }
 
 // Guards against an order that stands for good though its worker, in reach, never lists the run.
-func TestLongRunningRunThatReportsLackIsGivenUp(t *testing.T) {
+func TestUnlistedLongRunningRunIsStopped(t *testing.T) {
 	for name, seenFirst := range map[string]bool{"never listed": false, "listed at first": true} {
 		t.Run(name, func(t *testing.T) {
-			playSim(t, 1, 0, func(t *testing.T, s *sim) {
-				w := newToldWorker(s, "w1")
-				newToldWorker(s, "w2")
-				w.blind.Store(!seenFirst)
+			runSim(t, 1, 0, func(t *testing.T, s *sim) {
+				w := newScriptedWorker(s, "w1")
+				newScriptedWorker(s, "w2")
+				w.omitRuns.Store(!seenFirst)
 				s.sleep(time.Second)
-				s.submitLasting("q", "set")
-				s.untilRun("set", 1)
+				s.submitLongRunning("q", "set")
+				s.waitForRun("set", 1)
 				if len(s.runsOn("w1")) == 0 {
 					t.Fatal("the run is on another worker")
 				}
 				s.sleep(2 * time.Second)
-				w.blind.Store(true)
+				w.omitRuns.Store(true)
 				for range 300 {
 					s.sleep(100 * time.Millisecond)
-					if s.stopsRun("set") {
+					if s.firstRunEnding("set") {
 						return
 					}
 				}
@@ -213,41 +213,41 @@
 }
 
 // Guards against a sound run that is stopped while what its worker reports does not show it.
-func TestLongRunningRunIsKeptWhileItsWorkerCannotTell(t *testing.T) {
-	for name, hide := range map[string]func(s *sim, w *toldWorker){
-		"reports are partial for 10 s": func(s *sim, w *toldWorker) {
+func TestLongRunningRunIsKeptDuringIncompleteReports(t *testing.T) {
+	for name, hide := range map[string]func(s *sim, w *scriptedWorker){
+		"reports are partial for 10 s": func(s *sim, w *scriptedWorker) {
 			w.partial.Store(true)
 			s.sleep(10 * time.Second)
 			w.partial.Store(false)
 		},
-		"every other report is partial": func(s *sim, w *toldWorker) {
+		"every other report is partial": func(s *sim, w *scriptedWorker) {
 			for i := range 20 {
 				w.partial.Store(i%2 == 0)
-				s.sleep(toldEvery)
+				s.sleep(scriptedReportInterval)
 			}
 			w.partial.Store(false)
 		},
-		"no report for 4 s, and the start is made 2 s later": func(s *sim, w *toldWorker) {
-			w.silent.Store(true)
+		"no report for 4 s, and the start is made 2 s later": func(s *sim, w *scriptedWorker) {
+			w.unresponsive.Store(true)
 			s.sleep(4 * time.Second)
-			w.silent.Store(false)
+			w.unresponsive.Store(false)
 			s.sleep(2 * time.Second)
 		},
 	} {
 		for seen, first := range map[string]bool{"never listed": false, "listed at first": true} {
 			t.Run(name+", "+seen, func(t *testing.T) {
-				playSim(t, 1, 0, func(t *testing.T, s *sim) {
-					w := newToldWorker(s, "w1")
-					w.blind.Store(!first)
+				runSim(t, 1, 0, func(t *testing.T, s *sim) {
+					w := newScriptedWorker(s, "w1")
+					w.omitRuns.Store(!first)
 					s.sleep(time.Second)
-					s.submitLasting("q", "set")
-					s.untilRun("set", 1)
+					s.submitLongRunning("q", "set")
+					s.waitForRun("set", 1)
 					s.sleep(time.Second)
-					w.blind.Store(true)
+					w.omitRuns.Store(true)
 					hide(s, w)
-					w.blind.Store(false)
+					w.omitRuns.Store(false)
 					s.sleep(5 * time.Second)
-					if s.stopsRun("set") {
+					if s.firstRunEnding("set") {
 						t.Error("the run was stopped")
 					}
 				})
@@ -256,8 +256,8 @@
 	}
 }
 
-// stopsRun reports whether the first run of a job is over or being stopped.
-func (s *sim) stopsRun(job string) (stops bool) {
+// firstRunEnding reports whether the first run of a job is over or being stopped.
+func (s *sim) firstRunEnding(job string) (stops bool) {
 	s.replica.ReadState(func(m *state.Machine) {
 		r := m.CallerJobs().Run(jobqueue.RunID{Task: jobqueue.TaskID{Job: job}, Number: 1})
 		stops = r == nil || r.Stopping
@@ -266,19 +266,19 @@
 }
 
 // Guards against a lost run that waits for another whole lease since the plan that gave it up was not committed.
-func TestSilentWorkersRunIsGivenUpAgainAtOnceWhenThePlanWasNotCommitted(t *testing.T) {
+func TestExpiryIsRetriedAtOnceAfterUncommittedPlan(t *testing.T) {
 	for fails := range int64(3) {
 		t.Run(fmt.Sprint(fails, " plans fail"), func(t *testing.T) {
-			playSim(t, 2, 0, func(t *testing.T, s *sim) {
-				s.troubleLog(fails, func(p *apiv1.PlanRuns) bool { return len(p.Lapsed) > 0 })
-				w := newToldWorker(s, "w1")
+			runSim(t, 2, 0, func(t *testing.T, s *sim) {
+				s.injectLogFaults(fails, func(p *apiv1.PlanRuns) bool { return len(p.Lapsed) > 0 })
+				w := newScriptedWorker(s, "w1")
 				s.sleep(time.Second)
-				s.submitLasting("q", "set")
-				s.untilRun("set", 1)
-				newToldWorker(s, "w2")
+				s.submitLongRunning("q", "set")
+				s.waitForRun("set", 1)
+				newScriptedWorker(s, "w2")
 				s.sleep(time.Second)
-				w.silent.Store(true)
-				if took := s.untilRun("set", 2); took > simLease(2)+longestRestart {
+				w.unresponsive.Store(true)
+				if took := s.waitForRun("set", 2); took > simLease(2)+maxRestartTime {
 					t.Errorf("after its worker went silent the task had no other run for %v, the lease is %v", took, simLease(2))
 				}
 			})
@@ -287,13 +287,13 @@
 }
 
 // Guards against a long-running task that waits for advice behind the questions about batch steps.
-func TestAdviceForALongRunningTaskDoesNotWaitBehindBatchSteps(t *testing.T) {
+func TestLongRunningAdvicePrecedesBatchAdvice(t *testing.T) {
 	for _, jobs := range []int{0, 8, 24, 48} {
 		t.Run(fmt.Sprint(jobs, " batch jobs"), func(t *testing.T) {
-			playSim(t, 1, 0, func(t *testing.T, s *sim) {
+			runSim(t, 1, 0, func(t *testing.T, s *sim) {
 				s.advisor.PerWorker = 10 * time.Millisecond
 				for i := range 30 {
-					newToldWorker(s, fmt.Sprintf("w%02d", i))
+					newScriptedWorker(s, fmt.Sprintf("w%02d", i))
 				}
 				s.sleep(time.Second)
 				for i := range jobs {
@@ -302,8 +302,8 @@
 					}})
 				}
 				s.sleep(100 * time.Millisecond)
-				s.submitLasting("advised", "set")
-				if took := s.untilRun("set", 1); took > longestRestart {
+				s.submitLongRunning("advised", "set")
+				if took := s.waitForRun("set", 1); took > maxRestartTime {
 					t.Errorf("it started after %v beside thirty nearly empty workers", took)
 				}
 			})
@@ -312,32 +312,32 @@
 }
 
 // Guards against a start that is not decided again after its plan came to nothing.
-func TestStartIsDecidedAgainWhenThePlanWasNotCommitted(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
-		s.troubleLog(5, func(p *apiv1.PlanRuns) bool { return len(p.Starts) > 0 })
-		newToldWorker(s, "w1")
+func TestStartIsRetriedAfterUncommittedPlan(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
+		s.injectLogFaults(5, func(p *apiv1.PlanRuns) bool { return len(p.Starts) > 0 })
+		newScriptedWorker(s, "w1")
 		s.sleep(time.Second)
-		s.submitLasting("q", "set")
-		if took := s.untilRun("set", 1); took > longestRestart {
+		s.submitLongRunning("q", "set")
+		if took := s.waitForRun("set", 1); took > maxRestartTime {
 			t.Errorf("it started after %v", took)
 		}
 	})
 }
 
 // Guards against workers that get no work since their reports come a little late.
-func TestTaskStartsThoughReportsComeEachSecond(t *testing.T) {
-	playSim(t, 1, 0, func(t *testing.T, s *sim) {
-		w := newToldWorker(s, "w1")
-		w.silent.Store(true)
+func TestTaskStartsWithReportsEverySecond(t *testing.T) {
+	runSim(t, 1, 0, func(t *testing.T, s *sim) {
+		w := newScriptedWorker(s, "w1")
+		w.unresponsive.Store(true)
 		s.loops.Go(func() {
 			for s.ctx.Err() == nil {
-				w.send(w.next())
+				w.send(w.nextReport())
 				s.sleep(time.Second)
 			}
 		})
 		s.sleep(1900 * time.Millisecond)
-		s.submitLasting("q", "set")
-		if took := s.untilRun("set", 1); took > longestRestart {
+		s.submitLongRunning("q", "set")
+		if took := s.waitForRun("set", 1); took > maxRestartTime {
 			t.Errorf("it started after %v", took)
 		}
 	})
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -50,49 +50,49 @@
 }
 
 const (
-	// hostsInterval is the time between two looks at the hosts while a wave or a move is
+	// hostCheckInterval is the time between two looks at the hosts while a wave or a move is
 	// open: a fraction of the two seconds that a maintenance takes at least.
-	hostsInterval = 500 * time.Millisecond
+	hostCheckInterval = 500 * time.Millisecond
 	// hostCallTimeout bounds one call about hosts.
 	hostCallTimeout = 2 * time.Second
 )
 
-// tendHosts carries waves and moves out whenever this replica leads, until ctx ends.
-func (d *Dispatcher) tendHosts(ctx context.Context) {
+// hostsLoop carries waves and moves out whenever this replica leads, until ctx ends.
+func (d *Dispatcher) hostsLoop(ctx context.Context) {
 	if d.opts.Hosts == nil {
 		return
 	}
 	for ctx.Err() == nil {
-		pause(ctx, hostsInterval)
-		if look := d.lookAtHosts(); look.waves || look.moves {
+		sleep(ctx, hostCheckInterval)
+		if look := d.pendingHostWork(); look.openWaves || look.pendingMoves {
 			d.advanceHosts(ctx, look)
 		}
 	}
 }
 
-// hostLook says what there is to do about hosts; nothing when this replica does not
+// hostWork says what there is to do about hosts; nothing when this replica does not
 // lead.
-type hostLook struct {
+type hostWork struct {
 	term uint64
-	// waves: a wave is not over. moves: one is open, or is to begin.
-	waves, moves bool
+	// openWaves: a wave is not over. moves: one is open, or is to begin.
+	openWaves, pendingMoves bool
 }
 
-func (d *Dispatcher) lookAtHosts() hostLook {
+func (d *Dispatcher) pendingHostWork() hostWork {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
-		return hostLook{}
+		return hostWork{}
 	}
-	look := hostLook{term: l.term}
+	look := hostWork{term: l.term}
 	now := d.opts.Now()
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
 		for _, w := range jobs.Waves() {
-			look.waves = look.waves || !w.Over()
+			look.openWaves = look.openWaves || !w.Finished()
 		}
-		look.moves = l.moves.look(jobs, l.fleet(now), l.waits, now)
+		look.pendingMoves = l.moves.updatePending(jobs, l.fleet(now), l.waits, now)
 	})
 	return look
 }
@@ -100,16 +100,16 @@
 // advanceHosts takes each host the step on that it can take. A host is noted as
 // ordered before the order goes out: whoever leads next repeats the order until it is
 // answered, so the bounds hold whatever becomes of a call.
-func (d *Dispatcher) advanceHosts(ctx context.Context, look hostLook) {
+func (d *Dispatcher) advanceHosts(ctx context.Context, look hostWork) {
 	hosts, err := d.listHosts(ctx)
 	if err != nil {
 		event.HostsUnlisted.Write(d.logger, event.Term(look.term), event.Err(err))
 		return
 	}
-	if look.waves {
+	if look.openWaves {
 		d.advanceWaves(ctx, look.term, hosts)
 	}
-	if look.moves {
+	if look.pendingMoves {
 		d.advanceMoves(ctx, look.term, hosts)
 	}
 }
@@ -118,24 +118,24 @@
 	ctx, cancel := context.WithTimeout(ctx, hostCallTimeout)
 	defer cancel()
 	hosts, err := d.opts.Hosts.List(ctx)
-	d.hosts.Note(err)
+	d.hostsWatch.Note(err)
 	d.countCall("dispatch.host_lists", err)
-	d.opts.Replica.ReadState(func(m *state.Machine) { nameIncarnations(hosts, m.CallerJobs()) })
+	d.opts.Replica.ReadState(func(m *state.Machine) { resolveIncarnations(hosts, m.CallerJobs()) })
 	return hosts, err
 }
 
-// nameIncarnations gives the workers of a list, which names them by their ids, the names of their
+// resolveIncarnations gives the workers of a list, which names them by their ids, the names of their
 // newest lives in the log. What goes wrong without it: a worker that is back from its host's
 // maintenance under its id counts as the one before, and the wave never ends; and a worker
 // that is to leave gets work, since the log knows it by another name.
-func nameIncarnations(hosts map[string]schedule.HostView, m *jobqueue.Machine) {
+func resolveIncarnations(hosts map[string]schedule.HostView, m *jobqueue.Machine) {
 	lives := m.NewestIncarnations()
 	for name, view := range hosts {
 		life, known := lives[view.Worker]
 		if !known {
 			continue
 		}
-		if m.HasLeft(life) && m.Pool(view.Pool).GetStandby() {
+		if m.HasDeparted(life) && m.Pool(view.Pool).GetStandby() {
 			life = ""
 		}
 		view.Worker = life
@@ -147,17 +147,17 @@
 	var steps []*apiv1.MaintainHost
 	d.opts.Replica.ReadState(func(m *state.Machine) { steps = schedule.NextMaintenance(m.CallerJobs(), hosts) })
 	for _, step := range steps {
-		d.takeStep(ctx, term, step)
+		d.commitMaintenanceStep(ctx, term, step)
 	}
 	for _, h := range d.orderedHosts(term) {
-		if !d.fenced(term, h.Name) {
+		if !d.isFenced(term, h.Name) {
 			d.orderMaintenance(ctx, term, h)
 		}
 	}
 }
 
-// takeStep commits a step and reports whether it is in force.
-func (d *Dispatcher) takeStep(ctx context.Context, term uint64, step *apiv1.MaintainHost) bool {
+// commitMaintenanceStep commits a step and reports whether it is in force.
+func (d *Dispatcher) commitMaintenanceStep(ctx context.Context, term uint64, step *apiv1.MaintainHost) bool {
 	step.Term = term
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -202,13 +202,13 @@
 	event.MaintenanceOrder.Write(d.logger, event.Term(term), event.Wave(h.wave), event.Host(h.Name),
 		event.Answer(answer), event.Err(err))
 	if err == nil && answer == HostFenced {
-		d.noteFenced(term, h.Name)
+		d.recordFenced(term, h.Name)
 	}
 	// A refusal tells nothing of an earlier call, which may still be carried out: so
 	// the host stays ordered, and counts as down, until an order is answered or the
 	// host leaves the fleet.
 	if err == nil && answer == HostDone {
-		d.takeStep(ctx, term, &apiv1.MaintainHost{
+		d.commitMaintenanceStep(ctx, term, &apiv1.MaintainHost{
 			Wave: h.wave, Host: h.Name, Worker: h.Worker, State: apiv1.MaintenanceState_MAINTENANCE_STATE_BEGUN,
 		})
 	}
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// doubtBound is how long after an unanswered call the platform may still carry it
+	// lateCallBound is how long after an unanswered call the platform may still carry it
 	// out; late calls were seen to be carried out within ten seconds.
-	doubtBound = 30 * time.Second
+	lateCallBound = 30 * time.Second
 	// tokenTermShift is where the term begins in the fencing token of an order, in bits.
 	tokenTermShift = 32
-	// listAge is how old a list of hosts may be that operators are shown: asking often
+	// maxHostListAge is how old a list of hosts may be that operators are shown: asking often
 	// must not use up the readings that the platform accepts.
-	listAge = time.Second
+	maxHostListAge = time.Second
 )
 
 // hostToken is the fencing token of an order about a host: the term, so that each new
@@ -33,51 +33,51 @@
 	return term<<tokenTermShift | order&(1<<tokenTermShift-1)
 }
 
-// movesLed is what the leader of a term knows of moves beside the log. The
+// leaderMoves is what the leader of a term knows of moves beside the log. The
 // dispatcher's lock guards it.
-type movesLed struct {
+type leaderMoves struct {
 	mover *schedule.Mover
-	// fenced are the hosts that another holder gave an order about, under a higher token.
-	fenced map[string]bool
-	// doubts says when a call about a host was last made that got no answer; the orders
+	// fencedHosts are the hosts that another holder gave an order about, under a higher token.
+	fencedHosts map[string]bool
+	// unansweredAt says when a call about a host was last made that got no answer; the orders
 	// of earlier leaders count as made when this one began to lead.
-	doubts map[string]time.Time
-	// own are the hosts that this leader ordered away, with the number of the order.
-	own   map[string]uint64
-	began time.Time
-	// list is the newest list of hosts, for operators.
-	list     map[string]schedule.HostView
+	unansweredAt map[string]time.Time
+	// ownOrders are the hosts that this leader ordered away, with the number of the order.
+	ownOrders map[string]uint64
+	startedAt time.Time
+	// hostList is the newest list of hosts, for operators.
+	hostList map[string]schedule.HostView
 	listedAt time.Time
 }
 
-func newMovesLed(now time.Time) *movesLed {
-	return &movesLed{
-		mover: schedule.NewMover(now), fenced: map[string]bool{}, doubts: map[string]time.Time{}, own: map[string]uint64{}, began: now,
+func newLeaderMoves(now time.Time) *leaderMoves {
+	return &leaderMoves{
+		mover: schedule.NewMover(now), fencedHosts: map[string]bool{}, unansweredAt: map[string]time.Time{}, ownOrders: map[string]uint64{}, startedAt: now,
 	}
 }
 
-// look reports whether a move is open or is to begin.
-func (l *movesLed) look(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.Wait, now time.Time) bool {
-	l.mover.Note(m, fleet, waits, now)
-	goesOn := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayGoOn(m, v) })
-	return goesOn || l.mover.Wanted(m, now)
+// updatePending reports whether a move is open or is to begin.
+func (l *leaderMoves) updatePending(m *jobqueue.Machine, fleet schedule.Fleet, waits []schedule.UnplacedStep, now time.Time) bool {
+	l.mover.Update(m, fleet, waits, now)
+	goesOn := slices.ContainsFunc(m.Moves(), func(v jobqueue.Move) bool { return mayAdvance(m, v) })
+	return goesOn || l.mover.NeedsHostList(m, now)
 }
 
-// mayGoOn reports whether a list of hosts may tell that a move goes on: one whose worker
+// mayAdvance reports whether a list of hosts may tell that a move goes on: one whose worker
 // still has runs waits for them, and the platform need not be asked meanwhile.
-func mayGoOn(m *jobqueue.Machine, v jobqueue.Move) bool {
+func mayAdvance(m *jobqueue.Machine, v jobqueue.Move) bool {
 	w := m.Worker(v.Worker)
-	return v.Down() || !v.Over() && (w == nil || len(w.Runs) == 0)
+	return v.InTransit() || !v.Finished() && (w == nil || len(w.Runs) == 0)
 }
 
-// certain reports whether all calls of a move have been answered, or are too old to be
+// callsSettled reports whether all calls of a move have been answered, or are too old to be
 // carried out.
-func (l *movesLed) certain(v jobqueue.Move, now time.Time) bool {
-	doubt, in := l.doubts[v.Host]
-	if l.own[v.Host] != v.Order {
-		doubt, in = later(doubt, l.began), true
+func (l *leaderMoves) callsSettled(v jobqueue.Move, now time.Time) bool {
+	doubt, in := l.unansweredAt[v.Host]
+	if l.ownOrders[v.Host] != v.Order {
+		doubt, in = later(doubt, l.startedAt), true
 	}
-	return !in || now.Sub(doubt) >= doubtBound
+	return !in || now.Sub(doubt) >= lateCallBound
 }
 
 func later(a, b time.Time) time.Time {
@@ -88,24 +88,24 @@
 }
 
 // withMoves calls f if this replica still leads in the term.
-func (d *Dispatcher) withMoves(term uint64, f func(*movesLed)) {
+func (d *Dispatcher) withMoves(term uint64, f func(*leaderMoves)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if l := d.ready(); l != nil && l.term == term {
+	if l := d.readyLeader(); l != nil && l.term == term {
 		f(l.moves)
 	}
 }
 
-// fenced reports whether orders about a host were refused since another holder has a
+// isFenced reports whether orders about a host were refused since another holder has a
 // higher token, or this replica leads no more.
-func (d *Dispatcher) fenced(term uint64, host string) bool {
+func (d *Dispatcher) isFenced(term uint64, host string) bool {
 	fenced := true
-	d.withMoves(term, func(l *movesLed) { fenced = l.fenced[host] })
+	d.withMoves(term, func(l *leaderMoves) { fenced = l.fencedHosts[host] })
 	return fenced
 }
 
-func (d *Dispatcher) noteFenced(term uint64, host string) {
-	d.withMoves(term, func(l *movesLed) { l.fenced[host] = true })
+func (d *Dispatcher) recordFenced(term uint64, host string) {
+	d.withMoves(term, func(l *leaderMoves) { l.fencedHosts[host] = true })
 	event.HostFenced.Write(d.logger, event.Term(term), event.Host(host))
 }
 
@@ -113,13 +113,13 @@
 func (d *Dispatcher) advanceMoves(ctx context.Context, term uint64, hosts map[string]schedule.HostView) {
 	var steps []*apiv1.MoveHost
 	settled := false
-	d.withMoves(term, func(l *movesLed) {
+	d.withMoves(term, func(l *leaderMoves) {
 		now := d.opts.Now()
-		settled = l.mover.Settled(now)
-		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.Next(m.CallerJobs(), hosts, now) })
+		settled = l.mover.Ready(now)
+		d.opts.Replica.ReadState(func(m *state.Machine) { steps = l.mover.NextSteps(m.CallerJobs(), hosts, now) })
 	})
 	for _, step := range steps {
-		d.takeMoveStep(ctx, term, step)
+		d.commitMoveStep(ctx, term, step)
 	}
 	if !settled {
 		return
@@ -132,8 +132,8 @@
 	}
 }
 
-// takeMoveStep commits a step.
-func (d *Dispatcher) takeMoveStep(ctx context.Context, term uint64, step *apiv1.MoveHost) {
+// commitMoveStep commits a step.
+func (d *Dispatcher) commitMoveStep(ctx context.Context, term uint64, step *apiv1.MoveHost) {
 	step.Term = term
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
@@ -142,19 +142,19 @@
 	}))
 	taken := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
 	if taken && step.State == apiv1.MoveState_MOVE_STATE_ORDERED {
-		d.noteOrdered(term, step.Host)
+		d.recordOrdered(term, step.Host)
 	}
 	event.Move.Write(d.logger, event.Term(term), event.Host(step.Host), event.FromPool(step.From), event.Pool(step.Pool),
 		event.Worker(step.Worker), event.State(step.State), event.Taken(taken), event.Err(err))
 }
 
-// noteOrdered notes that no order of the host's move has gone out yet.
-func (d *Dispatcher) noteOrdered(term uint64, host string) {
-	d.withMoves(term, func(l *movesLed) {
+// recordOrdered notes that no order of the host's move has gone out yet.
+func (d *Dispatcher) recordOrdered(term uint64, host string) {
+	d.withMoves(term, func(l *leaderMoves) {
 		d.opts.Replica.ReadState(func(m *state.Machine) {
 			if v, ok := m.CallerJobs().MoveOf(host); ok {
-				l.own[host] = v.Order
-				delete(l.doubts, host)
+				l.ownOrders[host] = v.Order
+				delete(l.unansweredAt, host)
 			}
 		})
 	})
@@ -177,7 +177,7 @@
 // answer. Once another holder used a higher token, nothing more is ordered.
 func (d *Dispatcher) orderMove(ctx context.Context, term uint64, v jobqueue.Move) bool {
 	answer, err := HostFenced, error(nil)
-	if !d.fenced(term, v.Host) {
+	if !d.isFenced(term, v.Host) {
 		calling, cancel := context.WithTimeout(ctx, hostCallTimeout)
 		answer, err = d.opts.Hosts.Move(calling, hostToken(term, v.Order), v.Host, v.Pool)
 		cancel()
@@ -185,15 +185,15 @@
 		event.MoveOrder.Write(d.logger, event.Term(term), event.Host(v.Host), event.Pool(v.Pool), event.Order(v.Order),
 			event.Answer(answer), event.Err(err))
 		if err == nil && answer == HostFenced {
-			d.noteFenced(term, v.Host)
+			d.recordFenced(term, v.Host)
 		}
 	}
 	certain := false
-	d.withMoves(term, func(l *movesLed) {
+	d.withMoves(term, func(l *leaderMoves) {
 		if err != nil {
-			l.doubts[v.Host] = d.opts.Now()
+			l.unansweredAt[v.Host] = d.opts.Now()
 		}
-		certain = l.certain(v, d.opts.Now())
+		certain = l.callsSettled(v, d.opts.Now())
 	})
 	step := &apiv1.MoveHost{Host: v.Host, Pool: v.Pool, From: v.From, Worker: v.Worker}
 	switch {
@@ -208,7 +208,7 @@
 		// the host stays ordered meanwhile.
 		return true
 	}
-	d.takeMoveStep(ctx, term, step)
+	d.commitMoveStep(ctx, term, step)
 	return true
 }
 
@@ -222,9 +222,9 @@
 		return &apiv1.JobsReadResponse{Unconfirmed: true}
 	}
 	var hosts map[string]schedule.HostView
-	d.withMoves(term, func(l *movesLed) {
-		if d.opts.Now().Sub(l.listedAt) < listAge {
-			hosts = l.list
+	d.withMoves(term, func(l *leaderMoves) {
+		if d.opts.Now().Sub(l.listedAt) < maxHostListAge {
+			hosts = l.hostList
 		}
 	})
 	if hosts == nil {
@@ -233,7 +233,7 @@
 			event.HostsUnlisted.Write(d.logger, event.Term(term), event.Err(err))
 			return &apiv1.JobsReadResponse{Unconfirmed: true}
 		}
-		d.withMoves(term, func(l *movesLed) { l.list, l.listedAt = hosts, d.opts.Now() })
+		d.withMoves(term, func(l *leaderMoves) { l.hostList, l.listedAt = hosts, d.opts.Now() })
 	}
 	resp := &apiv1.JobsReadResponse{Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}
 	d.opts.Replica.ReadState(func(m *state.Machine) { resp.Hosts = hostRecords(m.CallerJobs(), hosts) })
--- a/dispatch/movesim_test.go
+++ b/dispatch/movesim_test.go
@@ -16,49 +16,49 @@
 // Cause: a host that is ordered away before its tasks are elsewhere or while it may get
 // new ones, an order that is forgotten with its leader, or an old call or list that is
 // taken for a new one.
-func TestMovesUnderTrouble(t *testing.T) {
-	playSeeds(t, 30, 8, movesUnderTrouble)
+func TestMovesUnderFaults(t *testing.T) {
+	runSeeds(t, 30, 8, runMovesUnderFaults)
 }
 
-func movesUnderTrouble(t *testing.T, s *sim, seed uint64) {
-	s.lasting = "serving"
+func runMovesUnderFaults(t *testing.T, s *sim, seed uint64) {
+	s.longRunningJob = "serving"
 	// Three hosts stay in the pool: the serving tasks need one each.
-	f := s.pools(map[string]string{
+	f := s.setUpPools(map[string]string{
 		"host0": simPool, "host1": simPool, "host2": simPool, "host3": simPool, "host4": simPool, "host5": simPool,
 		"host6": otherPool, "host7": reservePool,
 	})
 	s.sleep(3 * time.Second)
 	s.submitSpec(servingJob())
-	s.sleep(moverSettles)
+	s.sleep(moverSettleTime)
 	asked := []string{"host0", "host1", "host2"}
 	for i, host := range asked {
-		s.askMove(host, otherPool)
+		s.requestMove(host, otherPool)
 		for k := range 4 {
 			s.submit(4*i + k)
 			switch s.intN(4) {
 			case 0:
 				s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
 			case 1:
-				s.crash(f, host)
+				s.crashAndRestart(f, host)
 			}
 			s.sleep(time.Duration(500+s.intN(3000)) * time.Millisecond)
 		}
 	}
-	s.calmDown()
+	s.disableFaults()
 	arrived := func() bool {
-		return !slices.ContainsFunc(asked, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Over() })
+		return !slices.ContainsFunc(asked, func(host string) bool { return f.PoolOf(host) != otherPool || !s.moveOf(host).Finished() })
 	}
-	if !s.await(2*time.Minute, arrived) {
+	if !s.waitUntil(2*time.Minute, arrived) {
 		t.Errorf("seed %d: the moves are %v %v %v", seed, s.moveOf("host0"), s.moveOf("host1"), s.moveOf("host2"))
 	}
 	// And one of them back, as soon as it may.
 	s.sleep(31 * time.Second)
-	s.askMove("host0", simPool)
-	if !s.await(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Over() }) {
+	s.requestMove("host0", simPool)
+	if !s.waitUntil(time.Minute, func() bool { return f.PoolOf("host0") == simPool && s.moveOf("host0").Finished() }) {
 		t.Errorf("seed %d: the move back is %v", seed, s.moveOf("host0"))
 	}
-	s.judgeOrders(seed, f)
-	s.endTrouble(seed)
+	s.checkOrders(seed, f)
+	s.stopFaultsAndCheck(seed)
 }
 
 // Symptom: tasks wait for hosts though some are in standby, hosts are called that
@@ -66,28 +66,28 @@
 // Sequence: a pool fills up while leaders follow one another and orders get no answer;
 // later its jobs are cancelled.
 // Cause: no one calls hosts, each leader calls them anew, or forgets where they came from.
-func TestStandbyHostsComeAndGo(t *testing.T) {
-	playSeeds(t, 20, 6, standbyComesAndGoes)
+func TestStandbyHostsAreRequestedAndReturned(t *testing.T) {
+	runSeeds(t, 20, 6, runStandbyHosts)
 }
 
-func standbyComesAndGoes(t *testing.T, s *sim, seed uint64) {
-	s.lasting = "crowd"
-	f := s.pools(map[string]string{
+func runStandbyHosts(t *testing.T, s *sim, seed uint64) {
+	s.longRunningJob = "crowd"
+	f := s.setUpPools(map[string]string{
 		"host0": simPool, "host1": otherPool, "host2": reservePool, "host3": reservePool, "host4": reservePool, "host5": reservePool,
 	})
-	s.sleep(moverSettles)
+	s.sleep(moverSettleTime)
 	if all, _ := f.Calls(); all != 0 {
 		t.Errorf("seed %d: %d calls while nothing waits", seed, all)
 	}
 	// One of the three tasks has room.
-	s.submitSpec(crowd("crowd", 3))
+	s.submitSpec(fullWorkerJob("crowd", 3))
 	for range 5 {
 		if s.intN(3) == 0 {
 			s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
 		}
 		s.sleep(time.Duration(s.intN(4000)) * time.Millisecond)
 	}
-	s.calmDown()
+	s.disableFaults()
 	inPool := func(pool string) (n int) {
 		for _, h := range s.hosts {
 			if f.PoolOf(h.name) == pool {
@@ -96,11 +96,11 @@
 		}
 		return n
 	}
-	if !s.await(2*time.Minute, func() bool { return s.runsOf("crowd") == 3 }) || inPool(otherPool) != 3 {
-		t.Errorf("seed %d: %d tasks run, %d hosts were called", seed, s.runsOf("crowd"), inPool(otherPool)-1)
+	if !s.waitUntil(2*time.Minute, func() bool { return s.runCount("crowd") == 3 }) || inPool(otherPool) != 3 {
+		t.Errorf("seed %d: %d tasks run, %d hosts were called", seed, s.runCount("crowd"), inPool(otherPool)-1)
 	}
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Cancel{Cancel: &apiv1.CancelJob{Id: "crowd", Host: simHost, Path: "/o/crowd"}}})
-	if !s.await(3*time.Minute, func() bool { return inPool(reservePool) == 4 }) || inPool(simPool) != 1 {
+	if !s.waitUntil(3*time.Minute, func() bool { return inPool(reservePool) == 4 }) || inPool(simPool) != 1 {
 		t.Errorf("seed %d: %d hosts are in standby again", seed, inPool(reservePool))
 	}
 	s.sleep(10 * time.Second)
@@ -109,6 +109,6 @@
 	if after, _ := f.Calls(); after != before {
 		t.Errorf("seed %d: %d calls while nothing is to be moved", seed, after-before)
 	}
-	s.judgeOrders(seed, f)
-	s.endTrouble(seed)
+	s.checkOrders(seed, f)
+	s.stopFaultsAndCheck(seed)
 }
--- a/dispatch/movesrig_test.go
+++ b/dispatch/movesrig_test.go
@@ -15,13 +15,13 @@
 	reservePool = "reserve"
 	// hostCallsPerSecond is what the stand-in of the platform accepts.
 	hostCallsPerSecond = 12
-	// moverSettles is longer than a leader waits before it has hosts moved.
-	moverSettles = 12 * time.Second
+	// moverSettleTime is longer than a leader waits before it has hosts moved.
+	moverSettleTime = 12 * time.Second
 )
 
-// pools gives the simulation two pools with a queue each and one in standby, and puts
+// setUpPools gives the simulation two pools with a queue each and one in standby, and puts
 // the hosts into them.
-func (s *sim) pools(of map[string]string) *fakes.Hosts {
+func (s *sim) setUpPools(of map[string]string) *fakes.Hosts {
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
 		Configuration: &apiv1.QueueConfiguration{
 			Version: 2, Pools: []*apiv1.WorkerPool{{Name: simPool}, {Name: otherPool}, {Name: reservePool, Standby: true}},
@@ -31,32 +31,32 @@
 			},
 		},
 	}}})
-	f := s.fleet()
+	f := s.newFleet()
 	f.CallsPerSecond = hostCallsPerSecond
 	f.Standby = map[string]bool{reservePool: true}
 	f.Stale = func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return !s.calm && s.rand.IntN(4) == 0
+		return !s.faultFree && s.rand.IntN(4) == 0
 	}
 	f.Down = func(name string) {
-		h := s.side(name)
+		h := s.hostNamed(name)
 		h.mu.Lock()
 		defer h.mu.Unlock()
 		if running := h.worker.Running(); len(running) > 0 {
 			s.t.Errorf("%v ran on %s when it went away", running, name)
 		}
 		h.worker.Crash()
-		h.off = true
+		h.poweredOff = true
 	}
 	for name, pool := range of {
-		h := s.side(name)
+		h := s.hostNamed(name)
 		h.setPool(pool)
 		h.startWorker()
 		if f.Standby[pool] {
 			h.mu.Lock()
 			h.worker.Crash()
-			h.off = true
+			h.poweredOff = true
 			h.mu.Unlock()
 		}
 	}
@@ -68,19 +68,19 @@
 		f.Put(h.name, worker)
 		f.Place(h.name, h.pool, jobqueue.Resources{CPUMilli: 4000, MemoryMB: 8000})
 	}
-	s.fleetOf.Store(f)
+	s.hostFleet.Store(f)
 	return f
 }
 
-func (s *sim) side(name string) *simSide {
-	return s.hosts[slices.IndexFunc(s.hosts, func(h *simSide) bool { return h.name == name })]
+func (s *sim) hostNamed(name string) *simulatedHost {
+	return s.hosts[slices.IndexFunc(s.hosts, func(h *simulatedHost) bool { return h.name == name })]
 }
 
-// crash has the worker of a host crash and come back at once, if it is there.
-func (s *sim) crash(f *fakes.Hosts, name string) {
-	h := s.side(name)
+// crashAndRestart has the worker of a host crash and come back at once, if it is there.
+func (s *sim) crashAndRestart(f *fakes.Hosts, name string) {
+	h := s.hostNamed(name)
 	h.mu.Lock()
-	off := h.off
+	off := h.poweredOff
 	h.mu.Unlock()
 	if !off {
 		h.startWorker()
@@ -88,10 +88,10 @@
 	}
 }
 
-func (s *sim) calmDown() {
+func (s *sim) disableFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calm = true
+	s.faultFree = true
 }
 
 func (s *sim) moveOf(host string) jobqueue.Move {
@@ -104,57 +104,57 @@
 	return v
 }
 
-// await waits in steps of 100 ms until a condition holds, at most for a while.
-func (s *sim) await(d time.Duration, condition func() bool) bool {
+// waitUntil waits in steps of 100 ms until a condition holds, at most for a while.
+func (s *sim) waitUntil(d time.Duration, condition func() bool) bool {
 	for ; d > 0 && !condition(); d -= 100 * time.Millisecond {
 		s.sleep(100 * time.Millisecond)
 	}
 	return condition()
 }
 
-func (s *sim) askMove(host, pool string) {
+func (s *sim) requestMove(host, pool string) {
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: host, Pool: pool}}})
 }
 
-// heldOrder is who gave an order that moves a host, and when.
-type heldOrder struct {
+// moveOrder is who gave an order that moves a host, and when.
+type moveOrder struct {
 	host  string
 	token uint64
 	term  uint64
 	at    time.Time
 }
 
-// holderPause is how long the platform has one holder give orders about a host before
+// minHolderInterval is how long the platform has one holder give orders about a host before
 // another one does.
-const holderPause = 3 * time.Second
+const minHolderInterval = 3 * time.Second
 
-func (s *sim) noteHolder(host string, token uint64) {
+func (s *sim) recordMoveOrder(host string, token uint64) {
 	term, _ := s.log.Leading()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = append(s.held, heldOrder{host, token, term, time.Now()})
+	s.moveOrders = append(s.moveOrders, moveOrder{host, token, term, time.Now()})
 }
 
-// judgeHolders checks that no token was used by two leaders, and that they did not give
+// checkHolders checks that no token was used by two leaders, and that they did not give
 // orders about a host by turns.
-func (s *sim) judgeHolders(seed uint64) {
+func (s *sim) checkHolders(seed uint64) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	last := map[string]heldOrder{}
-	for _, o := range s.held {
+	last := map[string]moveOrder{}
+	for _, o := range s.moveOrders {
 		before, known := last[o.host]
-		if known && before.term != o.term && (before.token >= o.token || o.at.Sub(before.at) < holderPause) {
+		if known && before.term != o.term && (before.token >= o.token || o.at.Sub(before.at) < minHolderInterval) {
 			s.t.Errorf("seed %d: leaders order by turns: %+v, %+v", seed, before, o)
 		}
 		last[o.host] = o
 	}
 }
 
-// judgeOrders checks that no token stands for two orders or holders, that a host's
+// checkOrders checks that no token stands for two orders or holders, that a host's
 // tokens never fall, that few hosts were away at once and that the platform's rates were
 // kept.
-func (s *sim) judgeOrders(seed uint64, f *fakes.Hosts) {
+func (s *sim) checkOrders(seed uint64, f *fakes.Hosts) {
 	s.t.Helper()
 	type key struct {
 		host  string
@@ -172,8 +172,8 @@
 		}
 		meant[k], newest[o.Host] = o, o.Token
 	}
-	s.judgeHolders(seed)
-	if n := f.MostAway(); n > jobqueue.MaxMovesAtOnce {
+	s.checkHolders(seed)
+	if n := f.MostAway(); n > jobqueue.MaxConcurrentMoves {
 		s.t.Errorf("seed %d: %d hosts were away at once", seed, n)
 	}
 	if all, refused := f.Calls(); refused > 0 {
@@ -181,14 +181,14 @@
 	}
 }
 
-// crowd is a job whose tasks fill a worker each and take a while.
-func crowd(id string, tasks uint32) *apiv1.JobSpec {
+// fullWorkerJob is a job whose tasks fill a worker each and take a while.
+func fullWorkerJob(id string, tasks uint32) *apiv1.JobSpec {
 	return &apiv1.JobSpec{Id: id, Host: simHost, Path: "/o/" + id, Steps: []*apiv1.JobStep{{
 		Count: tasks, CpuMilli: 4000, MemoryMb: 500, LongRunning: true,
 	}}}
 }
 
-func (s *sim) runsOf(job string) int {
+func (s *sim) runCount(job string) int {
 	n := 0
 	s.replica.ReadState(func(m *state.Machine) {
 		for _, t := range m.CallerJobs().Job(job).Occurrences[0].Steps[0].Tasks {
--- a/dispatch/orders.go
+++ b/dispatch/orders.go
@@ -17,7 +17,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		changed := d.changed.wait()
+		changed := d.stateChanged.wait()
 		resp := d.orders(r)
 		news := resp.NotLeader || resp.Term != r.Term || resp.Sequence != r.Sequence
 		if news {
@@ -37,7 +37,7 @@
 func (d *Dispatcher) orders(r *apiv1.JobsOrdersRequest) *apiv1.JobsOrdersResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
 		return &apiv1.JobsOrdersResponse{NotLeader: true, LeaderAddress: d.opts.Replica.LeaderAddress()}
 	}
@@ -55,7 +55,7 @@
 			CpuMilli: w.Spec.CpuMilli, MemoryMb: w.Spec.MemoryMb, Accelerators: w.Spec.Accelerators,
 		}
 		resp.Sequence = w.Revision + l.orderRevisions[r.Worker]
-		for _, id := range w.SortedRuns() {
+		for _, id := range w.SortedRunIDs() {
 			l.addOrder(resp, w, w.Runs[id])
 		}
 		for _, id := range l.unlogged[r.Worker] {
@@ -65,7 +65,7 @@
 	return resp
 }
 
-func (l *leadership) addOrder(resp *apiv1.JobsOrdersResponse, w *jobqueue.Worker, r *jobqueue.Run) {
+func (l *leaderState) addOrder(resp *apiv1.JobsOrdersResponse, w *jobqueue.Worker, r *jobqueue.Run) {
 	if r.Stopping {
 		resp.Stops = append(resp.Stops, &apiv1.StopOrder{Task: r.ID.Task.Ref(), Run: r.ID.Number})
 		return
@@ -85,14 +85,14 @@
 }
 
 // addHost adds what the leader holds of a host.
-func (l *leadership) addHost(resp *apiv1.JobsOrdersResponse, m *jobqueue.Machine, host string) {
+func (l *leaderState) addHost(resp *apiv1.JobsOrdersResponse, m *jobqueue.Machine, host string) {
 	resp.HostTold = true
-	resp.LastLife = l.reports.lives[host].Name()
-	w := m.WorkerOf(host)
+	resp.LastLife = l.reports.newestIncarnations[host].Name()
+	w := m.WorkerOnHost(host)
 	if w == nil {
 		return
 	}
-	if lease := l.leases.of(w.Spec.Id); !lease.lapsed || len(w.Runs) > 0 {
+	if lease := l.leases.get(w.Spec.Id); !lease.expired || len(w.Runs) > 0 {
 		resp.LeaseWorker, resp.LeaseNumber = w.Spec.Id, lease.number
 	}
 }
--- a/dispatch/outages_internal_test.go
+++ b/dispatch/outages_internal_test.go
@@ -14,8 +14,8 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// BenchmarkLookAtLongRunning looks at the long-running tasks of the target size, all at work.
-func BenchmarkLookAtLongRunning(b *testing.B) {
+// BenchmarkCheckLongRunning looks at the long-running tasks of the target size, all at work.
+func BenchmarkCheckLongRunning(b *testing.B) {
 	const workers, tasksPerWorker, tasksPerJob, term = 3700, 6, 6, 1
 	m := jobqueue.New()
 	apply := func(c *apiv1.JobsCommand) { m.Apply(c, 1, term) }
@@ -23,7 +23,7 @@
 		Version: 1, Pools: []*apiv1.WorkerPool{{Name: "p"}}, Queues: []*apiv1.JobQueue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 2, Stretch: 2, TimeoutMs: 1000}},
 	}}}})
 	now := time.Now()
-	l := &leadership{term: term, leases: newLeaseTable(now, time.Hour, time.Hour), observed: map[jobqueue.RunID]schedule.Observation{}, outages: newOutages()}
+	l := &leaderState{term: term, leases: newLeaseTable(now, time.Hour, time.Hour), observed: map[jobqueue.RunID]schedule.Observation{}, outages: newOutages()}
 	for w := range workers {
 		name := fmt.Sprint("w", w)
 		apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
@@ -43,12 +43,12 @@
 		}
 		l.leases.renew(name, now, 0)
 	}
-	d := &Dispatcher{logger: zap.NewNop(), meters: newMeters(metrics.NewRegistry())}
+	d := &Dispatcher{logger: zap.NewNop(), metrics: newMetricSet(metrics.NewRegistry())}
 	if n := len(slices.Collect(longRunningTasks(m, now.UnixMilli()))); n != workers*tasksPerWorker {
 		b.Fatalf("%d long-running tasks", n)
 	}
 	for b.Loop() {
-		l.outages.lookedAt = time.Time{}
-		d.lookAtLongRunning(l, m, nil, now)
+		l.outages.checkedAt = time.Time{}
+		d.checkLongRunning(l, m, nil, now)
 	}
 }
--- a/dispatch/outages_test.go
+++ b/dispatch/outages_test.go
@@ -16,11 +16,11 @@
 )
 
 // Guards against long-running tasks that are away without a line that says why.
-func TestOutagesOfLongRunningTasksAreTold(t *testing.T) {
+func TestLongRunningOutagesAreLogged(t *testing.T) {
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
-		s, log, registry := recordingSim(ctx, t, 0, dispatch.Options{LeaseDuration: 6 * time.Second})
+		s, log, registry := newLoggingSim(ctx, t, 0, dispatch.Options{LeaseDuration: 6 * time.Second})
 		s.sleep(time.Second)
 		report := func(worker string, r *apiv1.JobsReportRequest) {
 			t.Helper()
--- a/dispatch/play_test.go
+++ b/dispatch/play_test.go
@@ -9,8 +9,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// playSim runs a test on a simulation in virtual time, and ends the simulation after it.
-func playSim(t *testing.T, seed uint64, workers int, test func(t *testing.T, s *sim)) {
+// runSim runs a test on a simulation in virtual time, and ends the simulation after it.
+func runSim(t *testing.T, seed uint64, workers int, test func(t *testing.T, s *sim)) {
 	// The library's clock for all meters must not belong to one test's virtual time.
 	metrics.NewMeter().Stop()
 	synctest.Test(t, func(t *testing.T) {
@@ -22,11 +22,11 @@
 	})
 }
 
-// playSeeds runs a test once for each of the first seeds.
-func playSeeds(t *testing.T, seeds uint64, workers int, test func(t *testing.T, s *sim, seed uint64)) {
+// runSeeds runs a test once for each of the first seeds.
+func runSeeds(t *testing.T, seeds uint64, workers int, test func(t *testing.T, s *sim, seed uint64)) {
 	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playSim(t, seed, workers, func(t *testing.T, s *sim) { test(t, s, seed) })
+			runSim(t, seed, workers, func(t *testing.T, s *sim) { test(t, s, seed) })
 		})
 	}
 }
--- a/dispatch/read.go
+++ b/dispatch/read.go
@@ -31,7 +31,7 @@
 func (d *Dispatcher) explain(id string) *apiv1.JobsReadResponse {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
 		return &apiv1.JobsReadResponse{Unconfirmed: true}
 	}
@@ -48,7 +48,7 @@
 	for _, w := range l.waits {
 		if w.Step.Job == id {
 			resp.Explanation.Waits = append(resp.Explanation.Waits, &apiv1.StepWait{
-				Occurrence: w.Step.Occurrence, Step: w.Step.Step, Tasks: uint32(w.Tasks), Workers: w.Why(),
+				Occurrence: w.Step.Occurrence, Step: w.Step.Step, Tasks: uint32(w.Tasks), Workers: w.ReasonSummary(),
 			})
 		}
 	}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -19,12 +19,12 @@
 // renews the worker's lease.
 func (d *Dispatcher) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	if r.Lapsed {
-		return d.reportLapse(ctx, r)
+		return d.reportExpiry(ctx, r)
 	}
-	t := d.take(r)
+	t := d.applyReport(r)
 	switch {
 	case t.term == 0:
-		return d.refer(), nil
+		return d.notLeaderResponse(), nil
 	case t.outdated:
 		return &apiv1.JobsReportResponse{Term: t.term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_STALE}, nil
 	}
@@ -32,96 +32,96 @@
 	now, leads := d.opts.Replica.Leading()
 	if err != nil || !leads || now != t.term {
 		event.ReportUnproved.Write(d.logger, event.Worker(r.Worker.GetId()), event.Err(err))
-		return d.refer(), nil
+		return d.notLeaderResponse(), nil
 	}
 	resp := &apiv1.JobsReportResponse{Term: t.term, Outcome: outcome}
 	if outcome == apiv1.JobOutcome_JOB_OUTCOME_OK && !r.Departed {
-		resp.LeaseMs = t.granted.Milliseconds()
+		resp.LeaseMs = t.grantedLease.Milliseconds()
 	}
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		if w := m.CallerJobs().Worker(r.Worker.GetId()); w != nil {
 			resp.Acknowledged, resp.Epoch = w.Acknowledged, w.Epoch
 		}
 	})
-	d.noteOutcome(t)
+	d.logReportOutcome(t)
 	return resp, nil
 }
 
-// taken is what a report comes to.
-type taken struct {
+// appliedReport is what a report comes to.
+type appliedReport struct {
 	term uint64
 	// command records the report, nil when there is nothing new.
 	command *apiv1.ReportWorker
-	// granted is the lease to grant.
-	granted time.Duration
-	// open are the jobs that may end with the report.
-	open map[string]openJob
+	// grantedLease is the lease to grant.
+	grantedLease time.Duration
+	// openJobs are the jobs that may end with the report.
+	openJobs map[string]openJob
 	// outdated: a newer report was taken in before, and nothing of this one was.
 	outdated bool
 }
 
-// take notes what the report says; a term of 0 says that this replica doesn't lead. The
+// applyReport notes what the report says; a term of 0 says that this replica doesn't lead. The
 // lease is renewed here, before the commit or the barrier that confirms that this replica
 // still leads.
-func (d *Dispatcher) take(r *apiv1.JobsReportRequest) taken {
+func (d *Dispatcher) applyReport(r *apiv1.JobsReportRequest) appliedReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
-		return taken{}
+		return appliedReport{}
 	}
 	var outdated bool
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		// A worker that has left has left, whatever was said after.
 		jobs := m.CallerJobs()
-		outdated = !r.Departed && (l.contested(jobs, r, d.opts.Now()) || l.reports.outdated(jobs, r))
+		outdated = !r.Departed && (l.contestsLiveWorker(jobs, r, d.opts.Now()) || l.reports.outdated(jobs, r))
 	})
 	if outdated {
-		d.meters.reportsOutdated.Inc(1)
+		d.metrics.reportsOutdated.Inc(1)
 		event.ReportOutdated.Write(d.logger, event.Term(l.term), event.Worker(r.Worker.GetId()))
-		return taken{term: l.term, outdated: true}
+		return appliedReport{term: l.term, outdated: true}
 	}
-	t := taken{term: l.term}
+	t := appliedReport{term: l.term}
 	now := d.opts.Now()
-	t.granted, _ = l.leases.renew(r.Worker.GetId(), now, time.Duration(r.LeaseBoundMs)*time.Millisecond)
-	l.contacts.note(r, now)
+	t.grantedLease, _ = l.leases.renew(r.Worker.GetId(), now, time.Duration(r.LeaseBoundMs)*time.Millisecond)
+	l.contacts.recordReport(r, now)
 	for _, o := range r.Running {
-		l.observe(o, now)
+		l.recordObservation(o, now)
 	}
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		jobs := m.CallerJobs()
-		d.learn(l, jobs, r, now)
-		d.noteReportedLosses(l, jobs, r, now)
-		d.noteUnlogged(l, jobs, r, now)
-		d.countMisses(jobs, r.Running)
-		l.noteTails(jobs.Worker(r.Worker.GetId()), r.Running, now)
+		d.recordEnds(l, jobs, r, now)
+		d.recordReportedLosses(l, jobs, r, now)
+		d.recordUnlogged(l, jobs, r, now)
+		d.countObjectiveMisses(jobs, r.Running)
+		l.logObjectiveMisses(jobs.Worker(r.Worker.GetId()), r.Running, now)
 		t.command = l.reportCommand(jobs, r)
-		t.open = l.openJobs(jobs, t.command)
+		t.openJobs = l.openJobs(jobs, t.command)
 		if l.adjustPaces(jobs.Worker(r.Worker.GetId()), now) {
-			d.meters.paceOrders.Inc(1)
+			d.metrics.paceOrders.Inc(1)
 		}
 	})
 	return t
 }
 
-// takeoverSilence is how long nothing has been heard of the worker of a host when a life that
+// takeoverTimeout is how long nothing has been heard of the worker of a host when a life that
 // does not say that it follows that one may take its place: some reports' worth.
-const takeoverSilence = 2 * time.Second
+const takeoverTimeout = 2 * time.Second
 
-// contested reports whether a life that the log does not know would end one that was heard of
+// contestsLiveWorker reports whether a life that the log does not know would end one that was heard of
 // just now. Its agent says whom it follows; what the network held up does not.
-func (l *leadership) contested(m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) bool {
+func (l *leaderState) contestsLiveWorker(m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) bool {
 	id := r.Worker.GetId()
-	known := m.WorkerOf(r.Worker.GetHost())
+	known := m.WorkerOnHost(r.Worker.GetHost())
 	if known == nil || known.Spec.Id == id || slices.Contains(r.Follows, known.Spec.Id) {
 		return false
 	}
-	lease := l.leases.of(known.Spec.Id)
-	return lease.heard && !lease.lapsed && now.Sub(lease.renewed) < takeoverSilence
+	lease := l.leases.get(known.Spec.Id)
+	return lease.reported && !lease.expired && now.Sub(lease.renewedAt) < takeoverTimeout
 }
 
-// observe notes the state of a run.
-func (l *leadership) observe(o *apiv1.RunObservation, now time.Time) {
+// recordObservation notes the state of a run.
+func (l *leaderState) recordObservation(o *apiv1.RunObservation, now time.Time) {
 	id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
 	seen, known := l.observed[id]
 	if !known {
@@ -134,82 +134,82 @@
 	seen.At, seen.Percent, seen.Figure = now, o.Percent, o.Figure
 	if o.Checkpoint != "" {
 		seen.Checkpoint = o.Checkpoint
-		l.noteSaved(id, o.Checkpoint, now)
+		l.recordCheckpoint(id, o.Checkpoint, now)
 	}
 	l.observed[id] = seen
 }
 
-// learn tells the planner of ends that are new. A report is sent again until it is committed:
+// recordEnds tells the planner of ends that are new. A report is sent again until it is committed:
 // what goes wrong without a note of what was learnt is that one failed run counts as several.
-func (d *Dispatcher) learn(l *leadership, m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) {
+func (d *Dispatcher) recordEnds(l *leaderState, m *jobqueue.Machine, r *apiv1.JobsReportRequest, now time.Time) {
 	w := m.Worker(r.Worker.GetId())
 	if w == nil {
 		return
 	}
-	l.outages.noteEnds(w, r.Ends, r.Refusals, now)
-	d.learnRefusals(l, w, r.Refusals, now)
-	known := max(w.Acknowledged, l.endsLearnt[w.Spec.Id])
+	l.outages.recordEnds(w, r.Ends, r.Refusals, now)
+	d.recordRefusals(l, w, r.Refusals, now)
+	known := max(w.Acknowledged, l.endsRecorded[w.Spec.Id])
 	for _, e := range r.Ends {
 		run := w.Runs[jobqueue.RunID{Task: jobqueue.TaskIDOf(e.Task), Number: e.Run}]
 		if e.Sequence <= known || run == nil {
 			continue
 		}
-		l.endsLearnt[w.Spec.Id] = max(l.endsLearnt[w.Spec.Id], e.Sequence)
-		d.meters.ends.Inc(1)
-		ended := schedule.Ended{
+		l.endsRecorded[w.Spec.Id] = max(l.endsRecorded[w.Spec.Id], e.Sequence)
+		d.metrics.ends.Inc(1)
+		ended := schedule.EndedRun{
 			Worker: w.Spec.Id, Kind: e.Kind, Step: run.Step, At: now, Resumed: run.Checkpoint != "",
 		}
 		if o, seen := l.observed[run.ID]; seen {
-			ended.Took = now.Sub(o.FirstAt)
+			ended.Duration = now.Sub(o.FirstAt)
 		}
-		l.planner.RunEnded(ended)
+		l.planner.RecordRunEnd(ended)
 		if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE {
-			l.runLog.end(l.term, w.Spec.Id, run.ID, now)
+			l.batchedLog.addEnd(l.term, w.Spec.Id, run.ID, now)
 			continue
 		}
 		event.RunEnded.Write(d.logger, event.Task(run.ID.Task), event.Run(e.Run), event.Worker(w.Spec.Id),
-			event.How(endName(e.Kind)))
+			event.How(endKindName(e.Kind)))
 	}
 }
 
-// learnRefusals tells the planner of starts that were refused, each once.
-func (d *Dispatcher) learnRefusals(l *leadership, w *jobqueue.Worker, refusals []*apiv1.RunRefusal, now time.Time) {
+// recordRefusals tells the planner of starts that were refused, each once.
+func (d *Dispatcher) recordRefusals(l *leaderState, w *jobqueue.Worker, refusals []*apiv1.RunRefusal, now time.Time) {
 	for _, refusal := range refusals {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(refusal.Task), Number: refusal.Run}
-		if w.Runs[id] == nil || l.refusalsLearnt[id] {
+		if w.Runs[id] == nil || l.refusalsRecorded[id] {
 			continue
 		}
-		l.refusalsLearnt[id] = true
-		d.meters.refused.Inc(1)
-		d.count("dispatch.starts_refused", refusal.Reason)
-		l.planner.StartRefused(schedule.Refusal{
-			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, Unable: unable(refusal.Reason),
+		l.refusalsRecorded[id] = true
+		d.metrics.refused.Inc(1)
+		d.countByKind("dispatch.starts_refused", refusal.Reason)
+		l.planner.RecordRefusal(schedule.RefusedStart{
+			Step: id.Task.StepID(), Worker: w.Spec.Id, At: now, WorkerUnavailable: workerUnable(refusal.Reason),
 		})
 		event.StartRefused.Write(d.logger, event.Worker(w.Spec.Id), event.Reason(refusal.Reason), event.Task(id.Task),
 			event.Run(id.Number))
 	}
 }
 
-// unable reports whether a refusal says that the worker can take no task for now.
-func unable(reason string) bool {
-	return reason == jobqueue.RefusedForRoom || reason == jobqueue.RefusedUnwilling
+// workerUnable reports whether a refusal says that the worker can take no task for now.
+func workerUnable(reason string) bool {
+	return reason == jobqueue.RefusedNoCapacity || reason == jobqueue.RefusedUnwilling
 }
 
-// endName is a kind of end in logs.
-func endName(k apiv1.RunEndKind) string {
+// endKindName is a kind of end in logs.
+func endKindName(k apiv1.RunEndKind) string {
 	return strings.ToLower(strings.TrimPrefix(k.String(), "RUN_END_KIND_"))
 }
 
 // reportCommand returns what of a report the log does not hold yet.
-func (l *leadership) reportCommand(m *jobqueue.Machine, r *apiv1.JobsReportRequest) *apiv1.ReportWorker {
+func (l *leaderState) reportCommand(m *jobqueue.Machine, r *apiv1.JobsReportRequest) *apiv1.ReportWorker {
 	w := m.Worker(r.Worker.GetId())
 	command := &apiv1.ReportWorker{Worker: r.Worker, Refusals: r.Refusals, Departed: r.Departed}
-	if crashed, worked := l.crashOf(m, r); crashed != nil {
+	if crashed, worked := l.reportedCrash(m, r); crashed != nil {
 		command.Crash = &apiv1.WorkerCrash{Worked: worked}
 	}
 	if w == nil {
 		command.Ends = r.Ends
-		command.Checkpoints = l.checkpoints(m.WorkerOf(r.Worker.GetHost()))
+		command.Checkpoints = l.checkpoints(m.WorkerOnHost(r.Worker.GetHost()))
 		return command
 	}
 	for _, e := range r.Ends {
@@ -223,7 +223,7 @@
 	if r.Departed {
 		command.Checkpoints = l.checkpoints(w)
 	}
-	same := proto.Equal(w.Spec, r.Worker) && len(w.GivenUp()) == 0
+	same := proto.Equal(w.Spec, r.Worker) && len(w.LostRuns()) == 0
 	if same && !r.Departed && len(command.Ends)+len(command.Refusals) == 0 {
 		return nil
 	}
--- a/dispatch/reportorder_test.go
+++ b/dispatch/reportorder_test.go
@@ -39,13 +39,13 @@
 
 // Symptom: the leader's memory grows with each restart of an agent. Cause: sessions that
 // are remembered for good.
-func TestFormerSessionsAreBounded(t *testing.T) {
+func TestPreviousSessionsAreBounded(t *testing.T) {
 	order, m := newReportOrder(), jobqueue.New()
-	for session := range uint64(10 * maxFormerSessions) {
+	for session := range uint64(10 * maxPreviousSessions) {
 		order.outdated(m, &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{Id: "w1"}, Session: session + 1, Sequence: 1})
 	}
-	if n := len(order.byWorker["w1"].former); n > maxFormerSessions {
-		t.Errorf("%d former sessions are remembered, at most %d", n, maxFormerSessions)
+	if n := len(order.byWorker["w1"].previous); n > maxPreviousSessions {
+		t.Errorf("%d former sessions are remembered, at most %d", n, maxPreviousSessions)
 	}
 }
 
@@ -54,7 +54,7 @@
 // Sequence: an agent is cut off, so that no report of its session arrives; it is restarted,
 // and the new session is heard; then the network delivers a report of the old one.
 // Cause: a session that is heard of for the first time counts as newer than the one before.
-func TestSessionThatIsHeardOfLateIsTheOlderOne(t *testing.T) {
+func TestSessionFirstReportedLateIsOutdated(t *testing.T) {
 	order, m := newReportOrder(), jobqueue.New()
 	for i, step := range []struct {
 		session, began, sequence uint64
--- a/dispatch/runlog.go
+++ b/dispatch/runlog.go
@@ -12,146 +12,146 @@
 )
 
 const (
-	// runLogInterval is the time that starts and ends are gathered for one line.
-	runLogInterval = time.Second
-	// runLogMost is the number of starts and ends that one line names at most, so that
+	// logBatchInterval is the time that starts and ends are gathered for one line.
+	logBatchInterval = time.Second
+	// maxLogBatchEntries is the number of starts and ends that one line names at most, so that
 	// a line stays below some 10 kB.
-	runLogMost = 200
+	maxLogBatchEntries = 200
 )
 
-// runLog gathers what routinely happens into lines of an interval: starts, and ends
+// batchedLog gathers what routinely happens into lines of an interval: starts, and ends
 // without a failure, by worker; steps that wait by what rules the workers out.
 //
 // What goes wrong without it: a busy leader writes little but two lines for each run.
 // Whoever has only the end of its log then sees seconds of starts, and not the line that
 // says when leadership, a worker or the configuration changed.
-type runLog struct {
-	logger  *zap.Logger
-	began   time.Time
-	count   int
-	started map[string][]gatheredRun
-	// longRunning are the started runs of long-running steps.
-	longRunning map[string][]gatheredRun
-	ended       map[string][]gatheredRun
-	waits       map[string][]gatheredWait
-	tails       map[string][]gatheredTail
-	// over are the jobs that came to an end, by the path of their queue.
-	over map[string][]gatheredJob
-}
-
-// gatheredTail is a serving run whose tail is over its objective, in percent of it.
-type gatheredTail struct {
-	run     gatheredRun
+type batchedLog struct {
+	logger     *zap.Logger
+	startedAt  time.Time
+	entryCount int
+	starts     map[string][]runEntry
+	// longRunningStarts are the started runs of long-running steps.
+	longRunningStarts map[string][]runEntry
+	ends              map[string][]runEntry
+	waits             map[string][]waitEntry
+	objectiveMisses   map[string][]objectiveMissEntry
+	// finishedJobs are the jobs that came to an end, by the path of their queue.
+	finishedJobs map[string][]finishedJobEntry
+}
+
+// objectiveMissEntry is a serving run whose tail is over its objective, in percent of it.
+type objectiveMissEntry struct {
+	run     runEntry
 	percent int64
 }
 
-// gatheredJob is a job that came to an end: how, after which time, and within which it
+// finishedJobEntry is a job that came to an end: how, after which time, and within which it
 // should have.
-type gatheredJob struct {
+type finishedJobEntry struct {
 	id            string
-	how           string
+	outcome       string
 	took, allowed time.Duration
 	at            time.Time
 }
 
-// gatheredWait is a step whose tasks found no worker.
-type gatheredWait struct {
-	wait   schedule.Wait
+// waitEntry is a step whose tasks found no worker.
+type waitEntry struct {
+	wait   schedule.UnplacedStep
 	waited time.Duration
 	at     time.Time
 }
 
-// gatheredRun is a run and when it started or ended.
-type gatheredRun struct {
+// runEntry is a run and when it started or ended.
+type runEntry struct {
 	id jobqueue.RunID
 	at time.Time
 }
 
-func newRunLog(logger *zap.Logger) *runLog {
-	return &runLog{
-		logger: logger, started: map[string][]gatheredRun{}, longRunning: map[string][]gatheredRun{},
-		ended: map[string][]gatheredRun{}, waits: map[string][]gatheredWait{},
-		tails: map[string][]gatheredTail{}, over: map[string][]gatheredJob{},
+func newBatchedLog(logger *zap.Logger) *batchedLog {
+	return &batchedLog{
+		logger: logger, starts: map[string][]runEntry{}, longRunningStarts: map[string][]runEntry{},
+		ends: map[string][]runEntry{}, waits: map[string][]waitEntry{},
+		objectiveMisses: map[string][]objectiveMissEntry{}, finishedJobs: map[string][]finishedJobEntry{},
 	}
 }
 
-func (g *runLog) start(term uint64, worker string, id jobqueue.RunID, now time.Time) {
-	g.started[worker] = append(g.started[worker], gatheredRun{id, now})
-	g.gathered(term, now)
+func (g *batchedLog) addStart(term uint64, worker string, id jobqueue.RunID, now time.Time) {
+	g.starts[worker] = append(g.starts[worker], runEntry{id, now})
+	g.entryAdded(term, now)
 }
 
-func (g *runLog) startLongRunning(term uint64, worker string, id jobqueue.RunID, now time.Time) {
-	g.longRunning[worker] = append(g.longRunning[worker], gatheredRun{id, now})
-	g.gathered(term, now)
+func (g *batchedLog) addLongRunningStart(term uint64, worker string, id jobqueue.RunID, now time.Time) {
+	g.longRunningStarts[worker] = append(g.longRunningStarts[worker], runEntry{id, now})
+	g.entryAdded(term, now)
 }
 
-func (g *runLog) tailOver(term uint64, worker string, id jobqueue.RunID, percent int64, now time.Time) {
-	g.tails[worker] = append(g.tails[worker], gatheredTail{gatheredRun{id, now}, percent})
-	g.gathered(term, now)
+func (g *batchedLog) addObjectiveMiss(term uint64, worker string, id jobqueue.RunID, percent int64, now time.Time) {
+	g.objectiveMisses[worker] = append(g.objectiveMisses[worker], objectiveMissEntry{runEntry{id, now}, percent})
+	g.entryAdded(term, now)
 }
 
-func (g *runLog) jobOver(term uint64, path string, j gatheredJob) {
-	g.over[path] = append(g.over[path], j)
-	g.gathered(term, j.at)
+func (g *batchedLog) addFinishedJob(term uint64, path string, j finishedJobEntry) {
+	g.finishedJobs[path] = append(g.finishedJobs[path], j)
+	g.entryAdded(term, j.at)
 }
 
-func (g *runLog) end(term uint64, worker string, id jobqueue.RunID, now time.Time) {
-	g.ended[worker] = append(g.ended[worker], gatheredRun{id, now})
-	g.gathered(term, now)
+func (g *batchedLog) addEnd(term uint64, worker string, id jobqueue.RunID, now time.Time) {
+	g.ends[worker] = append(g.ends[worker], runEntry{id, now})
+	g.entryAdded(term, now)
 }
 
-func (g *runLog) wait(term uint64, w schedule.Wait, waited time.Duration, now time.Time) {
-	why := w.Why()
-	g.waits[why] = append(g.waits[why], gatheredWait{w, waited, now})
-	g.gathered(term, now)
+func (g *batchedLog) addWait(term uint64, w schedule.UnplacedStep, waited time.Duration, now time.Time) {
+	why := w.ReasonSummary()
+	g.waits[why] = append(g.waits[why], waitEntry{w, waited, now})
+	g.entryAdded(term, now)
 }
 
-func (g *runLog) gathered(term uint64, now time.Time) {
-	if g.count == 0 {
-		g.began = now
+func (g *batchedLog) entryAdded(term uint64, now time.Time) {
+	if g.entryCount == 0 {
+		g.startedAt = now
 	}
-	g.count++
-	if g.count >= runLogMost {
-		g.write(term, now)
+	g.entryCount++
+	if g.entryCount >= maxLogBatchEntries {
+		g.flush(term, now)
 	}
 }
 
-// tick writes what is due.
-func (g *runLog) tick(term uint64, now time.Time) {
-	if g.count > 0 && now.Sub(g.began) >= runLogInterval {
-		g.write(term, now)
+// flushIfDue writes what is due.
+func (g *batchedLog) flushIfDue(term uint64, now time.Time) {
+	if g.entryCount > 0 && now.Sub(g.startedAt) >= logBatchInterval {
+		g.flush(term, now)
 	}
 }
 
-// write writes what was gathered.
-func (g *runLog) write(term uint64, now time.Time) {
-	if g.count == 0 {
+// flush writes what was gathered.
+func (g *batchedLog) flush(term uint64, now time.Time) {
+	if g.entryCount == 0 {
 		return
 	}
-	if len(g.started)+len(g.longRunning)+len(g.ended) > 0 {
-		event.RunsRoutine.Write(g.logger, event.Term(term), event.Started(named(g.started, now)),
-			event.LongRunning(named(g.longRunning, now)), event.Ended(named(g.ended, now)))
+	if len(g.starts)+len(g.longRunningStarts)+len(g.ends) > 0 {
+		event.RunsRoutine.Write(g.logger, event.Term(term), event.Started(formatRuns(g.starts, now)),
+			event.LongRunning(formatRuns(g.longRunningStarts, now)), event.Ended(formatRuns(g.ends, now)))
 	}
 	if len(g.waits) > 0 {
-		event.TasksWait.Write(g.logger, event.Term(term), event.Waits(namedWaits(g.waits, now)))
+		event.TasksWait.Write(g.logger, event.Term(term), event.Waits(formatWaits(g.waits, now)))
 	}
-	if len(g.tails) > 0 {
-		event.TailsOver.Write(g.logger, event.Term(term), event.Tails(namedTails(g.tails, now)))
+	if len(g.objectiveMisses) > 0 {
+		event.TailsOver.Write(g.logger, event.Term(term), event.Tails(formatObjectiveMisses(g.objectiveMisses, now)))
 	}
-	if len(g.over) > 0 {
-		event.JobsOver.Write(g.logger, event.Term(term), event.Jobs(namedJobs(g.over, now)))
+	if len(g.finishedJobs) > 0 {
+		event.JobsOver.Write(g.logger, event.Term(term), event.Jobs(formatFinishedJobs(g.finishedJobs, now)))
 	}
-	clear(g.started)
-	clear(g.longRunning)
-	clear(g.ended)
+	clear(g.starts)
+	clear(g.longRunningStarts)
+	clear(g.ends)
 	clear(g.waits)
-	clear(g.tails)
-	clear(g.over)
-	g.count = 0
+	clear(g.objectiveMisses)
+	clear(g.finishedJobs)
+	g.entryCount = 0
 }
 
-// named writes each run as "TASK RUN AGE", the age in milliseconds.
-func named(runs map[string][]gatheredRun, now time.Time) map[string][]string {
+// formatRuns writes each run as "TASK RUN AGE", the age in milliseconds.
+func formatRuns(runs map[string][]runEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(runs))
 	for worker, list := range runs {
 		for _, r := range list {
@@ -161,8 +161,8 @@
 	return lists
 }
 
-// namedWaits writes each step as "STEP TASKS WAITED AGE", both times in milliseconds.
-func namedWaits(waits map[string][]gatheredWait, now time.Time) map[string][]string {
+// formatWaits writes each step as "STEP TASKS WAITED AGE", both times in milliseconds.
+func formatWaits(waits map[string][]waitEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(waits))
 	for why, list := range waits {
 		for _, w := range list {
@@ -173,8 +173,8 @@
 	return lists
 }
 
-// namedTails writes each run as "TASK RUN PERCENT AGE", the age in milliseconds.
-func namedTails(tails map[string][]gatheredTail, now time.Time) map[string][]string {
+// formatObjectiveMisses writes each run as "TASK RUN PERCENT AGE", the age in milliseconds.
+func formatObjectiveMisses(tails map[string][]objectiveMissEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(tails))
 	for worker, list := range tails {
 		for _, t := range list {
@@ -185,12 +185,12 @@
 	return lists
 }
 
-// namedJobs writes each job as "JOB HOW TOOK ALLOWED AGE", the times in milliseconds.
-func namedJobs(jobs map[string][]gatheredJob, now time.Time) map[string][]string {
+// formatFinishedJobs writes each job as "JOB HOW TOOK ALLOWED AGE", the times in milliseconds.
+func formatFinishedJobs(jobs map[string][]finishedJobEntry, now time.Time) map[string][]string {
 	lists := make(map[string][]string, len(jobs))
 	for path, list := range jobs {
 		for _, j := range list {
-			lists[path] = append(lists[path], fmt.Sprintf("%s %s %d %d %d", j.id, j.how, j.took.Milliseconds(),
+			lists[path] = append(lists[path], fmt.Sprintf("%s %s %d %d %d", j.id, j.outcome, j.took.Milliseconds(),
 				j.allowed.Milliseconds(), now.Sub(j.at).Milliseconds()))
 		}
 	}
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -27,8 +27,8 @@
 const (
 	simHost = "queues.example"
 	simPool = "pool"
-	// livesPerID is how many lives of a worker have one id.
-	livesPerID = 3
+	// incarnationsPerID is how many lives of a worker have one id.
+	incarnationsPerID = 3
 )
 
 // sim is a control host, workers and their agents in virtual time.
@@ -42,133 +42,133 @@
 	dispatcher *dispatch.Dispatcher
 	watch      *fakes.RunWatch
 	advisor    *fakes.Advisor
-	// fleetOf takes hosts down for their maintenance, where a test has waves.
-	fleetOf atomic.Pointer[fakes.Hosts]
-	// held are the orders that move hosts, with the term of the leader that gave them.
-	held []heldOrder
-	// lasting is the job whose tasks work until they are stopped.
-	lasting string
-	// demandTickets has the workers refuse advised steps without a valid ticket.
-	demandTickets bool
-	hosts         []*simSide
-	submitted     []*apiv1.JobSpec
-	calm          bool
-	mu            sync.Mutex
-	loops         sync.WaitGroup
-	// lines is what all parts logged, shown when something broke.
-	lines  *bytes.Buffer
-	logger *zap.Logger
+	// hostFleet takes hosts down for their maintenance, where a test has waves.
+	hostFleet atomic.Pointer[fakes.Hosts]
+	// moveOrders are the orders that move hosts, with the term of the leader that gave them.
+	moveOrders []moveOrder
+	// longRunningJob is the job whose tasks work until they are stopped.
+	longRunningJob string
+	// requireTickets has the workers refuse advised steps without a valid ticket.
+	requireTickets bool
+	hosts          []*simulatedHost
+	submitted      []*apiv1.JobSpec
+	faultFree      bool
+	mu             sync.Mutex
+	loops          sync.WaitGroup
+	// logBuffer is what all parts logged, shown when something broke.
+	logBuffer *bytes.Buffer
+	logger    *zap.Logger
 }
 
-// simSide is a worker's host: worker, agent and the link to the leader.
-type simSide struct {
+// simulatedHost is a worker's host: worker, agent and the link to the leader.
+type simulatedHost struct {
 	*runstest.Link
-	s      *sim
-	name   string
-	mu     sync.Mutex
-	worker *fakes.RunWorker
-	driver *runs.Driver
-	stop   context.CancelFunc
-	lives  int
-	rate   int64
-	labels []string
-	pool   string
-	// off: the host is switched off, so its worker announces nothing.
-	off bool
-	// reported is the last report of what the worker said.
-	reported *apiv1.JobsReportRequest
+	s            *sim
+	name         string
+	mu           sync.Mutex
+	worker       *fakes.RunWorker
+	driver       *runs.Driver
+	stop         context.CancelFunc
+	incarnations int
+	clockRatePPM int64
+	labels       []string
+	pool         string
+	// poweredOff: the host is switched off, so its worker announces nothing.
+	poweredOff bool
+	// lastReport is the last report of what the worker said.
+	lastReport *apiv1.JobsReportRequest
 }
 
-// newSimSide returns a host whose network holds some reports up when it is cut off.
-func newSimSide(s *sim, name string) *simSide {
-	h := &simSide{s: s, name: name, pool: simPool}
+// newSimulatedHost returns a host whose network holds some reports up when it is cut off.
+func newSimulatedHost(s *sim, name string) *simulatedHost {
+	h := &simulatedHost{s: s, name: name, pool: simPool}
 	h.Link = &runstest.Link{
 		Leader:  func() runstest.Leader { return s.dispatcher },
 		Context: func() context.Context { return s.ctx },
 		Go:      func(f func()) { s.loops.Go(f) }, Sleep: s.sleep, OrdersWait: 500 * time.Millisecond,
-		HeldUp:   func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
-		Late:     func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
-		OnReport: h.noteReport,
+		DelaysReport:  func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
+		DeliveryDelay: func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
+		OnReport:      h.recordReport,
 	}
 	return h
 }
 
-func (h *simSide) noteReport(r *apiv1.JobsReportRequest) {
+func (h *simulatedHost) recordReport(r *apiv1.JobsReportRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !r.Lapsed {
-		h.reported = r
+		h.lastReport = r
 	}
 }
 
-func (h *simSide) setPool(pool string) {
+func (h *simulatedHost) setPool(pool string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.pool, h.off = pool, false
+	h.pool, h.poweredOff = pool, false
 }
 
 // startWorker puts a new incarnation on the host.
-func (h *simSide) startWorker() {
+func (h *simulatedHost) startWorker() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.worker != nil {
 		h.worker.Crash()
 	}
-	h.lives++
+	h.incarnations++
 	// Most lives have the id of the one before.
-	life := jobqueue.Incarnation{WorkerID: fmt.Sprintf("%s-%d", h.name, h.lives/livesPerID), StartedMs: int64(h.lives)}
+	life := jobqueue.Incarnation{WorkerID: fmt.Sprintf("%s-%d", h.name, h.incarnations/incarnationsPerID), StartedMs: int64(h.incarnations)}
 	h.worker = fakes.NewRunWorker(&apiv1.JobWorker{
 		Id: life.Name(), Host: h.name, Pool: h.pool, CpuMilli: 4000, MemoryMb: 8000,
 		Labels: h.labels,
 	}, h.s.watch)
-	h.worker.ClockRatePPM = h.rate
-	h.worker.Fault = h.s.fault
-	if h.s.demandTickets {
+	h.worker.ClockRatePPM = h.clockRatePPM
+	h.worker.Fault = h.s.drawFault
+	if h.s.requireTickets {
 		h.worker.Advisor = h.s.advisor
 	}
-	h.worker.Duration = h.s.duration
+	h.worker.Duration = h.s.runDuration
 	h.worker.Fails = func(id jobqueue.RunID) bool { return id.Number == 1 && id.Task.Index == 3 }
 }
 
-func (h *simSide) startAgent() {
+func (h *simulatedHost) startAgent() {
 	ctx, cancel := context.WithCancel(h.s.ctx)
-	driver := runs.New(runs.Options{Host: h.name, Worker: workerOf{h}, Leader: h, Logger: h.s.logger})
+	driver := runs.New(runs.Options{Host: h.name, Worker: currentWorker{h}, Leader: h, Logger: h.s.logger})
 	h.mu.Lock()
 	h.driver, h.stop = driver, cancel
 	h.mu.Unlock()
-	h.Forget()
+	h.ForgetLeader()
 	h.s.loops.Go(func() { driver.Run(ctx) })
 }
 
-// workerOf calls whichever incarnation is on the host.
-type workerOf struct{ h *simSide }
+// currentWorker calls whichever incarnation is on the host.
+type currentWorker struct{ h *simulatedHost }
 
-func (w workerOf) now() *fakes.RunWorker {
+func (w currentWorker) current() *fakes.RunWorker {
 	w.h.mu.Lock()
 	defer w.h.mu.Unlock()
 	return w.h.worker
 }
 
-func (w workerOf) Start(ctx context.Context, o runs.Order, s runs.Start) (runs.Answer, error) {
-	return w.now().Start(ctx, o, s)
+func (w currentWorker) Start(ctx context.Context, o runs.Order, s runs.Start) (runs.Answer, error) {
+	return w.current().Start(ctx, o, s)
 }
 
-func (w workerOf) Stop(ctx context.Context, o runs.Order, id jobqueue.RunID) (runs.Answer, error) {
-	return w.now().Stop(ctx, o, id)
+func (w currentWorker) Stop(ctx context.Context, o runs.Order, id jobqueue.RunID) (runs.Answer, error) {
+	return w.current().Stop(ctx, o, id)
 }
 
-func (w workerOf) Pace(ctx context.Context, o runs.Order, id jobqueue.RunID, percent uint32) (runs.Answer, error) {
-	return w.now().Pace(ctx, o, id, percent)
+func (w currentWorker) Pace(ctx context.Context, o runs.Order, id jobqueue.RunID, percent uint32) (runs.Answer, error) {
+	return w.current().Pace(ctx, o, id, percent)
 }
 
-func (w workerOf) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
-	return w.now().Renew(ctx, o, r)
+func (w currentWorker) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
+	return w.current().Renew(ctx, o, r)
 }
 
 // announce has the worker tell its agent that it is there.
-func (h *simSide) announce(sequence uint64) {
+func (h *simulatedHost) announce(sequence uint64) {
 	h.mu.Lock()
-	worker, driver, off := h.worker, h.driver, h.off
+	worker, driver, off := h.worker, h.driver, h.poweredOff
 	h.mu.Unlock()
 	if off {
 		return
@@ -185,11 +185,11 @@
 	return s.rand.IntN(n)
 }
 
-// fault draws what goes wrong with a call of a worker.
-func (s *sim) fault(string) fakes.OrderFault {
+// drawFault draws what goes wrong with a call of a worker.
+func (s *sim) drawFault(string) fakes.OrderFault {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.calm {
+	if s.faultFree {
 		return fakes.OrderFault{}
 	}
 	switch p := s.rand.Float64(); {
@@ -201,8 +201,8 @@
 	return fakes.OrderFault{}
 }
 
-func (s *sim) duration(id jobqueue.TaskID) time.Duration {
-	if id.Job == s.lasting {
+func (s *sim) runDuration(id jobqueue.TaskID) time.Duration {
+	if id.Job == s.longRunningJob {
 		return 0
 	}
 	return time.Duration(300+100*(id.Index%7)) * time.Millisecond
@@ -211,9 +211,9 @@
 func newSim(ctx context.Context, t *testing.T, seed uint64, workers int) *sim {
 	s := &sim{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, watch: fakes.NewRunWatch()}
 	s.advisor = &fakes.Advisor{Decide: 20 * time.Millisecond, PerWorker: 5 * time.Millisecond, ValidFor: 2 * time.Second}
-	s.lines = &bytes.Buffer{}
+	s.logBuffer = &bytes.Buffer{}
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
-	s.logger = zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(s.lines)), zap.InfoLevel))
+	s.logger = zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(s.logBuffer)), zap.InfoLevel))
 	s.replica = control.NewReplica(control.Config{OnApplied: func() {
 		if s.dispatcher != nil {
 			s.dispatcher.Applied()
@@ -235,8 +235,8 @@
 		},
 	}}})
 	for i := range workers {
-		h := newSimSide(s, fmt.Sprintf("host%d", i))
-		h.rate = int64(i%3) * 10_000
+		h := newSimulatedHost(s, fmt.Sprintf("host%d", i))
+		h.clockRatePPM = int64(i%3) * 10_000
 		h.startWorker()
 		h.startAgent()
 		s.hosts = append(s.hosts, h)
@@ -270,11 +270,11 @@
 	controltest.Propose(s.ctx, s.t, s.replica, c)
 }
 
-// beCalm ends what goes wrong with calls of workers.
-func (s *sim) beCalm() {
+// stopFaults ends what goes wrong with calls of workers.
+func (s *sim) stopFaults() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calm = true
+	s.faultFree = true
 }
 
 // submitJob hands a job in; the judge of runs is told of it first.
@@ -294,14 +294,14 @@
 	s.submitJob(spec)
 }
 
-// trouble does one thing that goes wrong.
-func (s *sim) trouble() {
+// injectFault does one thing that goes wrong.
+func (s *sim) injectFault() {
 	h := s.hosts[s.intN(len(s.hosts))]
 	span := time.Duration(500+s.intN(8000)) * time.Millisecond
 	switch s.intN(4) {
 	case 0:
-		h.SetCut(true)
-		time.AfterFunc(span, func() { h.SetCut(false) })
+		h.SetPartitioned(true)
+		time.AfterFunc(span, func() { h.SetPartitioned(false) })
 	case 1:
 		h.mu.Lock()
 		worker := h.worker
@@ -336,28 +336,28 @@
 // come back, leaders follow one another, and orders are lost or carried out ten
 // seconds late.
 // Cause: any fault in leases, fencing, numbers of runs, ends or their order.
-func TestJobsUnderTrouble(t *testing.T) {
+func TestJobsUnderFaults(t *testing.T) {
 	// The library's goroutine for meters would else belong to the first test's time.
-	playSeeds(t, 60, 4, underTrouble)
+	runSeeds(t, 60, 4, runJobsUnderFaults)
 }
 
-func underTrouble(t *testing.T, s *sim, seed uint64) {
+func runJobsUnderFaults(t *testing.T, s *sim, seed uint64) {
 	s.sleep(3 * time.Second)
 	for i := range 12 {
 		s.submit(i)
 		if s.intN(2) == 0 {
-			s.trouble()
+			s.injectFault()
 		}
 		s.sleep(time.Duration(s.intN(1500)) * time.Millisecond)
 	}
-	s.endTrouble(seed)
+	s.stopFaultsAndCheck(seed)
 }
 
-// endTrouble has the calm return, and checks that all jobs end and nothing broke.
-func (s *sim) endTrouble(seed uint64) {
+// stopFaultsAndCheck has the calm return, and checks that all jobs end and nothing broke.
+func (s *sim) stopFaultsAndCheck(seed uint64) {
 	s.t.Helper()
 	t := s.t
-	s.beCalm()
+	s.stopFaults()
 	for i := 0; i < 600 && !s.finished(); i++ {
 		s.sleep(100 * time.Millisecond)
 	}
@@ -372,6 +372,6 @@
 		})
 	}
 	if t.Failed() {
-		t.Log(s.lines.String())
+		t.Log(s.logBuffer.String())
 	}
 }
--- a/dispatch/standing.go
+++ b/dispatch/standing.go
@@ -2,8 +2,8 @@
 
 import "github.com/cairnlift/cairnlift/state"
 
-// Standing sums up what the leader sees of workers and tasks.
-type Standing struct {
+// Status sums up what the leader sees of workers and tasks.
+type Status struct {
 	// Workers are known and may run tasks; Reachable are those of them that an order
 	// would reach soon.
 	Workers, Reachable int
@@ -11,15 +11,15 @@
 	Waiting int
 }
 
-// Standing returns zeros where this replica does not lead.
-func (d *Dispatcher) Standing() Standing {
+// Status returns zeros where this replica does not lead.
+func (d *Dispatcher) Status() Status {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l := d.ready()
+	l := d.readyLeader()
 	if l == nil {
-		return Standing{}
+		return Status{}
 	}
-	var s Standing
+	var s Status
 	now := d.opts.Now()
 	d.opts.Replica.ReadState(func(m *state.Machine) {
 		for _, w := range m.CallerJobs().Workers() {
--- a/dispatch/unlogged_test.go
+++ b/dispatch/unlogged_test.go
@@ -7,9 +7,9 @@
 )
 
 // Guards against a run that goes on though the log does not hold it: its task may run elsewhere too.
-func TestRunsThatTheLogDoesNotHoldAreStopped(t *testing.T) {
-	playLapse(t, func(r *lapseRig) {
-		r.expect(r.lapse(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
+func TestUnloggedRunsAreStopped(t *testing.T) {
+	runExpirySim(t, func(r *expiryHarness) {
+		r.expectExpiry(r.expiryReport(), apiv1.JobOutcome_JOB_OUTCOME_OK, 0)
 		r.renew()
 		if stops := r.orders().Stops; len(stops) != 1 || stops[0].Run != 1 {
 			t.Errorf("stops %v, want that of run 1", stops)
@@ -22,7 +22,7 @@
 	})
 }
 
-func (r *lapseRig) orders() *apiv1.JobsOrdersResponse {
+func (r *expiryHarness) orders() *apiv1.JobsOrdersResponse {
 	r.t.Helper()
 	resp, err := r.s.dispatcher.Orders(r.s.ctx, &apiv1.JobsOrdersRequest{Worker: "w1"})
 	if err != nil {
--- a/dispatch/waits.go
+++ b/dispatch/waits.go
@@ -10,28 +10,28 @@
 // waitLogInterval is the time between two notes on one step that waits.
 const waitLogInterval = 2 * time.Second
 
-// waitLogged is since when a step has waited in every round, and when the last line
+// loggedWait is since when a step has waited in every round, and when the last line
 // said so.
-type waitLogged struct{ since, at time.Time }
+type loggedWait struct{ since, loggedAt time.Time }
 
-// noteWaits counts and notes for the log the steps whose tasks found no worker; each step at
+// recordWaits counts and notes for the log the steps whose tasks found no worker; each step at
 // most once in an interval, since rounds come many times a second.
-func (d *Dispatcher) noteWaits(l *leadership, waits []schedule.Wait, now time.Time) {
+func (d *Dispatcher) recordWaits(l *leaderState, waits []schedule.UnplacedStep, now time.Time) {
 	l.waits = waits
 	tasks := 0
-	logged := map[jobqueue.StepID]waitLogged{}
+	logged := map[jobqueue.StepID]loggedWait{}
 	for _, w := range waits {
 		tasks += w.Tasks
-		wait, known := l.waitsLogged[w.Step]
+		wait, known := l.loggedWaits[w.Step]
 		if !known {
 			wait.since = now
 		}
-		if !known || now.Sub(wait.at) >= waitLogInterval {
-			wait.at = now
-			l.runLog.wait(l.term, w, now.Sub(wait.since), now)
+		if !known || now.Sub(wait.loggedAt) >= waitLogInterval {
+			wait.loggedAt = now
+			l.batchedLog.addWait(l.term, w, now.Sub(wait.since), now)
 		}
 		logged[w.Step] = wait
 	}
-	l.waitsLogged = logged
-	d.meters.waiting.Update(int64(tasks))
+	l.loggedWaits = logged
+	d.metrics.tasksWaiting.Update(int64(tasks))
 }
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -30,7 +30,7 @@
 
 // List implements dispatch.Hosts.
 func (h simHosts) List(ctx context.Context) (map[string]schedule.HostView, error) {
-	f := h.s.fleetOf.Load()
+	f := h.s.hostFleet.Load()
 	if f == nil {
 		return nil, errNoFleet
 	}
@@ -45,7 +45,7 @@
 
 // Maintain implements dispatch.Hosts.
 func (h simHosts) Maintain(ctx context.Context, term uint64, host string, wave uint64) (dispatch.HostAnswer, error) {
-	if f := h.s.fleetOf.Load(); f != nil {
+	if f := h.s.hostFleet.Load(); f != nil {
 		return f.Maintain(ctx, term, host, wave)
 	}
 	return 0, errNoFleet
@@ -53,18 +53,18 @@
 
 // Move implements dispatch.Hosts.
 func (h simHosts) Move(ctx context.Context, token uint64, host, pool string) (dispatch.HostAnswer, error) {
-	if f := h.s.fleetOf.Load(); f != nil {
-		h.s.noteHolder(host, token)
+	if f := h.s.hostFleet.Load(); f != nil {
+		h.s.recordMoveOrder(host, token)
 		return f.Move(ctx, token, host, pool)
 	}
 	return 0, errNoFleet
 }
 
-// fleet has the simulation's hosts go down and come back for their maintenance.
-func (s *sim) fleet() *fakes.Hosts {
-	f := &fakes.Hosts{Takes: 2 * time.Second, Fault: s.fault}
-	host := func(name string) *simSide {
-		return s.hosts[slices.IndexFunc(s.hosts, func(h *simSide) bool { return h.name == name })]
+// newFleet has the simulation's hosts go down and come back for their maintenance.
+func (s *sim) newFleet() *fakes.Hosts {
+	f := &fakes.Hosts{Takes: 2 * time.Second, Fault: s.drawFault}
+	host := func(name string) *simulatedHost {
+		return s.hosts[slices.IndexFunc(s.hosts, func(h *simulatedHost) bool { return h.name == name })]
 	}
 	f.Down = func(name string) {
 		h := host(name)
@@ -91,7 +91,7 @@
 	return f
 }
 
-func (h *simSide) incarnation() string {
+func (h *simulatedHost) incarnation() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.worker.Spec.Id
@@ -112,14 +112,14 @@
 // follow one another; orders to the platform get no answer and are carried out late.
 // Cause: an order that is forgotten with its leader or counted wrongly, or a host
 // that goes down before its tasks are elsewhere.
-func TestWavesUnderTrouble(t *testing.T) {
-	playSeeds(t, 30, 5, waveUnderTrouble)
+func TestWavesUnderFaults(t *testing.T) {
+	runSeeds(t, 30, 5, runWaveUnderFaults)
 }
 
-func waveUnderTrouble(t *testing.T, s *sim, seed uint64) {
-	s.lasting = "serving"
-	fleet := s.fleet()
-	s.fleetOf.Store(fleet)
+func runWaveUnderFaults(t *testing.T, s *sim, seed uint64) {
+	s.longRunningJob = "serving"
+	fleet := s.newFleet()
+	s.hostFleet.Store(fleet)
 	s.sleep(3 * time.Second)
 	job := servingJob()
 	s.submitJob(job)
@@ -134,10 +134,10 @@
 		}
 		s.sleep(time.Duration(500+s.intN(1500)) * time.Millisecond)
 	}
-	for i := 0; i < 900 && !s.waveOver(); i++ {
+	for i := 0; i < 900 && !s.waveFinished(); i++ {
 		s.sleep(100 * time.Millisecond)
 	}
-	if !s.waveOver() {
+	if !s.waveFinished() {
 		s.replica.ReadState(func(m *state.Machine) {
 			t.Errorf("seed %d: the wave is not over: %v", seed, m.CallerJobs().Wave(waveNumber).Record())
 		})
@@ -150,11 +150,11 @@
 			t.Errorf("seed %d: %s had no maintenance", seed, h.name)
 		}
 	}
-	s.endTrouble(seed)
+	s.stopFaultsAndCheck(seed)
 }
 
-func (s *sim) waveOver() bool {
+func (s *sim) waveFinished() bool {
 	over := false
-	s.replica.ReadState(func(m *state.Machine) { over = m.CallerJobs().Wave(waveNumber).Over() })
+	s.replica.ReadState(func(m *state.Machine) { over = m.CallerJobs().Wave(waveNumber).Finished() })
 	return over
 }
--- a/entry/admin_status.go
+++ b/entry/admin_status.go
@@ -131,7 +131,7 @@
 		ConfigurationVersion: v.ConfigurationVersion,
 		Ready:                v.Usable && !v.Info.GetLeaving(),
 		Leaving:              v.Info.GetLeaving(),
-		LastHeardMs:          now.Sub(v.Heard).Milliseconds(),
+		LastHeardMs:          now.Sub(v.LastHeard).Milliseconds(),
 	}
 }
 
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -23,7 +23,7 @@
 func (e *Entry) hear(hb *apiv1.HeartbeatRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	known := e.directory.Heard(e.now(), hb)
+	known := e.directory.RecordHeartbeat(e.now(), hb)
 	e.applyChanges()
 	return known
 }
@@ -84,7 +84,7 @@
 // Sync takes another entry's push of the agents it hears.
 func (e *Entry) Sync(_ context.Context, req *apiv1.SyncRequest) (*apiv1.SyncResponse, error) {
 	e.mu.Lock()
-	resend := e.directory.Receive(e.now(), req)
+	resend := e.directory.ApplySyncRequest(e.now(), req)
 	e.applyChanges()
 	e.peerSeen(req, !resend)
 	e.mu.Unlock()
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -60,7 +60,7 @@
 func (e *Entry) begin(r *request, c *route.Choice) begun {
 	r.sends++
 	r.Tried = append(r.Tried, c.Target.ID)
-	e.router.Sent(e.now(), &r.Request, c.Target.ID)
+	e.router.RecordSent(e.now(), &r.Request, c.Target.ID)
 	return begun{target: c.Target, number: r.sends}
 }
 
@@ -73,7 +73,7 @@
 // dispatchOne sends one attempt and tells the router its outcome.
 func (e *Entry) dispatchOne(ctx context.Context, r *request, b begun) attempt {
 	a := e.dispatch(ctx, r, b.target, b.number)
-	e.router.Settled(e.now(), route.Result{
+	e.router.RecordOutcome(e.now(), route.AttemptResult{
 		Request: &r.Request,
 		Target:  b.target.ID,
 		Outcome: a.outcome,
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -102,7 +102,7 @@
 	sent := e.now()
 	version := e.control.Configuration().GetVersion()
 	e.mu.Lock()
-	req, sequence := e.directory.Push(sent, peer.Name, version)
+	req, sequence := e.directory.BuildSyncRequest(sent, peer.Name, version)
 	e.mu.Unlock()
 	req.Entry = e.settings.Name
 	req.Address = e.settings.InternalAddress
@@ -116,7 +116,7 @@
 		return whole
 	}
 	e.mu.Lock()
-	e.directory.Acknowledged(peer.Name, sequence, resp)
+	e.directory.RecordSyncResponse(peer.Name, sequence, resp)
 	e.mu.Unlock()
 	if err := e.adoptFrom(sent, resp); err != nil {
 		if e.control.Configuration().GetVersion() != version {
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -8,7 +8,7 @@
 
 // applyChanges tells the router what the directory learnt. e.mu is held.
 func (e *Entry) applyChanges() {
-	for _, c := range e.directory.Changes() {
+	for _, c := range e.directory.TakeChanges() {
 		e.applyChange(c)
 	}
 }
@@ -18,7 +18,7 @@
 	now := e.now()
 	known := e.routed[name]
 	current := make(map[string]bool, len(c.Agent.GetTargets()))
-	if c.Usable && !c.Gone {
+	if c.Usable && !c.Removed {
 		for _, t := range c.Agent.GetTargets() {
 			id := targetID(name, t.GetName())
 			current[id] = true
@@ -31,7 +31,7 @@
 		}
 	}
 	e.routed[name] = current
-	if c.Gone {
+	if c.Removed {
 		delete(e.routed, name)
 	}
 }
--- a/fakes/advisor.go
+++ b/fakes/advisor.go
@@ -42,7 +42,7 @@
 var errNoAdvice = errors.New("advisor gives no answer")
 
 // Approve implements dispatch.Advisor.
-func (a *Advisor) Approve(ctx context.Context, q schedule.Question) (schedule.Advice, error) {
+func (a *Advisor) Approve(ctx context.Context, q schedule.AdviceRequest) (schedule.Advice, error) {
 	a.turn.Lock()
 	defer a.turn.Unlock()
 	select {
--- a/internal/routesim/cairnlift.go
+++ b/internal/routesim/cairnlift.go
@@ -150,7 +150,7 @@
 		return
 	}
 	t := w.byID[c.Target.ID]
-	f.r.Sent(w.time(), f.req, t.id)
+	f.r.RecordSent(w.time(), f.req, t.id)
 	f.open++
 	sent := w.now
 	settled := false
@@ -201,7 +201,7 @@
 	if r.reason == apiv1.Reason_REASON_SLOTS_FULL {
 		f.d.full++
 	}
-	f.r.Settled(w.time(), route.Result{
+	f.r.RecordOutcome(w.time(), route.AttemptResult{
 		Request: f.req, Target: t.id, Outcome: r.outcome, Reason: r.reason, Load: r.load, Latency: took,
 	})
 	if f.ended {
--- a/internal/slopes/probe_entry.go
+++ b/internal/slopes/probe_entry.go
@@ -28,12 +28,12 @@
 		for i := range n {
 			first := heartbeat(i, 0, 0)
 			first.Agent = agentInfo(i, targetsPerWorker)
-			d.Heard(epoch, first)
+			d.RecordHeartbeat(epoch, first)
 			beats = append(beats, heartbeat(i, leasesPerWorker, targetsPerWorker))
 		}
 		return cost(func() {
 			for _, hb := range beats {
-				d.Heard(epoch, hb)
+				d.RecordHeartbeat(epoch, hb)
 			}
 		})
 	})
@@ -63,7 +63,7 @@
 func (r *run) pushCosts() {
 	r.measure("push", "directory: building a steady push, by agents known; one in 38 is the sender's", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
-		return cost(func() { d.Push(epoch, entryName(1), configurationVersion) })
+		return cost(func() { d.BuildSyncRequest(epoch, entryName(1), configurationVersion) })
 	})
 	r.measure("receive", "directory: taking a steady push, by agents known; one in 38 is the sender's", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
@@ -73,21 +73,21 @@
 				hearWhole(from, i)
 			}
 		}
-		_, sequence := from.Push(epoch, entryName(0), configurationVersion)
-		from.Acknowledged(entryName(0), sequence, &apiv1.SyncResponse{})
-		req, _ := from.Push(epoch, entryName(0), configurationVersion)
+		_, sequence := from.BuildSyncRequest(epoch, entryName(0), configurationVersion)
+		from.RecordSyncResponse(entryName(0), sequence, &apiv1.SyncResponse{})
+		req, _ := from.BuildSyncRequest(epoch, entryName(0), configurationVersion)
 		req.Entry = entryName(1)
-		if d.Receive(epoch, req) {
+		if d.ApplySyncRequest(epoch, req) {
 			panic("the stand-in's directories agree")
 		}
-		return cost(func() { d.Receive(epoch, req) })
+		return cost(func() { d.ApplySyncRequest(epoch, req) })
 	})
 }
 
 func hearWhole(d *member.Directory, i int) {
 	hb := heartbeat(i, 0, 0)
 	hb.Agent = agentInfo(i, targetsPerWorker)
-	d.Heard(epoch, hb)
+	d.RecordHeartbeat(epoch, hb)
 }
 
 // newDirectory is entry 0's picture of n agents, spread over all entries.
@@ -101,9 +101,9 @@
 		for i := e; i < n; i += entries {
 			req.Agents = append(req.Agents, agentInfo(i, targetsPerWorker))
 		}
-		d.Receive(epoch, req)
+		d.ApplySyncRequest(epoch, req)
 	}
-	d.Changes()
+	d.TakeChanges()
 	return d
 }
 
@@ -115,8 +115,8 @@
 	for i := range n {
 		hearWhole(d, i)
 	}
-	_, sequence := d.Push(epoch, entryName(1), configurationVersion)
-	d.Acknowledged(entryName(1), sequence, &apiv1.SyncResponse{})
+	_, sequence := d.BuildSyncRequest(epoch, entryName(1), configurationVersion)
+	d.RecordSyncResponse(entryName(1), sequence, &apiv1.SyncResponse{})
 	return ownAgents{d}
 }
 
@@ -124,7 +124,7 @@
 func (d ownAgents) lagging() *apiv1.SyncRequest { return d.push(configurationVersion + 1) }
 
 func (d ownAgents) push(version uint64) *apiv1.SyncRequest {
-	req, _ := d.Push(epoch, entryName(1), version)
+	req, _ := d.BuildSyncRequest(epoch, entryName(1), version)
 	req.Entry, req.Address, req.AdminAddress = entryName(0), "10.0.0.17:7301", "10.0.0.17:7303"
 	req.AvailabilityZone = "sto-01"
 	return req
@@ -134,22 +134,22 @@
 func (d ownAgents) afterOneGone(agents int) *apiv1.SyncRequest {
 	other := member.New(member.DefaultConfig())
 	for i := range agents {
-		other.Receive(epoch, &apiv1.SyncRequest{Entry: entryName(0), Agents: []*apiv1.AgentInfo{agentInfo(i, targetsPerWorker)}})
+		other.ApplySyncRequest(epoch, &apiv1.SyncRequest{Entry: entryName(0), Agents: []*apiv1.AgentInfo{agentInfo(i, targetsPerWorker)}})
 	}
-	_, first := d.Push(epoch, entryName(1), configurationVersion)
-	d.Acknowledged(entryName(1), first, &apiv1.SyncResponse{})
-	later := epoch.Add(member.DefaultConfig().DirectFor + time.Second)
+	_, first := d.BuildSyncRequest(epoch, entryName(1), configurationVersion)
+	d.RecordSyncResponse(entryName(1), first, &apiv1.SyncResponse{})
+	later := epoch.Add(member.DefaultConfig().HomeTimeout + time.Second)
 	for i := 1; i < agents; i++ {
-		d.Heard(later, heartbeat(i, 0, 0))
+		d.RecordHeartbeat(later, heartbeat(i, 0, 0))
 	}
 	d.Tick(later)
 	for {
-		req, sequence := d.Push(later, entryName(1), configurationVersion)
+		req, sequence := d.BuildSyncRequest(later, entryName(1), configurationVersion)
 		req.Entry = entryName(0)
-		if !other.Receive(later, req) {
+		if !other.ApplySyncRequest(later, req) {
 			return req
 		}
-		d.Acknowledged(entryName(1), sequence, &apiv1.SyncResponse{Resend: true})
+		d.RecordSyncResponse(entryName(1), sequence, &apiv1.SyncResponse{Resend: true})
 	}
 }
 
@@ -159,7 +159,7 @@
 		hb := heartbeat(i, 0, 0)
 		hb.Agent = agentInfo(i, targetsPerWorker)
 		hb.Agent.Revision++
-		d.Heard(epoch, hb)
+		d.RecordHeartbeat(epoch, hb)
 	}
 	return d.push(configurationVersion)
 }
@@ -207,8 +207,8 @@
 	if !ok {
 		panic("an idle service has a target")
 	}
-	rt.Sent(now, req, choice.Target.ID)
-	rt.Settled(now, route.Result{
+	rt.RecordSent(now, req, choice.Target.ID)
+	rt.RecordOutcome(now, route.AttemptResult{
 		Request: req, Target: choice.Target.ID, Outcome: apiv1.Outcome_OUTCOME_ANSWERED,
 		Load: &apiv1.Load{InFlight: 2, Slots: 8, MeanResponseUs: 41_000}, Latency: 40 * time.Millisecond,
 	})
--- a/jobapi/client.go
+++ b/jobapi/client.go
@@ -41,14 +41,14 @@
 	HTTP      *http.Client
 }
 
-// RefusedError is an answer that is not 200.
-type RefusedError struct {
+// StatusError is an answer that is not 200.
+type StatusError struct {
 	Status  int
 	Message string
 }
 
 // Error implements error.
-func (e *RefusedError) Error() string { return http.StatusText(e.Status) + ": " + e.Message }
+func (e *StatusError) Error() string { return http.StatusText(e.Status) + ": " + e.Message }
 
 // PutQueues submits a configuration, as JSON.
 func (c *Client) PutQueues(ctx context.Context, configuration []byte) error {
@@ -65,7 +65,7 @@
 // Read returns the state of a job, or what waits in a queue.
 func (c *Client) Read(ctx context.Context, host, path string) (Status, error) {
 	var s Status
-	body, err := c.call(ctx, http.MethodGet, at(host, path), nil)
+	body, err := c.call(ctx, http.MethodGet, jobURL(host, path), nil)
 	if err != nil {
 		return s, err
 	}
@@ -74,7 +74,7 @@
 
 // Cancel cancels a job.
 func (c *Client) Cancel(ctx context.Context, host, path string) error {
-	_, err := c.call(ctx, http.MethodDelete, at(host, path), nil)
+	_, err := c.call(ctx, http.MethodDelete, jobURL(host, path), nil)
 	return err
 }
 
@@ -125,7 +125,7 @@
 	return err
 }
 
-func at(host, path string) string {
+func jobURL(host, path string) string {
 	return jobsPath + "?" + url.Values{"host": {host}, "path": {path}}.Encode()
 }
 
@@ -135,8 +135,8 @@
 	err := errors.New("no address is named")
 	for _, address := range c.Addresses {
 		var answer []byte
-		answer, err = c.try(ctx, method, "http://"+address+path, body)
-		var refused *RefusedError
+		answer, err = c.callAddress(ctx, method, "http://"+address+path, body)
+		var refused *StatusError
 		if err == nil || errors.As(err, &refused) && refused.Status < http.StatusInternalServerError {
 			return answer, err
 		}
@@ -144,7 +144,7 @@
 	return nil, err
 }
 
-func (c *Client) try(ctx context.Context, method, target string, body []byte) ([]byte, error) {
+func (c *Client) callAddress(ctx context.Context, method, target string, body []byte) ([]byte, error) {
 	r, err := http.NewRequestWithContext(ctx, method, target, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
@@ -165,5 +165,5 @@
 	if json.Unmarshal(answer, &refusal) != nil {
 		refusal.Error = string(answer)
 	}
-	return nil, &RefusedError{Status: resp.StatusCode, Message: refusal.Error}
+	return nil, &StatusError{Status: resp.StatusCode, Message: refusal.Error}
 }
--- a/jobapi/jobapi.go
+++ b/jobapi/jobapi.go
@@ -103,8 +103,8 @@
 	return errors.Wrap(protojson.Unmarshal(body, m), "body")
 }
 
-// accept reads and checks a message; a mistake is answered and false returned.
-func accept(w http.ResponseWriter, r *http.Request, m proto.Message, check func() error) bool {
+// decodeValid reads and checks a message; a mistake is answered and false returned.
+func decodeValid(w http.ResponseWriter, r *http.Request, m proto.Message, check func() error) bool {
 	err := decode(r, m)
 	if err == nil {
 		err = check()
@@ -117,7 +117,7 @@
 
 func (h handler) putQueues(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	c := &apiv1.QueueConfiguration{}
-	if !accept(w, r, c, func() error { return jobqueue.Validate(c) }) {
+	if !decodeValid(w, r, c, func() error { return jobqueue.Validate(c) }) {
 		return
 	}
 	if len(c.Document) == 0 {
@@ -147,7 +147,7 @@
 
 func (h handler) submit(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	spec := &apiv1.JobSpec{}
-	if !accept(w, r, spec, func() error { return jobqueue.ValidateJob(spec) }) {
+	if !decodeValid(w, r, spec, func() error { return jobqueue.ValidateJob(spec) }) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -156,8 +156,8 @@
 	writeOutcome(w, outcome, err)
 }
 
-// place is the job or queue that a request names.
-func place(r *http.Request) (host, path, id string) {
+// requestedJob is the job or queue that a request names.
+func requestedJob(r *http.Request) (host, path, id string) {
 	q := r.URL.Query()
 	host, path = q.Get("host"), q.Get("path")
 	return host, path, path[strings.LastIndexByte(path, '/')+1:]
@@ -166,7 +166,7 @@
 func (h handler) read(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	host, path, id := place(r)
+	host, path, id := requestedJob(r)
 	q := &apiv1.JobsReadRequest{Kind: apiv1.JobsReadKind_JOBS_READ_KIND_JOB, Host: host, Path: path, Id: id}
 	if id == "" {
 		q.Kind = apiv1.JobsReadKind_JOBS_READ_KIND_QUEUE
@@ -191,7 +191,7 @@
 func (h handler) cancel(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	host, path, id := place(r)
+	host, path, id := requestedJob(r)
 	outcome, err := h.Cancel(ctx, host, path, id)
 	writeOutcome(w, outcome, err)
 }
@@ -202,13 +202,13 @@
 	resp, err := h.Read(ctx, &apiv1.JobsReadRequest{
 		Kind: apiv1.JobsReadKind_JOBS_READ_KIND_EXPLANATION, Id: p.ByName("id"),
 	})
-	if found(w, resp, err) {
+	if readSucceeded(w, resp, err) {
 		writeMessage(w, resp.Explanation)
 	}
 }
 
-// found reports whether a read found what it asked for; else it is answered.
-func found(w http.ResponseWriter, resp *apiv1.JobsReadResponse, err error) bool {
+// readSucceeded reports whether a read found what it asked for; else it is answered.
+func readSucceeded(w http.ResponseWriter, resp *apiv1.JobsReadResponse, err error) bool {
 	switch {
 	case err != nil:
 		writeError(w, http.StatusServiceUnavailable, err.Error())
@@ -222,7 +222,7 @@
 
 func (h handler) putWave(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	wave := &apiv1.MaintenanceWave{}
-	if !accept(w, r, wave, func() error { return jobqueue.ValidateWave(wave) }) {
+	if !decodeValid(w, r, wave, func() error { return jobqueue.ValidateWave(wave) }) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
@@ -240,7 +240,7 @@
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	resp, err := h.Read(ctx, &apiv1.JobsReadRequest{Kind: apiv1.JobsReadKind_JOBS_READ_KIND_WAVE, Wave: number})
-	if found(w, resp, err) {
+	if readSucceeded(w, resp, err) {
 		writeMessage(w, resp.Wave)
 	}
 }
@@ -248,7 +248,7 @@
 func (h handler) getHosts(w http.ResponseWriter, r *http.Request, _ httprouter.Params) {
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
-	if resp, err := h.readHosts(ctx); found(w, resp, err) {
+	if resp, err := h.readHosts(ctx); readSucceeded(w, resp, err) {
 		writeMessage(w, &apiv1.JobsReadResponse{Hosts: resp.Hosts})
 	}
 }
@@ -266,13 +266,13 @@
 		}
 		return nil
 	}
-	if !accept(w, r, move, check) {
+	if !decodeValid(w, r, move, check) {
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 	defer cancel()
 	resp, err := h.readHosts(ctx)
-	if !found(w, resp, err) {
+	if !readSucceeded(w, resp, err) {
 		return
 	}
 	if !slices.ContainsFunc(resp.Hosts, func(listed *apiv1.HostRecord) bool { return listed.Host == move.Host }) {
@@ -294,9 +294,9 @@
 	_, _ = w.Write(data) // a reader that is gone needs no answer
 }
 
-// StatusOf is the HTTP status of an outcome and an error: 503 for what was not done
+// HTTPStatus is the HTTP status of an outcome and an error: 503 for what was not done
 // and never will be, 504 for what is in doubt.
-func StatusOf(o apiv1.JobOutcome, err error) int {
+func HTTPStatus(o apiv1.JobOutcome, err error) int {
 	var unavailable *control.UnavailableError
 	switch {
 	case errors.As(err, &unavailable):
@@ -329,7 +329,7 @@
 }
 
 func writeOutcome(w http.ResponseWriter, o apiv1.JobOutcome, err error) {
-	status := StatusOf(o, err)
+	status := HTTPStatus(o, err)
 	if status == http.StatusServiceUnavailable {
 		w.Header().Set("Retry-After", strconv.Itoa(int(retryAfter/time.Second)))
 	}
--- a/jobapi/jobapi_test.go
+++ b/jobapi/jobapi_test.go
@@ -13,38 +13,40 @@
 	"github.com/cairnlift/cairnlift/jobapi"
 )
 
-// group answers every command with the same outcome and error.
-type group struct {
+// fakeBackend answers every command with the same outcome and error.
+type fakeBackend struct {
 	outcome apiv1.JobOutcome
 	err     error
 	read    *apiv1.JobsReadResponse
 	calls   int
 }
 
-func (g *group) answer() (apiv1.JobOutcome, error) {
+func (g *fakeBackend) result() (apiv1.JobOutcome, error) {
 	g.calls++
 	return g.outcome, g.err
 }
 
-func (g *group) PutQueues(context.Context, *apiv1.QueueConfiguration) (apiv1.JobOutcome, error) {
-	return g.answer()
+func (g *fakeBackend) PutQueues(context.Context, *apiv1.QueueConfiguration) (apiv1.JobOutcome, error) {
+	return g.result()
 }
 
-func (g *group) Submit(context.Context, *apiv1.JobSpec) (apiv1.JobOutcome, error) { return g.answer() }
+func (g *fakeBackend) Submit(context.Context, *apiv1.JobSpec) (apiv1.JobOutcome, error) {
+	return g.result()
+}
 
-func (g *group) Cancel(context.Context, string, string, string) (apiv1.JobOutcome, error) {
-	return g.answer()
+func (g *fakeBackend) Cancel(context.Context, string, string, string) (apiv1.JobOutcome, error) {
+	return g.result()
 }
 
-func (g *group) PutWave(context.Context, *apiv1.MaintenanceWave) (apiv1.JobOutcome, error) {
-	return g.answer()
+func (g *fakeBackend) PutWave(context.Context, *apiv1.MaintenanceWave) (apiv1.JobOutcome, error) {
+	return g.result()
 }
 
-func (g *group) RequestMove(context.Context, *apiv1.RequestMove) (apiv1.JobOutcome, error) {
-	return g.answer()
+func (g *fakeBackend) RequestMove(context.Context, *apiv1.RequestMove) (apiv1.JobOutcome, error) {
+	return g.result()
 }
 
-func (g *group) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
+func (g *fakeBackend) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	return g.read, g.err
 }
 
@@ -53,7 +55,7 @@
 	goodJob    = `{"id":"a","host":"h","path":"/q/a","steps":[{"count":1}]}`
 )
 
-func serve(t *testing.T, g *group) *jobapi.Client {
+func newTestClient(t *testing.T, g *fakeBackend) *jobapi.Client {
 	s := httptest.NewServer(jobapi.Handler(g))
 	t.Cleanup(s.Close)
 	return &jobapi.Client{Addresses: []string{strings.TrimPrefix(s.URL, "http://")}, HTTP: s.Client()}
@@ -64,7 +66,7 @@
 	if err == nil {
 		return http.StatusOK
 	}
-	var refused *jobapi.RefusedError
+	var refused *jobapi.StatusError
 	if !errors.As(err, &refused) {
 		t.Fatal(err)
 	}
@@ -74,7 +76,7 @@
 // Symptom: a caller is told that its job was refused, and it runs.
 // Sequence: the fate of the submission is not known.
 // Cause: whatever goes wrong is answered as a refusal.
-func TestARefusalIsTrue(t *testing.T) {
+func TestStatusMatchesOutcome(t *testing.T) {
 	cases := []struct {
 		outcome apiv1.JobOutcome
 		err     error
@@ -90,16 +92,16 @@
 		{0, &control.UnknownError{Cause: "leadership was lost"}, 504},
 	}
 	for _, c := range cases {
-		client := serve(t, &group{outcome: c.outcome, err: c.err})
+		client := newTestClient(t, &fakeBackend{outcome: c.outcome, err: c.err})
 		if got := status(t, client.Submit(t.Context(), []byte(goodJob))); got != c.want {
 			t.Errorf("%v, %v: %d, want %d", c.outcome, c.err, got, c.want)
 		}
 	}
 }
 
-func TestMistakesAreNotPassedOn(t *testing.T) {
-	g := &group{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}
-	client := serve(t, g)
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
+	g := &fakeBackend{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}
+	client := newTestClient(t, g)
 	for _, bad := range []string{"", "[]", `{"id":"a"}`, strings.Replace(goodJob, `"count"`, `"cuont"`, 1)} {
 		if got := status(t, client.Submit(t.Context(), []byte(bad))); got != 400 {
 			t.Errorf("job %q: %d", bad, got)
@@ -119,7 +121,7 @@
 }
 
 func TestRead(t *testing.T) {
-	client := serve(t, &group{read: &apiv1.JobsReadResponse{
+	client := newTestClient(t, &fakeBackend{read: &apiv1.JobsReadResponse{
 		Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, State: apiv1.JobState_JOB_STATE_RUNNING, Pending: 3,
 	}})
 	if s, err := client.Read(t.Context(), "h", "/q/a"); err != nil || s.State != "running" || s.Pending != nil {
@@ -128,20 +130,20 @@
 	if s, err := client.Read(t.Context(), "h", "/q/"); err != nil || s.Pending == nil || *s.Pending != 3 {
 		t.Errorf("%+v, %v", s, err)
 	}
-	lost := serve(t, &group{err: errors.New("no leader")})
+	lost := newTestClient(t, &fakeBackend{err: errors.New("no leader")})
 	if _, err := lost.Read(t.Context(), "h", "/q/a"); status(t, err) != 503 {
 		t.Errorf("an unconfirmed read: %v", err)
 	}
 }
 
 func TestWaves(t *testing.T) {
-	g := &group{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, read: &apiv1.JobsReadResponse{
+	g := &fakeBackend{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, read: &apiv1.JobsReadResponse{
 		Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, Wave: &apiv1.WaveRecord{
 			Wave:  &apiv1.MaintenanceWave{Number: 3},
 			Hosts: []*apiv1.WaveHostRecord{{Host: "h1", State: apiv1.MaintenanceState_MAINTENANCE_STATE_BEGUN}},
 		},
 	}}
-	client := serve(t, g)
+	client := newTestClient(t, g)
 	const good = `{"number":3,"hosts":["h1"],"durationMs":1000,"cap":1}`
 	for _, bad := range []string{
 		"", `{"number":3}`, strings.Replace(good, `"cap":1`, `"cap":0`, 1), strings.Replace(good, `["h1"]`, `["h1","h1"]`, 1),
@@ -164,12 +166,12 @@
 }
 
 func TestHosts(t *testing.T) {
-	g := &group{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, read: &apiv1.JobsReadResponse{
+	g := &fakeBackend{outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, read: &apiv1.JobsReadResponse{
 		Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, Hosts: []*apiv1.HostRecord{
 			{Host: "h/1", Pool: "p", Up: true, Move: &apiv1.HostMove{State: apiv1.MoveState_MOVE_STATE_DONE}},
 		},
 	}}
-	client := serve(t, g)
+	client := newTestClient(t, g)
 	hosts, err := client.Hosts(t.Context())
 	if err != nil || len(hosts) != 1 || hosts[0].Pool != "p" || hosts[0].Move.State != apiv1.MoveState_MOVE_STATE_DONE {
 		t.Errorf("%v, %v", hosts, err)
@@ -201,13 +203,13 @@
 }
 
 func TestExplain(t *testing.T) {
-	g := &group{read: &apiv1.JobsReadResponse{
+	g := &fakeBackend{read: &apiv1.JobsReadResponse{
 		Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, Explanation: &apiv1.JobExplanation{
 			Job:   &apiv1.SubmittedJobRecord{State: apiv1.JobState_JOB_STATE_RUNNING},
 			Waits: []*apiv1.StepWait{{Step: 1, Tasks: 2, Workers: "memory 3"}},
 		},
 	}}
-	client := serve(t, g)
+	client := newTestClient(t, g)
 	e, err := client.Explain(t.Context(), "a")
 	if err != nil || e.Job.State != apiv1.JobState_JOB_STATE_RUNNING || e.Waits[0].Workers != "memory 3" {
 		t.Errorf("%v, %v", e, err)
--- a/jobclient/client.go
+++ b/jobclient/client.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// tryTimeout bounds one try: a control host that is frozen or cut off must not
+	// attemptTimeout bounds one try: a control host that is frozen or cut off must not
 	// use up a caller's time while an election, which takes about as long, already
 	// brings another leader. It is far above a commit, which takes some ten
 	// milliseconds.
-	tryTimeout = 600 * time.Millisecond
+	attemptTimeout = 600 * time.Millisecond
 	// refreshInterval is the time between questions for the list of control hosts.
 	refreshInterval = 2 * time.Second
 	dialTimeout     = 400 * time.Millisecond
@@ -49,13 +49,13 @@
 	logger    *zap.Logger
 	leader    *dependency.Watch
 
-	mu      sync.Mutex
-	clients map[string]apiv1.Jobs
+	mu          sync.Mutex
+	jobsClients map[string]apiv1.Jobs
 	// peers are the control hosts that are asked, in order.
 	peers []string
 	// directories are the hosts that only pass on what they heard of the group.
 	directories map[string]bool
-	contact     time.Time
+	lastContact time.Time
 }
 
 // New returns a client that starts from the seeds, internal addresses of control
@@ -65,11 +65,11 @@
 		DialTimeout: dialTimeout, IdleTimeout: idleTimeout, MaxIdlePerHost: maxIdlePerHost,
 	})}
 	f := control.NewForwarder(seeds, hc)
-	f.TryTimeout = tryTimeout
+	f.TryTimeout = attemptTimeout
 	return &Client{
 		seeds: slices.Clone(seeds), http: hc, forwarder: f, logger: event.JobClient.Named(logger),
-		leader:  dependency.New("leader", logger, nil),
-		clients: map[string]apiv1.Jobs{}, peers: slices.Clone(seeds), directories: map[string]bool{},
+		leader:      dependency.New("leader", logger, nil),
+		jobsClients: map[string]apiv1.Jobs{}, peers: slices.Clone(seeds), directories: map[string]bool{},
 	}
 }
 
@@ -94,46 +94,46 @@
 	defer cancel()
 	heard := false
 	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
-		resp, err := c.jobs(address).Members(ctx, &apiv1.JobsMembersRequest{})
+		resp, err := c.jobsClient(address).Members(ctx, &apiv1.JobsMembersRequest{})
 		if err != nil || len(resp.Addresses) == 0 {
 			return "", false
 		}
 		// A member of the group names itself too.
 		heard = slices.Contains(resp.Addresses, address)
 		if heard {
-			c.adopt(resp.Addresses)
+			c.setMembers(resp.Addresses)
 		} else {
-			c.follow(address, resp.Addresses)
+			c.addFromDirectory(address, resp.Addresses)
 		}
 		return "", heard
 	})
 	if !heard {
-		c.startOver()
+		c.restoreSeeds()
 	}
 }
 
-// adopt takes a list of members over. The seeds stay on it: should all members
+// setMembers takes a list of members over. The seeds stay on it: should all members
 // that this process knows be replaced while it is cut off, they lead back. Those
 // that are directories are left out until then: a request that they can't serve
 // would wait for its next try.
-func (c *Client) adopt(members []string) {
+func (c *Client) setMembers(members []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.contact = time.Now()
+	c.lastContact = time.Now()
 	seeds := slices.DeleteFunc(slices.Clone(c.seeds), func(a string) bool { return c.directories[a] })
 	c.setPeers(slices.Concat(members, seeds))
 }
 
-// follow adds the hosts that a directory told of to those that are asked.
-func (c *Client) follow(directory string, told []string) {
+// addFromDirectory adds the hosts that a directory told of to those that are asked.
+func (c *Client) addFromDirectory(directory string, told []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.directories[directory] = true
 	c.setPeers(slices.Concat(c.peers, told))
 }
 
-// startOver asks the seeds again, directories too, beside all others.
-func (c *Client) startOver() {
+// restoreSeeds asks the seeds again, directories too, beside all others.
+func (c *Client) restoreSeeds() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	clear(c.directories)
@@ -164,16 +164,16 @@
 func (c *Client) ContactAge() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.contact)
+	return time.Since(c.lastContact)
 }
 
-func (c *Client) jobs(address string) apiv1.Jobs {
+func (c *Client) jobsClient(address string) apiv1.Jobs {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	j := c.clients[address]
+	j := c.jobsClients[address]
 	if j == nil {
 		j = apiv1.NewJobsProtobufClient("http://"+address, c.http)
-		c.clients[address] = j
+		c.jobsClients[address] = j
 	}
 	return j
 }
@@ -182,26 +182,26 @@
 // not proposed and never will be), *control.UnknownError.
 func (c *Client) propose(ctx context.Context, cmd *apiv1.JobsCommand) (apiv1.JobOutcome, error) {
 	res, err := c.forwarder.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Jobs{Jobs: cmd}})
-	c.noteLeader(ctx, err)
+	c.recordLeaderResult(ctx, err)
 	if err != nil {
 		return apiv1.JobOutcome_JOB_OUTCOME_UNSPECIFIED, err
 	}
-	c.touch()
+	c.recordContact()
 	return res.Job, nil
 }
 
-// noteLeader takes in whether a leader answered. A caller that went away tells nothing.
-func (c *Client) noteLeader(ctx context.Context, err error) {
+// recordLeaderResult takes in whether a leader answered. A caller that went away tells nothing.
+func (c *Client) recordLeaderResult(ctx context.Context, err error) {
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	c.leader.Note(err)
 }
 
-func (c *Client) touch() {
+func (c *Client) recordContact() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.contact = time.Now()
+	c.lastContact = time.Now()
 }
 
 // Submit hands a job in; see propose for errors.
@@ -237,7 +237,7 @@
 func (c *Client) Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	var found *apiv1.JobsReadResponse
 	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
-		resp, err := c.jobs(address).Read(ctx, r)
+		resp, err := c.jobsClient(address).Read(ctx, r)
 		if err != nil || resp.Unconfirmed {
 			return "", false
 		}
@@ -245,31 +245,31 @@
 		return "", true
 	})
 	if found == nil {
-		c.noteLeader(ctx, ErrUnconfirmed)
+		c.recordLeaderResult(ctx, ErrUnconfirmed)
 		return nil, ErrUnconfirmed
 	}
-	c.noteLeader(ctx, nil)
-	c.touch()
+	c.recordLeaderResult(ctx, nil)
+	c.recordContact()
 	return found, nil
 }
 
 // ErrNoLeader says that no leader answered.
 var ErrNoLeader = errors.New("no leader answered")
 
-// fromLeader is an answer that only the leader gives in earnest.
-type fromLeader interface {
+// leaderResponse is an answer that only the leader gives in earnest.
+type leaderResponse interface {
 	GetNotLeader() bool
 	GetLeaderAddress() string
 }
 
-// askLeader looks for the leader with a call that any control host answers, and returns the
+// callLeader looks for the leader with a call that any control host answers, and returns the
 // leader's answer. Errors: ErrNoLeader.
-func askLeader[T fromLeader](ctx context.Context, c *Client, what string, call func(context.Context, apiv1.Jobs) (T, error)) (T, error) {
+func callLeader[T leaderResponse](ctx context.Context, c *Client, what string, call func(context.Context, apiv1.Jobs) (T, error)) (T, error) {
 	var found T
 	var answered bool
 	cause := ErrNoLeader
 	c.forwarder.Ask(ctx, true, func(ctx context.Context, address string) (string, bool) {
-		resp, err := call(ctx, c.jobs(address))
+		resp, err := call(ctx, c.jobsClient(address))
 		if err != nil {
 			cause = errors.Mark(errors.Wrapf(err, "%s %s", what, address), ErrNoLeader)
 			return "", false
@@ -282,16 +282,16 @@
 		return "", true
 	})
 	if !answered {
-		c.noteLeader(ctx, cause)
+		c.recordLeaderResult(ctx, cause)
 		return found, cause
 	}
-	c.noteLeader(ctx, nil)
+	c.recordLeaderResult(ctx, nil)
 	return found, nil
 }
 
 // Report carries a worker's report to the leader. Errors: ErrNoLeader.
 func (c *Client) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
-	return askLeader(ctx, c, "report to", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsReportResponse, error) {
+	return callLeader(ctx, c, "report to", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsReportResponse, error) {
 		return host.Report(ctx, r)
 	})
 }
@@ -299,7 +299,7 @@
 // CurrentOrders looks for the leader and returns its orders for a worker, without waiting
 // for any. Errors: ErrNoLeader.
 func (c *Client) CurrentOrders(ctx context.Context, worker string) (*apiv1.JobsOrdersResponse, error) {
-	return askLeader(ctx, c, "orders of", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
+	return callLeader(ctx, c, "orders of", func(ctx context.Context, host apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
 		return host.Orders(ctx, &apiv1.JobsOrdersRequest{Worker: worker})
 	})
 }
@@ -307,7 +307,7 @@
 // HostLease looks for the leader and returns which worker it holds on a host, and the number
 // of that worker's lease. Errors: ErrNoLeader.
 func (c *Client) HostLease(ctx context.Context, host string) (*apiv1.JobsOrdersResponse, error) {
-	return askLeader(ctx, c, "lease of", func(ctx context.Context, control apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
+	return callLeader(ctx, c, "lease of", func(ctx context.Context, control apiv1.Jobs) (*apiv1.JobsOrdersResponse, error) {
 		return control.Orders(ctx, &apiv1.JobsOrdersRequest{Host: host})
 	})
 }
@@ -322,7 +322,7 @@
 	ctx, cancel := context.WithTimeout(ctx, ordersTimeout)
 	defer cancel()
 	r.WaitMs = ordersWait.Milliseconds()
-	resp, err := c.jobs(address).Orders(ctx, r)
+	resp, err := c.jobsClient(address).Orders(ctx, r)
 	if err != nil {
 		return nil, errors.Wrap(err, "orders")
 	}
--- a/jobclient/client_test.go
+++ b/jobclient/client_test.go
@@ -16,21 +16,21 @@
 	"github.com/cairnlift/cairnlift/jobclient"
 )
 
-// moodyHost is a control host that confirms reads only while it leads.
-type moodyHost struct {
+// intermittentLeader is a control host that confirms reads only while it leads.
+type intermittentLeader struct {
 	apiv1.Jobs
 	leads atomic.Bool
 }
 
-func (h *moodyHost) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
+func (h *intermittentLeader) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	return &apiv1.JobsReadResponse{Unconfirmed: !h.leads.Load(), Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}, nil
 }
 
 // Symptom: an entry's log does not say from when to when it was without a leader.
 // Sequence: the group has no leader for some reads, then it has one.
 // Cause: only the calls that fail have lines, if any.
-func TestLostLeaderIsTold(t *testing.T) {
-	host := &moodyHost{}
+func TestLostLeaderIsLogged(t *testing.T) {
+	host := &intermittentLeader{}
 	server := httptest.NewServer(apiv1.NewJobsServer(host))
 	defer server.Close()
 	core, lines := observer.New(zapcore.InfoLevel)
--- a/jobclient/directory_test.go
+++ b/jobclient/directory_test.go
@@ -42,9 +42,9 @@
 // host serves on an address of its own. asked counts the calls other than those
 // for the members.
 type host struct {
-	address string
-	server  *httptest.Server
-	asked   atomic.Int64
+	address  string
+	server   *httptest.Server
+	requests atomic.Int64
 }
 
 // startHost serves what make returns for the host's address.
@@ -59,7 +59,7 @@
 	mux.Handle(cs.PathPrefix(), cs)
 	h.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != js.PathPrefix()+"Members" {
-			h.asked.Add(1)
+			h.requests.Add(1)
 		}
 		mux.ServeHTTP(w, r)
 	})
@@ -87,8 +87,8 @@
 	return h, c
 }
 
-// briefly bounds a question that nobody answers as one hopes.
-func briefly(t *testing.T) context.Context {
+// shortContext bounds a question that nobody answers as one hopes.
+func shortContext(t *testing.T) context.Context {
 	ctx, cancel := context.WithTimeout(t.Context(), 300*time.Millisecond)
 	t.Cleanup(cancel)
 	return ctx
@@ -111,7 +111,7 @@
 	if got := c.Addresses(); !slices.Equal(got, []string{leader.address}) {
 		t.Fatalf("knows %v, the leader is %s", got, leader.address)
 	}
-	if c.contact.IsZero() {
+	if c.lastContact.IsZero() {
 		t.Error("a member's answer is no contact")
 	}
 	if _, err := c.Submit(t.Context(), &apiv1.JobSpec{}); err != nil {
@@ -123,7 +123,7 @@
 	if _, err := c.Report(t.Context(), &apiv1.JobsReportRequest{}); err != nil {
 		t.Error(err)
 	}
-	if n := far.asked.Load() + near.asked.Load(); n != 0 {
+	if n := far.requests.Load() + near.requests.Load(); n != 0 {
 		t.Errorf("%d requests went to hosts that can serve none", n)
 	}
 }
@@ -131,14 +131,14 @@
 // Symptom: an entry says that it is ready, and refuses all that reaches it.
 // Sequence: two hosts without a replica tell each other what each heard of the
 // other; all members are gone. Cause: hearsay is taken for contact with the group.
-func TestDirectoryIsNoContactWithTheGroup(t *testing.T) {
+func TestDirectoryIsNotGroupContact(t *testing.T) {
 	one, oneClient := startDirectory(t)
 	two, twoClient := startDirectory(t, one.address)
-	oneClient.follow(two.address, []string{two.address})
+	oneClient.addFromDirectory(two.address, []string{two.address})
 	c := New([]string{one.address, two.address}, zap.NewNop())
 	for _, client := range []*Client{oneClient, twoClient, c} {
-		client.refresh(briefly(t))
-		if !client.contact.IsZero() {
+		client.refresh(shortContext(t))
+		if !client.lastContact.IsZero() {
 			t.Errorf("contact with a group that is not there; known: %v", client.Addresses())
 		}
 	}
@@ -148,17 +148,17 @@
 // the members; while they are out of reach, a host without a replica tells it a
 // list from before they were replaced. Cause: hearsay takes the place of what a
 // member told, or the seeds are not asked again.
-func TestOldHearsayForgetsNoMember(t *testing.T) {
+func TestStaleDirectoryListKeepsMembers(t *testing.T) {
 	second := startMember(t)
 	first := startMember(t, second.address)
 	directory, _ := startDirectory(t, "127.0.0.1:1")
 	c := New([]string{directory.address, first.address}, zap.NewNop())
 	c.refresh(t.Context())
-	c.adopt([]string{first.address, second.address})
+	c.setMembers([]string{first.address, second.address})
 	first.server.Close()
-	c.follow(directory.address, []string{"127.0.0.1:1"})
+	c.addFromDirectory(directory.address, []string{"127.0.0.1:1"})
 	second.server.Config.Handler = http.NotFoundHandler()
-	c.refresh(briefly(t))
+	c.refresh(shortContext(t))
 	for _, address := range []string{first.address, second.address, directory.address} {
 		if !slices.Contains(c.Addresses(), address) {
 			t.Errorf("%s is forgotten", address)
@@ -169,21 +169,21 @@
 // Symptom: a submission that nobody took gets "unknown" for an answer, and its
 // caller can't hand it in elsewhere. Sequence: only a host without a replica is in
 // reach. Cause: its answer leaves open whether the command was committed.
-func TestDirectoryLeavesNothingInDoubt(t *testing.T) {
+func TestDirectoryOutcomeIsCertain(t *testing.T) {
 	directory, _ := startDirectory(t)
 	c := New([]string{directory.address}, zap.NewNop())
-	_, err := c.Submit(briefly(t), &apiv1.JobSpec{})
+	_, err := c.Submit(shortContext(t), &apiv1.JobSpec{})
 	var unavailable *control.UnavailableError
 	if !errors.As(err, &unavailable) {
 		t.Errorf("submission: %v", err)
 	}
-	if _, err := c.Read(briefly(t), &apiv1.JobsReadRequest{}); !errors.Is(err, ErrUnconfirmed) {
+	if _, err := c.Read(shortContext(t), &apiv1.JobsReadRequest{}); !errors.Is(err, ErrUnconfirmed) {
 		t.Errorf("read: %v", err)
 	}
-	if _, err := c.Report(briefly(t), &apiv1.JobsReportRequest{}); !errors.Is(err, ErrNoLeader) {
+	if _, err := c.Report(shortContext(t), &apiv1.JobsReportRequest{}); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("report: %v", err)
 	}
-	if _, err := c.CurrentOrders(briefly(t), "w1"); !errors.Is(err, ErrNoLeader) {
+	if _, err := c.CurrentOrders(shortContext(t), "w1"); !errors.Is(err, ErrNoLeader) {
 		t.Errorf("orders: %v", err)
 	}
 	if c.forwarder.LeaderAddress() != "" {
@@ -206,7 +206,7 @@
 
 // Symptom: an agent that was restarted never learns the term. Sequence: it knows no leader,
 // and asks for its worker's orders. Cause: calls for orders go to the known leader only.
-func TestCurrentOrdersLookForTheLeader(t *testing.T) {
+func TestCurrentOrdersFindsLeader(t *testing.T) {
 	serve := func(leads bool) *host {
 		return startHost(t, func(string) (apiv1.Jobs, apiv1.Control) {
 			m := &leadingMember{leads: leads}
--- a/jobqueue/configuration.go
+++ b/jobqueue/configuration.go
@@ -48,26 +48,26 @@
 	}
 	if c.Version > m.configuration.Version {
 		m.configuration = c
-		m.failUsedUp()
+		m.failJobsWithoutAttempts()
 	}
 	return apiv1.JobOutcome_JOB_OUTCOME_OK
 }
 
-// failUsedUp fails the open jobs with a task that has failed as often as the configuration now
+// failJobsWithoutAttempts fails the open jobs with a task that has failed as often as the configuration now
 // lets it: it gets no run any more, and its job would stay open for good.
-func (m *Machine) failUsedUp() {
+func (m *Machine) failJobsWithoutAttempts() {
 	for _, j := range m.Active() {
 		if !j.Open() {
 			continue
 		}
-		if task, used := m.usedUp(j); used {
-			m.fail(j, task, apiv1.JobFailure_JOB_FAILURE_ATTEMPTS)
+		if task, used := m.taskWithoutAttempts(j); used {
+			m.failJob(j, task, apiv1.JobFailure_JOB_FAILURE_ATTEMPTS)
 		}
 	}
 }
 
-// usedUp returns a task of a job that has no attempts left.
-func (m *Machine) usedUp(j *Job) (TaskID, bool) {
+// taskWithoutAttempts returns a task of a job that has no attempts left.
+func (m *Machine) taskWithoutAttempts(j *Job) (TaskID, bool) {
 	for k, o := range j.Occurrences {
 		for i, s := range o.Steps {
 			for n, t := range s.Tasks {
--- a/jobqueue/covered_test.go
+++ b/jobqueue/covered_test.go
@@ -13,29 +13,29 @@
 // the count of covered tasks is compared with the tasks after each command, and after a
 // snapshot. Cause: an end of one of two runs, or of a run of a task that is done, that
 // changes the count twice or not at all.
-func TestCoveredCountsTasks(t *testing.T) {
+func TestScheduledCountMatchesTasks(t *testing.T) {
 	for seed := range int64(100) {
 		random := rand.New(rand.NewSource(seed))
-		m := coveredMachine(t)
+		m := scheduledMachine(t)
 		for range 60 {
 			randomCommand(m, random)
-			checkCovered(t, seed, m)
+			checkScheduled(t, seed, m)
 		}
 		restored, err := Restore(m.Snapshot(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkCovered(t, seed, restored)
+		checkScheduled(t, seed, restored)
 	}
 }
 
 const (
-	coveredJobs    = 4
-	coveredWorkers = 3
-	coveredTasks   = 4
+	scheduledJobs    = 4
+	scheduledWorkers = 3
+	scheduledTasks   = 4
 )
 
-func coveredMachine(t *testing.T) *Machine {
+func scheduledMachine(t *testing.T) *Machine {
 	t.Helper()
 	m := New()
 	commands := []*apiv1.JobsCommand{{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
@@ -44,14 +44,14 @@
 			Queues: []*apiv1.JobQueue{{Name: "q", Host: "h", PathPrefix: "/q/", Pool: "p", MaxAttempts: 3, Stretch: 2, TimeoutMs: 1000}},
 		},
 	}}}}
-	for i := range coveredWorkers {
-		commands = append(commands, reportOf(i, nil))
+	for i := range scheduledWorkers {
+		commands = append(commands, workerReport(i, nil))
 	}
-	for i := range coveredJobs {
+	for i := range scheduledJobs {
 		id := fmt.Sprint("j", i)
 		commands = append(commands, &apiv1.JobsCommand{Body: &apiv1.JobsCommand_Submit{Submit: &apiv1.SubmitJob{Spec: &apiv1.JobSpec{
 			Id: id, Host: "h", Path: "/q/" + id,
-			Steps: []*apiv1.JobStep{{Count: coveredTasks, CpuMilli: 1, MemoryMb: 1, AllowDuplicates: i%2 == 0}},
+			Steps: []*apiv1.JobStep{{Count: scheduledTasks, CpuMilli: 1, MemoryMb: 1, AllowDuplicates: i%2 == 0}},
 		}}}})
 	}
 	for _, c := range commands {
@@ -62,7 +62,7 @@
 	return m
 }
 
-func reportOf(worker int, end *apiv1.RunEnd) *apiv1.JobsCommand {
+func workerReport(worker int, end *apiv1.RunEnd) *apiv1.JobsCommand {
 	id := fmt.Sprint("w", worker)
 	r := &apiv1.ReportWorker{Worker: &apiv1.JobWorker{Id: id, Host: "host-" + id, Pool: "p", CpuMilli: 1000, MemoryMb: 1000}}
 	if end != nil {
@@ -72,11 +72,11 @@
 }
 
 func randomCommand(m *Machine, random *rand.Rand) {
-	worker := random.Intn(coveredWorkers)
+	worker := random.Intn(scheduledWorkers)
 	w := m.Worker(fmt.Sprint("w", worker))
-	task := TaskID{Job: fmt.Sprint("j", random.Intn(coveredJobs)), Index: uint32(random.Intn(coveredTasks))}
+	task := TaskID{Job: fmt.Sprint("j", random.Intn(scheduledJobs)), Index: uint32(random.Intn(scheduledTasks))}
 	plan := &apiv1.PlanRuns{Term: 1}
-	switch runs := w.SortedRuns(); {
+	switch runs := w.SortedRunIDs(); {
 	case random.Intn(12) == 0:
 		plan.Lapsed = []string{w.Spec.Id}
 	case len(runs) > 0 && random.Intn(2) == 0:
@@ -85,7 +85,7 @@
 			apiv1.RunEndKind_RUN_END_KIND_DONE, apiv1.RunEndKind_RUN_END_KIND_FAILED, apiv1.RunEndKind_RUN_END_KIND_STOPPED,
 		}
 		end := &apiv1.RunEnd{Sequence: w.Acknowledged + 1, Task: id.Task.Ref(), Run: id.Number, Kind: kinds[random.Intn(len(kinds))]}
-		m.Apply(reportOf(worker, end), 1, 1)
+		m.Apply(workerReport(worker, end), 1, 1)
 		return
 	default:
 		t, _ := m.task(task)
@@ -97,7 +97,7 @@
 	m.Apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Plan{Plan: plan}}, 1, 1)
 }
 
-func checkCovered(t *testing.T, seed int64, m *Machine) {
+func checkScheduled(t *testing.T, seed int64, m *Machine) {
 	t.Helper()
 	for _, j := range m.Active() {
 		for _, o := range j.Occurrences {
@@ -108,8 +108,8 @@
 						covered++
 					}
 				}
-				if s.covered != covered {
-					t.Fatalf("seed %d: job %s counts %d covered tasks of %d", seed, j.ID(), s.covered, covered)
+				if s.scheduled != covered {
+					t.Fatalf("seed %d: job %s counts %d covered tasks of %d", seed, j.ID(), s.scheduled, covered)
 				}
 			}
 		}
