--- a/schedule/fleetproperty_test.go
+++ b/schedule/fleetproperty_test.go
@@ -13,19 +13,19 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// longestWait is how long a long-running task may wait beside room for it twice over.
-const longestWait = 3 * time.Second
+// maxWait is how long a long-running task may wait beside room for it twice over.
+const maxWait = 3 * time.Second
 
 var fleetSeeds = flag.Int64("fleets.seeds", 0, "play this many random fleets for each property, in place of a few")
 
 const (
-	// fewFleets are played where none has failed yet, failedFleets hold all that have.
-	fewFleets    = 4
-	failedFleets = 20
+	// defaultFleets are played where none has failed yet, manyFleets hold all that have.
+	defaultFleets = 4
+	manyFleets    = 20
 )
 
-// fleetsToPlay returns the seeds of the fleets to play, with some that failed before.
-func fleetsToPlay(count int64, kept ...int64) []int64 {
+// fleetSeedsToRun returns the seeds of the fleets to play, with some that failed before.
+func fleetSeedsToRun(count int64, kept ...int64) []int64 {
 	if *fleetSeeds > 0 {
 		count = *fleetSeeds
 	}
@@ -37,49 +37,49 @@
 }
 
 // Guards against a long-running task that waits beside sound workers with room for it.
-func TestLongRunningTaskWithRoomIsNotKeptWaiting(t *testing.T) {
+func TestLongRunningTaskWithFreeCapacityStarts(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		faults fleetFaults
 		fleets int64
 		kept   []int64
 	}{
-		{"workers die", fleetFaults{}, fewFleets, nil},
-		{"workers are quiet or leave", fleetFaults{quiet: true, leaving: true}, fewFleets, nil},
-		{"queues are advised", fleetFaults{advised: true}, fewFleets, nil},
-		{"tasks fill", fleetFaults{fills: true}, failedFleets, nil},
-		{"a run fails in five minutes", fleetFaults{failing: 3}, fewFleets, nil},
-		{"a run fails in half a minute", fleetFaults{failing: 33}, fewFleets, nil},
-		{"a run fails in a hundred seconds, and none ends", fleetFaults{failing: 10, noBatch: true}, fewFleets, []int64{8}},
-		{"workers fail all they get for a while", fleetFaults{broken: true}, failedFleets, nil},
-		{"workers refuse starts", fleetFaults{refusing: true}, fewFleets, []int64{80, 136, 161}},
-		{"decisions come to nothing", fleetFaults{uncommitted: true}, fewFleets, nil},
+		{"workers die", fleetFaults{}, defaultFleets, nil},
+		{"workers are quiet or leave", fleetFaults{unreachable: true, leaving: true}, defaultFleets, nil},
+		{"queues are advised", fleetFaults{advised: true}, defaultFleets, nil},
+		{"tasks fill", fleetFaults{backfillSets: true}, manyFleets, nil},
+		{"a run fails in five minutes", fleetFaults{failuresPerMille: 3}, defaultFleets, nil},
+		{"a run fails in half a minute", fleetFaults{failuresPerMille: 33}, defaultFleets, nil},
+		{"a run fails in a hundred seconds, and none ends", fleetFaults{failuresPerMille: 10, noBatch: true}, defaultFleets, []int64{8}},
+		{"workers fail all they get for a while", fleetFaults{broken: true}, manyFleets, nil},
+		{"workers refuse starts", fleetFaults{refusing: true}, defaultFleets, []int64{80, 136, 161}},
+		{"decisions come to nothing", fleetFaults{uncommitted: true}, defaultFleets, nil},
 		{"all of these", fleetFaults{
-			quiet: true, leaving: true, advised: true, fills: true, failing: 33, broken: true, refusing: true, uncommitted: true,
-		}, failedFleets, nil},
+			unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true, refusing: true, uncommitted: true,
+		}, manyFleets, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			waits := newWaitJudge()
-			for _, seed := range fleetsToPlay(c.fleets, c.kept...) {
+			waits := newWaitChecker()
+			for _, seed := range fleetSeedsToRun(c.fleets, c.kept...) {
 				s := newFleetSim(t, seed, c.faults)
 				waits.begin(seed)
 				for range simSpan / simStep {
 					s.tick()
-					waits.look(s)
+					waits.check(s)
 				}
 			}
-			waits.tell(t)
+			waits.report(t)
 		})
 	}
 }
 
-// waitJudge finds the long-running tasks that wait beside room for them, and why.
-type waitJudge struct {
+// waitChecker finds the long-running tasks that wait beside room for them, and why.
+type waitChecker struct {
 	seed     int64
 	since    map[jobqueue.TaskID]time.Time
-	told     map[jobqueue.TaskID]bool
-	spells   int
+	reported map[jobqueue.TaskID]bool
+	waits    int
 	tooLong  int
 	longest  time.Duration
 	examples []string
@@ -88,42 +88,42 @@
 	reasons map[string]int
 }
 
-func newWaitJudge() *waitJudge { return &waitJudge{reasons: map[string]int{}} }
+func newWaitChecker() *waitChecker { return &waitChecker{reasons: map[string]int{}} }
 
-func (j *waitJudge) begin(seed int64) {
-	j.seed, j.since, j.told = seed, map[jobqueue.TaskID]time.Time{}, map[jobqueue.TaskID]bool{}
+func (j *waitChecker) begin(seed int64) {
+	j.seed, j.since, j.reported = seed, map[jobqueue.TaskID]time.Time{}, map[jobqueue.TaskID]bool{}
 }
 
-// look judges the state after a decision was applied.
-func (j *waitJudge) look(s *fleetSim) {
+// check judges the state after a decision was applied.
+func (j *waitChecker) check(s *fleetSim) {
 	round := s.openRound()
 	waiting := map[jobqueue.TaskID]bool{}
 	for _, c := range longRunningWithoutRun(s.machine) {
-		could := s.couldTake(c)
-		if !roomTwiceOver(c, could) {
+		could := s.ableWorkers(c)
+		if !fitsTwice(c, could) {
 			continue
 		}
 		id := jobqueue.TaskID{Job: c.job.ID(), Index: uint32(c.tasks[0])}
 		waiting[id] = true
 		if _, known := j.since[id]; !known {
 			j.since[id] = s.now
-			j.spells++
+			j.waits++
 		}
-		j.judge(s, round, c, id, could)
+		j.checkWait(s, round, c, id, could)
 	}
 	maps.DeleteFunc(j.since, func(id jobqueue.TaskID, _ time.Time) bool { return !waiting[id] })
-	maps.DeleteFunc(j.told, func(id jobqueue.TaskID, _ bool) bool { return !waiting[id] })
+	maps.DeleteFunc(j.reported, func(id jobqueue.TaskID, _ bool) bool { return !waiting[id] })
 }
 
-func (j *waitJudge) judge(s *fleetSim, round *round, c *candidate, id jobqueue.TaskID, could []*jobqueue.Worker) {
+func (j *waitChecker) checkWait(s *fleetSim, round *round, c *candidate, id jobqueue.TaskID, could []*jobqueue.Worker) {
 	waited := s.now.Sub(j.since[id])
 	j.longest = max(j.longest, waited)
-	if waited <= longestWait || j.told[id] {
+	if waited <= maxWait || j.reported[id] {
 		return
 	}
-	j.told[id] = true
+	j.reported[id] = true
 	j.tooLong++
-	said := round.saidAgainst(c, could)
+	said := round.reasonsAgainst(c, could)
 	j.reasons[said]++
 	if len(j.examples) < 3 {
 		j.examples = append(j.examples, fmt.Sprintf("seed %d, %v into it: %v waits for %v: %s",
@@ -131,9 +131,9 @@
 	}
 }
 
-func (j *waitJudge) tell(t *testing.T) {
+func (j *waitChecker) report(t *testing.T) {
 	t.Helper()
-	t.Logf("%d waits beside room, the longest %v", j.spells, j.longest)
+	t.Logf("%d waits beside room, the longest %v", j.waits, j.longest)
 	if j.tooLong == 0 {
 		return
 	}
@@ -141,7 +141,7 @@
 		t.Logf("%d tasks: %s", j.reasons[said], said)
 	}
 	t.Errorf("%d long-running tasks waited for more than %v beside room twice over:\n%s",
-		j.tooLong, longestWait, strings.Join(j.examples, "\n"))
+		j.tooLong, maxWait, strings.Join(j.examples, "\n"))
 }
 
 // longRunningWithoutRun returns a candidate for each task that lasts and has no run.
@@ -151,7 +151,7 @@
 		for i, step := range j.Occurrences[0].Steps {
 			for k, task := range step.Tasks {
 				if j.Open() && step.Spec.LongRunning && len(task.Runs) == 0 {
-					found = append(found, &candidate{job: j, queue: m.QueueOf(j), number: i, step: step, tasks: []int{k}, neededSpeed: usualSpeed})
+					found = append(found, &candidate{job: j, queue: m.QueueOf(j), stepIndex: i, step: step, tasks: []int{k}, neededSpeed: defaultMinSpeed})
 				}
 			}
 		}
@@ -159,39 +159,39 @@
 	return found
 }
 
-// couldTake returns the sound workers that may and can run a task, whatever the planner thinks.
-func (s *fleetSim) couldTake(c *candidate) []*jobqueue.Worker {
+// ableWorkers returns the sound workers that may and can run a task, whatever the planner thinks.
+func (s *fleetSim) ableWorkers(c *candidate) []*jobqueue.Worker {
 	return slices.DeleteFunc(s.machine.Workers(), func(w *jobqueue.Worker) bool {
-		id := jobqueue.TaskID{Job: c.job.ID(), Step: uint32(c.number)}
+		id := jobqueue.TaskID{Job: c.job.ID(), Step: uint32(c.stepIndex)}
 		unsound := slices.ContainsFunc(s.hosts, func(h *fleetHost) bool {
 			return h.worker == w.Spec.Id && (s.now.Before(h.refusesUntil) || s.now.Before(h.brokenUntil))
 		})
-		return s.silent[w.Spec.Id] || unsound || !s.machine.MayHost(c.job, id, c.step.Spec, w) ||
+		return s.unresponsive[w.Spec.Id] || unsound || !s.machine.MayRunOn(c.job, id, c.step.Spec, w) ||
 			c.queue.Advised && !approves(c.key(), w.Spec.Id)
 	})
 }
 
-// roomTwiceOver reports whether workers have room for two tasks as a candidate's.
-func roomTwiceOver(c *candidate, could []*jobqueue.Worker) bool {
+// fitsTwice reports whether workers have room for two tasks as a candidate's.
+func fitsTwice(c *candidate, could []*jobqueue.Worker) bool {
 	if len(could) != 1 {
 		return len(could) > 1
 	}
 	need := jobqueue.Reserved(c.step.Spec)
 	limit := int(c.step.Spec.MaxPerWorker)
-	return need.Add(need).Fits(could[0].Free()) && (limit == 0 || could[0].CountOf(c.key())+2 <= limit)
+	return need.Add(need).Fits(could[0].Free()) && (limit == 0 || could[0].StepRunCount(c.key())+2 <= limit)
 }
 
-// saidAgainst sums up what the planner has against workers.
-func (r *round) saidAgainst(c *candidate, workers []*jobqueue.Worker) string {
-	w := Wait{}
+// reasonsAgainst sums up what the planner has against workers.
+func (r *round) reasonsAgainst(c *candidate, workers []*jobqueue.Worker) string {
+	w := UnplacedStep{}
 	for _, s := range r.slots {
 		if slices.Contains(workers, s.worker) {
-			_, reason := r.judge(c, s)
-			w.Workers[reason]++
+			_, reason := r.evaluate(c, s)
+			w.WorkersByReason[reason]++
 		}
 	}
 	var names []string
-	for reason, n := range w.Workers {
+	for reason, n := range w.WorkersByReason {
 		if n > 0 {
 			names = append(names, Reason(reason).String())
 		}
@@ -200,11 +200,11 @@
 }
 
 // Guards against a state that refuses again and again what the planner decides.
-func TestStateTakesWhatThePlannerDecides(t *testing.T) {
+func TestStateAcceptsPlannedStarts(t *testing.T) {
 	t.Parallel()
-	faults := fleetFaults{quiet: true, leaving: true, advised: true, fills: true, failing: 33, broken: true}
+	faults := fleetFaults{unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true}
 	refused := 0
-	for _, seed := range fleetsToPlay(fewFleets) {
+	for _, seed := range fleetSeedsToRun(defaultFleets) {
 		s := newFleetSim(t, seed, faults)
 		for range simSpan / simStep {
 			for _, start := range s.tick().Starts {
@@ -224,10 +224,10 @@
 }
 
 // Guards against room of a worker that is taken by no run of it, and runs that only their task or their worker knows.
-func TestRoomOfAFleetIsThatOfItsRuns(t *testing.T) {
+func TestReservedCapacityMatchesRuns(t *testing.T) {
 	t.Parallel()
-	faults := fleetFaults{quiet: true, leaving: true, advised: true, fills: true, failing: 33, broken: true, refusing: true}
-	for _, seed := range fleetsToPlay(fewFleets) {
+	faults := fleetFaults{unreachable: true, leaving: true, advised: true, backfillSets: true, failuresPerMille: 33, broken: true, refusing: true}
+	for _, seed := range fleetSeedsToRun(defaultFleets) {
 		s := newFleetSim(t, seed, faults)
 		for range simSpan / simStep {
 			s.tick()
@@ -246,15 +246,15 @@
 				}
 				held += len(w.Runs)
 			}
-			if known := runsOfTasks(s.machine); known != held {
+			if known := countTaskRuns(s.machine); known != held {
 				t.Fatalf("seed %d: tasks have %d runs, workers %d", seed, known, held)
 			}
 		}
 	}
 }
 
-// runsOfTasks counts the runs that tasks know.
-func runsOfTasks(m *jobqueue.Machine) int {
+// countTaskRuns counts the runs that tasks know.
+func countTaskRuns(m *jobqueue.Machine) int {
 	count := 0
 	for _, j := range m.Active() {
 		for _, o := range j.Occurrences {
--- a/schedule/fleetsim_test.go
+++ b/schedule/fleetsim_test.go
@@ -12,7 +12,7 @@
 
 const (
 	simStep        = 100 * time.Millisecond
-	simReportEvery = 5
+	simReportSteps = 5
 	simSpan        = 60 * time.Second
 
 	simStepsPerSecond = int(time.Second / simStep)
@@ -20,41 +20,41 @@
 
 // fleetFaults says what a simulated fleet has to bear beside workers that die.
 type fleetFaults struct {
-	// failing is how many runs of a thousand fail in a second; broken has workers fail all they
+	// failuresPerMille is how many runs of a thousand fail in a second; broken has workers fail all they
 	// get for a while.
-	failing int
-	broken  bool
-	// quiet has workers out of reach for a while, leaving has them drain or be emptied.
-	quiet, leaving bool
+	failuresPerMille int
+	broken           bool
+	// unreachable has workers out of reach for a while, leaving has them drain or be emptied.
+	unreachable, leaving bool
 	// advised has long-running sets in a queue with an advisor, fills has sets that reserve
 	// no processors, refusing has workers that refuse each start for a while.
-	advised, fills, refusing bool
+	advised, backfillSets, refusing bool
 	// noBatch leaves the fleet to long-running sets; uncommitted has decisions come to nothing.
 	noBatch, uncommitted bool
 }
 
 // fleetSim is a random fleet in virtual time, whose runs end as the workers have it.
 type fleetSim struct {
-	*rig
-	faults  fleetFaults
-	random  *rand.Rand
-	hosts   []*fleetHost
-	answers []fleetAnswer
-	began   map[jobqueue.RunID]time.Time
-	stopAt  map[jobqueue.RunID]time.Time
-	jobs    int
-	waves   uint64
-	steps   int
+	*harness
+	faults    fleetFaults
+	random    *rand.Rand
+	hosts     []*fleetHost
+	answers   []fleetAnswer
+	startedAt map[jobqueue.RunID]time.Time
+	stopAt    map[jobqueue.RunID]time.Time
+	jobs      int
+	waves     uint64
+	steps     int
 }
 
 type fleetHost struct {
 	name, pool, worker string
 	labels             []string
 	cpuMilli, memoryMB int64
-	lives              int
+	incarnations       int
 	backAt             time.Time
 	departAt           time.Time
-	quietUntil         time.Time
+	unreachableUntil   time.Time
 	brokenUntil        time.Time
 	refusesUntil       time.Time
 	wave               uint64
@@ -62,7 +62,7 @@
 
 // fleetAnswer is an advisor's answer on its way.
 type fleetAnswer struct {
-	question Question
+	question AdviceRequest
 	askedAt  time.Time
 	at       time.Time
 }
@@ -71,8 +71,8 @@
 
 func newFleetSim(t *testing.T, seed int64, faults fleetFaults) *fleetSim {
 	s := &fleetSim{
-		rig: newRig(t), faults: faults, random: rand.New(rand.NewSource(seed)),
-		began: map[jobqueue.RunID]time.Time{}, stopAt: map[jobqueue.RunID]time.Time{},
+		harness: newHarness(t), faults: faults, random: rand.New(rand.NewSource(seed)),
+		startedAt: map[jobqueue.RunID]time.Time{}, stopAt: map[jobqueue.RunID]time.Time{},
 	}
 	s.configure()
 	for i := range 4 + s.random.Intn(8) {
@@ -122,7 +122,7 @@
 	if s.random.Intn(2) == 0 {
 		step.TailObjectiveMs = 100
 	}
-	step.Backfill = s.faults.fills && s.random.Intn(3) == 0
+	step.Backfill = s.faults.backfillSets && s.random.Intn(3) == 0
 	queue := fleetQueues[s.random.Intn(3)]
 	switch {
 	case s.random.Intn(5) == 0:
@@ -153,9 +153,9 @@
 }
 
 func (s *fleetSim) join(h *fleetHost) {
-	h.lives++
-	h.worker = fmt.Sprintf("%s-%d", h.name, h.lives)
-	h.backAt, h.departAt, h.quietUntil, h.wave = time.Time{}, time.Time{}, time.Time{}, 0
+	h.incarnations++
+	h.worker = fmt.Sprintf("%s-%d", h.name, h.incarnations)
+	h.backAt, h.departAt, h.unreachableUntil, h.wave = time.Time{}, time.Time{}, time.Time{}, 0
 	s.report(h, false, false)
 }
 
@@ -170,42 +170,42 @@
 
 // tick lets a step of virtual time pass and decides at its end.
 func (s *fleetSim) tick() Decision {
-	s.pass(simStep)
+	s.advance(simStep)
 	s.steps++
 	for _, h := range s.hosts {
-		s.troubleHost(h)
-		s.tendHost(h)
+		s.injectFault(h)
+		s.applyDueEvents(h)
 	}
 	s.submitWork()
 	s.answerQuestions()
 	s.endRuns()
-	if s.steps%simReportEvery == 0 {
+	if s.steps%simReportSteps == 0 {
 		for _, h := range s.hosts {
-			if h.worker != "" && !s.silent[h.worker] {
+			if h.worker != "" && !s.unresponsive[h.worker] {
 				s.observeAll(h.worker, func(int) int64 { return 20 + int64(s.random.Intn(70)) })
 			}
 		}
 	}
 	if s.faults.uncommitted && s.random.Intn(3) == 0 {
 		d := s.planner.Plan(s.machine, s, s.now, s.now.UnixMilli())
-		s.ask(d)
+		s.queueAnswers(d)
 		return Decision{}
 	}
 	d := s.plan()
 	s.refuseStarts(d)
-	s.ask(d)
+	s.queueAnswers(d)
 	return d
 }
 
-func (s *fleetSim) ask(d Decision) {
-	for _, q := range d.Questions {
+func (s *fleetSim) queueAnswers(d Decision) {
+	for _, q := range d.AdviceRequests {
 		wait := time.Duration(50+s.random.Intn(400)) * time.Millisecond
 		s.answers = append(s.answers, fleetAnswer{q, s.now, s.now.Add(wait)})
 	}
 }
 
-// troubleHost draws what goes wrong with a host next.
-func (s *fleetSim) troubleHost(h *fleetHost) {
+// injectFault draws what goes wrong with a host next.
+func (s *fleetSim) injectFault(h *fleetHost) {
 	if h.worker == "" || !h.departAt.IsZero() {
 		return
 	}
@@ -213,16 +213,16 @@
 	switch p := s.random.Float64(); {
 	case p < 0.004:
 		// It dies; the leader learns of it later.
-		s.silent[h.worker] = true
+		s.unresponsive[h.worker] = true
 		h.departAt, h.backAt = s.now.Add(span), s.now.Add(2*span)
-	case p < 0.008 && s.faults.quiet:
-		s.silent[h.worker] = true
-		h.quietUntil = s.now.Add(span)
+	case p < 0.008 && s.faults.unreachable:
+		s.unresponsive[h.worker] = true
+		h.unreachableUntil = s.now.Add(span)
 	case p < 0.010 && s.faults.leaving:
 		s.report(h, true, false)
 		h.departAt, h.backAt = s.now.Add(span), s.now.Add(2*span)
 	case p < 0.012 && s.faults.leaving:
-		s.leave(h)
+		s.evacuateHost(h)
 		h.departAt, h.backAt = s.now.Add(span), s.now.Add(2*span)
 	case p < 0.014 && s.faults.broken:
 		h.brokenUntil = s.now.Add(span / 4)
@@ -231,8 +231,8 @@
 	}
 }
 
-// leave has a host's worker emptied for its maintenance.
-func (s *fleetSim) leave(h *fleetHost) {
+// evacuateHost has a host's worker emptied for its maintenance.
+func (s *fleetSim) evacuateHost(h *fleetHost) {
 	s.waves++
 	h.wave = s.waves
 	s.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{
@@ -247,18 +247,18 @@
 	}}})
 }
 
-// tendHost does what was drawn for a host when its time has come.
-func (s *fleetSim) tendHost(h *fleetHost) {
+// applyDueEvents does what was drawn for a host when its time has come.
+func (s *fleetSim) applyDueEvents(h *fleetHost) {
 	if !h.departAt.IsZero() && !s.now.Before(h.departAt) {
 		if h.wave != 0 {
 			s.maintain(h, apiv1.MaintenanceState_MAINTENANCE_STATE_GONE)
 		}
 		s.report(h, false, true)
-		h.worker, h.departAt, h.quietUntil = "", time.Time{}, time.Time{}
+		h.worker, h.departAt, h.unreachableUntil = "", time.Time{}, time.Time{}
 	}
-	if !h.quietUntil.IsZero() && h.departAt.IsZero() && !s.now.Before(h.quietUntil) {
-		delete(s.silent, h.worker)
-		h.quietUntil = time.Time{}
+	if !h.unreachableUntil.IsZero() && h.departAt.IsZero() && !s.now.Before(h.unreachableUntil) {
+		delete(s.unresponsive, h.worker)
+		h.unreachableUntil = time.Time{}
 	}
 	if h.worker == "" && !s.now.Before(h.backAt) {
 		s.join(h)
@@ -278,7 +278,7 @@
 				advice.Tickets[w] = "ticket"
 			}
 		}
-		s.planner.Advised(a.question, advice, a.askedAt)
+		s.planner.RecordAdvice(a.question, advice, a.askedAt)
 	}
 	s.answers = open
 }
@@ -295,11 +295,11 @@
 // endRuns ends the runs whose time has come.
 func (s *fleetSim) endRuns() {
 	for _, h := range s.hosts {
-		if h.worker == "" || s.silent[h.worker] {
+		if h.worker == "" || s.unresponsive[h.worker] {
 			continue
 		}
 		w := s.machine.Worker(h.worker)
-		for _, id := range w.SortedRuns() {
+		for _, id := range w.SortedRunIDs() {
 			if run := w.Runs[id]; run != nil {
 				s.endRun(h, run)
 			}
@@ -309,9 +309,9 @@
 
 func (s *fleetSim) endRun(h *fleetHost, run *jobqueue.Run) {
 	id := run.ID
-	began, known := s.began[id]
+	began, known := s.startedAt[id]
 	if !known {
-		s.began[id] = s.now
+		s.startedAt[id] = s.now
 		return
 	}
 	if run.Stopping {
@@ -319,17 +319,17 @@
 		if !known {
 			s.stopAt[id] = s.now.Add(time.Duration(100+s.random.Intn(300)) * time.Millisecond)
 		} else if !s.now.Before(at) {
-			s.end(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
+			s.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
 		}
 		return
 	}
-	fails := s.now.Before(h.brokenUntil) || s.random.Intn(1000*simStepsPerSecond) < s.faults.failing
+	fails := s.now.Before(h.brokenUntil) || s.random.Intn(1000*simStepsPerSecond) < s.faults.failuresPerMille
 	over := !run.Step.LongRunning && s.now.Sub(began).Milliseconds() >= run.Step.EstimatedMs
 	switch {
 	case fails:
-		s.end(id, apiv1.RunEndKind_RUN_END_KIND_FAILED)
+		s.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_FAILED)
 	case over:
-		s.end(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
+		s.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
 	}
 }
 
@@ -340,18 +340,18 @@
 			if h.worker != start.Worker || !s.now.Before(h.refusesUntil) {
 				continue
 			}
-			s.refuse(jobqueue.RunID{Task: jobqueue.TaskIDOf(start.Task), Number: start.Run}, h.worker)
+			s.refuseStart(jobqueue.RunID{Task: jobqueue.TaskIDOf(start.Task), Number: start.Run}, h.worker)
 		}
 	}
 }
 
-// refuse has a worker refuse a start.
-func (r *rig) refuse(id jobqueue.RunID, worker string) {
+// refuseStart has a worker refuse a start.
+func (r *harness) refuseStart(id jobqueue.RunID, worker string) {
 	r.t.Helper()
 	if r.machine.Run(id) == nil {
 		return
 	}
-	r.planner.StartRefused(Refusal{Step: id.Task.StepID(), Worker: worker, At: r.now, Unable: true})
+	r.planner.RecordRefusal(RefusedStart{Step: id.Task.StepID(), Worker: worker, At: r.now, WorkerUnavailable: true})
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
 		Worker:   r.machine.Worker(worker).Spec,
 		Refusals: []*apiv1.RunRefusal{{Task: id.Task.Ref(), Run: id.Number, Reason: "full"}},
--- a/schedule/health.go
+++ b/schedule/health.go
@@ -7,25 +7,25 @@
 )
 
 const (
-	// failuresInRow is how many runs of a worker must fail without one that ends
+	// avoidAfterFailures is how many runs of a worker must fail without one that ends
 	// well between them before it is avoided: tasks fail by themselves now and then,
 	// seldom twice in a row, and a broken worker is found after two.
-	failuresInRow = 2
-	// firstAvoidance is how long a worker is avoided at first; each further failure
+	avoidAfterFailures = 2
+	// initialAvoidance is how long a worker is avoided at first; each further failure
 	// doubles it, up to maxAvoidance.
-	firstAvoidance = 3 * time.Second
-	maxAvoidance   = 12 * time.Second
-	// incidentSpan is the time within which failures of a worker lengthen its avoidance
+	initialAvoidance = 3 * time.Second
+	maxAvoidance     = 12 * time.Second
+	// incidentWindow is the time within which failures of a worker lengthen its avoidance
 	// once: what ends many of its runs at a time says no more than what ends one.
-	incidentSpan = time.Second
-	// failuresApart is the time without a failure, on a worker that gets work, after which
+	incidentWindow = time.Second
+	// failureResetDelay is the time without a failure, on a worker that gets work, after which
 	// the next one is not in a row with those before it. A long-running task never ends
 	// well, so nothing else would ever end the row.
-	failuresApart = 15 * time.Second
-	// tryAgainAfter is the time between two rounds that give an avoided worker tasks that find
+	failureResetDelay = 15 * time.Second
+	// avoidedRetryInterval is the time between two rounds that give an avoided worker tasks that find
 	// no other: one that fails all it gets is tried once in that time, and what else fails
 	// there meanwhile keeps nobody waiting.
-	tryAgainAfter = time.Second
+	avoidedRetryInterval = time.Second
 	// refusalPause is how long a worker that refused a start gets no other one: long enough
 	// for the task to go elsewhere, and most workers are full or unhealthy for a moment.
 	refusalPause = time.Second
@@ -41,17 +41,17 @@
 	failedAt     time.Time
 	avoidedUntil time.Time
 	avoidance    time.Duration
-	// lengthenedAt is when a failure last lengthened the avoidance.
-	lengthenedAt time.Time
+	// avoidanceExtendedAt is when a failure last lengthened the avoidance.
+	avoidanceExtendedAt time.Time
 	// refusedUntil is when the pause after its last refusal is over.
 	refusedUntil time.Time
-	// triedAt is when it last got a task although it was avoided.
-	triedAt time.Time
+	// retriedAt is when it last got a task although it was avoided.
+	retriedAt time.Time
 }
 
 func newHealthTable() healthTable { return healthTable{byWorker: map[string]*health{}} }
 
-func (t healthTable) of(worker string) *health {
+func (t healthTable) entry(worker string) *health {
 	h := t.byWorker[worker]
 	if h == nil {
 		h = &health{}
@@ -60,45 +60,45 @@
 	return h
 }
 
-func (t healthTable) ended(e Ended) {
-	h := t.of(e.Worker)
+func (t healthTable) recordEnd(e EndedRun) {
+	h := t.entry(e.Worker)
 	switch e.Kind {
 	case apiv1.RunEndKind_RUN_END_KIND_DONE:
-		h.forget()
+		h.reset()
 	case apiv1.RunEndKind_RUN_END_KIND_FAILED:
-		h.fail(e.At)
+		h.recordFailure(e.At)
 	}
 }
 
-// forget ends the row of failures.
-func (h *health) forget() { *h = health{refusedUntil: h.refusedUntil, triedAt: h.triedAt} }
+// reset ends the row of failures.
+func (h *health) reset() { *h = health{refusedUntil: h.refusedUntil, retriedAt: h.retriedAt} }
 
-func (h *health) fail(at time.Time) {
-	if at.Sub(h.failedAt) > failuresApart && at.Sub(h.avoidedUntil) > failuresApart {
-		h.forget()
+func (h *health) recordFailure(at time.Time) {
+	if at.Sub(h.failedAt) > failureResetDelay && at.Sub(h.avoidedUntil) > failureResetDelay {
+		h.reset()
 	}
 	h.failures++
 	h.failedAt = at
-	if h.failures < failuresInRow || at.Sub(h.lengthenedAt) < incidentSpan {
+	if h.failures < avoidAfterFailures || at.Sub(h.avoidanceExtendedAt) < incidentWindow {
 		return
 	}
-	h.lengthenedAt = at
-	h.avoidance = min(max(2*h.avoidance, firstAvoidance), maxAvoidance)
+	h.avoidanceExtendedAt = at
+	h.avoidance = min(max(2*h.avoidance, initialAvoidance), maxAvoidance)
 	h.avoidedUntil = at.Add(h.avoidance)
 }
 
-// suspect marks a worker on which tasks stand still.
-func (t healthTable) suspect(worker string, at time.Time) {
-	h := t.of(worker)
-	h.failures = max(h.failures, failuresInRow)
+// markStalled marks a worker on which tasks stand still.
+func (t healthTable) markStalled(worker string, at time.Time) {
+	h := t.entry(worker)
+	h.failures = max(h.failures, avoidAfterFailures)
 	h.failedAt = at
-	h.avoidance = max(h.avoidance, firstAvoidance)
+	h.avoidance = max(h.avoidance, initialAvoidance)
 	h.avoidedUntil = at.Add(h.avoidance)
 }
 
-// refused takes in that a worker can take no task for now.
-func (t healthTable) refused(worker string, at time.Time) {
-	t.of(worker).refusedUntil = at.Add(refusalPause)
+// recordRefusal takes in that a worker can take no task for now.
+func (t healthTable) recordRefusal(worker string, at time.Time) {
+	t.entry(worker).refusedUntil = at.Add(refusalPause)
 }
 
 // avoided reports whether a worker should get no work for now.
@@ -106,15 +106,15 @@
 	return h != nil && (now.Before(h.avoidedUntil) || now.Before(h.refusedUntil))
 }
 
-// mayTry reports whether an avoided worker may get tasks that find no other.
-func (h *health) mayTry(now time.Time) bool {
-	return h == nil || now.Sub(h.triedAt) >= tryAgainAfter && !now.Before(h.refusedUntil)
+// mayRetry reports whether an avoided worker may get tasks that find no other.
+func (h *health) mayRetry(now time.Time) bool {
+	return h == nil || now.Sub(h.retriedAt) >= avoidedRetryInterval && !now.Before(h.refusedUntil)
 }
 
-// tried notes that an avoided worker got a task that found no other.
-func (t healthTable) tried(worker string, at time.Time) { t.of(worker).triedAt = at }
+// recordRetry notes that an avoided worker got a task that found no other.
+func (t healthTable) recordRetry(worker string, at time.Time) { t.entry(worker).retriedAt = at }
 
-// doubtful reports whether a worker failed its last run.
-func (h *health) doubtful() bool {
+// recentlyFailed reports whether a worker failed its last run.
+func (h *health) recentlyFailed() bool {
 	return h != nil && h.failures > 0
 }
--- a/schedule/images.go
+++ b/schedule/images.go
@@ -7,46 +7,46 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// imageWeight is the weight of the newest run in an image's mean duration.
-const imageWeight = 0.25
+// durationRatioWeight is the weight of the newest run in an image's mean duration.
+const durationRatioWeight = 0.25
 
-// imageTable learns how long tasks of an image take against the callers'
+// durationTable learns how long tasks of an image take against the callers'
 // estimates, which are off by up to a factor of two.
-type imageTable struct {
-	ratio map[string]imageRatio
+type durationTable struct {
+	byImage map[string]durationRatio
 }
 
-// imageRatio is the mean of an image's durations as multiples of the estimates.
-type imageRatio struct {
+// durationRatio is the mean of an image's durations as multiples of the estimates.
+type durationRatio struct {
 	mean float64
-	// at is when a task of the image last ended.
-	at time.Time
+	// updatedAt is when a task of the image last ended.
+	updatedAt time.Time
 }
 
-func newImageTable() imageTable { return imageTable{ratio: map[string]imageRatio{}} }
+func newDurationTable() durationTable { return durationTable{byImage: map[string]durationRatio{}} }
 
-func (t imageTable) ended(e Ended) {
-	learns := e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE && !e.Resumed && e.Took > 0
+func (t durationTable) recordEnd(e EndedRun) {
+	learns := e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE && !e.Resumed && e.Duration > 0
 	if !learns || e.Step.Image == "" || e.Step.EstimatedMs <= 0 {
 		return
 	}
-	ratio := float64(e.Took.Milliseconds()) / float64(e.Step.EstimatedMs)
-	before, known := t.ratio[e.Step.Image]
+	ratio := float64(e.Duration.Milliseconds()) / float64(e.Step.EstimatedMs)
+	before, known := t.byImage[e.Step.Image]
 	if known {
-		ratio = before.mean + imageWeight*(ratio-before.mean)
+		ratio = before.mean + durationRatioWeight*(ratio-before.mean)
 	}
-	t.ratio[e.Step.Image] = imageRatio{mean: ratio, at: e.At}
+	t.byImage[e.Step.Image] = durationRatio{mean: ratio, updatedAt: e.At}
 }
 
-// forget drops the images that nothing was seen of for long.
-func (t imageTable) forget(now time.Time) {
-	maps.DeleteFunc(t.ratio, func(_ string, r imageRatio) bool { return now.Sub(r.at) > forgetAfter })
+// prune drops the images that nothing was seen of for long.
+func (t durationTable) prune(now time.Time) {
+	maps.DeleteFunc(t.byImage, func(_ string, r durationRatio) bool { return now.Sub(r.updatedAt) > imageRetention })
 }
 
-// duration is how long a task of a step is expected to take.
-func (t imageTable) duration(s *apiv1.JobStep) time.Duration {
+// expected is how long a task of a step is expected to take.
+func (t durationTable) expected(s *apiv1.JobStep) time.Duration {
 	estimate := time.Duration(s.EstimatedMs) * time.Millisecond
-	if ratio, known := t.ratio[s.Image]; known {
+	if ratio, known := t.byImage[s.Image]; known {
 		return time.Duration(ratio.mean * float64(estimate))
 	}
 	return estimate
--- a/schedule/interference.go
+++ b/schedule/interference.go
@@ -24,31 +24,31 @@
 	saturatedHeadroom = 0.35
 
 	// priorPressure is what a backfilling image that nothing was seen of is believed to
-	// take of a headroom per part of the worker in use, priorSpread how far off that
+	// take of a headroom per part of the worker in use, priorPressureDeviation how far off that
 	// may be.
-	priorPressure = 0.08
-	priorSpread   = 0.25
-	// pairSpread is how far off the pressure of a pair may be when it is known how heavy
+	priorPressure          = 0.08
+	priorPressureDeviation = 0.25
+	// pairDeviation is how far off the pressure of a pair may be when it is known how heavy
 	// the backfilling image is on the average.
-	pairSpread = 0.15
-	// cautionSigmas is added to a pressure that is not well known: a dozen tasks of an
+	pairDeviation = 0.15
+	// cautionDeviations is added to a pressure that is not well known: a dozen tasks of an
 	// image add its error up.
-	cautionSigmas = 0.25
+	cautionDeviations = 0.25
 	// pressureDrift is how much a pressure changes in a second, as a deviation.
 	pressureDrift = 0.05
-	// partsOfWorker is how many parts the processors of a worker are counted in: a
+	// partsPerWorker is how many parts the processors of a worker are counted in: a
 	// task disturbs by the share of its worker that it uses, whatever its size.
-	partsOfWorker = 32
-	// noise and relativeNoise are how far a report of half a second is off, as a
+	partsPerWorker = 32
+	// sampleNoise and relativeSampleNoise are how far a report of half a second is off, as a
 	// headroom and as a share of it.
-	noise         = 0.3
-	relativeNoise = 0.12
-	// maxImages bounds the backfilling images that are told apart beside one serving
+	sampleNoise         = 0.3
+	relativeSampleNoise = 0.12
+	// maxBackfillImages bounds the backfilling images that are told apart beside one serving
 	// image.
-	maxImages = 48
-	// forgetAfter is how long an image is remembered that nothing is seen of: names of
+	maxBackfillImages = 48
+	// imageRetention is how long an image is remembered that nothing is seen of: names of
 	// images come with each release of the callers' programs.
-	forgetAfter = time.Hour
+	imageRetention = time.Hour
 )
 
 // interference learns how much of its headroom each serving step has left by its
@@ -56,31 +56,31 @@
 // that of the step's users: the same for all its tasks, and it swings within some
 // ten seconds. How badly an image disturbs another depends on the pair.
 type interference struct {
-	loads  map[jobqueue.StepID]*load
-	images map[string]*servingImage
-	// priors are the beliefs that were asked for since something was learnt last.
-	priors map[string]belief
+	headrooms map[jobqueue.StepID]*headroomEstimate
+	images    map[string]*servingImage
+	// cachedPriors are the beliefs that were asked for since something was learnt last.
+	cachedPriors map[string]pressurePrior
 }
 
 // servingImage is what is known of an image of serving tasks.
 type servingImage struct {
-	// seen is when one of its tasks last reported.
-	seen time.Time
-	// usual is the mean headroom of its tasks by themselves.
-	usual float64
+	// reportedAt is when one of its tasks last reported.
+	reportedAt time.Time
+	// usualHeadroom is the mean headroom of its tasks by themselves.
+	usualHeadroom float64
 	// pressures are what backfilling images take of it, by image.
 	pressures map[string]*pressure
 }
 
 // pressure is an estimate of what a backfilling image takes of a serving one.
 type pressure struct {
-	at       time.Time
-	mean     float64
-	variance float64
+	updatedAt time.Time
+	mean      float64
+	variance  float64
 }
 
 func newInterference() *interference {
-	return &interference{loads: map[jobqueue.StepID]*load{}, images: map[string]*servingImage{}, priors: map[string]belief{}}
+	return &interference{headrooms: map[jobqueue.StepID]*headroomEstimate{}, images: map[string]*servingImage{}, cachedPriors: map[string]pressurePrior{}}
 }
 
 // tailSample is one report of a serving task's tail.
@@ -97,16 +97,16 @@
 // the forecast, each by how uncertain it is.
 func (f *interference) learn(s tailSample, now time.Time) {
 	serving := f.servingImage(s.image, now)
-	l := f.loads[s.step]
+	l := f.headrooms[s.step]
 	if l == nil {
-		l = newLoad(serving.usual, now)
-		f.loads[s.step] = l
+		l = newHeadroomEstimate(serving.usualHeadroom, now)
+		f.headrooms[s.step] = l
 	}
 	l.advance(now)
 	beside := f.advancePressures(serving, s.parts, now)
 	observed := min(maxHeadroom, s.headroom)
 	expected := l.level
-	variance := noise*noise + relativeNoise*relativeNoise*observed*observed + l.variance()
+	variance := sampleNoise*sampleNoise + relativeSampleNoise*relativeSampleNoise*observed*observed + l.variance()
 	for image, p := range beside {
 		expected -= p.mean * s.parts[image]
 		variance += p.variance * s.parts[image] * s.parts[image]
@@ -121,17 +121,17 @@
 	for image, p := range beside {
 		p.correct(off, variance, s.parts[image])
 	}
-	serving.usual += usualWeight * (l.level - serving.usual)
-	clear(f.priors)
+	serving.usualHeadroom += usualHeadroomWeight * (l.level - serving.usualHeadroom)
+	clear(f.cachedPriors)
 }
 
 func (f *interference) servingImage(name string, now time.Time) *servingImage {
 	i := f.images[name]
 	if i == nil {
-		i = &servingImage{usual: priorHeadroom, pressures: map[string]*pressure{}}
+		i = &servingImage{usualHeadroom: priorHeadroom, pressures: map[string]*pressure{}}
 		f.images[name] = i
 	}
-	i.seen = now
+	i.reportedAt = now
 	return i
 }
 
@@ -144,9 +144,9 @@
 			continue
 		}
 		p := i.pressures[image]
-		if p == nil && len(i.pressures) < maxImages {
+		if p == nil && len(i.pressures) < maxBackfillImages {
 			b := f.prior(image, now)
-			p = &pressure{at: now, mean: b.mean, variance: b.variance}
+			p = &pressure{updatedAt: now, mean: b.mean, variance: b.variance}
 			i.pressures[image] = p
 		}
 		if p != nil {
@@ -157,19 +157,19 @@
 	return beside
 }
 
-// belief is a pressure that is only believed.
-type belief struct{ mean, variance float64 }
+// pressurePrior is a pressure that is only believed.
+type pressurePrior struct{ mean, variance float64 }
 
 // prior is what a backfilling image is believed to take of a serving one that it was not
 // seen beside, from what it takes of others. What goes wrong without it: a heavy image has
 // to be found out once for each serving image, and each time the tails there are over their
 // objectives until it is.
-func (f *interference) prior(backfill string, now time.Time) belief {
-	if known, found := f.priors[backfill]; found {
+func (f *interference) prior(backfill string, now time.Time) pressurePrior {
+	if known, found := f.cachedPriors[backfill]; found {
 		return known
 	}
-	const pairVariance = pairSpread * pairSpread
-	weight := 1 / (priorSpread*priorSpread - pairVariance)
+	const pairVariance = pairDeviation * pairDeviation
+	weight := 1 / (priorPressureDeviation*priorPressureDeviation - pairVariance)
 	sum := priorPressure * weight
 	for _, name := range slices.Sorted(maps.Keys(f.images)) {
 		if p := f.images[name].pressures[backfill]; p != nil {
@@ -178,19 +178,19 @@
 			weight += w
 		}
 	}
-	b := belief{mean: sum / weight, variance: 1/weight + pairVariance}
-	f.priors[backfill] = b
+	b := pressurePrior{mean: sum / weight, variance: 1/weight + pairVariance}
+	f.cachedPriors[backfill] = b
 	return b
 }
 
 func (p *pressure) advance(now time.Time) {
 	p.variance = p.varianceAt(now)
-	p.at = now
+	p.updatedAt = now
 }
 
 func (p *pressure) varianceAt(now time.Time) float64 {
-	passed := now.Sub(p.at).Seconds()
-	return min(priorSpread*priorSpread, p.variance+pressureDrift*pressureDrift*passed)
+	passed := now.Sub(p.updatedAt).Seconds()
+	return min(priorPressureDeviation*priorPressureDeviation, p.variance+pressureDrift*pressureDrift*passed)
 }
 
 func (p *pressure) correct(off, variance, parts float64) {
@@ -199,20 +199,20 @@
 	p.variance -= gain * parts * p.variance
 }
 
-// pressure is what a backfilling image takes of the headroom of a serving one, per
+// pressureOf is what a backfilling image takes of the headroom of a serving one, per
 // part of the worker in use, with some caution for what is not well known.
-func (f *interference) pressure(serving, backfill string, now time.Time) float64 {
+func (f *interference) pressureOf(serving, backfill string, now time.Time) float64 {
 	if i := f.images[serving]; i != nil && i.pressures[backfill] != nil {
 		p := i.pressures[backfill]
-		return p.mean + cautionSigmas*math.Sqrt(p.varianceAt(now))
+		return p.mean + cautionDeviations*math.Sqrt(p.varianceAt(now))
 	}
 	b := f.prior(backfill, now)
-	return b.mean + cautionSigmas*math.Sqrt(b.variance)
+	return b.mean + cautionDeviations*math.Sqrt(b.variance)
 }
 
 // forecast is the headroom that a serving step will have by itself at a time.
 func (f *interference) forecast(step jobqueue.StepID, image string, at time.Time) float64 {
-	if l := f.loads[step]; l != nil {
+	if l := f.headrooms[step]; l != nil {
 		return l.forecast(at)
 	}
 	return f.usualHeadroom(image)
@@ -222,15 +222,15 @@
 // average.
 func (f *interference) usualHeadroom(image string) float64 {
 	if i := f.images[image]; i != nil {
-		return i.usual
+		return i.usualHeadroom
 	}
 	return priorHeadroom
 }
 
-// forget drops what was learnt of steps that are over, and of serving images that
+// prune drops what was learnt of steps that are over, and of serving images that
 // nothing was seen of for long.
-func (f *interference) forget(over func(jobqueue.StepID) bool, now time.Time) {
-	maps.DeleteFunc(f.loads, func(step jobqueue.StepID, _ *load) bool { return over(step) })
-	maps.DeleteFunc(f.images, func(_ string, i *servingImage) bool { return now.Sub(i.seen) > forgetAfter })
-	clear(f.priors)
+func (f *interference) prune(over func(jobqueue.StepID) bool, now time.Time) {
+	maps.DeleteFunc(f.headrooms, func(step jobqueue.StepID, _ *headroomEstimate) bool { return over(step) })
+	maps.DeleteFunc(f.images, func(_ string, i *servingImage) bool { return now.Sub(i.reportedAt) > imageRetention })
+	clear(f.cachedPriors)
 }
--- a/schedule/learnt.go
+++ b/schedule/learnt.go
@@ -8,13 +8,13 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Learnt returns what the planner has learnt of images, for the leader that comes
+// Learned returns what the planner has learnt of images, for the leader that comes
 // next: workers and jobs change, what images do to each other hardly.
-func (p *Planner) Learnt(now time.Time) *apiv1.Learnt {
+func (p *Planner) Learned(now time.Time) *apiv1.Learnt {
 	out := &apiv1.Learnt{}
 	for _, name := range slices.Sorted(maps.Keys(p.interference.images)) {
 		serving := p.interference.images[name]
-		out.Headrooms = append(out.Headrooms, &apiv1.LearntHeadroom{ServingImage: name, Headroom: serving.usual})
+		out.Headrooms = append(out.Headrooms, &apiv1.LearntHeadroom{ServingImage: name, Headroom: serving.usualHeadroom})
 		for _, backfill := range slices.Sorted(maps.Keys(serving.pressures)) {
 			learnt := serving.pressures[backfill]
 			out.Pressures = append(out.Pressures, &apiv1.LearntPressure{
@@ -22,25 +22,25 @@
 			})
 		}
 	}
-	for _, image := range slices.Sorted(maps.Keys(p.images.ratio)) {
-		out.Durations = append(out.Durations, &apiv1.LearntDuration{Image: image, Ratio: p.images.ratio[image].mean})
+	for _, image := range slices.Sorted(maps.Keys(p.durations.byImage)) {
+		out.Durations = append(out.Durations, &apiv1.LearntDuration{Image: image, Ratio: p.durations.byImage[image].mean})
 	}
 	return out
 }
 
-// Resume has a new planner go on from what an earlier leader learnt. What goes wrong
+// RestoreLearned has a new planner go on from what an earlier leader learnt. What goes wrong
 // without it: after an election every image is taken for harmless, batch work that
 // waited through the election starts beside the serving tasks that it disturbs, and
 // their tails are over their objectives until it is learnt again.
-func (p *Planner) Resume(l *apiv1.Learnt, now time.Time) {
+func (p *Planner) RestoreLearned(l *apiv1.Learnt, now time.Time) {
 	for _, h := range l.GetHeadrooms() {
-		p.interference.servingImage(h.ServingImage, now).usual = bounded(h.Headroom)
+		p.interference.servingImage(h.ServingImage, now).usualHeadroom = clampHeadroom(h.Headroom)
 	}
 	for _, learnt := range l.GetPressures() {
 		serving := p.interference.servingImage(learnt.ServingImage, now)
-		serving.pressures[learnt.BackfillImage] = &pressure{at: now, mean: learnt.Mean, variance: learnt.Variance}
+		serving.pressures[learnt.BackfillImage] = &pressure{updatedAt: now, mean: learnt.Mean, variance: learnt.Variance}
 	}
 	for _, d := range l.GetDurations() {
-		p.images.ratio[d.Image] = imageRatio{mean: d.Ratio, at: now}
+		p.durations.byImage[d.Image] = durationRatio{mean: d.Ratio, updatedAt: now}
 	}
 }
--- a/schedule/maintenance.go
+++ b/schedule/maintenance.go
@@ -30,7 +30,7 @@
 func NextMaintenance(m *jobqueue.Machine, hosts map[string]HostView) []*apiv1.MaintainHost {
 	var steps []*apiv1.MaintainHost
 	for _, w := range m.Waves() {
-		room := w.Room()
+		room := w.FreeCapacity()
 		_, unnamed := hosts[UnnamedHost]
 		for _, h := range w.Hosts {
 			if h.Leaving() && !h.Down() {
@@ -38,12 +38,12 @@
 			}
 		}
 		for _, h := range w.Hosts {
-			if move, ok := m.MoveOf(h.Name); ok && !move.Over() {
+			if move, ok := m.MoveOf(h.Name); ok && !move.Finished() {
 				// Its turn comes when it is in the pool that it goes to.
 				continue
 			}
 			view, listed := hosts[h.Name]
-			step := nextStep(m, h, view, listed || unnamed, room > 0)
+			step := nextMaintenanceStep(m, h, view, listed || unnamed, room > 0)
 			if step == nil {
 				continue
 			}
@@ -57,12 +57,12 @@
 	return steps
 }
 
-// nextStep returns the step that a host can take, nil for none.
-func nextStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, room bool) *apiv1.MaintainHost {
+// nextMaintenanceStep returns the step that a host can take, nil for none.
+func nextMaintenanceStep(m *jobqueue.Machine, h *jobqueue.WaveHost, view HostView, listed, room bool) *apiv1.MaintainHost {
 	step := func(s apiv1.MaintenanceState, worker string) *apiv1.MaintainHost {
 		return &apiv1.MaintainHost{State: s, Worker: worker}
 	}
-	if !listed && !h.Over() {
+	if !listed && !h.Finished() {
 		return step(apiv1.MaintenanceState_MAINTENANCE_STATE_GONE, h.Worker)
 	}
 	if !view.Up || view.Worker == "" {
--- a/schedule/maintenance_test.go
+++ b/schedule/maintenance_test.go
@@ -10,7 +10,7 @@
 // Sequence: the host's entry in the list of hosts can't be read, not even its name.
 // Cause: a host that is not in the list counts as gone.
 func TestHostOfAnUnreadableEntryIsNotGone(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{Wave: &apiv1.MaintenanceWave{
 		Number: 1, Hosts: []string{"m1", "m2"}, DurationMs: 1000, Cap: 1,
 	}}}})
--- a/schedule/oversized.go
+++ b/schedule/oversized.go
@@ -6,15 +6,15 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// stopOversized takes back starts on workers that have shrunk below what their runs reserve, as far
+// stopOvercommitted takes back starts on workers that have shrunk below what their runs reserve, as far
 // as no report has listed them: those that run may go on, but none may begin.
-func (r *round) stopOversized() {
+func (r *round) stopOvercommitted() {
 	for _, s := range r.slots {
 		if (jobqueue.Resources{}).Fits(s.free) {
 			continue
 		}
 		free := s.free
-		unseen := s.worker.RunsThat(func(run *jobqueue.Run) bool {
+		unseen := s.worker.RunsMatching(func(run *jobqueue.Run) bool {
 			_, seen := r.fleet.Observed(run.ID)
 			return !seen && !run.Stopping
 		})
--- a/schedule/pace.go
+++ b/schedule/pace.go
@@ -17,22 +17,22 @@
 	// tailWeight is the weight of the newest report in a task's smoothed tail: single
 	// reports are noisy.
 	tailWeight = 0.7
-	// alarmShare of the objective, smoothed, is where the budget is cut, calmShare
+	// trustCutThreshold of the objective, smoothed, is where the budget is cut, trustRestoreThreshold
 	// where it is given back: between them it stays, so that paces don't swing.
-	alarmShare = 0.85
-	calmShare  = 0.7
-	// cutFactor and restoreStep change a worker's budget, minTrust is the least share
+	trustCutThreshold     = 0.85
+	trustRestoreThreshold = 0.7
+	// trustCutFactor and trustRestoreStep change a worker's budget, minTrust is the least share
 	// of it: the estimates follow a disturbance within a report, and a budget that is
-	// cut deeper idles the worker for seconds. What lasts longer than silenceAfter ends in
+	// cut deeper idles the worker for seconds. What lasts longer than pauseAfter ends in
 	// a standstill.
-	cutFactor   = 0.5
-	restoreStep = 0.25
-	minTrust    = 0.5
-	// silenceAfter is how long a tail may be over its objective before all
+	trustCutFactor   = 0.5
+	trustRestoreStep = 0.25
+	minTrust         = 0.5
+	// pauseAfter is how long a tail may be over its objective before all
 	// backfilling runs beside it stand still. A tail falls back within a second and a
 	// half of that, and a disturbance has to end within four.
-	silenceAfter = 1400 * time.Millisecond
-	fullPace     = 100
+	pauseAfter = 1400 * time.Millisecond
+	fullPace   = 100
 	// averagingTime is the time constant of the moving average that workers report; a
 	// report after more than maxReportGap holds nothing of the one before.
 	averagingTime = 300 * time.Millisecond
@@ -44,7 +44,7 @@
 
 // pacer holds the paces of a worker's backfilling runs.
 type pacer struct {
-	at time.Time
+	updatedAt time.Time
 	// trust is the share of the budget that is given out, cut when the tails are too
 	// long all the same.
 	trust float64
@@ -53,27 +53,27 @@
 	paces map[jobqueue.RunID]uint32
 	// revision grows with each change of the paces; low is set while one is so low that
 	// its run may be moved.
-	revision uint64
-	low      bool
+	revision   uint64
+	hasLowPace bool
 	// reports are the last reports of the serving runs.
-	reports map[jobqueue.RunID]report
-	// overSince says since when the tail of a serving run has been over its objective.
-	overSince map[jobqueue.RunID]time.Time
+	reports map[jobqueue.RunID]tailReport
+	// exceededSince says since when the tail of a serving run has been over its objective.
+	exceededSince map[jobqueue.RunID]time.Time
 }
 
 // Observe learns from a report of a worker and sets the paces of its backfilling
 // runs. It returns whether a pace changed.
 func (p *Planner) Observe(w *jobqueue.Worker, fleet Fleet, now time.Time) bool {
 	c := p.pacerOf(w.Spec.Id)
-	if now.Sub(c.at) < paceInterval {
+	if now.Sub(c.updatedAt) < paceInterval {
 		return false
 	}
-	c.at = now
-	v := viewOf(w, fleet)
+	c.updatedAt = now
+	v := viewWorker(w, fleet)
 	p.learn(c, v, now)
-	c.smooth(v)
+	c.smoothTails(v)
 	c.adjustTrust(v)
-	c.noteOver(v, now)
+	c.trackExceeded(v, now)
 	return p.setPaces(c, v, now)
 }
 
@@ -90,27 +90,27 @@
 // setPaces sets the paces of a worker's backfilling runs and returns whether one
 // changed.
 func (p *Planner) setPaces(c *pacer, v workerView, now time.Time) bool {
-	if c.silenced(now) {
-		return c.set(standStill(v))
+	if c.mustPause(now) {
+		return c.replacePaces(zeroPaces(v))
 	}
-	return c.set(p.paces(v, c.trust, now))
+	return c.replacePaces(p.allocatePaces(v, c.trust, now))
 }
 
-// paceStarts sets the paces of the backfilling runs that this round starts, and of
+// setStartPaces sets the paces of the backfilling runs that this round starts, and of
 // those beside them. What goes wrong without it: a run works at full speed until
 // the next report of its worker, half a second and more, and the tails beside it
 // are over their objectives for a second.
-func (r *round) paceStarts() {
+func (r *round) setStartPaces() {
 	for _, s := range r.slots {
 		id := s.worker.Spec.Id
-		if len(s.started) == 0 && s.servingGiven == nil {
+		if len(s.backfillStarts) == 0 && s.servingStarts == nil {
 			continue
 		}
-		v := viewOf(s.worker, r.fleet)
-		maps.Copy(v.steps, s.servingGiven)
-		v.backfill = append(v.backfill, s.started...)
+		v := viewWorker(s.worker, r.fleet)
+		maps.Copy(v.steps, s.servingStarts)
+		v.backfill = append(v.backfill, s.backfillStarts...)
 		if r.planner.setPaces(r.planner.pacerOf(id), v, r.now) {
-			r.decision.Paced = append(r.decision.Paced, id)
+			r.decision.RepacedWorkers = append(r.decision.RepacedWorkers, id)
 		}
 	}
 }
@@ -138,92 +138,94 @@
 	capacity int64
 	// serving are the serving runs at work; steps are those of all serving runs, with their
 	// images.
-	serving  []seenRun
+	serving  []observedRun
 	steps    map[jobqueue.StepID]string
-	backfill []seenRun
+	backfill []observedRun
 }
 
-type seenRun struct {
+type observedRun struct {
 	run *jobqueue.Run
 	Observation
 }
 
-// share is the tail latency as a share of its objective.
-func (s seenRun) share() float64 { return float64(s.Figure) / float64(s.run.Step.TailObjectiveMs) }
+// tailShare is the tail latency as a share of its objective.
+func (s observedRun) tailShare() float64 {
+	return float64(s.Figure) / float64(s.run.Step.TailObjectiveMs)
+}
 
-func viewOf(w *jobqueue.Worker, fleet Fleet) workerView {
-	v := workerView{capacity: w.Spec.CpuMilli, steps: servingOn(w)}
-	for _, id := range w.SortedRuns() {
+func viewWorker(w *jobqueue.Worker, fleet Fleet) workerView {
+	v := workerView{capacity: w.Spec.CpuMilli, steps: servingSteps(w)}
+	for _, id := range w.SortedRunIDs() {
 		r := w.Runs[id]
 		o, seen := fleet.Observed(id)
 		switch {
 		case r.Step.Backfill:
-			v.backfill = append(v.backfill, seenRun{r, o})
+			v.backfill = append(v.backfill, observedRun{r, o})
 		case seen && r.Step.TailObjectiveMs > 0 && o.Percent == fullPace:
-			v.serving = append(v.serving, seenRun{r, o})
+			v.serving = append(v.serving, observedRun{r, o})
 		}
 	}
 	return v
 }
 
-// parts sums the processor time in use by image, in parts of the worker.
-func (v workerView) parts() map[string]float64 {
+// backfillParts sums the processor time in use by image, in parts of the worker.
+func (v workerView) backfillParts() map[string]float64 {
 	parts := map[string]float64{}
 	for _, b := range v.backfill {
-		parts[b.run.Step.Image] += partsOf(b.Figure, v.capacity)
+		parts[b.run.Step.Image] += workerParts(b.Figure, v.capacity)
 	}
 	return parts
 }
 
 func (p *Planner) learn(c *pacer, v workerView, now time.Time) {
-	parts := v.parts()
+	parts := v.backfillParts()
 	for _, s := range v.serving {
 		if s.Figure <= 0 {
 			continue
 		}
-		share := c.newestShare(s, now)
+		share := c.currentTailShare(s, now)
 		p.interference.learn(tailSample{
 			step: s.run.ID.Task.StepID(), image: s.run.Step.Image, headroom: 1 / share, parts: parts,
 		}, now)
 	}
-	c.noteReports(v, now)
+	c.recordReports(v, now)
 }
 
-// newestShare is a tail as a share of its objective without what the report before
+// currentTailShare is a tail as a share of its objective without what the report before
 // still adds to it: workers report a moving average, in which a queue that has gone
 // is still seen for a second.
-func (c *pacer) newestShare(s seenRun, now time.Time) float64 {
+func (c *pacer) currentTailShare(s observedRun, now time.Time) float64 {
 	before, known := c.reports[s.run.ID]
 	passed := now.Sub(before.at)
 	if !known || passed > maxReportGap {
-		return s.share()
+		return s.tailShare()
 	}
 	kept := math.Exp(-passed.Seconds() / averagingTime.Seconds())
-	return max(1.0/maxHeadroom, (s.share()-kept*before.share)/(1-kept))
+	return max(1.0/maxHeadroom, (s.tailShare()-kept*before.share)/(1-kept))
 }
 
-func (c *pacer) noteReports(v workerView, now time.Time) {
-	c.reports = map[jobqueue.RunID]report{}
+func (c *pacer) recordReports(v workerView, now time.Time) {
+	c.reports = map[jobqueue.RunID]tailReport{}
 	for _, s := range v.serving {
-		c.reports[s.run.ID] = report{at: now, share: s.share()}
+		c.reports[s.run.ID] = tailReport{at: now, share: s.tailShare()}
 	}
 }
 
-// report is a tail as it was reported.
-type report struct {
+// tailReport is a tail as it was reported.
+type tailReport struct {
 	at    time.Time
 	share float64
 }
 
-// smooth takes the newest tails in.
-func (c *pacer) smooth(v workerView) {
+// smoothTails takes the newest tails in.
+func (c *pacer) smoothTails(v workerView) {
 	tails := map[jobqueue.RunID]float64{}
 	for _, s := range v.serving {
 		before, known := c.tails[s.run.ID]
 		if !known {
 			before = 1 / priorHeadroom
 		}
-		tails[s.run.ID] = before + tailWeight*(s.share()-before)
+		tails[s.run.ID] = before + tailWeight*(s.tailShare()-before)
 	}
 	c.tails = tails
 }
@@ -234,43 +236,43 @@
 		worst = max(worst, c.tails[s.run.ID])
 	}
 	switch {
-	case worst > alarmShare:
-		c.trust = max(minTrust, c.trust*cutFactor)
-	case worst < calmShare:
-		c.trust = min(1, c.trust+restoreStep)
+	case worst > trustCutThreshold:
+		c.trust = max(minTrust, c.trust*trustCutFactor)
+	case worst < trustRestoreThreshold:
+		c.trust = min(1, c.trust+trustRestoreStep)
 	}
 }
 
-// noteOver notes since when each serving run's tail has been over its objective.
-func (c *pacer) noteOver(v workerView, now time.Time) {
+// trackExceeded notes since when each serving run's tail has been over its objective.
+func (c *pacer) trackExceeded(v workerView, now time.Time) {
 	over := map[jobqueue.RunID]time.Time{}
 	for _, s := range v.serving {
-		if s.share() <= 1 {
+		if s.tailShare() <= 1 {
 			continue
 		}
-		since, known := c.overSince[s.run.ID]
+		since, known := c.exceededSince[s.run.ID]
 		if !known {
 			since = now
 		}
 		over[s.run.ID] = since
 	}
-	c.overSince = over
+	c.exceededSince = over
 }
 
-// silenced reports whether a tail has been over its objective for so long that the
+// mustPause reports whether a tail has been over its objective for so long that the
 // backfilling runs must stand still, whichever of them is to blame. What goes wrong
 // without it: a pair of images that was not learnt yet, or an estimate that is
 // wrong, disturbs a serving task for seconds.
-func (c *pacer) silenced(now time.Time) bool {
-	for _, since := range c.overSince {
-		if now.Sub(since) >= silenceAfter {
+func (c *pacer) mustPause(now time.Time) bool {
+	for _, since := range c.exceededSince {
+		if now.Sub(since) >= pauseAfter {
 			return true
 		}
 	}
 	return false
 }
 
-func standStill(v workerView) map[jobqueue.RunID]uint32 {
+func zeroPaces(v workerView) map[jobqueue.RunID]uint32 {
 	paces := map[jobqueue.RunID]uint32{}
 	for _, b := range v.backfill {
 		paces[b.run.ID] = 0
@@ -278,17 +280,17 @@
 	return paces
 }
 
-// paces shares the slack out: the images that disturb least first, since it buys
+// allocatePaces shares the slack out: the images that disturb least first, since it buys
 // the most work there.
-func (p *Planner) paces(v workerView, trust float64, now time.Time) map[jobqueue.RunID]uint32 {
+func (p *Planner) allocatePaces(v workerView, trust float64, now time.Time) map[jobqueue.RunID]uint32 {
 	paces := map[jobqueue.RunID]uint32{}
-	left := p.interference.slackAt(now.Add(paceAhead), v.steps, trust, now)
+	left := p.interference.slackAt(now.Add(paceLookahead), v.steps, trust, now)
 	costs := map[string]float64{}
 	for _, b := range v.backfill {
 		costs[b.run.Step.Image] = left.cost(b.run.Step, v.capacity) / float64(max(1, b.run.Step.CpuMilli))
 	}
 	order := slices.Clone(v.backfill)
-	slices.SortStableFunc(order, func(a, b seenRun) int {
+	slices.SortStableFunc(order, func(a, b observedRun) int {
 		return cmp.Compare(costs[a.run.Step.Image], costs[b.run.Step.Image])
 	})
 	for _, b := range order {
@@ -297,15 +299,15 @@
 			share = 1 / cost
 		}
 		percent := uint32(share*fullPace) / paceStep * paceStep
-		left.take(b.run.Step, v.capacity, float64(percent)/fullPace)
+		left.consume(b.run.Step, v.capacity, float64(percent)/fullPace)
 		paces[b.run.ID] = percent
 	}
 	return paces
 }
 
-// set replaces the paces and reports whether one changed. A run that was never
+// replacePaces replaces the paces and reports whether one changed. A run that was never
 // slowed down needs no order.
-func (c *pacer) set(paces map[jobqueue.RunID]uint32) bool {
+func (c *pacer) replacePaces(paces map[jobqueue.RunID]uint32) bool {
 	changed, low := false, false
 	next := map[jobqueue.RunID]uint32{}
 	for id, percent := range paces {
@@ -319,7 +321,7 @@
 			changed = true
 		}
 	}
-	c.paces, c.low = next, low
+	c.paces, c.hasLowPace = next, low
 	c.revision++
 	return changed
 }
--- a/schedule/pools_test.go
+++ b/schedule/pools_test.go
@@ -14,17 +14,17 @@
 	reservePool = "reserve"
 )
 
-// moverRig has the pools of the rig's urgent and batch queue and one in standby, each
+// moverHarness has the pools of the rig's urgent and batch queue and one in standby, each
 // host with room for two tasks of 2 cores.
-type moverRig struct {
-	*rig
+type moverHarness struct {
+	*harness
 	mover *Mover
 	hosts map[string]HostView
-	waits []Wait
+	waits []UnplacedStep
 }
 
-func newMoverRig(t *testing.T) *moverRig {
-	r := &moverRig{rig: newRig(t), hosts: map[string]HostView{}}
+func newMoverHarness(t *testing.T) *moverHarness {
+	r := &moverHarness{harness: newHarness(t), hosts: map[string]HostView{}}
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
 		Configuration: &apiv1.QueueConfiguration{
 			Version: 2, Pools: []*apiv1.WorkerPool{{Name: testPool}, {Name: batchPool}, {Name: reservePool, Standby: true}},
@@ -40,8 +40,8 @@
 
 var hostCapacity = jobqueue.Resources{CPUMilli: 4000, MemoryMB: 8000}
 
-// host adds a host; in the standby pool it is off.
-func (r *moverRig) host(name, pool string, labels ...string) {
+// addHost adds a host; in the standby pool it is off.
+func (r *moverHarness) addHost(name, pool string, labels ...string) {
 	r.t.Helper()
 	view := HostView{Pool: pool, Capacity: hostCapacity, Labels: labels}
 	if pool == reservePool {
@@ -56,26 +56,26 @@
 	r.hosts[name] = view
 }
 
-// demand submits tasks of two cores to the urgent queue.
-func (r *moverRig) demand(id string, tasks uint32, label string) {
+// submitTasks submits tasks of two cores to the urgent queue.
+func (r *moverHarness) submitTasks(id string, tasks uint32, label string) {
 	r.t.Helper()
 	r.submit("urgent", id, &apiv1.JobStep{Count: tasks, CpuMilli: 2000, MemoryMb: 1, EstimatedMs: 60_000, RequiredLabel: label})
 }
 
-// live passes time in looks of half a second, and returns the moves that began; each is
+// runFor passes time in looks of half a second, and returns the moves that began; each is
 // committed.
-func (r *moverRig) live(d time.Duration) []string {
+func (r *moverHarness) runFor(d time.Duration) []string {
 	r.t.Helper()
 	var begun []string
 	for ; d > 0; d -= 500 * time.Millisecond {
-		r.pass(500 * time.Millisecond)
-		r.waits = r.plan().Waits
-		r.mover.Note(r.machine, r, r.waits, r.now)
-		if !r.mover.Wanted(r.machine, r.now) {
+		r.advance(500 * time.Millisecond)
+		r.waits = r.plan().Unplaced
+		r.mover.Update(r.machine, r, r.waits, r.now)
+		if !r.mover.NeedsHostList(r.machine, r.now) {
 			continue
 		}
-		for _, s := range r.mover.Next(r.machine, r.hosts, r.now) {
-			if v, ok := r.machine.MoveOf(s.Host); s.State == apiv1.MoveState_MOVE_STATE_LEAVING && (!ok || v.Over()) {
+		for _, s := range r.mover.NextSteps(r.machine, r.hosts, r.now) {
+			if v, ok := r.machine.MoveOf(s.Host); s.State == apiv1.MoveState_MOVE_STATE_LEAVING && (!ok || v.Finished()) {
 				begun = append(begun, s.Host+" to "+s.Pool)
 				s.Term = testTerm
 				r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_MoveHost{MoveHost: s}})
@@ -85,16 +85,16 @@
 	return begun
 }
 
-// finish takes a move through all its steps.
-func (r *moverRig) finish(host string) {
+// finishMove takes a move through all its steps.
+func (r *moverHarness) finishMove(host string) {
 	r.t.Helper()
 	v, _ := r.machine.MoveOf(host)
 	pool, from, worker := v.Pool, v.From, v.Worker
 	for _, s := range []apiv1.MoveState{apiv1.MoveState_MOVE_STATE_ORDERED, apiv1.MoveState_MOVE_STATE_BEGUN} {
-		r.step(host, from, pool, worker, s)
+		r.commitStep(host, from, pool, worker, s)
 	}
 	delete(r.hosts, host)
-	r.host(host, pool)
+	r.addHost(host, pool)
 	view := r.hosts[host]
 	if pool != reservePool {
 		r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
@@ -103,12 +103,12 @@
 		view.Worker += "-moved"
 		r.hosts[host] = view
 	}
-	if v, _ := r.machine.MoveOf(host); !v.Over() {
-		r.step(host, from, pool, view.Worker, apiv1.MoveState_MOVE_STATE_DONE)
+	if v, _ := r.machine.MoveOf(host); !v.Finished() {
+		r.commitStep(host, from, pool, view.Worker, apiv1.MoveState_MOVE_STATE_DONE)
 	}
 }
 
-func (r *moverRig) step(host, from, pool, worker string, s apiv1.MoveState) {
+func (r *moverHarness) commitStep(host, from, pool, worker string, s apiv1.MoveState) {
 	r.t.Helper()
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_MoveHost{MoveHost: &apiv1.MoveHost{
 		Term: testTerm, Host: host, Pool: pool, From: from, Worker: worker, State: s,
@@ -126,18 +126,18 @@
 // Sequence: tasks find no room for some seconds; then their job is cancelled.
 // Cause: any wait counts as a shortage.
 func TestShortWaitMovesNothing(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("s", reservePool)
-	r.live(moverSettle)
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("s", reservePool)
+	r.runFor(moverStartDelay)
 	for _, id := range []string{"j1", "j2"} {
-		r.demand(id, 8, "")
-		expectMoves(t, r.live(shortagePatience-time.Second))
+		r.submitTasks(id, 8, "")
+		expectMoves(t, r.runFor(shortageDelay-time.Second))
 		r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Cancel{Cancel: &apiv1.CancelJob{Id: id, Host: testHost, Path: "/urgent/" + id}}})
 		for _, id := range r.runsOn("w-a") {
-			r.end(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
+			r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_STOPPED)
 		}
-		expectMoves(t, r.live(2*time.Second))
+		expectMoves(t, r.runFor(2*time.Second))
 	}
 }
 
@@ -147,49 +147,49 @@
 // Cause: the need or what is on its way is counted wrongly.
 func TestAsManyHostsComeAsTasksNeed(t *testing.T) {
 	for name, c := range map[string]struct {
-		place func(*moverRig)
+		place func(*moverHarness)
 		want  []string
 	}{
-		"from standby first": {func(r *moverRig) {
-			r.host("b1", batchPool)
-			r.host("b2", batchPool)
+		"from standby first": {func(r *moverHarness) {
+			r.addHost("b1", batchPool)
+			r.addHost("b2", batchPool)
 			for _, s := range []string{"s1", "s2", "s3", "s4"} {
-				r.host(s, reservePool)
+				r.addHost(s, reservePool)
 			}
 		}, []string{"s1 to pool", "s2 to pool", "s3 to pool"}},
-		"an idle pool keeps one": {func(r *moverRig) {
-			r.host("b1", batchPool)
-			r.host("b2", batchPool)
-			r.host("b3", batchPool)
+		"an idle pool keeps one": {func(r *moverHarness) {
+			r.addHost("b1", batchPool)
+			r.addHost("b2", batchPool)
+			r.addHost("b3", batchPool)
 		}, []string{"b1 to pool", "b2 to pool"}},
-		"the last one stays": {func(r *moverRig) { r.host("b1", batchPool) }, nil},
-		"one that has work stays": {func(r *moverRig) {
-			r.host("b1", batchPool)
-			r.host("b2", batchPool)
+		"the last one stays": {func(r *moverHarness) { r.addHost("b1", batchPool) }, nil},
+		"one that has work stays": {func(r *moverHarness) {
+			r.addHost("b1", batchPool)
+			r.addHost("b2", batchPool)
 			r.submit("batch", "busy", &apiv1.JobStep{Count: 2, CpuMilli: 100, MemoryMb: 1, EstimatedMs: 60_000, MaxPerWorker: 1})
 		}, nil},
-		"one that is too small is of no use": {func(r *moverRig) {
-			r.host("s1", reservePool)
+		"one that is too small is of no use": {func(r *moverHarness) {
+			r.addHost("s1", reservePool)
 			view := r.hosts["s1"]
 			view.Capacity.CPUMilli = 1000
 			r.hosts["s1"] = view
 		}, nil},
-		"a host in a wave stays": {func(r *moverRig) {
-			r.host("s1", reservePool)
+		"a host in a wave stays": {func(r *moverHarness) {
+			r.addHost("s1", reservePool)
 			r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{
 				Wave: &apiv1.MaintenanceWave{Number: 1, Hosts: []string{"s1"}, DurationMs: 1000, Cap: 1},
 			}}})
 		}, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newMoverRig(t)
-			r.host("a", testPool)
+			r := newMoverHarness(t)
+			r.addHost("a", testPool)
 			c.place(r)
-			r.live(moverSettle + spareAfter)
-			r.demand("j", 7, "")
-			expectMoves(t, r.live(shortagePatience+500*time.Millisecond), c.want...)
+			r.runFor(moverStartDelay + idleBeforeLending)
+			r.submitTasks("j", 7, "")
+			expectMoves(t, r.runFor(shortageDelay+500*time.Millisecond), c.want...)
 			// What is on its way is waited for.
-			expectMoves(t, r.live(20*time.Second))
+			expectMoves(t, r.runFor(20*time.Second))
 		})
 	}
 }
@@ -198,50 +198,50 @@
 // Sequence: another pool is short while the hosts' work ends.
 // Cause: a worker without runs is taken for one that is not needed.
 func TestHostThatJustBecameIdleStays(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("b1", batchPool)
-	r.host("b2", batchPool)
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("b1", batchPool)
+	r.addHost("b2", batchPool)
 	r.submit("batch", "busy", &apiv1.JobStep{Count: 2, CpuMilli: 100, MemoryMb: 1, EstimatedMs: 60_000, MaxPerWorker: 1})
-	r.live(moverSettle)
-	r.demand("j", 8, "")
-	expectMoves(t, r.live(10*time.Second))
+	r.runFor(moverStartDelay)
+	r.submitTasks("j", 8, "")
+	expectMoves(t, r.runFor(10*time.Second))
 	for _, w := range []string{"w-b1", "w-b2"} {
 		for _, id := range r.runsOn(w) {
-			r.end(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
+			r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
 		}
 	}
-	expectMoves(t, r.live(spareAfter-time.Second))
-	expectMoves(t, r.live(lookInterval+2*time.Second), "b1 to pool")
+	expectMoves(t, r.runFor(idleBeforeLending-time.Second))
+	expectMoves(t, r.runFor(hostListInterval+2*time.Second), "b1 to pool")
 }
 
 // Symptom: a host comes that can't run what waits.
 // Sequence: tasks need a label that only some hosts carry.
 // Cause: any host counts as help.
 func TestHostsComeWithTheLabel(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("s1", reservePool)
-	r.host("s2", reservePool, "gpu")
-	r.live(moverSettle)
-	r.demand("j", 1, "gpu")
-	expectMoves(t, r.live(20*time.Second), "s2 to pool")
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("s1", reservePool)
+	r.addHost("s2", reservePool, "gpu")
+	r.runFor(moverStartDelay)
+	r.submitTasks("j", 1, "gpu")
+	expectMoves(t, r.runFor(20*time.Second), "s2 to pool")
 }
 
 // Symptom: hosts are moved because a leader knows nothing yet, or for workers that are
 // only out of sight.
 // Sequence: a leader begins to lead while tasks wait; or most workers are out of reach.
 // Cause: the leader takes what it does not see for what is not there.
-func TestFreshLeaderMovesNothing(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("s", reservePool)
-	r.demand("j", 8, "")
-	expectMoves(t, r.live(moverSettle-500*time.Millisecond))
-	r.silent["w-a"] = true
-	expectMoves(t, r.live(20*time.Second))
-	r.silent["w-a"] = false
-	expectMoves(t, r.live(shortagePatience+time.Second), "s to pool")
+func TestNewLeaderMovesNothing(t *testing.T) {
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("s", reservePool)
+	r.submitTasks("j", 8, "")
+	expectMoves(t, r.runFor(moverStartDelay-500*time.Millisecond))
+	r.unresponsive["w-a"] = true
+	expectMoves(t, r.runFor(20*time.Second))
+	r.unresponsive["w-a"] = false
+	expectMoves(t, r.runFor(shortageDelay+time.Second), "s to pool")
 }
 
 // Symptom: hosts that were called stay for good, or go while they are needed, or go
@@ -249,45 +249,45 @@
 // Sequence: a pool is short, a host comes from standby, the work ends, and comes again.
 // Cause: where the host came from is forgotten, or any pause counts as idle.
 func TestBorrowedHostGoesBackWhenIdle(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("s", reservePool)
-	r.live(moverSettle)
-	r.demand("j", 4, "")
-	expectMoves(t, r.live(10*time.Second), "s to pool")
-	r.finish("s")
-	expectMoves(t, r.live(2*returnAfter))
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("s", reservePool)
+	r.runFor(moverStartDelay)
+	r.submitTasks("j", 4, "")
+	expectMoves(t, r.runFor(10*time.Second), "s to pool")
+	r.finishMove("s")
+	expectMoves(t, r.runFor(2*idleBeforeReturn))
 	if n := len(r.runsOn("w-s-moved")); n != 2 {
 		t.Fatalf("%d tasks run on the host that came", n)
 	}
 	for _, id := range r.runsOn("w-s-moved") {
-		r.end(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
+		r.reportEnd(id, apiv1.RunEndKind_RUN_END_KIND_DONE)
 	}
-	expectMoves(t, r.live(returnAfter-time.Second))
-	expectMoves(t, r.live(10*time.Second), "s to reserve")
-	r.finish("s")
-	expectMoves(t, r.live(5*time.Minute))
+	expectMoves(t, r.runFor(idleBeforeReturn-time.Second))
+	expectMoves(t, r.runFor(10*time.Second), "s to reserve")
+	r.finishMove("s")
+	expectMoves(t, r.runFor(5*time.Minute))
 }
 
 // Symptom: a platform that refuses all moves is asked all the time.
 // Sequence: a pool stays short, and each host that is tried is refused.
 // Cause: a refusal is not remembered.
 func TestRefusedMovesBecomeRare(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
 	for _, s := range []string{"s1", "s2", "s3", "s4", "s5", "s6", "s7", "s8"} {
-		r.host(s, reservePool)
+		r.addHost(s, reservePool)
 	}
-	r.live(moverSettle)
-	r.demand("j", 3, "")
+	r.runFor(moverStartDelay)
+	r.submitTasks("j", 3, "")
 	tried := 0
 	for range 60 {
-		for _, move := range r.live(time.Second) {
+		for _, move := range r.runFor(time.Second) {
 			tried++
 			host := move[:2]
 			v, _ := r.machine.MoveOf(host)
-			r.step(host, v.From, v.Pool, v.Worker, apiv1.MoveState_MOVE_STATE_ORDERED)
-			r.step(host, v.From, v.Pool, v.Worker, apiv1.MoveState_MOVE_STATE_REFUSED)
+			r.commitStep(host, v.From, v.Pool, v.Worker, apiv1.MoveState_MOVE_STATE_ORDERED)
+			r.commitStep(host, v.From, v.Pool, v.Worker, apiv1.MoveState_MOVE_STATE_REFUSED)
 		}
 	}
 	if tried < 2 || tried > 4 {
@@ -299,9 +299,9 @@
 // Sequence: the first of its hosts is on the move to another pool.
 // Cause: the host on the move takes the room of the others.
 func TestWaveGoesOnBesideAMove(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("b", testPool)
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("b", testPool)
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: "a", Pool: batchPool}}})
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutWave{PutWave: &apiv1.PutWave{
 		Wave: &apiv1.MaintenanceWave{Number: 1, Hosts: []string{"a", "b"}, DurationMs: 1000, Cap: 1},
@@ -316,10 +316,10 @@
 // Sequence: the list of hosts is older than the order, or the host crashes and comes
 // back where it was.
 // Cause: any host that is up is taken for one that has arrived.
-func TestOldListsTellNothing(t *testing.T) {
-	r := newMoverRig(t)
-	r.host("a", testPool)
-	r.host("b", testPool)
+func TestStaleHostListsAreIgnored(t *testing.T) {
+	r := newMoverHarness(t)
+	r.addHost("a", testPool)
+	r.addHost("b", testPool)
 	ask := &apiv1.JobsCommand{Body: &apiv1.JobsCommand_RequestMove{RequestMove: &apiv1.RequestMove{Host: "a", Pool: batchPool}}}
 	r.apply(ask)
 	next := func(view HostView) apiv1.MoveState {
@@ -340,17 +340,17 @@
 	}
 	const none = apiv1.MoveState_MOVE_STATE_UNSPECIFIED
 	expect(up("w-a", testPool), apiv1.MoveState_MOVE_STATE_LEAVING)
-	r.step("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_LEAVING)
+	r.commitStep("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_LEAVING)
 	expect(HostView{Pool: testPool, Worker: "w-a"}, none)
 	expect(up("w-a", testPool), apiv1.MoveState_MOVE_STATE_ORDERED)
 	expect(up("w-a", batchPool), apiv1.MoveState_MOVE_STATE_DONE)
-	r.step("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_ORDERED)
+	r.commitStep("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_ORDERED)
 	expect(up("w-a", testPool), none)
 	expect(up("w-a9", testPool), none)
 	expect(HostView{Pool: batchPool}, none)
 	expect(up("w-a9", batchPool), apiv1.MoveState_MOVE_STATE_DONE)
 	expect(HostView{}, apiv1.MoveState_MOVE_STATE_GONE)
-	r.step("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_BEGUN)
+	r.commitStep("a", testPool, batchPool, "w-a", apiv1.MoveState_MOVE_STATE_BEGUN)
 	expect(up("w-a", testPool), none)
 	expect(up("w-a9", testPool), apiv1.MoveState_MOVE_STATE_GONE)
 	// An incarnation that has left is named by old lists only.
--- a/schedule/ranking.go
+++ b/schedule/ranking.go
@@ -14,21 +14,21 @@
 	// ranked is a heap of those that may get a task; refused counts the others by the
 	// reason against them.
 	ranked  []rankedSlot
-	refused [reasons]int
+	refused [reasonCount]int
 }
 
 // rankedSlot is a worker with its score, and its place among all workers.
 type rankedSlot struct {
 	slot  *slot
 	score float64
-	place int
+	index int
 }
 
 // rank judges all workers for a step.
 func (r *round) rank(c *candidate) *ranking {
 	k := &ranking{r: r, c: c}
 	for i, s := range r.slots {
-		if score, reason := r.judge(c, s); reason == ReasonNone {
+		if score, reason := r.evaluate(c, s); reason == ReasonNone {
 			k.ranked = append(k.ranked, rankedSlot{s, score, i})
 		} else {
 			k.refused[reason]++
@@ -38,8 +38,8 @@
 	return k
 }
 
-// judge is a worker's score for a step's tasks, or what speaks against it.
-func (r *round) judge(c *candidate, s *slot) (float64, Reason) {
+// evaluate is a worker's score for a step's tasks, or what speaks against it.
+func (r *round) evaluate(c *candidate, s *slot) (float64, Reason) {
 	if reason := r.feasible(c, s); reason != ReasonNone {
 		return 0, reason
 	}
@@ -55,9 +55,9 @@
 	return k.ranked[0].slot
 }
 
-// judgeBest judges the best worker again, after it got a task.
-func (k *ranking) judgeBest() {
-	score, reason := k.r.judge(k.c, k.ranked[0].slot)
+// reevaluateBest judges the best worker again, after it got a task.
+func (k *ranking) reevaluateBest() {
+	score, reason := k.r.evaluate(k.c, k.ranked[0].slot)
 	if reason != ReasonNone {
 		k.refused[reason]++
 		heap.Pop(k)
@@ -76,7 +76,7 @@
 	if a.score != b.score {
 		return a.score > b.score
 	}
-	return a.place < b.place
+	return a.index < b.index
 }
 
 // Swap implements heap.Interface.
--- a/schedule/ranking_test.go
+++ b/schedule/ranking_test.go
@@ -9,28 +9,28 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// crowdedRig is a fleet of unlike workers with serving and backfilling tasks on them.
-func crowdedRig(t *testing.T, random *rand.Rand) *rig {
-	r := newRig(t)
+// newCrowdedFleet is a fleet of unlike workers with serving and backfilling tasks on them.
+func newCrowdedFleet(t *testing.T, random *rand.Rand) *harness {
+	r := newHarness(t)
 	for i := range 6 + random.Intn(10) {
 		rack := fmt.Sprintf("rack%d", i%3)
-		r.worker(fmt.Sprintf("w%02d", i), 8000+1000*int64(random.Intn(24)), 20_000+int64(random.Intn(80_000)), rack)
+		r.addWorker(fmt.Sprintf("w%02d", i), 8000+1000*int64(random.Intn(24)), 20_000+int64(random.Intn(80_000)), rack)
 	}
 	for i := range 5 + random.Intn(8) {
-		step := serving(1+uint32(random.Intn(5)), 500+int64(random.Intn(4000)))
+		step := servingTasks(1+uint32(random.Intn(5)), 500+int64(random.Intn(4000)))
 		step.Image = fmt.Sprintf("serving%d", i%4)
 		r.submit("urgent", fmt.Sprintf("s%d", i), step)
 	}
-	r.settle()
+	r.startAndObserve()
 	for i := range 4 {
-		r.submit("batch", fmt.Sprintf("b%d", i), backfill(3, 1000, fmt.Sprintf("batch%d", i)))
+		r.submit("batch", fmt.Sprintf("b%d", i), backfillTasks(3, 1000, fmt.Sprintf("batch%d", i)))
 	}
 	for range 4 {
 		r.plan()
 		for _, w := range r.machine.Workers() {
 			r.observeAll(w.Spec.Id, func(int) int64 { return int64(random.Intn(90)) })
 		}
-		r.pass(paceInterval)
+		r.advance(paceInterval)
 	}
 	return r
 }
@@ -39,13 +39,13 @@
 // a whole. Sequence: steps of several kinds, wide and narrow, on a crowded fleet; each
 // start is compared with a look at all workers anew. Cause: a start that changes what
 // another worker scores, or equals that are told apart in another order.
-func TestRankingChoosesAsALookAtAllWorkers(t *testing.T) {
+func TestRankingMatchesFullScan(t *testing.T) {
 	for seed := range int64(200) {
 		random := rand.New(rand.NewSource(seed))
-		r := crowdedRig(t, random)
+		r := newCrowdedFleet(t, random)
 		steps := []*apiv1.JobStep{
-			backfill(1+uint32(random.Intn(30)), 500+int64(random.Intn(4000)), fmt.Sprintf("batch%d", random.Intn(6))),
-			serving(1+uint32(random.Intn(10)), 500+int64(random.Intn(3000))),
+			backfillTasks(1+uint32(random.Intn(30)), 500+int64(random.Intn(4000)), fmt.Sprintf("batch%d", random.Intn(6))),
+			servingTasks(1+uint32(random.Intn(10)), 500+int64(random.Intn(3000))),
 			{Count: uint32(1 + random.Intn(20)), CpuMilli: 500, MemoryMb: 500, EstimatedMs: 800, MaxPerWorker: uint32(random.Intn(3)), PreferredRack: "rack1"},
 		}
 		for i, step := range steps {
@@ -63,16 +63,16 @@
 					break
 				}
 				round.start(c, index, got, c.step.NextRun(index))
-				ranked.judgeBest()
+				ranked.reevaluateBest()
 			}
 		}
 	}
 }
 
 // openRound returns a round that has looked at the workers and decided nothing yet.
-func (r *rig) openRound() *round {
+func (r *harness) openRound() *round {
 	round := r.planner.newRound(r.machine, r, r.now, r.now.UnixMilli())
-	round.lookAtWorkers()
+	round.buildSlots()
 	return round
 }
 
@@ -80,9 +80,9 @@
 // workers. All workers judged anew for each task: 40.2 ms a round; once a step: 6.7 ms (two
 // runs of 200 rounds each, beside five busy processes on eight cores).
 func BenchmarkWideSteps(b *testing.B) {
-	r := busyRig(b, 160)
+	r := newBusyFleet(b, 160)
 	for i := range 12 {
-		r.submit("batch", fmt.Sprintf("wide%d", i), backfill(39, 3500, fmt.Sprintf("batch%d", i%benchImages)))
+		r.submit("batch", fmt.Sprintf("wide%d", i), backfillTasks(39, 3500, fmt.Sprintf("batch%d", i%benchImages)))
 	}
 	for b.Loop() {
 		r.planner.Plan(r.machine, r, r.now, r.now.UnixMilli())
--- a/schedule/reason.go
+++ b/schedule/reason.go
@@ -34,15 +34,15 @@
 	ReasonRefused
 	// ReasonSlow: the processors left are too few for a backfilling task.
 	ReasonSlow
-	// ReasonDisturbs: a backfilling task would lengthen the tails there too much.
-	ReasonDisturbs
-	// ReasonTrial: a task is on trial there that may crash its worker, or the task to place is
+	// ReasonInterference: a backfilling task would lengthen the tails there too much.
+	ReasonInterference
+	// ReasonProbation: a task is on trial there that may crash its worker, or the task to place is
 	// and work that may do so has just started there.
-	ReasonTrial
-	reasons
+	ReasonProbation
+	reasonCount
 )
 
-var reasonNames = [reasons]string{
+var reasonNames = [reasonCount]string{
 	"none", "unreachable", "draining", "maintenance", "avoided", "other pool", "label", "processors", "memory",
 	"accelerators", "spread", "not advised", "refused by the advisor", "too slow", "disturbs", "trial",
 }
@@ -50,18 +50,18 @@
 // String returns the reason's name in logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Wait is a step with tasks that could start and found no worker.
-type Wait struct {
+// UnplacedStep is a step with tasks that could start and found no worker.
+type UnplacedStep struct {
 	Step  jobqueue.StepID
 	Tasks int
-	// Workers counts the workers by the reason against them.
-	Workers [reasons]int
+	// WorkersByReason counts the workers by the reason against them.
+	WorkersByReason [reasonCount]int
 }
 
-// Why returns the reasons and how many workers each rules out.
-func (w Wait) Why() string {
+// ReasonSummary returns the reasons and how many workers each rules out.
+func (w UnplacedStep) ReasonSummary() string {
 	var parts []string
-	for r, n := range w.Workers {
+	for r, n := range w.WorkersByReason {
 		if n > 0 {
 			parts = append(parts, fmt.Sprintf("%v %d", Reason(r), n))
 		}
@@ -69,8 +69,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// roomReason says which resource is short.
-func roomReason(need, free jobqueue.Resources) Reason {
+// capacityReason says which resource is short.
+func capacityReason(need, free jobqueue.Resources) Reason {
 	switch {
 	case need.CPUMilli > free.CPUMilli:
 		return ReasonProcessors
--- a/schedule/refused_test.go
+++ b/schedule/refused_test.go
@@ -9,45 +9,45 @@
 
 // Guards against a start that goes to the worker that refuses it, again and again.
 func TestRefusedStartGoesToAnotherWorker(t *testing.T) {
-	r := newRig(t)
-	r.worker("full", 8000, 8000)
-	r.submit("urgent", "beside", lasting(1))
+	r := newHarness(t)
+	r.addWorker("full", 8000, 8000)
+	r.submit("urgent", "beside", longRunningTasks(1))
 	r.startAll("full", "beside")
-	r.worker("free", 8000, 8000)
-	r.submit("urgent", "set", lasting(1))
+	r.addWorker("free", 8000, 8000)
+	r.submit("urgent", "set", longRunningTasks(1))
 	refused := 0
-	for began := r.now; r.now.Sub(began) < longestWait; r.pass(simStep) {
+	for began := r.now; r.now.Sub(began) < maxWait; r.advance(simStep) {
 		for _, start := range r.plan().Starts {
 			if start.Worker == "full" {
 				refused++
-				r.refuse(startedRun(start), start.Worker)
+				r.refuseStart(startedRun(start), start.Worker)
 			}
 		}
 	}
 	if len(r.runsOn("free")) != 1 {
-		t.Errorf("the task has no run after %v, %d starts were refused by one worker", longestWait, refused)
+		t.Errorf("the task has no run after %v, %d starts were refused by one worker", maxWait, refused)
 	}
 }
 
 // Guards against room that goes, in each decision anew, to a start that the state refuses.
-func TestStartThatTheStateRefusesTakesNoRoom(t *testing.T) {
-	r := newRig(t)
-	r.worker("w1", 4000, 8000)
-	r.worker("w2", 4000, 8000)
+func TestRefusedStartReservesNoCapacity(t *testing.T) {
+	r := newHarness(t)
+	r.addWorker("w1", 4000, 8000)
+	r.addWorker("w2", 4000, 8000)
 	r.submit("urgent", "failing", &apiv1.JobStep{Count: 8, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 100})
 	for range 2 {
 		r.plan()
 		r.failAll("w1")
 		r.failAll("w2")
-		r.pass(maxAvoidance)
+		r.advance(maxAvoidance)
 	}
 	c := r.machine.Configuration()
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
 		Configuration: withAttempts(c, 2),
 	}}})
-	r.submit("batch", "set", lasting(1))
+	r.submit("batch", "set", longRunningTasks(1))
 	refused := 0
-	for began := r.now; r.now.Sub(began) < longestWait; r.pass(simStep) {
+	for began := r.now; r.now.Sub(began) < maxWait; r.advance(simStep) {
 		for _, start := range r.plan().Starts {
 			if r.machine.Run(startedRun(start)) == nil {
 				refused++
@@ -60,13 +60,13 @@
 }
 
 // Guards against room for a task without attempts, of a job that an earlier release left open.
-func TestTaskWithoutAttemptsTakesNoRoom(t *testing.T) {
-	r := newRig(t)
-	r.worker("w1", 4000, 8000)
+func TestTaskWithoutAttemptsReservesNoCapacity(t *testing.T) {
+	r := newHarness(t)
+	r.addWorker("w1", 4000, 8000)
 	r.submit("urgent", "failing", &apiv1.JobStep{Count: 4, CpuMilli: 1000, MemoryMb: 100, EstimatedMs: 100})
 	r.plan()
 	r.failAll("w1")
-	r.pass(maxAvoidance)
+	r.advance(maxAvoidance)
 	snapshot := r.machine.Snapshot()
 	snapshot.Configuration = withAttempts(snapshot.Configuration, 1)
 	restored, err := jobqueue.Restore(snapshot, r.now.UnixMilli())
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	r.machine = restored
-	r.submit("batch", "set", lasting(1))
+	r.submit("batch", "set", longRunningTasks(1))
 	if r.plan(); len(r.runsOn("w1")) != 1 {
 		t.Errorf("%d runs", len(r.runsOn("w1")))
 	}
--- a/schedule/rig_test.go
+++ b/schedule/rig_test.go
@@ -9,17 +9,17 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// rig holds a queue machine, a planner and the clock of a test.
-type rig struct {
-	t       testing.TB
-	machine *jobqueue.Machine
-	planner *Planner
-	now     time.Time
-	seen    map[jobqueue.RunID]Observation
-	silent  map[string]bool
-	// silentAt is when a worker was last found silent.
-	silentAt map[string]time.Time
-	nextEnd  map[string]uint64
+// harness holds a queue machine, a planner and the clock of a test.
+type harness struct {
+	t            testing.TB
+	machine      *jobqueue.Machine
+	planner      *Planner
+	now          time.Time
+	observations map[jobqueue.RunID]Observation
+	unresponsive map[string]bool
+	// unresponsiveAt is when a worker was last found silent.
+	unresponsiveAt  map[string]time.Time
+	nextEndSequence map[string]uint64
 }
 
 const (
@@ -28,12 +28,12 @@
 	testPool = "pool"
 )
 
-func newRig(t *testing.T) *rig { return newRigFor(t) }
+func newHarness(t *testing.T) *harness { return newHarnessFor(t) }
 
-func newRigFor(t testing.TB) *rig {
-	r := &rig{
+func newHarnessFor(t testing.TB) *harness {
+	r := &harness{
 		t: t, machine: jobqueue.New(), planner: New(), now: time.UnixMilli(1_000_000),
-		seen: map[jobqueue.RunID]Observation{}, silent: map[string]bool{}, silentAt: map[string]time.Time{}, nextEnd: map[string]uint64{},
+		observations: map[jobqueue.RunID]Observation{}, unresponsive: map[string]bool{}, unresponsiveAt: map[string]time.Time{}, nextEndSequence: map[string]uint64{},
 	}
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_PutQueues{PutQueues: &apiv1.PutQueues{
 		Configuration: &apiv1.QueueConfiguration{
@@ -48,21 +48,21 @@
 	return r
 }
 
-func (r *rig) apply(c *apiv1.JobsCommand) {
+func (r *harness) apply(c *apiv1.JobsCommand) {
 	r.t.Helper()
 	if o := r.machine.Apply(c, r.now.UnixMilli(), testTerm); o != apiv1.JobOutcome_JOB_OUTCOME_OK {
 		r.t.Fatalf("%v: %v", c, o)
 	}
 }
 
-func (r *rig) worker(id string, cpuMilli, memoryMB int64, labels ...string) {
+func (r *harness) addWorker(id string, cpuMilli, memoryMB int64, labels ...string) {
 	r.t.Helper()
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
 		Worker: &apiv1.JobWorker{Id: id, Host: "host-" + id, Pool: testPool, CpuMilli: cpuMilli, MemoryMb: memoryMB, Labels: labels},
 	}}})
 }
 
-func (r *rig) submit(queue, id string, steps ...*apiv1.JobStep) {
+func (r *harness) submit(queue, id string, steps ...*apiv1.JobStep) {
 	r.t.Helper()
 	path := fmt.Sprintf("/%s/%s", queue, id)
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Submit{Submit: &apiv1.SubmitJob{Spec: &apiv1.JobSpec{
@@ -70,45 +70,45 @@
 	}}}})
 }
 
-// end has a worker list the end of a run.
-func (r *rig) end(id jobqueue.RunID, kind apiv1.RunEndKind) {
+// reportEnd has a worker list the end of a run.
+func (r *harness) reportEnd(id jobqueue.RunID, kind apiv1.RunEndKind) {
 	r.t.Helper()
 	run := r.machine.Run(id)
 	w := r.machine.Worker(run.Worker)
-	r.planner.RunEnded(Ended{Worker: run.Worker, Kind: kind, Step: run.Step, At: r.now})
-	r.nextEnd[run.Worker]++
+	r.planner.RecordRunEnd(EndedRun{Worker: run.Worker, Kind: kind, Step: run.Step, At: r.now})
+	r.nextEndSequence[run.Worker]++
 	r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Report{Report: &apiv1.ReportWorker{
 		Worker: w.Spec,
 		Ends: []*apiv1.RunEnd{{
-			Sequence: r.nextEnd[run.Worker], Task: id.Task.Ref(), Run: id.Number, Kind: kind,
+			Sequence: r.nextEndSequence[run.Worker], Task: id.Task.Ref(), Run: id.Number, Kind: kind,
 		}},
 	}}})
 }
 
 // Reachable implements Fleet.
-func (r *rig) Reachable(worker string) bool { return !r.silent[worker] }
+func (r *harness) Reachable(worker string) bool { return !r.unresponsive[worker] }
 
-// HeardSince implements Fleet.
-func (r *rig) HeardSince(worker string) (time.Time, bool) {
-	if r.silent[worker] {
-		r.silentAt[worker] = r.now
+// ReportingSince implements Fleet.
+func (r *harness) ReportingSince(worker string) (time.Time, bool) {
+	if r.unresponsive[worker] {
+		r.unresponsiveAt[worker] = r.now
 	}
-	return r.silentAt[worker], !r.silent[worker]
+	return r.unresponsiveAt[worker], !r.unresponsive[worker]
 }
 
 // Observed implements Fleet.
-func (r *rig) Observed(id jobqueue.RunID) (Observation, bool) {
-	o, ok := r.seen[id]
+func (r *harness) Observed(id jobqueue.RunID) (Observation, bool) {
+	o, ok := r.observations[id]
 	return o, ok
 }
 
 // plan decides once and commits what was decided.
-func (r *rig) plan() Decision {
+func (r *harness) plan() Decision {
 	r.t.Helper()
 	d := r.planner.Plan(r.machine, r, r.now, r.now.UnixMilli())
 	if !d.Empty() {
 		r.apply(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Plan{Plan: &apiv1.PlanRuns{
-			Term: testTerm, Starts: d.Starts, Stops: d.Stops, TrialsOver: d.TrialsOver,
+			Term: testTerm, Starts: d.Starts, Stops: d.Stops, TrialsOver: d.EndedProbations,
 		}}})
 	}
 	return d
@@ -116,7 +116,7 @@
 
 // startAll starts the tasks of a job's first step on a worker, whatever the planner
 // thinks of it.
-func (r *rig) startAll(worker, job string) {
+func (r *harness) startAll(worker, job string) {
 	r.t.Helper()
 	var starts []*apiv1.StartRun
 	for i := range r.machine.Job(job).Occurrences[0].Steps[0].Tasks {
@@ -130,11 +130,11 @@
 	}
 }
 
-func (r *rig) pass(d time.Duration) { r.now = r.now.Add(d) }
+func (r *harness) advance(d time.Duration) { r.now = r.now.Add(d) }
 
 // observe reports a run's percent and figure as of now.
-func (r *rig) observe(id jobqueue.RunID, percent uint32, figure int64) {
-	o, seen := r.seen[id]
+func (r *harness) observe(id jobqueue.RunID, percent uint32, figure int64) {
+	o, seen := r.observations[id]
 	if !seen {
 		o.FirstAt = r.now
 	}
@@ -142,18 +142,20 @@
 		o.ProgressAt = r.now
 	}
 	o.At, o.Percent, o.Figure = r.now, percent, figure
-	r.seen[id] = o
+	r.observations[id] = o
 }
 
 // runsOn returns the runs on a worker.
-func (r *rig) runsOn(worker string) []jobqueue.RunID { return r.machine.Worker(worker).SortedRuns() }
+func (r *harness) runsOn(worker string) []jobqueue.RunID {
+	return r.machine.Worker(worker).SortedRunIDs()
+}
 
 // observeAll reports all runs of a worker: serving tasks with the given tail,
 // backfilling ones at full use of their processors.
-func (r *rig) observeAll(worker string, tail func(serving int) int64) {
+func (r *harness) observeAll(worker string, tail func(serving int) int64) {
 	w := r.machine.Worker(worker)
 	serving := 0
-	for _, id := range w.SortedRuns() {
+	for _, id := range w.SortedRunIDs() {
 		step := w.Runs[id].Step
 		if step.TailObjectiveMs > 0 {
 			r.observe(id, fullPace, tail(serving))
--- a/schedule/round.go
+++ b/schedule/round.go
@@ -18,39 +18,39 @@
 	now     time.Time
 	wallMs  int64
 	slots   []*slot
-	// trials counts the workers of each pool with a run on trial.
-	trials map[string]int
-	// usable counts the usable workers of each pool, nil until it is asked for.
-	usable map[string]int
+	// probations counts the workers of each pool with a run on trial.
+	probations map[string]int
+	// usableByPool counts the usable workers of each pool, nil until it is asked for.
+	usableByPool map[string]int
 	// stopped are the runs that this round stops.
 	stopped  map[jobqueue.RunID]bool
 	decision Decision
 }
 
-// slackOf returns what the present backfilling runs of a worker leave of its slack.
-func (r *round) slackOf(s *slot) slack {
+// remainingSlack returns what the present backfilling runs of a worker leave of its slack.
+func (r *round) remainingSlack(s *slot) slack {
 	if s.slack != nil {
 		return *s.slack
 	}
 	spec := s.worker.Spec
-	then := r.now.Add(placeAhead)
-	serving := servingOn(s.worker)
-	maps.Copy(serving, s.servingGiven)
+	then := r.now.Add(placementLookahead)
+	serving := servingSteps(s.worker)
+	maps.Copy(serving, s.servingStarts)
 	left := r.planner.interference.slackAt(then, serving, r.planner.trust(spec.Id), r.now)
 	for _, run := range s.worker.Runs {
 		if run.Step.Backfill {
-			left.take(run.Step, spec.CpuMilli, 1)
+			left.consume(run.Step, spec.CpuMilli, 1)
 		}
 	}
-	for _, started := range s.started {
-		left.take(started.run.Step, spec.CpuMilli, 1)
+	for _, started := range s.backfillStarts {
+		left.consume(started.run.Step, spec.CpuMilli, 1)
 	}
 	s.slack = &left
 	return left
 }
 
-// servingOn returns the steps of a worker's serving runs, with their images.
-func servingOn(w *jobqueue.Worker) map[jobqueue.StepID]string {
+// servingSteps returns the steps of a worker's serving runs, with their images.
+func servingSteps(w *jobqueue.Worker) map[jobqueue.StepID]string {
 	steps := map[jobqueue.StepID]string{}
 	for id, run := range w.Runs {
 		if run.Step.TailObjectiveMs > 0 {
@@ -65,7 +65,7 @@
 	job        *jobqueue.Job
 	queue      *apiv1.JobQueue
 	occurrence int
-	number     int
+	stepIndex  int
 	step       *jobqueue.Step
 	tasks      []int
 	// objective is when the job should have ended, by the wall clock in ms.
@@ -74,8 +74,8 @@
 	late bool
 	// neededSpeed is the share of their full speed at which its tasks start.
 	neededSpeed float64
-	// trial: its tasks may crash their workers. overdue: they have waited for long.
-	trial, overdue bool
+	// probation: its tasks may crash their workers. overdue: they have waited for long.
+	probation, overdue bool
 	// lastResort: it found no worker that is not avoided.
 	lastResort bool
 }
@@ -84,9 +84,9 @@
 // urgent first.
 func (r *round) startWaiting() {
 	candidates := r.candidates()
-	r.noteTrialsWaiting(candidates)
+	r.trackProbationWaits(candidates)
 	slices.SortStableFunc(candidates, compareCandidates)
-	r.noteWaiting(candidates)
+	r.trackWaits(candidates)
 	for _, c := range candidates {
 		if c.step.Spec.Gang {
 			r.startGang(c)
@@ -107,16 +107,16 @@
 				continue
 			}
 			for i, s := range o.Steps {
-				if s.Covered() && !s.Spec.AllowDuplicates || s.Ended() || !o.Ready(i) {
+				if s.FullyScheduled() && !s.Spec.AllowDuplicates || s.Succeeded() || !o.StepReady(i) {
 					continue
 				}
 				tasks, suspects := splitSuspects(s, r.waitingTasks(j, s))
 				if len(tasks) > 0 {
-					found = append(found, r.candidate(j, k, i, s, tasks))
+					found = append(found, r.newCandidate(j, k, i, s, tasks))
 				}
 				if len(suspects) > 0 {
-					c := r.candidate(j, k, i, s, suspects)
-					c.trial = true
+					c := r.newCandidate(j, k, i, s, suspects)
+					c.probation = true
 					found = append(found, c)
 				}
 			}
@@ -131,7 +131,7 @@
 func (r *round) waitingTasks(j *jobqueue.Job, s *jobqueue.Step) []int {
 	var tasks []int
 	for i, t := range s.Tasks {
-		if !t.Done && (len(t.Runs) == 0 || r.outOfSight(s, t)) && r.machine.AttemptsLeft(j, s.Spec, t) {
+		if !t.Done && (len(t.Runs) == 0 || r.mayDuplicate(s, t)) && r.machine.AttemptsLeft(j, s.Spec, t) {
 			tasks = append(tasks, i)
 		}
 	}
@@ -141,23 +141,23 @@
 	return tasks
 }
 
-// outOfSight reports whether a task's only run is on a worker out of reach, and a
+// mayDuplicate reports whether a task's only run is on a worker out of reach, and a
 // copy of it may run elsewhere.
-func (r *round) outOfSight(s *jobqueue.Step, t *jobqueue.Task) bool {
+func (r *round) mayDuplicate(s *jobqueue.Step, t *jobqueue.Task) bool {
 	if !s.Spec.AllowDuplicates || s.Spec.LongRunning || s.Spec.Gang || len(t.Runs) != 1 {
 		return false
 	}
 	return !t.Runs[0].Stopping && !r.fleet.Reachable(t.Runs[0].Worker)
 }
 
-func (r *round) candidate(j *jobqueue.Job, occurrence, number int, s *jobqueue.Step, tasks []int) *candidate {
+func (r *round) newCandidate(j *jobqueue.Job, occurrence, number int, s *jobqueue.Step, tasks []int) *candidate {
 	q := r.machine.QueueOf(j)
-	allowed := r.planner.Allowed(q, j.Occurrences[occurrence])
+	allowed := r.planner.AllowedTime(q, j.Occurrences[occurrence])
 	c := &candidate{
-		job: j, queue: q, occurrence: occurrence, number: number, step: s, tasks: tasks,
+		job: j, queue: q, occurrence: occurrence, stepIndex: number, step: s, tasks: tasks,
 		objectiveMs: j.DueMs(occurrence) + allowed.Milliseconds(),
 	}
-	left := r.planner.longestChain(j.Occurrences[occurrence], true).Milliseconds()
+	left := r.planner.criticalPath(j.Occurrences[occurrence], true).Milliseconds()
 	// A long-running task is owed for as long as it is away, not by a time: with the late
 	// ones it would wait behind each quick job that is handed in meanwhile.
 	c.late = !s.Spec.LongRunning && r.wallMs+left > c.objectiveMs
@@ -171,9 +171,9 @@
 // their job is late, though it had time enough to go slowly.
 func neededSpeed(workMs, leftMs int64) float64 {
 	if leftMs <= workMs {
-		return usualSpeed
+		return defaultMinSpeed
 	}
-	return min(usualSpeed, max(leastSpeed, float64(workMs)/float64(leftMs)))
+	return min(defaultMinSpeed, max(absoluteMinSpeed, float64(workMs)/float64(leftMs)))
 }
 
 // compareCandidates: overdue trials first, as they need a worker that gets nothing else in the round,
@@ -205,21 +205,21 @@
 			ranked = r.rankLastResort(c, ranked)
 		}
 		s := ranked.best()
-		if s != nil && !r.mayTry(c, s) {
-			ranked.refused[ReasonTrial] += len(ranked.ranked)
-			r.wait(c, len(c.tasks)-i, ranked)
+		if s != nil && !r.withinProbationLimit(c, s) {
+			ranked.refused[ReasonProbation] += len(ranked.ranked)
+			r.recordUnplaced(c, len(c.tasks)-i, ranked)
 			return
 		}
 		if s != nil {
 			r.start(c, index, s, c.step.NextRun(index))
-			ranked.judgeBest()
+			ranked.reevaluateBest()
 			continue
 		}
 		if r.starving(c) {
 			s = r.startStarving(c, index)
 		}
 		if s == nil {
-			r.wait(c, len(c.tasks)-i, ranked)
+			r.recordUnplaced(c, len(c.tasks)-i, ranked)
 			return
 		}
 	}
@@ -246,24 +246,24 @@
 	for _, index := range c.tasks {
 		s := ranked.best()
 		if s == nil {
-			r.wait(c, len(c.tasks), ranked)
+			r.recordUnplaced(c, len(c.tasks), ranked)
 			r.decision.Starts = r.decision.Starts[:before]
 			for _, s := range taken {
-				s.give(c, -1)
-				r.takeBackTrial(c, s)
-				s.started = slices.DeleteFunc(s.started, func(run seenRun) bool { return run.run.ID.Task.StepID() == c.key() })
+				s.reserve(c, -1)
+				r.undoProbation(c, s)
+				s.backfillStarts = slices.DeleteFunc(s.backfillStarts, func(run observedRun) bool { return run.run.ID.Task.StepID() == c.key() })
 			}
 			return
 		}
 		taken = append(taken, s)
 		r.start(c, index, s, run)
-		ranked.judgeBest()
+		ranked.reevaluateBest()
 	}
 }
 
 func (r *round) start(c *candidate, index int, s *slot, run uint64) {
 	id := jobqueue.TaskID{
-		Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.number), Index: uint32(index),
+		Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.stepIndex), Index: uint32(index),
 	}
 	start := &apiv1.StartRun{
 		Task: id.Ref(), Run: run, Worker: s.worker.Spec.Id, Checkpoint: c.step.Tasks[index].Checkpoint,
@@ -273,23 +273,23 @@
 	}
 	r.decision.Starts = append(r.decision.Starts, start)
 	if s.avoided {
-		r.planner.health.tried(s.worker.Spec.Id, r.now)
+		r.planner.health.recordRetry(s.worker.Spec.Id, r.now)
 	}
-	s.give(c, 1)
-	if c.trial {
-		r.beginTrial(c, s)
+	s.reserve(c, 1)
+	if c.probation {
+		r.beginProbation(c, s)
 	}
 	if c.step.Spec.TailObjectiveMs > 0 {
-		s.noteServing(c)
+		s.recordServing(c)
 	}
 	if c.step.Spec.Backfill {
-		r.slackOf(s).take(c.step.Spec, s.worker.Spec.CpuMilli, 1)
-		s.started = append(s.started, seenRun{run: &jobqueue.Run{ID: jobqueue.RunID{Task: id, Number: run}, Step: c.step.Spec}})
+		r.remainingSlack(s).consume(c.step.Spec, s.worker.Spec.CpuMilli, 1)
+		s.backfillStarts = append(s.backfillStarts, observedRun{run: &jobqueue.Run{ID: jobqueue.RunID{Task: id, Number: run}, Step: c.step.Spec}})
 	}
 }
 
 func (c *candidate) key() jobqueue.StepID {
-	return jobqueue.StepID{Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.number)}
+	return jobqueue.StepID{Job: c.job.ID(), Occurrence: uint32(c.occurrence), Step: uint32(c.stepIndex)}
 }
 
 // best returns the worker for a task, nil when none has room.
@@ -297,7 +297,7 @@
 	var best *slot
 	var bestScore float64
 	for _, s := range r.slots {
-		score, reason := r.judge(c, s)
+		score, reason := r.evaluate(c, s)
 		if reason == ReasonNone && (best == nil || score > bestScore) {
 			best, bestScore = s, score
 		}
@@ -317,18 +317,18 @@
 		return ReasonMaintenance
 	case !s.usable:
 		return ReasonUnreachable
-	case !r.trialAllows(c, s):
-		return ReasonTrial
-	case s.avoided && !(c.lastResort && s.mayTry):
+	case !r.probationAllows(c, s):
+		return ReasonProbation
+	case s.avoided && !(c.lastResort && s.mayRetry):
 		return ReasonAvoided
 	case !s.worker.HasLabel(spec.RequiredLabel):
 		return ReasonLabel
 	}
-	if reason := roomReason(jobqueue.Reserved(spec), s.free); reason != ReasonNone {
+	if reason := capacityReason(jobqueue.Reserved(spec), s.free); reason != ReasonNone {
 		return reason
 	}
 	key := c.key()
-	if spec.MaxPerWorker > 0 && s.worker.CountOf(key)+s.given[key] >= int(spec.MaxPerWorker) {
+	if spec.MaxPerWorker > 0 && s.worker.StepRunCount(key)+s.startsByStep[key] >= int(spec.MaxPerWorker) {
 		return ReasonSpread
 	}
 	if !c.queue.Advised {
@@ -338,8 +338,8 @@
 	return reason
 }
 
-// wait notes that a candidate found no worker, and why.
-func (r *round) wait(c *candidate, tasks int, ranked *ranking) {
-	r.decision.Waits = append(r.decision.Waits, Wait{Step: c.key(), Tasks: tasks, Workers: ranked.refused})
-	r.ask(c)
+// recordUnplaced notes that a candidate found no worker, and why.
+func (r *round) recordUnplaced(c *candidate, tasks int, ranked *ranking) {
+	r.decision.Unplaced = append(r.decision.Unplaced, UnplacedStep{Step: c.key(), Tasks: tasks, WorkersByReason: ranked.refused})
+	r.requestAdvice(c)
 }
--- a/schedule/score.go
+++ b/schedule/score.go
@@ -5,27 +5,27 @@
 )
 
 const (
-	// doubtPenalty puts a worker whose last run failed behind all others.
-	doubtPenalty = 10
+	// recentFailurePenalty puts a worker whose last run failed behind all others.
+	recentFailurePenalty = 10
 	// rackBonus prefers the rack with the task's data to any amount of free room.
 	rackBonus = 5
-	// servingLoad is the share of its reservation that a serving task is expected to
+	// servingUtilization is the share of its reservation that a serving task is expected to
 	// use: callers reserve for their peaks.
-	servingLoad = 0.5
-	// usualSpeed is the least share of its full speed, as the neighbours' tails allow,
+	servingUtilization = 0.5
+	// defaultMinSpeed is the least share of its full speed, as the neighbours' tails allow,
 	// at which a backfilling task is started: a slower one would hold memory and be
 	// stuck there once room is found elsewhere. A job that would still be in time
-	// starts its tasks at less, down to leastSpeed. minProcessorSpeed is the same for
+	// starts its tasks at less, down to absoluteMinSpeed. minProcessorSpeed is the same for
 	// the processors that are left: jobs that wait for their turn end sooner on the
 	// whole than jobs that all run slowly side by side.
-	usualSpeed        = 0.6
-	leastSpeed        = 0.3
+	defaultMinSpeed   = 0.6
+	absoluteMinSpeed  = 0.3
 	minProcessorSpeed = 0.7
-	// undisturbedPenalty keeps the workers without serving tasks for the images that
-	// disturb the others, and costPenalty keeps images away from those that they
+	// noServingPenalty keeps the workers without serving tasks for the images that
+	// disturb the others, and interferencePenalty keeps images away from those that they
 	// disturb while there are better places.
-	undisturbedPenalty = 0.15
-	costPenalty        = 0.3
+	noServingPenalty    = 0.15
+	interferencePenalty = 0.3
 	// sameImageBonus gathers the serving tasks of an image: the workers then differ in
 	// what disturbs them, and each backfilling image finds some that bear it.
 	sameImageBonus = 0.5
@@ -35,11 +35,11 @@
 func (r *round) score(c *candidate, s *slot) (float64, Reason) {
 	spec := c.step.Spec
 	score, reason := r.kindScore(c, s)
-	if s.doubtful {
-		score -= doubtPenalty
+	if s.recentlyFailed {
+		score -= recentFailurePenalty
 	}
-	if c.trial {
-		score -= r.atStake(s)
+	if c.probation {
+		score -= r.crashCost(s)
 	}
 	if spec.PreferredRack != "" && s.worker.HasLabel(spec.PreferredRack) {
 		score += rackBonus
@@ -56,14 +56,14 @@
 	case spec.LongRunning:
 		return servingScore(spec, s, capacity), ReasonNone
 	}
-	return float64(s.free.CPUMilli-s.backfill) / capacity, ReasonNone
+	return float64(s.free.CPUMilli-s.backfillMilli) / capacity, ReasonNone
 }
 
 // servingScore packs serving tasks, those of one image together: the workers that
 // stay without any take the images that would disturb them.
 func servingScore(spec *apiv1.JobStep, s *slot, capacity float64) float64 {
-	total, same := 0, s.serving[spec.Image]
-	for _, n := range s.serving {
+	total, same := 0, s.servingByImage[spec.Image]
+	for _, n := range s.servingByImage {
 		total += n
 	}
 	score := -float64(s.free.CPUMilli) / capacity
@@ -77,25 +77,25 @@
 // have, and by what it costs the serving ones.
 func (r *round) backfillScore(c *candidate, s *slot, capacity float64) (float64, Reason) {
 	spec := c.step.Spec
-	demand := float64(s.backfill + spec.CpuMilli)
-	left := capacity - s.others
+	demand := float64(s.backfillMilli + spec.CpuMilli)
+	left := capacity - s.otherMilli
 	speed := min(1, left/max(1, demand))
 	if speed < minProcessorSpeed {
 		return 0, ReasonSlow
 	}
-	cost := r.slackOf(s).cost(spec, s.worker.Spec.CpuMilli)
+	cost := r.remainingSlack(s).cost(spec, s.worker.Spec.CpuMilli)
 	if cost > 1 {
 		speed = min(speed, 1/cost)
 	}
-	if speed < c.neededSpeed || !r.slackOf(s).bearsStart(spec, s.worker.Spec.CpuMilli) {
-		return 0, ReasonDisturbs
+	if speed < c.neededSpeed || !r.remainingSlack(s).allowsStart(spec, s.worker.Spec.CpuMilli) {
+		return 0, ReasonInterference
 	}
-	score := speed - costPenalty*min(1, cost) + tieShare*(left-demand)/capacity
-	if len(s.serving) == 0 {
-		score -= undisturbedPenalty
+	score := speed - interferencePenalty*min(1, cost) + tieBreakWeight*(left-demand)/capacity
+	if len(s.servingByImage) == 0 {
+		score -= noServingPenalty
 	}
 	return score, ReasonNone
 }
 
-// tieShare weighs the room left among workers of equal speed.
-const tieShare = 0.05
+// tieBreakWeight weighs the room left among workers of equal speed.
+const tieBreakWeight = 0.05
--- a/schedule/startup_test.go
+++ b/schedule/startup_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// knowsHeavy has the planner know that image heavy takes most of what the serving image has.
-func knowsHeavy(r *rig) {
+// setHeavyPressure has the planner know that image heavy takes most of what the serving image has.
+func setHeavyPressure(r *harness) {
 	serving := r.planner.interference.servingImage("serving", r.now)
-	serving.usual = 2
-	serving.pressures["heavy"] = &pressure{at: r.now, mean: 0.3, variance: 0.01}
+	serving.usualHeadroom = 2
+	serving.pressures["heavy"] = &pressure{updatedAt: r.now, mean: 0.3, variance: 0.01}
 }
 
 // Symptom: after a power cut the tails of serving tasks are ten times over their objectives
@@ -18,11 +18,11 @@
 // tasks of an image that is known to disturb it, on the only worker that is back.
 // Cause: the slack of a worker did not count the serving tasks that the same round gave it.
 func TestBatchBesideAServingTaskOfTheSameRound(t *testing.T) {
-	r := newRig(t)
-	r.worker("w1", 32_000, 64_000)
-	knowsHeavy(r)
-	r.submit("urgent", "s1", serving(1, 16_000))
-	r.submit("batch", "b1", backfill(4, 3000, "heavy"))
+	r := newHarness(t)
+	r.addWorker("w1", 32_000, 64_000)
+	setHeavyPressure(r)
+	r.submit("urgent", "s1", servingTasks(1, 16_000))
+	r.submit("batch", "b1", backfillTasks(4, 3000, "heavy"))
 	r.plan()
 	// One task takes 0.3 of a headroom of 2 per part, and three parts.
 	if runs := len(r.runsOn("w1")); runs > 2 {
@@ -36,14 +36,14 @@
 // Cause: paces knew only of serving tasks that have reported a tail, and the first report
 // shows one that is over the objective already.
 func TestPacesBesideAServingTaskThatStartsUp(t *testing.T) {
-	r := newRig(t)
-	r.worker("w1", 32_000, 64_000)
-	r.submit("batch", "b1", backfill(4, 3000, "heavy"))
+	r := newHarness(t)
+	r.addWorker("w1", 32_000, 64_000)
+	r.submit("batch", "b1", backfillTasks(4, 3000, "heavy"))
 	r.startAll("w1", "b1")
-	knowsHeavy(r)
-	r.submit("urgent", "s1", serving(1, 16_000))
+	setHeavyPressure(r)
+	r.submit("urgent", "s1", servingTasks(1, 16_000))
 	r.plan()
-	r.pass(time.Second)
+	r.advance(time.Second)
 	for _, id := range r.runsOn("w1") {
 		r.observe(id, 10, 0)
 	}
--- a/schedule/starving.go
+++ b/schedule/starving.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// starvingAfter is how long a job may have nothing running beside free workers
+	// starvationTimeout is how long a job may have nothing running beside free workers
 	// before one of its tasks is started wherever there is room: half of the time
 	// after which callers take the job for lost.
-	starvingAfter = 1500 * time.Millisecond
-	// crowdedShare is the share of a pool's processors or memory in use from which on
+	starvationTimeout = 1500 * time.Millisecond
+	// crowdedUtilization is the share of a pool's processors or memory in use from which on
 	// jobs have to wait for their turn.
-	crowdedShare = 0.6
+	crowdedUtilization = 0.6
 )
 
-// noteWaiting notes since when the steps have been waiting of which nothing runs; of
+// trackWaits notes since when the steps have been waiting of which nothing runs; of
 // long-running ones each task that has no run is owed, whatever runs beside it.
-func (r *round) noteWaiting(candidates []*candidate) {
+func (r *round) trackWaits(candidates []*candidate) {
 	waiting := map[jobqueue.StepID]time.Time{}
 	for _, c := range candidates {
 		if c.job.Running() && !c.step.Spec.LongRunning {
 			continue
 		}
-		since, known := r.planner.waiting[c.key()]
+		since, known := r.planner.waitingSince[c.key()]
 		if !known {
 			since = r.now
 		}
 		waiting[c.key()] = since
 	}
-	r.planner.waiting = waiting
+	r.planner.waitingSince = waiting
 }
 
 // starving reports whether a job has had nothing running for long though its pool is mostly
@@ -38,8 +38,8 @@
 // goes wrong without it: tasks that would disturb the serving ones on every worker are held
 // back for good, and their jobs never end.
 func (r *round) starving(c *candidate) bool {
-	since, waits := r.planner.waiting[c.key()]
-	if !waits || r.now.Sub(since) < starvingAfter {
+	since, waits := r.planner.waitingSince[c.key()]
+	if !waits || r.now.Sub(since) < starvationTimeout {
 		return false
 	}
 	return c.step.Spec.LongRunning || !r.crowded(c.queue.Pool)
@@ -49,7 +49,7 @@
 // workers too; it returns nil if there is none.
 func (r *round) startStarving(c *candidate, index int) *slot {
 	c.lastResort = true
-	s := r.anyFeasible(c)
+	s := r.leastLoadedFeasible(c)
 	if s == nil {
 		return nil
 	}
@@ -57,7 +57,7 @@
 	if !c.step.Spec.LongRunning {
 		// One task at a time: the others follow where their speed allows.
 		c.lastResort = false
-		delete(r.planner.waiting, c.key())
+		delete(r.planner.waitingSince, c.key())
 	}
 	return s
 }
@@ -71,19 +71,19 @@
 		used = used.Add(s.worker.Capacity().Sub(s.free))
 		capacity = capacity.Add(s.worker.Capacity())
 	}
-	over := func(used, capacity int64) bool { return float64(used) > crowdedShare*float64(capacity) }
+	over := func(used, capacity int64) bool { return float64(used) > crowdedUtilization*float64(capacity) }
 	return over(used.CPUMilli, capacity.CPUMilli) || over(used.MemoryMB, capacity.MemoryMB)
 }
 
-// anyFeasible returns the feasible worker with the least demand for its processors.
-func (r *round) anyFeasible(c *candidate) *slot {
+// leastLoadedFeasible returns the feasible worker with the least demand for its processors.
+func (r *round) leastLoadedFeasible(c *candidate) *slot {
 	var best *slot
 	var bestShare float64
 	for _, s := range r.slots {
 		if r.feasible(c, s) != ReasonNone {
 			continue
 		}
-		share := (s.others + float64(s.backfill)) / float64(max(1, s.worker.Spec.CpuMilli))
+		share := (s.otherMilli + float64(s.backfillMilli)) / float64(max(1, s.worker.Spec.CpuMilli))
 		if best == nil || share < bestShare {
 			best, bestShare = s, share
 		}
--- a/schedule/trial.go
+++ b/schedule/trial.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// trialShare is the part of a pool's workers that may have a run on trial at a time: each
+	// probationPoolDivisor is the part of a pool's workers that may have a run on trial at a time: each
 	// gets no other work meanwhile, and some of them crash.
-	trialShare = 3
-	// servingStake weighs a long-running run against a batch run where a trial may end both:
+	probationPoolDivisor = 3
+	// longRunningCrashCost weighs a long-running run against a batch run where a trial may end both:
 	// its users lose it at once.
-	servingStake = 4
-	// unseenStake keeps trials away from work that has just started there.
-	unseenStake = 100
+	longRunningCrashCost = 4
+	// unobservedCrashCost keeps trials away from work that has just started there.
+	unobservedCrashCost = 100
 )
 
 // splitSuspects parts the tasks whose next run is on trial from the others.
 func splitSuspects(s *jobqueue.Step, tasks []int) (others, suspects []int) {
 	for _, index := range tasks {
-		if s.Suspect(index) {
+		if s.NextRunOnProbation(index) {
 			suspects = append(suspects, index)
 		} else {
 			others = append(others, index)
@@ -30,78 +30,78 @@
 	return others, suspects
 }
 
-// endTrials ends the trials of runs that have been seen at work for long enough, and counts the
+// endProbations ends the trials of runs that have been seen at work for long enough, and counts the
 // workers that have others.
-func (r *round) endTrials() {
+func (r *round) endProbations() {
 	for _, s := range r.slots {
-		if !s.onTrial {
+		if !s.onProbation {
 			continue
 		}
 		open := false
-		for _, run := range s.worker.RunsThat(func(run *jobqueue.Run) bool { return run.OnTrial }) {
+		for _, run := range s.worker.RunsMatching(func(run *jobqueue.Run) bool { return run.OnProbation }) {
 			o, seen := r.fleet.Observed(run.ID)
 			if seen && o.At.Sub(o.FirstAt) >= r.machine.Task(run.ID.Task).Crashes.Probation() {
-				r.decision.TrialsOver = append(r.decision.TrialsOver, &apiv1.RunRef{Task: run.ID.Task.Ref(), Run: run.ID.Number})
+				r.decision.EndedProbations = append(r.decision.EndedProbations, &apiv1.RunRef{Task: run.ID.Task.Ref(), Run: run.ID.Number})
 				continue
 			}
 			open = true
 		}
-		s.onTrial = open
+		s.onProbation = open
 		if open {
-			r.trials[s.worker.Spec.Pool]++
+			r.probations[s.worker.Spec.Pool]++
 		}
 	}
 }
 
-// noteTrialsWaiting notes since when steps have had tasks that wait for their trial. One that has
+// trackProbationWaits notes since when steps have had tasks that wait for their trial. One that has
 // waited for long gets it on any worker that has no other.
-func (r *round) noteTrialsWaiting(candidates []*candidate) {
+func (r *round) trackProbationWaits(candidates []*candidate) {
 	waiting := map[jobqueue.StepID]time.Time{}
 	for _, c := range candidates {
-		if !c.trial {
+		if !c.probation {
 			continue
 		}
-		since, known := r.planner.trialWaiting[c.key()]
+		since, known := r.planner.probationWaitingSince[c.key()]
 		if !known {
 			since = r.now
 		}
 		waiting[c.key()] = since
-		c.overdue = r.now.Sub(since) >= starvingAfter
+		c.overdue = r.now.Sub(since) >= starvationTimeout
 	}
-	r.planner.trialWaiting = waiting
+	r.planner.probationWaitingSince = waiting
 }
 
-// trialAllows reports whether a task may start beside what is on trial on a worker, or has to be
+// probationAllows reports whether a task may start beside what is on trial on a worker, or has to be
 // there without other new work.
-func (r *round) trialAllows(c *candidate, s *slot) bool {
-	if s.onTrial {
-		return c.trial && s.trialOf == c.key()
+func (r *round) probationAllows(c *candidate, s *slot) bool {
+	if s.onProbation {
+		return c.probation && s.probationStep == c.key()
 	}
-	return !c.trial || len(s.given) == 0 && (c.overdue || r.allSeen(s))
+	return !c.probation || len(s.startsByStep) == 0 && (c.overdue || r.allObserved(s))
 }
 
-// mayTry reports whether a worker may have a run on trial as far as its pool's share goes.
-func (r *round) mayTry(c *candidate, s *slot) bool {
+// mayRetry reports whether a worker may have a run on trial as far as its pool's share goes.
+func (r *round) withinProbationLimit(c *candidate, s *slot) bool {
 	pool := c.queue.Pool
-	return !c.trial || c.overdue || s.onTrial || r.trials[pool] < max(1, r.usableIn(pool)/trialShare)
+	return !c.probation || c.overdue || s.onProbation || r.probations[pool] < max(1, r.usableWorkers(pool)/probationPoolDivisor)
 }
 
-// usableIn counts the usable workers of a pool.
-func (r *round) usableIn(pool string) int {
-	if r.usable == nil {
-		r.usable = map[string]int{}
+// usableWorkers counts the usable workers of a pool.
+func (r *round) usableWorkers(pool string) int {
+	if r.usableByPool == nil {
+		r.usableByPool = map[string]int{}
 		for _, s := range r.slots {
 			if s.usable {
-				r.usable[s.worker.Spec.Pool]++
+				r.usableByPool[s.worker.Spec.Pool]++
 			}
 		}
 	}
-	return r.usable[pool]
+	return r.usableByPool[pool]
 }
 
-// allSeen reports whether all runs of a worker have been seen at work: one that has not may be
+// allObserved reports whether all runs of a worker have been seen at work: one that has not may be
 // what the worker crashes of next.
-func (r *round) allSeen(s *slot) bool {
+func (r *round) allObserved(s *slot) bool {
 	for id := range s.worker.Runs {
 		if _, seen := r.fleet.Observed(id); !seen {
 			return false
@@ -110,33 +110,33 @@
 	return true
 }
 
-// beginTrial notes that a task on trial starts on a worker.
-func (r *round) beginTrial(c *candidate, s *slot) {
-	if !s.onTrial {
-		r.trials[s.worker.Spec.Pool]++
+// beginProbation notes that a task on trial starts on a worker.
+func (r *round) beginProbation(c *candidate, s *slot) {
+	if !s.onProbation {
+		r.probations[s.worker.Spec.Pool]++
 	}
-	s.onTrial, s.trialOf = true, c.key()
+	s.onProbation, s.probationStep = true, c.key()
 }
 
-// takeBackTrial undoes beginTrial for a gang that does not start.
-func (r *round) takeBackTrial(c *candidate, s *slot) {
-	if c.trial && s.onTrial && s.trialOf == c.key() {
-		s.onTrial, s.trialOf = false, jobqueue.StepID{}
-		r.trials[s.worker.Spec.Pool]--
+// undoProbation undoes beginProbation for a gang that does not start.
+func (r *round) undoProbation(c *candidate, s *slot) {
+	if c.probation && s.onProbation && s.probationStep == c.key() {
+		s.onProbation, s.probationStep = false, jobqueue.StepID{}
+		r.probations[s.worker.Spec.Pool]--
 	}
 }
 
-// atStake weighs what a worker's crash would cost, and what may be taken for its cause.
-func (r *round) atStake(s *slot) float64 {
+// crashCost weighs what a worker's crash would cost, and what may be taken for its cause.
+func (r *round) crashCost(s *slot) float64 {
 	stake := 0.0
 	for id, run := range s.worker.Runs {
 		if run.Step.LongRunning {
-			stake += servingStake
+			stake += longRunningCrashCost
 		} else {
 			stake++
 		}
 		if _, seen := r.fleet.Observed(id); !seen {
-			stake += unseenStake
+			stake += unobservedCrashCost
 		}
 	}
 	return stake
--- a/schedule/trial_test.go
+++ b/schedule/trial_test.go
@@ -10,11 +10,11 @@
 )
 
 // crash ends a worker without notice, just after its runs have started, and begins its next life.
-func (r *rig) crash(id, next string) {
+func (r *harness) crash(id, next string) {
 	r.t.Helper()
 	w := r.machine.Worker(id)
 	crash := &apiv1.WorkerCrash{}
-	for _, run := range w.SortedRuns() {
+	for _, run := range w.SortedRunIDs() {
 		crash.Worked = append(crash.Worked, &apiv1.RunWork{Task: run.Task.Ref(), Run: run.Number, Began: true})
 	}
 	spec := w.Spec
@@ -28,23 +28,23 @@
 }
 
 // observeRuns reports all runs of a worker as at work.
-func (r *rig) observeRuns(worker string) {
+func (r *harness) observeRuns(worker string) {
 	for _, id := range r.runsOn(worker) {
 		r.observe(id, uint32(r.now.UnixMilli()/100%100), 100)
 	}
 }
 
 // Guards against a suspect that never gets its trial beside a stream of other work.
-func TestSuspectGetsItsTrialOnABusyWorker(t *testing.T) {
-	r := newRig(t)
-	r.worker("w1", 32_000, 64_000)
+func TestSuspectGetsProbationOnBusyWorker(t *testing.T) {
+	r := newHarness(t)
+	r.addWorker("w1", 32_000, 64_000)
 	r.submit("batch", "suspect", shortTasks(1))
 	r.plan()
 	r.crash("w1", "w2")
 	for i := range 40 {
 		r.submit("urgent", fmt.Sprint("u", i), shortTasks(1))
 		r.plan()
-		r.pass(100 * time.Millisecond)
+		r.advance(100 * time.Millisecond)
 		if i%5 == 4 {
 			r.observeRuns("w2")
 		}
@@ -55,11 +55,11 @@
 }
 
 // Guards against trials that hold more than their share of a pool, at two sizes of fleet.
-func TestTrialsHoldAShareOfThePool(t *testing.T) {
+func TestProbationsUseLimitedShareOfPool(t *testing.T) {
 	for _, workers := range []int{6, 60} {
-		r := newRig(t)
+		r := newHarness(t)
 		for i := range workers {
-			r.worker(fmt.Sprint("w", i), 32_000, 64_000)
+			r.addWorker(fmt.Sprint("w", i), 32_000, 64_000)
 		}
 		for i := range 2 * workers {
 			job := fmt.Sprint("suspect", i)
@@ -68,16 +68,16 @@
 		}
 		r.crash("w0", "w0b")
 		r.plan()
-		if trials := len(r.machine.Workers()) - len(idle(r)); trials != workers/trialShare {
+		if trials := len(r.machine.Workers()) - len(workersWithoutProbation(r)); trials != workers/probationPoolDivisor {
 			t.Errorf("%d of %d workers have trials", trials, workers)
 		}
 	}
 }
 
-func idle(r *rig) []*jobqueue.Worker {
+func workersWithoutProbation(r *harness) []*jobqueue.Worker {
 	var found []*jobqueue.Worker
 	for _, w := range r.machine.Workers() {
-		if !w.HasTrial() {
+		if !w.HasRunOnProbation() {
 			found = append(found, w)
 		}
 	}
--- a/schedule/unlisted.go
+++ b/schedule/unlisted.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// unlistedAfter is how long the reports of a worker may lack a long-running run that the
+	// unlistedTimeout is how long the reports of a worker may lack a long-running run that the
 	// log holds there: a start takes some tenths of a second, and reports come twice a second.
-	unlistedAfter = 2500 * time.Millisecond
-	// unlistedLook is the time between two looks at all long-running runs: one takes some 10 ms
+	unlistedTimeout = 2500 * time.Millisecond
+	// unlistedCheckInterval is the time between two looks at all long-running runs: one takes some 10 ms
 	// where there are 21,000.
-	unlistedLook = time.Second
+	unlistedCheckInterval = time.Second
 )
 
 // stopUnlisted stops long-running runs that stand in the log and not on their worker, so that
@@ -21,29 +21,29 @@
 // the worker refuses that run from then on, and it is given back only then.
 func (r *round) stopUnlisted() {
 	p := r.planner
-	if r.now.Sub(p.unlistedLookAt) < unlistedLook {
+	if r.now.Sub(p.unlistedCheckedAt) < unlistedCheckInterval {
 		return
 	}
-	p.unlistedLookAt = r.now
+	p.unlistedCheckedAt = r.now
 	unseen := map[jobqueue.RunID]time.Time{}
 	missing := func(run *jobqueue.Run) bool {
-		return run.Step.LongRunning && !run.Stopping && r.now.Sub(r.missingSince(run, unseen)) >= unlistedAfter
+		return run.Step.LongRunning && !run.Stopping && r.now.Sub(r.missingSince(run, unseen)) >= unlistedTimeout
 	}
 	for _, s := range r.slots {
-		heardSince, heard := r.fleet.HeardSince(s.worker.Spec.Id)
+		heardSince, heard := r.fleet.ReportingSince(s.worker.Spec.Id)
 		if !heard {
 			continue
 		}
-		for _, run := range s.worker.RunsThat(missing) {
-			if r.now.Sub(heardSince) < unlistedAfter {
+		for _, run := range s.worker.RunsMatching(missing) {
+			if r.now.Sub(heardSince) < unlistedTimeout {
 				continue
 			}
-			p.health.suspect(s.worker.Spec.Id, r.now)
-			s.avoided, s.mayTry = true, false
+			p.health.markStalled(s.worker.Spec.Id, r.now)
+			s.avoided, s.mayRetry = true, false
 			r.stop(run.ID, "not listed by its worker")
 		}
 	}
-	p.unseenSince = unseen
+	p.unobservedSince = unseen
 }
 
 // missingSince returns since when a run may be missing on its worker: when it was last listed
@@ -52,7 +52,7 @@
 	if o, seen := r.fleet.Observed(run.ID); seen {
 		return o.At
 	}
-	since, known := r.planner.unseenSince[run.ID]
+	since, known := r.planner.unobservedSince[run.ID]
 	if !known {
 		since = r.now
 	}
