--- a/redial/redial.go
+++ b/redial/redial.go
@@ -1,11 +1,10 @@
-// Package redial is an HTTP transport that does not trust its idle connections
-// once a call went unanswered.
+// Package redial provides an HTTP transport that closes its idle connections once a call fails.
 //
-// What goes wrong without it: connections go silent for good without a reset, when
-// the host at the other end lost its power or something between forgot them. Each
-// of them is found out only by a call that times out on it, one after the other; a
-// pool of twenty costs twenty timeouts. One notices it as calls to a host that time
-// out for seconds after the host is back, while new connections to it work.
+// Connections can stop working without a reset, when the host at the other end lost power or a
+// middlebox dropped their state. Each such connection is detected only by a call that times out on
+// it, one after the other, so a pool of twenty connections costs twenty timeouts. Without this
+// transport, calls to a host time out for seconds after the host is back, although new connections
+// to it work.
 package redial
 
 import (
@@ -15,24 +14,24 @@
 	"time"
 )
 
-// DialFunc opens a connection.
+// DialFunc opens a network connection.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Options set up a Transport.
+// Options configure a Transport.
 type Options struct {
-	// Dial opens its connections; it dials by itself when unset, within DialTimeout.
+	// Dial opens the connections. When it is nil, a net.Dialer with DialTimeout is used.
 	Dial        DialFunc
 	DialTimeout time.Duration
 	// MaxIdlePerHost is the number of idle connections kept to one host.
 	MaxIdlePerHost int
-	// IdleTimeout is how long a connection may be idle.
+	// IdleTimeout is how long a connection may be idle before it is closed.
 	IdleTimeout time.Duration
 }
 
-// Transport closes all idle connections after a call without an answer.
+// Transport closes all idle connections after a call without a response.
 type Transport struct{ *http.Transport }
 
-// New returns a transport.
+// New returns a Transport with the given options.
 func New(o Options) Transport {
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: o.DialTimeout}).DialContext
--- a/redial/redial_test.go
+++ b/redial/redial_test.go
@@ -13,8 +13,8 @@
 	"github.com/cairnlift/cairnlift/redial"
 )
 
-// blackholeListener accepts connections and hands them on, until they are silenced: then
-// nothing passes on those that are open, while new ones work.
+// blackholeListener accepts connections. Once blackhole is called, the open connections deliver no
+// data, while new ones work.
 type blackholeListener struct {
 	net.Listener
 	mu    sync.Mutex
@@ -26,7 +26,7 @@
 	mu         sync.Mutex
 	blackholed bool
 	closed     chan struct{}
-	// deadlinePassed is closed while the read deadline has passed.
+	// deadlinePassed is closed once the read deadline has passed; a later deadline replaces it.
 	deadlinePassed chan struct{}
 }
 
@@ -55,21 +55,21 @@
 func (l *blackholeConn) Read(b []byte) (int, error) {
 	n, err := l.Conn.Read(b)
 	l.mu.Lock()
-	silent, ended := l.blackholed, l.deadlinePassed
+	blackholed, deadlinePassed := l.blackholed, l.deadlinePassed
 	l.mu.Unlock()
-	if !silent || err != nil {
+	if !blackholed || err != nil {
 		return n, err
 	}
 	select {
 	case <-l.closed:
 		return 0, net.ErrClosed
-	case <-ended:
+	case <-deadlinePassed:
 		return 0, os.ErrDeadlineExceeded
 	}
 }
 
-// SetReadDeadline ends a held read as it does any other: the server ends the read
-// that it waits in once it has answered, and waits until it has returned.
+// SetReadDeadline also ends a blackholed read: after it has responded, the server ends its pending
+// background read by a deadline and waits until the read has returned.
 func (l *blackholeConn) SetReadDeadline(t time.Time) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -98,23 +98,22 @@
 	return l.Conn.Close()
 }
 
-// Symptom: calls to a host go on timing out after it is back.
-// Sequence: several connections are idle; all of them go silent; new connections
-// work.
-// Cause: each silent connection is found out by a call of its own.
+// Calls to a host must not continue to time out after the host is back. Several connections are
+// idle and all of them become blackholed, while new connections work; this guards against each
+// blackholed connection costing a timed-out call of its own.
 func TestTimeoutClosesAllUnresponsiveConnections(t *testing.T) {
 	const idle = 6
 	var together sync.WaitGroup
 	together.Add(idle)
-	links := &blackholeListener{}
+	listener := &blackholeListener{}
 	server := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/together" {
 			together.Done()
 			together.Wait()
 		}
 	}))
-	links.Listener = server.Listener
-	server.Listener = links
+	listener.Listener = server.Listener
+	server.Listener = listener
 	server.Start()
 	defer server.Close()
 	client := &http.Client{Transport: redial.New(redial.Options{
@@ -129,9 +128,9 @@
 		})
 	}
 	calls.Wait()
-	links.blackhole()
+	listener.blackhole()
 	if err := get(client, server.URL, 100*time.Millisecond); err == nil {
-		t.Fatal("a silent connection answered")
+		t.Fatal("a call on a blackholed connection succeeded")
 	}
 	if err := get(client, server.URL, 10*time.Second); err != nil {
 		t.Fatalf("the call after the first timeout: %v", err)
