--- a/pipeline/pipeline.go
+++ b/pipeline/pipeline.go
@@ -1,23 +1,23 @@
-// Package pipeline composes named filters. A request and a placement each pass
-// through a list of filters; every filter looks at a value, may change it, and
-// returns a status. The first status that is not Pass ends the run.
+// Package pipeline composes named filters. A request and a placement each pass through a list of
+// filters. Every filter examines a value, may change it, and returns a status. The first status
+// whose code is not Pass ends the run.
 package pipeline
 
 import "context"
 
-// Code says how a value left a filter.
+// Code is the result of a filter.
 type Code int
 
 const (
 	// Pass hands the value to the next filter.
 	Pass Code = iota
-	// Done ends the run with the value finished.
+	// Done ends the run with a complete value.
 	Done
-	// Reject ends the run: the value can't go on, for the reason in the status.
+	// Reject ends the run and rejects the value for the reason in the status.
 	Reject
 )
 
-// String names the code as it appears in logs.
+// String returns the code's name in logs.
 func (c Code) String() string {
 	switch c {
 	case Pass:
@@ -33,22 +33,22 @@
 // Status is a filter's outcome. The zero value is a pass.
 type Status struct {
 	Code Code
-	// Filter names the filter that ended the run; Run fills it in.
+	// Filter is the name of the filter that ended the run; Run sets it.
 	Filter string
-	// Reason tells an operator why, in a short sentence.
+	// Reason explains the status to an operator in a short sentence.
 	Reason string
 }
 
-// Passed reports whether the value goes on.
+// Passed reports whether the value continues to the next filter.
 func (s Status) Passed() bool { return s.Code == Pass }
 
-// Rejected returns a status that ends the run with a reason.
+// Rejected returns a status that ends the run and rejects the value.
 func Rejected(reason string) Status { return Status{Code: Reject, Reason: reason} }
 
-// Finished returns a status that ends the run with the value complete.
+// Finished returns a status that ends the run with a complete value.
 func Finished(reason string) Status { return Status{Code: Done, Reason: reason} }
 
-// Filter is one stage.
+// Filter is one stage of a pipeline.
 type Filter[T any] struct {
 	Name  string
 	Apply func(ctx context.Context, v *T) Status
@@ -57,7 +57,7 @@
 // Pipeline is an ordered list of filters.
 type Pipeline[T any] []Filter[T]
 
-// Run passes v through the filters until one does not pass it on.
+// Run applies the filters to v in order until one returns a status other than a pass.
 func (p Pipeline[T]) Run(ctx context.Context, v *T) Status {
 	for _, f := range p {
 		st := f.Apply(ctx, v)
