--- a/entry/admin.go
+++ b/entry/admin.go
@@ -13,10 +13,10 @@
 	"github.com/cairnlift/cairnlift/control"
 )
 
-// relayTimeout bounds a question that this entry passes on to the leader.
+// relayTimeout bounds an operator's request that this entry relays to the leader or to an agent.
 const relayTimeout = 2 * time.Second
 
-// backend is the entry as the administration API sees it.
+// backend implements the administration API's backend on an entry.
 type backend struct{ *Entry }
 
 var _ admin.Backend = backend{}
@@ -45,16 +45,16 @@
 		return errors.New("the configuration was not confirmed within the staleness bound")
 	}
 	if b.services.Load().version < b.control.Configuration().GetVersion() {
-		return errors.New("the newest configuration is not yet in force here")
+		return errors.New("the newest configuration is not yet in effect on this host")
 	}
 	if !b.agentsKnown() {
-		return errors.New("the other entries' agents are not yet known here")
+		return errors.New("the agents of the other entries are not yet known on this host")
 	}
 	return nil
 }
 
-// Explain implements admin.Backend. Why a task waits is known to the leader
-// only, so another replica asks it.
+// Explain implements admin.Backend. Only the leader knows why a task waits, so every other
+// host queries the leader.
 func (b backend) Explain(ctx context.Context, job string) (*admin.Explanation, error) {
 	return callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.Explanation, error) { return c.Explain(ctx, job) },
@@ -90,7 +90,7 @@
 	return list, nil
 }
 
-// placements returns the leader's decisions.
+// placements returns the leader's placement decisions.
 func (b backend) placements(ctx context.Context, q admin.DecisionQuery) ([]admin.Decision, error) {
 	q.Part = partPlace
 	list, err := callLeader(ctx, b,
@@ -112,11 +112,11 @@
 	return list
 }
 
-// callLeader asks the leader's administration API, or answers here when this host
-// leads.
+// callLeader runs remote against the leader's administration API, or local when this host is
+// the leader.
 func callLeader[T any](ctx context.Context, b backend,
-	there func(context.Context, *admin.Client) (T, error),
-	here func(context.Context) (T, error),
+	remote func(context.Context, *admin.Client) (T, error),
+	local func(context.Context) (T, error),
 ) (T, error) {
 	var none T
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
@@ -126,13 +126,13 @@
 	case err != nil:
 		return none, err
 	case client != nil:
-		return there(ctx, client)
+		return remote(ctx, client)
 	}
-	return here(ctx)
+	return local(ctx)
 }
 
-// leaderClient returns a client for the leader's administration address, nil
-// when this host leads itself.
+// leaderClient returns a client for the leader's administration address, or nil when this host
+// is the leader.
 func (b backend) leaderClient() (*admin.Client, error) {
 	if b.replica != nil && b.replica.Status().Leading {
 		return nil, nil
--- a/entry/admin_drain.go
+++ b/entry/admin_drain.go
@@ -9,9 +9,9 @@
 	"github.com/cairnlift/cairnlift/member"
 )
 
-// Drain implements admin.Backend. A worker's drain is recorded in the replicated
-// state and lasts until it is undone; a target's is an order to its agent and
-// lasts as long as the target's announcement.
+// Drain implements admin.Backend. The drain of a worker is recorded in the replicated state and
+// lasts until it is undone. The drain of a target is an order to its agent and lasts as long as
+// the target's announcement.
 func (b backend) Drain(ctx context.Context, r admin.DrainRequest) (*admin.DrainResponse, error) {
 	if r.Kind != admin.KindWorker {
 		if address, target := b.findTarget(r.Name); address != "" {
@@ -24,8 +24,8 @@
 	return b.drainWorker(ctx, r)
 }
 
-// findTarget returns the address of the agent of a target and the target's name
-// there. A name that several agents use has to be given as agent/target.
+// findTarget returns the address of a target's agent and the target's name on that agent. A name
+// that several agents use must be given as agent/target.
 func (b backend) findTarget(name string) (address, target string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,13 +52,13 @@
 
 func (b backend) drainTarget(ctx context.Context, r admin.DrainRequest, address, target string) (*admin.DrainResponse, error) {
 	if r.Undo {
-		return nil, admin.Errorf(admin.CodeInvalid, "a target's drain ends when the target announces itself anew; it can't be undone here")
+		return nil, admin.Errorf(admin.CodeInvalid, "a target's drain cannot be undone; it ends when the target announces itself again")
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
 	resp, err := b.agents.client(address).Drain(ctx, &apiv1.DrainRequest{Target: target})
 	if err != nil {
-		return nil, admin.Errorf(admin.CodeUnavailable, "the target's agent does not answer: %v", err)
+		return nil, admin.Errorf(admin.CodeUnavailable, "the target's agent is not responding: %v", err)
 	}
 	return &admin.DrainResponse{
 		Kind:     admin.KindTarget,
--- a/entry/admin_explain.go
+++ b/entry/admin_explain.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// maxExplainedTasks bounds the tasks in one explanation.
+// maxExplainedTasks is the maximum number of tasks in one explanation.
 const maxExplainedTasks = 100
 
 func explanation(ex control.Explanation) *admin.Explanation {
--- a/entry/admin_members.go
+++ b/entry/admin_members.go
@@ -12,8 +12,8 @@
 	"github.com/cairnlift/cairnlift/quorum/node"
 )
 
-// Members implements admin.Backend. How far each replica has come is known to
-// the leader only.
+// Members implements admin.Backend. Only the leader knows the replication progress of each
+// replica.
 func (b backend) Members(ctx context.Context) (*admin.MemberList, error) {
 	return callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.MemberList, error) { return c.Members(ctx) },
@@ -53,13 +53,13 @@
 	return err
 }
 
-// addMemberLocally takes a host in as a learner. The host tells its own replica id:
-// a name and an address alone don't say which disk answers there.
+// addMemberLocally adds a host as a learner. The host reports its own replica ID, since a name
+// and an address do not identify the disk behind that address.
 func (b backend) addMemberLocally(ctx context.Context, m admin.Member) error {
 	client := apiv1.NewQuorumProtobufClient("http://"+m.Address, b.internalClient)
 	id, err := client.Identify(ctx, &apiv1.IdentifyRequest{Cell: defaultCell})
 	if err != nil {
-		return admin.Errorf(admin.CodeUnavailable, "the host at %s does not answer: %v", m.Address, err)
+		return admin.Errorf(admin.CodeUnavailable, "the host at %s is not responding: %v", m.Address, err)
 	}
 	if id.GetName() != m.Name {
 		return admin.Errorf(admin.CodeInvalid, "the host at %s is %q, not %q", m.Address, id.GetName(), m.Name)
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// memberError words a change of membership that failed.
+// memberError converts the error of a failed membership change to an administration API error.
 func memberError(err error) error {
 	var unknown *node.UnknownError
 	var notLeader *node.NotLeaderError
@@ -106,5 +106,5 @@
 	case errors.As(err, &notLeader):
 		return &control.UnavailableError{RetryAfter: defaultRetryAfter, Cause: err.Error()}
 	}
-	return admin.Errorf(admin.CodeConflict, "the group refuses the change: %v", err)
+	return admin.Errorf(admin.CodeConflict, "the control group rejected the membership change: %v", err)
 }
--- a/entry/admin_status.go
+++ b/entry/admin_status.go
@@ -13,7 +13,7 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// workerAliveTimeout is how long after its last report a worker is shown as alive.
+// workerAliveTimeout is the time from a worker's last report during which it is shown as alive.
 const workerAliveTimeout = 5 * time.Second
 
 // Status implements admin.Backend.
@@ -38,7 +38,7 @@
 	return s, b.addLeaderStatus(ctx, s, wants)
 }
 
-// addReplicaStatus adds what this host's replica holds.
+// addReplicaStatus adds the state of this host's replica.
 func (b backend) addReplicaStatus(s *admin.Status, wants func(string) bool) {
 	st := b.replica.Status()
 	s.Term, s.Index = st.Term, st.Index
@@ -54,7 +54,7 @@
 	}
 }
 
-// addLeaderStatus asks the leader for what only replicas hold.
+// addLeaderStatus queries the leader for the sections that only a replica has.
 func (b backend) addLeaderStatus(ctx context.Context, s *admin.Status, wants func(string) bool) error {
 	var sections []string
 	for _, section := range []string{admin.SectionWorkers, admin.SectionJobs} {
@@ -71,16 +71,16 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout)
 	defer cancel()
-	theirs, err := client.Status(ctx, sections...)
+	leader, err := client.Status(ctx, sections...)
 	if err != nil {
 		return err
 	}
-	s.Term, s.Index = theirs.Term, theirs.Index
-	s.Workers, s.Jobs = theirs.Workers, theirs.Jobs
+	s.Term, s.Index = leader.Term, leader.Index
+	s.Workers, s.Jobs = leader.Workers, leader.Jobs
 	return nil
 }
 
-// processes lists this entry, the other entries and all agents.
+// processes lists this entry, the other entries and all agents, this entry first.
 func (b backend) processes() []admin.Process {
 	now := b.now()
 	leader := b.leaderAddress()
@@ -135,7 +135,7 @@
 	}
 }
 
-// role is what an entry does in the control group, as this host sees it.
+// role returns an entry's role in the control group, as known to this host.
 func (b backend) role(address, leader string) string {
 	if address == leader {
 		return "leader"
@@ -151,7 +151,8 @@
 	return "entry"
 }
 
-// replicas are the members of the control group as this host knows them.
+// replicas returns the members of the control group known to this host: its own replica's view,
+// or the peers in the settings on an entry without a replica.
 func (b backend) replicas() []*apiv1.Replica {
 	if b.node != nil {
 		return b.node.Status().Membership.GetReplicas()
@@ -172,7 +173,7 @@
 	return address
 }
 
-// targets lists every known target with the load it last announced.
+// targets lists every known target with the load it announced last.
 func (b backend) targets() []admin.Target {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -196,8 +197,8 @@
 	return list
 }
 
-// worker is a worker's record. Only the leader hears the workers themselves; on
-// another replica the agent's heartbeat stands in.
+// worker converts a worker's status. Only the leader receives workers' reports; any other
+// replica takes the heartbeat of the worker's agent as the sign that the worker is alive.
 func (b backend) worker(w control.WorkerStatus, leading bool) admin.Worker {
 	alive := w.ReportAge >= 0 && w.ReportAge <= workerAliveTimeout
 	if !leading {
@@ -216,7 +217,7 @@
 	}
 }
 
-// agentUsable reports whether the agent of a worker was heard lately.
+// agentUsable reports whether a heartbeat of the worker's agent arrived recently.
 func (e *Entry) agentUsable(worker string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// minRetryAfter is the least time a refused caller is told to stay away.
+	// minRetryAfter is the shortest wait that a refused caller is given.
 	minRetryAfter = 10 * time.Millisecond
-	// defaultRetryAfter is the Retry-After where nothing better is known: about the
-	// time an election takes.
+	// defaultRetryAfter is the Retry-After when there is no better estimate. It is about
+	// the time that an election takes.
 	defaultRetryAfter = time.Second
 )
 
-// outcomeNames are the values of HeaderOutcome.
+// outcomeNames holds the values of HeaderOutcome.
 var outcomeNames = map[apiv1.Outcome]string{
 	apiv1.Outcome_OUTCOME_ANSWERED: "answered",
 	apiv1.Outcome_OUTCOME_FAILED:   "failed",
@@ -27,7 +27,7 @@
 	apiv1.Outcome_OUTCOME_UNKNOWN:  "unknown",
 }
 
-// errorBody is what a caller gets in place of a target's answer.
+// errorBody is the body that a caller gets when there is no response of a target.
 type errorBody struct {
 	Outcome      string `json:"outcome"`
 	Reason       string `json:"reason"`
@@ -58,7 +58,7 @@
 			h.Set("Content-Length", strconv.Itoa(len(body)))
 		}
 		w.WriteHeader(int(a.response.GetStatus()))
-		_, _ = w.Write(body) // a caller that left gets nothing; the outcome stands
+		_, _ = w.Write(body) // the outcome does not depend on whether the caller is still connected
 		return
 	}
 	writeError(w, r)
@@ -85,7 +85,7 @@
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// statusCode is the HTTP status of an answer that no target gave.
+// statusCode returns the HTTP status of an answer that does not come from a target.
 func (a *answer) statusCode() int {
 	if a.status != 0 {
 		return a.status
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -14,21 +14,21 @@
 )
 
 const (
-	// dialTimeout bounds the connection to an agent: a host cut off in silence
-	// must cost a request little, since nothing was sent to it.
+	// dialTimeout bounds the connection to an agent. Nothing was sent to a host that does
+	// not accept the connection, so an unresponsive host should cost a request little time.
 	dialTimeout    = 300 * time.Millisecond
 	maxIdlePerHost = 512
-	// revokeTimeDivisor and maxRevokeTime set aside the last part of a request's time; see
-	// workDeadline.
+	// revokeTimeDivisor and maxRevokeTime determine the part of a request's time that is
+	// reserved for revocations; see workDeadline.
 	revokeTimeDivisor = 10
 	maxRevokeTime     = 100 * time.Millisecond
-	// maxStatus is the highest HTTP status (RFC 9110, 15).
+	// maxStatus is the highest valid HTTP status (RFC 9110, section 15).
 	maxStatus = 599
 )
 
 var dialer = &net.Dialer{Timeout: dialTimeout, KeepAlive: 15 * time.Second}
 
-// attempt is one dispatch and what became of it.
+// attempt is one dispatch and its outcome.
 type attempt struct {
 	target   route.Target
 	number   uint32
@@ -37,10 +37,10 @@
 	message  string
 	response *apiv1.HttpResponse
 	load     *apiv1.Load
-	// retryAfter is when the agent expects the target to have room again.
+	// retryAfter is the time until the agent expects the target to have free capacity again.
 	retryAfter time.Duration
 	latency    time.Duration
-	// running: the target still works on it.
+	// running is set while the target still runs the attempt.
 	running bool
 }
 
@@ -66,18 +66,18 @@
 	return a
 }
 
-// setNotSent is the outcome of an attempt that is not sent, since the deadline passed
-// while its claim was made or this process stood still. A call whose time is over fails
-// like one that was sent and got no answer: the caller would be told "unknown", and the
-// router would count the target as slow.
+// setNotSent sets the outcome of an attempt that is not sent because the deadline passed while
+// its claim was made or while this process was paused. A call with an expired context fails in
+// the same way as one that was sent and got no response: without this check the caller would get
+// the outcome "unknown", and the router would count the target as slow.
 func (a *attempt) setNotSent() {
 	a.outcome = apiv1.Outcome_OUTCOME_NOT_RUN
 	a.reason = apiv1.Reason_REASON_DEADLINE
-	a.message = "the deadline passed before anything was sent"
+	a.message = "the deadline passed before the request was sent"
 }
 
-// workDeadline is when claims and dispatches end, so that the last part of the request's
-// time is left to find out what became of an attempt and to answer.
+// workDeadline returns when claims and dispatches end. The last part of the request's time
+// remains for determining the outcome of an attempt and for answering the caller.
 func (r *request) workDeadline(now time.Time) time.Time {
 	margin := min(r.Deadline.Sub(now)/revokeTimeDivisor, maxRevokeTime)
 	return r.Deadline.Add(-margin)
@@ -98,21 +98,21 @@
 	}
 }
 
-// localName is the target's name on its agent.
+// localName returns the target's name on its agent.
 func localName(t route.Target) string { return t.ID[len(t.Agent)+1:] }
 
-// validateResponse takes an agent's answer if it is whole and belongs to the attempt.
+// validateResponse sets the attempt's outcome from an agent's response if the response is
+// complete and belongs to the attempt.
 //
-// An answer that belongs to another request would disclose it to the wrong caller;
-// a truncated one would look complete. Both would be noticed only by the caller.
-// Such an answer is dropped and the attempt's outcome is unknown: the target may
-// well have run it.
+// A response that belongs to another request would disclose its content to the wrong caller, and
+// a truncated one would look complete; only the caller could notice either. Such a response is
+// dropped and the outcome is unknown, since the target may have run the attempt.
 func (e *Entry) validateResponse(r *request, a *attempt, resp *apiv1.DispatchResponse) {
 	if resp.GetRequestId() != r.ID || resp.GetAttempt() != a.number {
 		e.metrics.wrongAnswers.Inc(1)
 		a.outcome = apiv1.Outcome_OUTCOME_UNKNOWN
 		a.reason = apiv1.Reason_REASON_WRONG_ANSWER
-		a.message = "the answer belongs to another request"
+		a.message = "the response belongs to another request"
 		return
 	}
 	a.outcome = resp.GetOutcome()
@@ -122,20 +122,20 @@
 	a.retryAfter = time.Duration(resp.GetRetryAfterMs()) * time.Millisecond
 	a.response = resp.GetResponse()
 	if a.reason == apiv1.Reason_REASON_DUPLICATE {
-		// This copy was refused; the one that came before it may have run.
+		// The agent refused this copy; the one that arrived before it may have run.
 		a.outcome = apiv1.Outcome_OUTCOME_UNKNOWN
 	}
 	if provesRun(a.outcome) && !isComplete(a.response) {
 		e.metrics.brokenAnswers.Inc(1)
 		a.outcome = apiv1.Outcome_OUTCOME_UNKNOWN
 		a.reason = apiv1.Reason_REASON_BROKEN_ANSWER
-		a.message = "the answer is not whole"
+		a.message = "the response is incomplete"
 		a.response = nil
 	}
 }
 
-// isComplete reports whether an answer can be passed on: all of its body, and a final
-// HTTP status.
+// isComplete reports whether a response can be passed on: its body matches the checksum and its
+// HTTP status is a final one.
 func isComplete(resp *apiv1.HttpResponse) bool {
 	status := resp.GetStatus()
 	if status < http.StatusOK || status > maxStatus {
@@ -144,21 +144,21 @@
 	return xxhash.Sum64(resp.GetBody()) == resp.GetBodyChecksum()
 }
 
-// resolveLost finds out what became of an attempt that ended without the agent's
-// answer. A connection that was never made sent nothing. Otherwise only the agent
-// can tell: a revocation it confirms leaves a tombstone, so that the dispatch,
-// should it still be under way, is refused when it arrives.
+// resolveLost determines the outcome of an attempt that ended without a response of the agent.
+// If the connection was never established, nothing was sent. Otherwise only the agent knows the
+// outcome: a revocation that it confirms leaves a tombstone, so that it refuses the dispatch if
+// that arrives later.
 func (e *Entry) resolveLost(r *request, a *attempt, client apiv1.Agent, err error) {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		a.outcome = apiv1.Outcome_OUTCOME_NOT_RUN
 		a.reason = apiv1.Reason_REASON_TARGET_UNREACHABLE
-		a.message = "the agent can't be reached"
+		a.message = "the agent is unreachable"
 		return
 	}
 	a.outcome = apiv1.Outcome_OUTCOME_UNKNOWN
 	a.reason = apiv1.Reason_REASON_DEADLINE
-	a.message = "the agent gave no answer"
+	a.message = "the agent did not respond"
 	left := r.Deadline.Sub(e.now())
 	bound := min(left, maxRevokeTime)
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
@@ -167,7 +167,7 @@
 		RequestId:        r.ID,
 		Attempt:          a.number,
 		AgentIncarnation: a.target.AgentIncarnation,
-		// Also for the last of the tries that revoke makes within bound.
+		// The age must also hold for the last retry that revoke makes within bound.
 		AgeMs: (a.latency + bound).Milliseconds() + 1,
 	})
 	if err != nil {
@@ -176,17 +176,17 @@
 	a.applyRevocation(resp)
 }
 
-// applyRevocation takes over what the agent knows of an attempt.
+// applyRevocation sets the outcome of an attempt from the agent's response to a revocation.
 func (a *attempt) applyRevocation(resp *apiv1.RevokeResponse) {
 	a.running = resp.GetRunning()
 	switch resp.GetOutcome() {
 	case apiv1.Outcome_OUTCOME_NOT_RUN:
 		a.outcome = apiv1.Outcome_OUTCOME_NOT_RUN
 		a.reason = apiv1.Reason_REASON_REVOKED
-		a.message = "revoked before it was run"
+		a.message = "the attempt was revoked before it ran"
 	case apiv1.Outcome_OUTCOME_ANSWERED, apiv1.Outcome_OUTCOME_FAILED:
 		if !isComplete(resp.GetResponse()) {
-			a.message = "it ran, and its answer is no longer held"
+			a.message = "the attempt ran, but its response is no longer stored"
 			return
 		}
 		a.outcome = resp.GetOutcome()
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -14,12 +14,12 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// faultyAgent answers dispatches with fault and revocations with revoke.
+// faultyAgent is an agent whose responses are modified by fault.
 type faultyAgent struct {
 	apiv1.Agent
 	dispatches atomic.Int64
 	fault      func(*apiv1.DispatchRequest, *apiv1.DispatchResponse)
-	// revoke is the answer to revocations; they fail while it is unset.
+	// revoke is the response to revocations, which fail while it is nil.
 	revoke atomic.Pointer[apiv1.RevokeResponse]
 }
 
@@ -38,17 +38,16 @@
 	if resp := f.revoke.Load(); resp != nil {
 		return resp, nil
 	}
-	return nil, twirp.InternalError("out of reach")
+	return nil, twirp.InternalError("unreachable")
 }
 
 func completeAnswer(s string) *apiv1.HttpResponse {
 	return &apiv1.HttpResponse{Status: 200, Body: []byte(s), BodyChecksum: xxhash.Sum64String(s)}
 }
 
-// Symptom: a caller gets the answer to another's request, half an answer, or is told
-// "not run" of something that ran. Sequence: an agent's answers are swapped, cut
-// short, lost or doubled. Cause: an answer was taken for the request that waits
-// on the connection, whatever it said.
+// A caller must not get the response to another request, a truncated response, or "not run" for a
+// request that ran. An agent's responses are swapped, truncated, lost or duplicated; this guards
+// against accepting any response on the connection for the request that waits on it.
 func TestMismatchedOrIncompleteAnswersAreRejected(t *testing.T) {
 	lost := func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) { panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
@@ -73,11 +72,11 @@
 		{"lost, running", lost, &apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Running: true}, "unknown", "deadline", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, 1)
+			h := newHarness(t, 1)
 			f := &faultyAgent{fault: c.fault}
 			f.revoke.Store(c.revoke)
-			g.announceAgent(apiv1.NewAgentServer(f))
-			w := g.call(g.entries[0], http.MethodPost, "/bookings/1", "x", nil)
+			h.announceAgent(apiv1.NewAgentServer(f))
+			w := h.call(h.entries[0], http.MethodPost, "/bookings/1", "x", nil)
 			if got := w.Header().Get(HeaderOutcome); got != c.outcome || !strings.Contains(w.Body.String(), c.body) {
 				t.Errorf("got %s: %s", got, w.Body)
 			}
@@ -88,18 +87,17 @@
 	}
 }
 
-// Symptom: a refused caller waits until its deadline, or retries at once. Sequence: no
-// target is there, or every target refuses. Cause: the refusal was held back or
-// carried no Retry-After.
+// A refused caller must neither wait until its deadline nor retry immediately. There is no target,
+// or every target refuses; this guards against a delayed refusal and one without Retry-After.
 func TestRefusalsCarryRetryAfter(t *testing.T) {
-	g := newHarness(t, 1)
+	h := newHarness(t, 1)
 	full := &faultyAgent{fault: func(_ *apiv1.DispatchRequest, r *apiv1.DispatchResponse) {
 		r.Outcome, r.Reason, r.Response = apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Reason_REASON_SLOTS_FULL, nil
 		r.RetryAfterMs = 250
 	}}
 	check := func(reason string) {
 		t.Helper()
-		w := g.call(g.entries[0], http.MethodPost, "/bookings/1", "x", nil)
+		w := h.call(h.entries[0], http.MethodPost, "/bookings/1", "x", nil)
 		if w.Code != http.StatusServiceUnavailable || w.Header().Get(HeaderReason) != reason {
 			t.Errorf("got %d %s", w.Code, w.Body)
 		}
@@ -107,41 +105,43 @@
 			t.Errorf("no Retry-After: %v", w.Header())
 		}
 	}
-	g.awaitConfiguration()
+	h.awaitConfiguration()
 	check("no-target")
-	g.announceAgent(apiv1.NewAgentServer(full))
+	h.announceAgent(apiv1.NewAgentServer(full))
 	check("slots-full")
-	if w := g.call(g.entries[0], http.MethodGet, "/elsewhere", "", nil); w.Code != http.StatusNotFound {
-		t.Errorf("a path of no service got %d", w.Code)
+	if w := h.call(h.entries[0], http.MethodGet, "/elsewhere", "", nil); w.Code != http.StatusNotFound {
+		t.Errorf("a path without a service got %d", w.Code)
 	}
 }
 
-// announceAgent announces a stand-in agent with one target to the first entry.
-func (g *harness) announceAgent(h http.Handler) { g.announceIncarnation(h, 1) }
+// announceAgent announces a fake agent with one target to the first entry.
+func (h *harness) announceAgent(agent http.Handler) { h.announceIncarnation(agent, 1) }
 
-func (g *harness) announceIncarnation(h http.Handler, incarnation uint64) {
-	s := httptest.NewServer(h)
-	g.t.Cleanup(s.Close)
-	_, err := g.entries[0].Heartbeat(g.ctx, &apiv1.HeartbeatRequest{Agent: &apiv1.AgentInfo{
+// announceIncarnation announces an incarnation of a fake agent with one target to the first entry.
+func (h *harness) announceIncarnation(agent http.Handler, incarnation uint64) {
+	s := httptest.NewServer(agent)
+	h.t.Cleanup(s.Close)
+	_, err := h.entries[0].Heartbeat(h.ctx, &apiv1.HeartbeatRequest{Agent: &apiv1.AgentInfo{
 		Name: "host-f", Address: strings.TrimPrefix(s.URL, "http://"), Incarnation: incarnation, Revision: 1,
 		Targets: []*apiv1.TargetInfo{{Name: "t", Service: "bookings", Slots: 8, Connections: 64}},
 	}})
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	g.awaitConfiguration()
+	h.awaitConfiguration()
 }
 
-func (g *harness) awaitConfiguration() {
-	e := g.entries[0]
-	g.eventually("configuration in force and confirmed", func() bool {
+// awaitConfiguration waits until the first entry has applied and confirmed the configuration.
+func (h *harness) awaitConfiguration() {
+	e := h.entries[0]
+	h.eventually("configuration in effect and confirmed", func() bool {
 		return e.services.Load().version == 1 && e.fresh()
 	})
 }
 
-// Symptom: a sale runs twice. Sequence: an operator declares /bookings/lots as
-// idempotent; a POST to /bookings/lotsX is retried. Cause: prefixes were compared
-// by letters and not by path segments.
+// A sale must not run twice. An operator declares /bookings/lots as idempotent, and a POST to
+// /bookings/lotsX must not be retried; this guards against comparing prefixes by characters
+// instead of path segments.
 func TestOnlyDeclaredRequestsAreIdempotent(t *testing.T) {
 	svc := &apiv1.Service{IdempotentRoutes: []*apiv1.Route{{Method: "POST", PathPrefix: "/bookings/lots"}}}
 	for _, c := range []struct {
@@ -164,20 +164,19 @@
 	}
 }
 
-// Symptom: a host that restarted refuses every request for seconds. Sequence: its
-// clock is set back, its agent starts anew under a lower incarnation and announces
-// itself. Cause: the directory and the router disagreed on which of two incarnations
-// is the newer.
+// A restarted host must not refuse every request for seconds. Its clock is set back, and its agent
+// restarts with a lower incarnation and announces itself; this guards against the directory and the
+// router disagreeing on which of two incarnations is newer.
 func TestAgentRestartAfterClockSetBack(t *testing.T) {
-	g := newHarness(t, 1)
+	h := newHarness(t, 1)
 	var seen atomic.Uint64
 	f := &faultyAgent{fault: func(req *apiv1.DispatchRequest, _ *apiv1.DispatchResponse) { seen.Store(req.GetAgentIncarnation()) }}
-	h := apiv1.NewAgentServer(f)
+	agent := apiv1.NewAgentServer(f)
 	for _, incarnation := range []uint64{5, 3} {
-		g.announceIncarnation(h, incarnation)
-		g.call(g.entries[0], http.MethodPost, "/bookings/1", "x", nil)
+		h.announceIncarnation(agent, incarnation)
+		h.call(h.entries[0], http.MethodPost, "/bookings/1", "x", nil)
 		if seen.Load() != incarnation {
-			t.Errorf("dispatch named incarnation %d, not %d", seen.Load(), incarnation)
+			t.Errorf("dispatch named incarnation %d, want %d", seen.Load(), incarnation)
 		}
 	}
 }
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	// claimPollFirst and claimPollMax space the looks at a claim that another
-	// request holds.
+	// claimPollFirst and claimPollMax are the first and the longest interval between two
+	// checks of a claim that another request holds; the interval doubles in between.
 	claimPollFirst = 20 * time.Millisecond
 	claimPollMax   = 500 * time.Millisecond
-	// clockRateDivisor raises a leader's times by a hundredth, ten times the bound on
-	// the rate error of hosts' clocks in the default settings.
+	// clockRateDivisor increases durations measured by the leader by one hundredth, ten times
+	// the bound on the rate error of hosts' clocks in the default settings.
 	clockRateDivisor = 100
-	// maxStoredAnswer bounds an answer kept in the replicated log for resends.
+	// maxStoredAnswer is the largest response body, in bytes, that the replicated log keeps
+	// for resends.
 	maxStoredAnswer = 64 << 10
-	// orphanRevokeTimeout bounds the revocation of another entry's request.
+	// orphanRevokeTimeout bounds the revocation of a request of another entry.
 	orphanRevokeTimeout = 500 * time.Millisecond
 	// claimTimeout bounds one claim: ten election timeouts of the default settings. A
-	// caller that would wait longer is told to come back.
+	// caller that would wait longer is refused with a Retry-After.
 	claimTimeout = 5 * time.Second
-	// settleTimeout bounds the storing of an outcome.
+	// settleTimeout bounds the proposal that stores an outcome.
 	settleTimeout = 5 * time.Second
 )
 
-// claim binds the request's idempotency key to it in the replicated log before
-// the first dispatch, whichever entry the caller reached.
+// claim binds the idempotency key to the request in the replicated log before the first dispatch,
+// so that the binding holds for every entry.
 //
-// Without it a resend that reaches another entry would run the request twice. The
-// claim names the agent and attempt of the dispatch that follows, so that any
-// entry can ask that agent for its outcome when this one dies in between.
+// Without it, a resend that reaches another entry would run the request twice. The claim names
+// the agent and the attempt of the dispatch that follows, so that any entry can query that agent
+// for the outcome if this entry fails in between.
 //
-// All claims of a request together end by its deadline. While the control group has no
-// leader each waits for one; with a bound of its own the caller would have given up
-// before it is told "not run", and never learn that it may safely come back.
+// All claims of a request together end by its deadline. While the control group has no leader,
+// each claim waits for one. If claims had only a timeout of their own, the caller would give up
+// before it receives "not run", and would not know that a retry is safe.
 func (e *Entry) claim(ctx context.Context, r *request) pipeline.Status {
 	if r.key == "" {
 		return pipeline.Status{}
@@ -50,12 +51,12 @@
 	ctx, cancel := context.WithDeadline(ctx, r.workDeadline(e.now()))
 	defer cancel()
 	poll := claimPollFirst
-	held := false
+	keyHeld := false
 	for {
-		asked := e.now()
+		requestedAt := e.now()
 		res, err := e.proposeClaim(ctx, r)
 		switch {
-		case err != nil && held:
+		case err != nil && keyHeld:
 			return e.claimInDoubt(r, err)
 		case err != nil:
 			return e.claimFailed(r, err)
@@ -65,8 +66,8 @@
 			r.claimed = true
 			return pipeline.Status{}
 		}
-		held = held || c.GetStanding() != nil
-		st, again := e.resolveExistingClaim(ctx, r, existingClaim{c, asked}, poll < claimPollMax)
+		keyHeld = keyHeld || c.GetStanding() != nil
+		st, again := e.resolveExistingClaim(ctx, r, existingClaim{c, requestedAt}, poll < claimPollMax)
 		if !again {
 			return st
 		}
@@ -85,15 +86,16 @@
 	return e.control.Propose(ctx, e.claimCommand(r))
 }
 
-// existingClaim is a claim that another request holds, and when the log was asked.
+// existingClaim is a claim that another request holds, and the time at which this entry queried
+// the log.
 type existingClaim struct {
 	*apiv1.ClaimResult
 	requestedAt time.Time
 }
 
-// maxAgeMs bounds from above how long ago the claimed attempt can have been sent:
-// the age that the log gives, raised by what the leader's clock may run slow, and
-// the time since it was asked. 0 when the log can't tell.
+// maxAgeMs returns an upper bound on the time since the claimed attempt was sent: the age that the
+// log reports, increased by the possible rate error of the leader's clock, plus the time since the
+// query. It is 0 when the log does not know the age.
 func (c existingClaim) maxAgeMs(now time.Time) int64 {
 	age := c.GetStandingAgeMs()
 	if age == 0 {
@@ -120,20 +122,20 @@
 	}
 }
 
-// claimFailed words a claim that could not be made. Nothing was dispatched, so
-// "not run" is true even if the claim turns out to be committed: a resend then
-// finds it, and the named agent proves that the attempt never ran.
+// claimFailed answers a request whose claim could not be made. Nothing was dispatched, so
+// "not run" is correct even if the claim is committed later: a resend then finds the claim, and
+// the agent that it names confirms that the attempt never ran.
 func (e *Entry) claimFailed(r *request, err error) pipeline.Status {
-	r.answer = notRun(apiv1.Reason_REASON_NO_QUORUM, "the idempotency key can't be recorded now", claimRetryAfter(err))
+	r.answer = notRun(apiv1.Reason_REASON_NO_QUORUM, "the idempotency key cannot be recorded at this time", claimRetryAfter(err))
 	return pipeline.Rejected("no quorum")
 }
 
-// claimInDoubt words a claim that could not be looked at again after another request was
-// seen to hold the key. That one may have run, so "not run" would be false: a caller who
-// believed it and sent the request under a new key would have it run twice.
+// claimInDoubt answers a request whose claim could not be checked again after another request was
+// found to hold the key. That request may have run, so "not run" would be incorrect: a caller that
+// then sent the request under a new key would have it run twice.
 func (e *Entry) claimInDoubt(r *request, err error) pipeline.Status {
 	r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS,
-		"a request with this key was running, and what became of it can't be learnt now", claimRetryAfter(err))
+		"a request with this key was running; its outcome cannot be determined at this time", claimRetryAfter(err))
 	return pipeline.Rejected("key in progress, no quorum")
 }
 
@@ -145,88 +147,86 @@
 	return defaultRetryAfter
 }
 
-// resolveExistingClaim answers from a claim that another request with the same key holds.
-// again means: look once more, the claim may have changed.
+// resolveExistingClaim answers a request from a claim that another request with the same key holds.
+// It returns again when the claim may have changed and must be checked once more.
 //
-// While patient, the entry that holds an open claim is left alone when it is alive.
-// Past that, and when the outcome was unknown, the agent is asked: the holder may
-// have restarted under its name since, or lost the outcome on its way to the log,
-// and nobody else would ever settle the claim; callers would be told "in progress"
-// forever.
+// While patient is set, an unsettled claim is left to its entry as long as that entry is alive.
+// After that, and if the outcome was unknown, the agent is queried: the entry may have restarted
+// under the same name since, or the outcome may have been lost on its way to the log. No other
+// process would settle the claim then, and callers would get "in progress" forever.
 func (e *Entry) resolveExistingClaim(ctx context.Context, r *request, c existingClaim, patient bool) (st pipeline.Status, again bool) {
-	held := c.GetStanding()
+	record := c.GetStanding()
 	switch {
 	case c.GetReason() == apiv1.Reason_REASON_KEY_EXPIRED:
-		r.answer = badRequest(http.StatusConflict, c.GetReason(), "the idempotency key is older than the window it is kept for")
+		r.answer = badRequest(http.StatusConflict, c.GetReason(), "the idempotency key is older than its retention window")
 		return pipeline.Rejected("key expired"), false
-	case c.GetReason() == apiv1.Reason_REASON_KEY_REUSED || held != nil && !bytes.Equal(held.GetRequestDigest(), r.digest):
+	case c.GetReason() == apiv1.Reason_REASON_KEY_REUSED || record != nil && !bytes.Equal(record.GetRequestDigest(), r.digest):
 		r.answer = badRequest(http.StatusUnprocessableEntity, apiv1.Reason_REASON_KEY_REUSED, "the idempotency key was used for another request")
 		return pipeline.Rejected("key reused"), false
-	case held == nil:
-		r.answer = notRun(c.GetReason(), "the idempotency key can't be taken now", defaultRetryAfter)
+	case record == nil:
+		r.answer = notRun(c.GetReason(), "the idempotency key cannot be claimed at this time", defaultRetryAfter)
 		return pipeline.Rejected("claim refused"), false
-	case held.GetSettled() && held.GetOutcome() != apiv1.Outcome_OUTCOME_UNKNOWN:
-		r.answer = storedAnswer(held)
-		return pipeline.Finished("answered from the claim"), false
-	case patient && !held.GetSettled() && (e.peerAlive(held.GetEntry()) || held.GetEntry() == e.settings.Name):
+	case record.GetSettled() && record.GetOutcome() != apiv1.Outcome_OUTCOME_UNKNOWN:
+		r.answer = storedAnswer(record)
+		return pipeline.Finished("answered from the stored claim"), false
+	case patient && !record.GetSettled() && (e.peerAlive(record.GetEntry()) || record.GetEntry() == e.settings.Name):
 		return pipeline.Status{}, true
 	}
 	return e.resolveOrphan(ctx, r, c)
 }
 
-// storedAnswer repeats the outcome of the request that held the key.
-func storedAnswer(held *apiv1.ClaimRecord) answer {
-	if provesRun(held.GetOutcome()) && held.GetResponse() == nil {
-		return unknown(held.GetReason(), "the request was run; its answer was too large to keep", 0)
+// storedAnswer returns the stored outcome of the request that holds the key.
+func storedAnswer(record *apiv1.ClaimRecord) answer {
+	if provesRun(record.GetOutcome()) && record.GetResponse() == nil {
+		return unknown(record.GetReason(), "the request ran; its response was too large to store", 0)
 	}
-	return answer{outcome: held.GetOutcome(), reason: held.GetReason(), response: held.GetResponse()}
+	return answer{outcome: record.GetOutcome(), reason: record.GetReason(), response: record.GetResponse()}
 }
 
-// resolveOrphan finds the outcome of a claimed request whose entry is gone. The agent that
-// the claim names either proves that the attempt never ran, and never will, or
-// still has its answer; otherwise the outcome is unknown and the request is not run
-// again.
+// resolveOrphan determines the outcome of a claimed request whose entry does not settle it. The
+// agent that the claim names either confirms that the attempt never ran and never will, or still
+// has the response. Otherwise the outcome is unknown and the request is not run again.
 func (e *Entry) resolveOrphan(ctx context.Context, r *request, c existingClaim) (pipeline.Status, bool) {
-	held := c.GetStanding()
-	address := e.agentAddress(held.GetAgent(), held.GetAgentIncarnation())
+	record := c.GetStanding()
+	address := e.agentAddress(record.GetAgent(), record.GetAgentIncarnation())
 	if address == "" {
-		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request is gone", defaultRetryAfter)
-		return pipeline.Rejected("fate unknown"), false
+		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request is no longer available", defaultRetryAfter)
+		return pipeline.Rejected("outcome unknown"), false
 	}
 	ctx, cancel := context.WithTimeout(ctx, min(r.Deadline.Sub(e.now()), orphanRevokeTimeout))
 	defer cancel()
 	resp, err := revoke(ctx, e.agents.client(address), &apiv1.RevokeRequest{
-		RequestId:        held.GetRequestId(),
-		Attempt:          held.GetAttempt(),
-		AgentIncarnation: held.GetAgentIncarnation(),
+		RequestId:        record.GetRequestId(),
+		Attempt:          record.GetAttempt(),
+		AgentIncarnation: record.GetAgentIncarnation(),
 		AgeMs:            c.maxAgeMs(e.now()),
 	})
 	if err != nil {
-		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request can't be reached", defaultRetryAfter)
-		return pipeline.Rejected("fate unknown"), false
+		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request is unreachable", defaultRetryAfter)
+		return pipeline.Rejected("outcome unknown"), false
 	}
-	a := attempt{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, number: held.GetAttempt()}
+	a := attempt{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, number: record.GetAttempt()}
 	a.applyRevocation(resp)
 	switch {
 	case a.outcome == apiv1.Outcome_OUTCOME_NOT_RUN:
-		return e.releaseKey(ctx, r, held)
+		return e.releaseKey(ctx, r, record)
 	case provesRun(a.outcome):
 		r.answer = answer{outcome: a.outcome, reason: a.reason, response: a.response}
-		e.settleAsync(settleCommand(held.GetService(), held.GetKey(), held.GetRequestId(), held.GetAttempt(), &r.answer))
+		e.settleAsync(settleCommand(record.GetService(), record.GetKey(), record.GetRequestId(), record.GetAttempt(), &r.answer))
 		return pipeline.Finished("answered by the agent of the first request"), false
 	case a.running:
 		return pipeline.Status{}, true
 	}
-	r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the fate of the first request with this key is not known", defaultRetryAfter)
-	return pipeline.Rejected("fate unknown"), false
+	r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the outcome of the first request with this key is unknown", defaultRetryAfter)
+	return pipeline.Rejected("outcome unknown"), false
 }
 
-// releaseKey records that the attempt that holds the key never ran, which lets the
-// next claim have it. If the log refuses, the claim has moved on in the meantime
-// and is looked at again.
-func (e *Entry) releaseKey(ctx context.Context, r *request, held *apiv1.ClaimRecord) (pipeline.Status, bool) {
-	none := notRun(apiv1.Reason_REASON_REVOKED, "", 0)
-	s := settleCommand(held.GetService(), held.GetKey(), held.GetRequestId(), held.GetAttempt(), &none)
+// releaseKey records that the attempt that holds the key never ran, so that the next claim of the
+// key is granted. If the log rejects the record, the claim has changed in the meantime, and the
+// caller checks it again.
+func (e *Entry) releaseKey(ctx context.Context, r *request, record *apiv1.ClaimRecord) (pipeline.Status, bool) {
+	outcome := notRun(apiv1.Reason_REASON_REVOKED, "", 0)
+	s := settleCommand(record.GetService(), record.GetKey(), record.GetRequestId(), record.GetAttempt(), &outcome)
 	_, err := e.control.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Settle{Settle: s}})
 	if err != nil {
 		return e.claimFailed(r, err), false
@@ -234,8 +234,8 @@
 	return pipeline.Status{}, true
 }
 
-// settle stores the outcome of a claimed request for resends. It does not hold
-// up the answer: a resend that comes first asks the agent.
+// settle stores the outcome of a claimed request for resends. It does not delay the answer: a
+// resend that arrives before the outcome is stored queries the agent.
 func (e *Entry) settle(_ context.Context, r *request) pipeline.Status {
 	if r.claimed {
 		e.settleAsync(settleCommand(r.Service, r.key, r.ID, r.dispatches, &r.answer))
@@ -258,8 +258,8 @@
 	return s
 }
 
-// settleAsync proposes the outcome in the background. One that is lost leaves
-// the claim unsettled: a resend then gets the agent's answer or "unknown".
+// settleAsync proposes the outcome in the background. If the proposal fails, the claim remains
+// unsettled: a resend then gets the response that the agent stored, or "unknown".
 func (e *Entry) settleAsync(s *apiv1.Settle) {
 	e.background.Go("settle", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
@@ -267,7 +267,7 @@
 		cmd := &apiv1.Command{Body: &apiv1.Command_Settle{Settle: s}}
 		if _, err := e.control.Propose(ctx, cmd); err != nil {
 			e.metrics.settlesLost.Inc(1)
-			e.log.Warn("outcome not stored", zap.String("request", s.GetRequestId()), zap.Error(err))
+			e.log.Warn("storing the outcome of a request failed", zap.String("request", s.GetRequestId()), zap.Error(err))
 		}
 	})
 }
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -16,26 +16,27 @@
 	"github.com/cairnlift/cairnlift/control"
 )
 
+// keyed returns the headers of a request with a test ID and an idempotency key.
 func keyed(id, key string) map[string]string {
 	return map[string]string{"Test-Id": id, HeaderIdempotencyKey: key}
 }
 
-// Symptom: a trader is charged twice. Sequence: the answer to a charge is late or
-// lost, so the caller sends it again, with its key, to whichever entry it gets,
-// also while the first is running. Cause: each entry ran what reached it.
+// A trader must not be charged twice. The response to a charge is late or lost, so the caller sends
+// the request again with its key to any entry, also while the first one is running; this guards
+// against each entry running every request that it receives.
 func TestResendsOfOneKeyRunOnce(t *testing.T) {
-	g := newHarness(t, 2)
-	g.startAgent()
+	h := newHarness(t, 2)
+	h.startAgent()
 	rng := rand.New(rand.NewPCG(1, 1))
 	var mu sync.Mutex
-	g.setBeforeAnswer(func(w http.ResponseWriter, r *http.Request) bool {
+	h.setBeforeAnswer(func(w http.ResponseWriter, r *http.Request) bool {
 		mu.Lock()
-		fate := rng.IntN(4)
+		choice := rng.IntN(4)
 		mu.Unlock()
-		if fate == 0 {
-			panic(http.ErrAbortHandler) // the charge is made and the answer lost
+		if choice == 0 {
+			panic(http.ErrAbortHandler) // the charge is made and the response is lost
 		}
-		time.Sleep(time.Duration(fate) * 10 * time.Millisecond)
+		time.Sleep(time.Duration(choice) * 10 * time.Millisecond)
 		return true
 	})
 	for round := range 40 {
@@ -44,14 +45,14 @@
 		var wg sync.WaitGroup
 		for i := range bodies {
 			wg.Go(func() {
-				w := g.call(g.entries[i%2], http.MethodPost, "/bookings/pay", "5 pounds", keyed(id, id))
+				w := h.call(h.entries[i%2], http.MethodPost, "/bookings/pay", "5 pounds", keyed(id, id))
 				if w.Header().Get(HeaderOutcome) == "answered" {
 					bodies[i] = w.Body.String()
 				}
 			})
 		}
 		wg.Wait()
-		if n := g.runs(id); n != 1 {
+		if n := h.runs(id); n != 1 {
 			t.Fatalf("%s ran %d times", id, n)
 		}
 		for _, b := range bodies {
@@ -62,14 +63,13 @@
 	}
 }
 
-// Symptom: a charge is lost or made twice after an entry host died. Sequence: the
-// entry claims the key, dies before, during or after its dispatch, and the caller
-// resends through another entry; then the dead entry's dispatch arrives after
-// all. Cause: nobody but the agent can tell whether the first dispatch ran.
+// A charge must not be lost or made twice after an entry host fails. The entry claims the key and
+// fails before, during or after its dispatch; the caller resends through another entry, and then
+// the failed entry's dispatch arrives late. Only the agent knows whether the first dispatch ran.
 func TestResendAfterEntryFailure(t *testing.T) {
-	g := newHarness(t, 1)
-	a := g.startAgent()
-	client := g.entries[0].agents.client(a.Address())
+	h := newHarness(t, 1)
+	a := h.startAgent()
+	client := h.entries[0].agents.client(a.Address())
 	incarnation := a.Incarnation()
 	dispatch := func(id string) *apiv1.DispatchResponse {
 		resp, err := client.Dispatch(context.Background(), &apiv1.DispatchRequest{
@@ -89,8 +89,8 @@
 		before      func(id string)
 		outcome     string
 		runs        int
-		// late is what the dead entry's dispatch gets when it comes after all: a
-		// refusal, or the answer that the agent kept.
+		// late is the outcome of the failed entry's dispatch when it arrives late: a refusal,
+		// or the response that the agent stored.
 		late apiv1.Outcome
 	}{
 		{"before-dispatch", a.Incarnation(), func(string) {}, "answered", 1, apiv1.Outcome_OUTCOME_NOT_RUN},
@@ -105,32 +105,32 @@
 				AgentIncarnation: c.incarnation, Attempt: 1, WindowMs: 3600_000,
 				RequestDigest: requestDigest(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
 			}
-			res, err := g.replica.Propose(g.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: claim}})
+			res, err := h.replica.Propose(h.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: claim}})
 			if err != nil || !res.GetClaim().GetGranted() {
 				t.Fatal(res, err)
 			}
 			c.before(id)
-			w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed(id, id))
+			w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", keyed(id, id))
 			if got := w.Header().Get(HeaderOutcome); got != c.outcome {
 				t.Fatalf("resend got %s: %s", got, w.Body)
 			}
 			if late := dispatch(id); late.GetOutcome() != c.late {
 				t.Errorf("late dispatch got %v", late)
 			}
-			if n := g.runs(id); n != c.runs {
+			if n := h.runs(id); n != c.runs {
 				t.Errorf("ran %d times", n)
 			}
 		})
 	}
 }
 
-// Symptom: a caller gets the answer to another request, or a resend runs again long
-// after the first. Sequence: a key is used for another body, or was made before the
-// window for which keys are kept. Cause: the key alone is compared, or its time is not.
+// A caller must not get the response to another request, and a resend must not run again long after
+// the first request. A key is used for another body, or was created before the retention window of
+// keys; this guards against comparing only the key, or not its time.
 func TestInvalidIdempotencyKeysAreRejected(t *testing.T) {
-	g := newHarness(t, 1)
-	g.startAgent()
-	if w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("first", "k")); w.Code != http.StatusOK {
+	h := newHarness(t, 1)
+	h.startAgent()
+	if w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("first", "k")); w.Code != http.StatusOK {
 		t.Fatal(w.Code, w.Body)
 	}
 	old := keyed("old", "k2")
@@ -145,28 +145,28 @@
 		{"old", "5", old, http.StatusConflict, "key-expired"},
 		{"long-key", "5", keyed("long-key", strings.Repeat("k", maxKeyLength+1)), http.StatusBadRequest, "bad-request"},
 	} {
-		w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", c.body, c.headers)
-		if w.Code != c.status || w.Header().Get(HeaderReason) != c.reason || w.Header().Get(HeaderOutcome) != "not-run" || g.runs(c.id) != 0 {
-			t.Errorf("%s: %d %v, ran %d: %s", c.id, w.Code, w.Header(), g.runs(c.id), w.Body)
+		w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", c.body, c.headers)
+		if w.Code != c.status || w.Header().Get(HeaderReason) != c.reason || w.Header().Get(HeaderOutcome) != "not-run" || h.runs(c.id) != 0 {
+			t.Errorf("%s: %d %v, ran %d: %s", c.id, w.Code, w.Header(), h.runs(c.id), w.Body)
 		}
 	}
 }
 
-// Symptom: a trader is told "unknown" of a charge for as long as the key lives,
-// though the agent has its receipt. Sequence: the entry loses the agent in the
-// middle of a request and answers "unknown"; the agent comes back within reach and
-// the caller resends. Cause: "unknown" was stored as the final outcome of the key.
+// A trader must not get "unknown" for a charge during the whole lifetime of the key although the
+// agent has the receipt. The entry loses the agent during a request and answers "unknown"; the agent
+// becomes reachable again and the caller resends. This guards against storing "unknown" as the final
+// outcome of the key.
 func TestResendResolvesUnknownOutcome(t *testing.T) {
-	g := newHarness(t, 1)
+	h := newHarness(t, 1)
 	f := &faultyAgent{fault: func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) { panic(http.ErrAbortHandler) }}
-	g.announceAgent(apiv1.NewAgentServer(f))
+	h.announceAgent(apiv1.NewAgentServer(f))
 	resend := func() *httptest.ResponseRecorder {
-		return g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
+		return h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
 	}
 	if w := resend(); w.Header().Get(HeaderOutcome) != "unknown" {
 		t.Fatal(w.Code, w.Body)
 	}
-	g.entries[0].background.Wait() // whatever is stored is stored now
+	h.entries[0].background.Wait() // everything that will be stored is stored now
 	f.revoke.Store(&apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: completeAnswer("receipt")})
 	if w := resend(); w.Header().Get(HeaderOutcome) != "answered" || w.Body.String() != "receipt" {
 		t.Error(w.Code, w.Body)
@@ -176,8 +176,8 @@
 	}
 }
 
-// unresponsiveGroup is a control group without a leader: claims get no answer from it. It
-// keeps how long each claim was allowed to wait.
+// unresponsiveGroup is a control group without a leader: claims get no response from it. It records
+// how long each claim was allowed to wait.
 type unresponsiveGroup struct {
 	control.Service
 	mu    sync.Mutex
@@ -198,21 +198,20 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.waits = append(s.waits, wait)
-	return nil, &control.UnknownError{Cause: "nobody answers"}
+	return nil, &control.UnknownError{Cause: "no response"}
 }
 
-// Symptom: a caller with an idempotency key gives up without any answer, seconds past
-// its deadline. Sequence: the control group has no leader for a while, as when its hosts
-// are short of processor time; the claim of the key waits for one. Cause: the wait ended
-// with the control group's own timeout, counted anew at each claim, and not with the
-// caller's deadline.
+// A caller with an idempotency key must get an answer by its deadline. The control group has no
+// leader for a while, for instance because its hosts are short of processor time, and the claim of
+// the key waits for one; this guards against a wait that ends with the control group's own timeout,
+// restarted at each claim, seconds after the caller's deadline.
 func TestClaimEndsByCallerDeadline(t *testing.T) {
 	group := &unresponsiveGroup{}
-	g := newHarnessWith(t, 1, func(c control.Service) control.Service {
+	h := newHarnessWith(t, 1, func(c control.Service) control.Service {
 		group.Service = c
 		return group
 	})
-	g.startAgent()
+	h.startAgent()
 	for id, c := range map[string]struct{ timeout, longest time.Duration }{
 		"hasty":   {200 * time.Millisecond, 200 * time.Millisecond},
 		"patient": {maxTimeout, claimTimeout},
@@ -221,26 +220,26 @@
 			group.waits = nil
 			headers := keyed(id, id)
 			headers[HeaderTimeoutMs] = fmt.Sprint(c.timeout.Milliseconds())
-			w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", headers)
+			w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", headers)
 			if got := w.Header().Get(HeaderOutcome); got != "not-run" || w.Header().Get("Retry-After") == "" {
 				t.Errorf("the caller got %s, Retry-After %q: %s", got, w.Header().Get("Retry-After"), w.Body)
 			}
-			if n := g.runs(id); n != 0 {
-				t.Errorf("a charge that was said not to have run ran %d times", n)
+			if n := h.runs(id); n != 0 {
+				t.Errorf("a charge that was reported as not run ran %d times", n)
 			}
 			if len(group.waits) == 0 {
 				t.Fatal("no claim was made")
 			}
 			for _, wait := range group.waits {
 				if wait > c.longest {
-					t.Errorf("a claim may wait for %v, longer than %v", wait, c.longest)
+					t.Errorf("a claim may wait for %v, want at most %v", wait, c.longest)
 				}
 			}
 		})
 	}
 }
 
-// failingGroup answers the first claim and is a silent group from then on.
+// failingGroup answers the first claim and is unresponsive from then on.
 type failingGroup struct {
 	unresponsiveGroup
 	claims int
@@ -256,28 +255,28 @@
 	return f.unresponsiveGroup.Propose(ctx, cmd)
 }
 
-// Symptom: a trader is told that a charge has not run, books it again under a new key, and
-// is charged twice. Sequence: the answer to the charge is lost while it still runs; the
-// caller resends it with its key; the entry sees the first one hold the key, and the
-// control group loses its leader before the entry looks again. Cause: every claim that
-// failed was answered "not run", also after another request was seen to hold the key.
+// A trader that gets "not run" for a charge may book it again with a new key, and must not be
+// charged twice. The response to the charge is lost while the charge still runs, and the caller
+// resends it with its key; the entry finds that the first request holds the key, and the control
+// group loses its leader before the entry checks again. This guards against answering "not run" for every
+// failed claim, also after another request was found to hold the key.
 func TestClaimSeenInProgressIsNotReportedNotRun(t *testing.T) {
 	group := &failingGroup{}
-	g := newHarnessWith(t, 1, func(c control.Service) control.Service {
+	h := newHarnessWith(t, 1, func(c control.Service) control.Service {
 		group.Service = c
 		return group
 	})
-	g.startAgent()
+	h.startAgent()
 	first := &apiv1.Claim{
-		Service: "bookings", Key: "k", RequestId: "first", Entry: g.entries[0].settings.Name, Agent: "host-1",
+		Service: "bookings", Key: "k", RequestId: "first", Entry: h.entries[0].settings.Name, Agent: "host-1",
 		Attempt: 1, WindowMs: 3600_000,
 		RequestDigest: requestDigest(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
 	}
-	res, err := g.replica.Propose(g.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: first}})
+	res, err := h.replica.Propose(h.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: first}})
 	if err != nil || !res.GetClaim().GetGranted() {
 		t.Fatal(res, err)
 	}
-	w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
+	w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
 	if got := w.Header().Get(HeaderOutcome); got != "unknown" || w.Header().Get("Retry-After") == "" {
 		t.Errorf("the resend got %s, Retry-After %q: %s", got, w.Header().Get("Retry-After"), w.Body)
 	}
@@ -286,7 +285,7 @@
 	}
 }
 
-// slowGroup grants a claim, and lets the caller's deadline pass before it says so.
+// slowGroup grants a claim, but responds only after the caller's deadline.
 type slowGroup struct {
 	control.Service
 	timeout time.Duration
@@ -300,26 +299,25 @@
 	return res, err
 }
 
-// Symptom: a trader is told "unknown" of a charge that was never sent to any target.
-// Sequence: the claim of the key is granted, and the entry stands still until the
-// caller's deadline has passed. Cause: a dispatch whose time was over before it was sent
-// counted as one whose answer was lost.
+// A trader must not get "unknown" for a charge that was never sent to a target. The claim of the key
+// is granted, and the entry is paused until the caller's deadline has passed; this guards against
+// treating a dispatch that expired before it was sent as one whose response was lost.
 func TestClaimGrantedAfterDeadlineIsNotRun(t *testing.T) {
 	const timeout = 100 * time.Millisecond
-	g := newHarnessWith(t, 1, func(c control.Service) control.Service { return slowGroup{c, timeout} })
+	h := newHarnessWith(t, 1, func(c control.Service) control.Service { return slowGroup{c, timeout} })
 	f := &faultyAgent{fault: func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) {}}
-	g.announceAgent(apiv1.NewAgentServer(f))
+	h.announceAgent(apiv1.NewAgentServer(f))
 	headers := keyed("charge", "k")
 	headers[HeaderTimeoutMs] = fmt.Sprint(timeout.Milliseconds())
-	w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", headers)
+	w := h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", headers)
 	if got := w.Header().Get(HeaderOutcome); got != "not-run" {
 		t.Errorf("the caller got %s: %s", got, w.Body)
 	}
 	if n := f.dispatches.Load(); n != 0 {
 		t.Errorf("the charge was dispatched %d times", n)
 	}
-	g.entries[0].background.Wait() // whatever is stored is stored now
-	w = g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
+	h.entries[0].background.Wait() // everything that will be stored is stored now
+	w = h.call(h.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("charge", "k"))
 	if got := w.Header().Get(HeaderOutcome); got != "answered" || f.dispatches.Load() != 1 {
 		t.Errorf("the resend got %s after %d dispatches: %s", got, f.dispatches.Load(), w.Body)
 	}
--- a/entry/clients.go
+++ b/entry/clients.go
@@ -7,7 +7,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// agentClients holds one twirp client per agent address.
+// agentClients caches one twirp client per agent address.
 type agentClients struct {
 	http      *http.Client
 	byAddress sync.Map // string to apiv1.Agent
--- a/entry/decode.go
+++ b/entry/decode.go
@@ -19,11 +19,12 @@
 const (
 	maxRequestIDLength = 128
 	maxKeyLength       = 256
-	// maxTimeout bounds how long a caller may have the system wait.
+	// maxTimeout is the longest timeout that a caller may request.
 	maxTimeout = 10 * time.Minute
 )
 
-// hopByHop headers belong to one connection and are not passed on (RFC 9110, 7.6.1).
+// hopByHop holds the headers that apply to a single connection and are not forwarded (RFC 9110,
+// section 7.6.1).
 var hopByHop = map[string]bool{
 	"Connection":          true,
 	"Proxy-Connection":    true,
@@ -36,19 +37,19 @@
 	"Upgrade":             true,
 }
 
-// decode reads the whole request and finds its service.
+// decode reads the complete request and determines its service.
 func (e *Entry) decode(_ context.Context, r *request) pipeline.Status {
 	r.ID = requestID(r.raw)
 	svc := e.services.Load().match(r.raw.URL.Path)
 	if svc == nil {
 		r.answer = badRequest(http.StatusNotFound, apiv1.Reason_REASON_UNKNOWN_SERVICE,
-			fmt.Sprintf("no service answers the path %q", r.raw.URL.Path))
+			fmt.Sprintf("no service matches the path %q", r.raw.URL.Path))
 		return pipeline.Rejected("unknown service")
 	}
 	r.service = svc
 	r.Service = svc.GetName()
 	r.Caller = callerName(r.raw)
-	// Every service is latency-critical: batch work comes as jobs.
+	// Every service is latency-critical: batch work is submitted as jobs.
 	r.Priority = apiv1.Priority_PRIORITY_URGENT
 	if err := r.readTimes(e.now(), svc); err != nil {
 		r.answer = badRequest(http.StatusBadRequest, apiv1.Reason_REASON_BAD_REQUEST, err.Error())
@@ -68,18 +69,19 @@
 	return r.readKey()
 }
 
-// bodyError words a body that could not be read whole.
+// bodyError answers a request whose body could not be read completely.
 func (r *request) bodyError(err error) pipeline.Status {
 	if tooLarge, ok := err.(*http.MaxBytesError); ok {
 		r.answer = badRequest(http.StatusRequestEntityTooLarge, apiv1.Reason_REASON_BAD_REQUEST,
-			fmt.Sprintf("the body is larger than %d bytes", tooLarge.Limit))
+			fmt.Sprintf("the request body is larger than %d bytes", tooLarge.Limit))
 		return pipeline.Rejected("body too large")
 	}
-	r.answer = badRequest(http.StatusBadRequest, apiv1.Reason_REASON_BAD_REQUEST, "the body ended early")
-	return pipeline.Rejected("broken body")
+	r.answer = badRequest(http.StatusBadRequest, apiv1.Reason_REASON_BAD_REQUEST, "the request body is incomplete")
+	return pipeline.Rejected("incomplete body")
 }
 
-// readTimes sets the deadline from the caller's header or the service.
+// readTimes sets the deadline from the caller's timeout header or, without one, from the service,
+// and reads the time of the idempotency key.
 func (r *request) readTimes(now time.Time, svc *apiv1.Service) error {
 	timeout := time.Duration(svc.GetTimeoutMs()) * time.Millisecond
 	if h := r.raw.Header.Get(HeaderTimeoutMs); h != "" {
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// readKey takes the idempotency key of a request that needs one. An idempotent
-// request needs no claim: running it again is harmless.
+// readKey reads the idempotency key of a request that is not idempotent. An idempotent request
+// needs no claim, since running it again is harmless.
 func (r *request) readKey() pipeline.Status {
 	key := r.raw.Header.Get(HeaderIdempotencyKey)
 	if key == "" || r.Idempotent {
@@ -119,21 +121,22 @@
 	return pipeline.Status{}
 }
 
-// requestID takes the caller's id as a prefix of ours. Callers' ids are not
-// unique: a resend carries the same one, and two callers may pick the same. The
-// agents' duplicate detection and the settling of a claim depend on the id, so
-// every request that reaches an entry gets one of its own.
+// requestID returns a unique ID for the request, with the caller's ID as a prefix if there is one.
+// Callers' IDs are not unique: a resend carries the same ID, and two callers may choose the same
+// one. The agents' duplicate detection and the settling of claims depend on the ID, so every
+// request that reaches an entry gets a new one.
 func requestID(r *http.Request) string {
 	var b [12]byte
 	_, _ = rand.Read(b[:]) // crypto/rand.Read never fails since Go 1.24
-	own := hex.EncodeToString(b[:])
-	theirs := r.Header.Get(HeaderRequestID)
-	if theirs == "" || len(theirs) > maxRequestIDLength {
-		return own
+	unique := hex.EncodeToString(b[:])
+	prefix := r.Header.Get(HeaderRequestID)
+	if prefix == "" || len(prefix) > maxRequestIDLength {
+		return unique
 	}
-	return theirs + "." + own
+	return prefix + "." + unique
 }
 
+// callerName returns the caller's name from its header, or else its IP address.
 func callerName(r *http.Request) string {
 	if c := r.Header.Get(HeaderCaller); c != "" {
 		return c
@@ -145,8 +148,9 @@
 	return host
 }
 
-// idempotent says whether a request may run more than once. In doubt it may not:
-// only safe methods (RFC 9110, 9.2.1), declared routes and the caller's word count.
+// idempotent reports whether a request may run more than once. That holds only for safe methods
+// (RFC 9110, section 9.2.1), for routes declared in the service and for requests that the caller
+// marks as idempotent.
 func idempotent(svc *apiv1.Service, r *http.Request) bool {
 	if r.Header.Get(HeaderIdempotent) == "true" {
 		return true
@@ -180,8 +184,8 @@
 	return out
 }
 
-// namedByConnection reports whether a Connection header names the header as one
-// of its connection only.
+// namedByConnection reports whether a Connection header lists the header as specific to the
+// connection.
 func namedByConnection(h http.Header, name string) bool {
 	for _, v := range h["Connection"] {
 		for _, field := range strings.Split(v, ",") {
--- a/entry/deltas.go
+++ b/entry/deltas.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// maxDeltas is how many of the last changes are kept for askers that are
-	// behind: at 4,700 changes a day (docs/CAPACITY.md), those of 20 minutes.
+	// maxDeltas is the number of recent changes kept for clients that are behind: at 4,700
+	// changes a day (docs/CAPACITY.md), those of 20 minutes.
 	maxDeltas = 64
-	// maxDeltaBytes bounds what they take together, and so an answer.
+	// maxDeltaBytes bounds the total size of the kept changes, and so the size of a response.
 	maxDeltaBytes = 1 << 20
 )
 
-// deltaHistory keeps the last changes of a configuration for those that ask with
-// an older version. It is safe for concurrent use.
+// deltaHistory keeps the recent changes of a configuration for clients that have an older version.
+// It is safe for concurrent use.
 type deltaHistory struct {
-	// filter is what the askers get of a configuration.
+	// filter returns the part of a configuration that clients get.
 	filter func(*apiv1.Configuration) *apiv1.Configuration
 
 	mu     sync.Mutex
 	newest *apiv1.Configuration
 	deltas []*apiv1.ConfigurationDelta
-	// deltaBytes is the encoded size of kept, whole that of newest.
+	// deltaBytes is the encoded size of deltas, newestBytes that of newest.
 	deltaBytes, newestBytes int
 }
 
-func newDeltaHistory(part func(*apiv1.Configuration) *apiv1.Configuration) *deltaHistory {
-	return &deltaHistory{filter: part, newest: &apiv1.Configuration{}}
+func newDeltaHistory(filter func(*apiv1.Configuration) *apiv1.Configuration) *deltaHistory {
+	return &deltaHistory{filter: filter, newest: &apiv1.Configuration{}}
 }
 
-// updateSince returns what brings an asker that has a version up to cfg or a newer
-// one: a chain of deltas, else the whole configuration, or neither when the asker
-// is up to date. whole asks for no deltas.
+// updateSince returns the update for a client that has version have, to cfg or to a newer
+// configuration: a chain of deltas if there is one, otherwise the whole configuration, or neither
+// when the client is up to date. With whole set it returns no deltas.
 func (h *deltaHistory) updateSince(cfg *apiv1.Configuration, have uint64, whole bool) (*apiv1.Configuration, []*apiv1.ConfigurationDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -52,9 +52,9 @@
 	return h.newest, nil
 }
 
-// observe adds the change to a configuration newer than the newest one seen. It
-// runs before each answer and not beside it: were the change added later, each
-// asker that came before it would get the whole configuration. mu is held.
+// observe adds the change to cfg if cfg is newer than the newest configuration seen. It runs
+// before each response and not concurrently: if the change were added later, every client whose
+// request came before that would get the whole configuration. The caller must hold h.mu.
 func (h *deltaHistory) observe(cfg *apiv1.Configuration) {
 	if cfg.GetVersion() <= h.newest.GetVersion() {
 		return
@@ -74,9 +74,9 @@
 	}
 }
 
-// chainFrom returns the unbroken chain from a version to the newest; nil when the
-// version is older than what is kept, was passed over here, or when the chain is
-// no shorter than the whole. mu is held.
+// chainFrom returns the unbroken chain of deltas from a version to the newest one. It returns nil
+// when the version is older than the kept deltas or was never seen here, or when the chain is not
+// smaller than the whole configuration. The caller must hold h.mu.
 func (h *deltaHistory) chainFrom(version uint64) []*apiv1.ConfigurationDelta {
 	size := 0
 	for i := len(h.deltas) - 1; i >= 0; i-- {
@@ -91,4 +91,5 @@
 	return nil
 }
 
+// wholeConfiguration is the filter of clients that get every part of the configuration.
 func wholeConfiguration(cfg *apiv1.Configuration) *apiv1.Configuration { return cfg }
--- a/entry/deltas_test.go
+++ b/entry/deltas_test.go
@@ -15,14 +15,15 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// configurationPeer is another entry that answers pushes, and the way there.
+// configurationPeer simulates another entry that answers pushes, and the network to it.
 type configurationPeer struct {
 	apiv1.Control
 	history *deltaHistory
 	cfg     *apiv1.Configuration
-	// answers has W for each answer with the whole, D with deltas, - with neither.
+	// answers has W for each response with the whole configuration, D for one with deltas and -
+	// for one with neither.
 	answers string
-	// fault damages or loses the next answer.
+	// fault corrupts or loses the next response.
 	fault func(*apiv1.SyncResponse) error
 }
 
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// deltaClient is an entry that asks one peer for its configuration.
+// deltaClient is an entry that gets its configuration from one peer.
 type deltaClient struct {
 	t    *testing.T
 	peer *configurationPeer
@@ -84,7 +85,7 @@
 	a.Entry, a.whole = e, false
 }
 
-// push asks once, and checks that no configuration but the peer's comes into force.
+// push pushes once, and checks that only the peer's configuration is applied.
 func (a *deltaClient) push(fault func(*apiv1.SyncResponse) error) {
 	p := a.peer
 	p.fault = fault
@@ -95,7 +96,7 @@
 	}
 }
 
-// change makes a number of changes at the peer.
+// change makes n changes at the peer.
 func (a *deltaClient) change(n int) {
 	for range n {
 		a.peer.change()
@@ -103,7 +104,7 @@
 	}
 }
 
-// overtake is a fault that lets the whole configuration arrive before the answer.
+// overtake is a fault that lets the whole configuration arrive before the response.
 func (a *deltaClient) overtake(*apiv1.SyncResponse) error {
 	a.follower.Adopt(a.peer.cfg, a.peer.cfg.GetVersion(), a.now())
 	return nil
@@ -130,15 +131,14 @@
 	}
 }
 
-// Symptom: an entry keeps an old configuration, has one that no operator
-// submitted, reverts, or asks for the whole text over and over. Sequence: c is a
-// change, m 300 of them, s a push, l a push whose answer is lost, d one whose delta
-// is damaged, b one whose chain lacks its first link, r a restart of the asker, o
-// the whole overtaking the delta that answers the same push.
-// Cause: deltas applied to another base or without comparing the digest, a chain
-// that is kept without bound, or a request for the whole that is never taken back.
+// An entry must not keep an old configuration, apply one that no operator submitted, revert, or
+// request the whole configuration repeatedly. The steps are: c a change, m 300 changes, s a push, l
+// a push whose response is lost, d one whose delta is corrupted, b one whose chain lacks its first
+// delta, r a restart of the client, o the whole configuration overtaking the delta that answers the
+// same push. This guards against applying deltas to another base or without comparing the digest,
+// keeping an unbounded chain, and never withdrawing the request for the whole configuration.
 func TestConfigurationDeltas(t *testing.T) {
-	for name, c := range map[string]struct{ steps, shape string }{
+	for name, c := range map[string]struct{ steps, answers string }{
 		"steady":        {"cscscss", "WDD-"},
 		"several":       {"cscccss", "WD-"},
 		"lost answer":   {"csclss", "WDD-"},
@@ -157,16 +157,16 @@
 			for _, kind := range c.steps {
 				a.step(kind)
 			}
-			if got := a.control.Configuration(); p.answers != c.shape || !proto.Equal(got, p.cfg) || a.whole {
-				t.Errorf("answers %s, not %s; version %d of %d, whole %t", p.answers, c.shape, got.GetVersion(), p.cfg.GetVersion(), a.whole)
+			if got := a.control.Configuration(); p.answers != c.answers || !proto.Equal(got, p.cfg) || a.whole {
+				t.Errorf("answers %s, want %s; version %d of %d, whole %t", p.answers, c.answers, got.GetVersion(), p.cfg.GetVersion(), a.whole)
 			}
 		})
 	}
 }
 
-// Symptom: an entry that is long up runs out of memory, or sends more than the
-// whole. Sequence: changes of which some are as large as the configuration.
-// Cause: a history bounded by its number alone, or not at all.
+// A long-running entry must not run out of memory, nor send more than the whole configuration. Some
+// changes are as large as the configuration; this guards against a history that is bounded only by
+// its number of changes, or not at all.
 func TestDeltaHistoryIsBounded(t *testing.T) {
 	h := newDeltaHistory(wholeConfiguration)
 	for v := range uint64(200) {
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,7 +1,7 @@
-// Package entry is the host that callers and operators reach. It routes callers'
-// requests to targets through their agents, is the home of agents, exchanges
-// announcements with other entries and, with a control section in its settings,
-// runs a replica of the control group.
+// Package entry implements the host that callers and operators connect to. An entry routes
+// callers' requests to targets through their agents, receives the heartbeats of the agents that
+// chose it as their home, exchanges announcements with other entries and, with a control section
+// in its settings, runs a replica of the control group.
 package entry
 
 import (
@@ -26,11 +26,11 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// Options are what an entry is made from.
+// Options configure an entry.
 type Options struct {
 	Settings *settings.Entry
 	Logger   *zap.Logger
-	// Registry holds the entry's metrics; a new one is made when nil.
+	// Registry holds the entry's metrics; a new one is created when nil.
 	Registry metrics.Registry
 }
 
@@ -45,12 +45,12 @@
 	startedAt time.Time
 
 	control control.Service
-	// replica and node are nil on an entry without a control section, follower on
-	// one with.
+	// replica and node are nil on an entry without a control section in its settings;
+	// follower is nil on an entry with one.
 	replica  *control.Replica
 	node     *node.Node
 	follower *control.Forwarder
-	// dispatcher is nil without a replica; jobs reaches the control group's.
+	// dispatcher is nil without a replica. jobs is a client of the control group's dispatcher.
 	dispatcher *dispatch.Dispatcher
 	jobs       *jobclient.Client
 
@@ -62,26 +62,25 @@
 	renewals       *renewalBatcher
 	claimWindow    time.Duration
 	decisions      decisionRing
-	// inProgress counts callers' requests that have no answer yet.
+	// inProgress is the number of callers' requests without an answer.
 	inProgress atomic.Int64
 
-	// deltas are the last changes for other entries, agentDeltas those for agents.
+	// deltas are the recent configuration changes for other entries, agentDeltas those for agents.
 	deltas, agentDeltas *deltaHistory
 
-	// mu guards the directory and what is kept beside it.
+	// mu protects directory, routedTargets and peers.
 	mu            sync.Mutex
 	directory     *member.Directory
 	routedTargets map[string]map[string]bool
 	peers         map[string]peerState
 
-	// loops are what the entry does on its own; background is what outlives the
-	// request it belongs to.
+	// loops are the entry's servers and periodic work; background is work that may outlive the
+	// request that started it.
 	loops, background *failstop.Group
 	leaving           atomic.Bool
 }
 
-// watchConfiguration puts the newest configuration in force here, whenever it
-// changes, until the context ends.
+// watchConfiguration applies each new configuration until the context ends.
 func (e *Entry) watchConfiguration(ctx context.Context) {
 	for {
 		changed := e.control.Changed()
@@ -94,8 +93,8 @@
 	}
 }
 
-// applyConfiguration puts a configuration in force. Only a higher version is taken: an answer
-// that was long on its way must not bring an older one back.
+// applyConfiguration applies a configuration if its version is higher than the current one: a
+// delayed response must not restore an older configuration.
 func (e *Entry) applyConfiguration(cfg *apiv1.Configuration) {
 	old := e.services.Load()
 	if cfg.GetVersion() <= old.version {
--- a/entry/group.go
+++ b/entry/group.go
@@ -14,8 +14,8 @@
 // defaultCell names the cell of a deployment with a single log.
 const defaultCell = "main"
 
-// setUpControl makes the host's part of the control group: a replica where the
-// settings have a control section, a follower of other hosts elsewhere.
+// setUpControl creates the host's part of the control group: a replica if the settings have a
+// control section, otherwise a follower of the other hosts.
 func (e *Entry) setUpControl(o Options) {
 	var others []string
 	for _, p := range e.settings.Peers {
@@ -43,13 +43,14 @@
 	e.useControl(e.replica)
 }
 
+// useControl sets the control group that the entry uses.
 func (e *Entry) useControl(c control.Service) {
 	e.control = c
 	e.renewals = newRenewalBatcher(c, e.log)
 }
 
-// startNode opens the data folder and joins the control group. It returns before
-// the group is formed: the other hosts have to reach this one for that.
+// startNode opens the data folder and joins the control group. It returns before the group is
+// formed, since the other hosts must be able to connect to this one for that.
 func (e *Entry) startNode(log *zap.Logger) error {
 	c := e.settings.Control
 	if c == nil {
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// watchNode reports a replica that stopped on its own. The entry stops with it:
-// it could no longer say what is true.
+// watchNode runs the replica and reports its failure. The entry then stops too, since its state
+// would no longer be updated.
 func (e *Entry) watchNode(ctx context.Context) {
 	if e.node == nil {
 		return
@@ -97,7 +98,7 @@
 	})
 }
 
-// stopNode hands leadership over and closes the data folder.
+// stopNode transfers leadership and closes the data folder.
 func (e *Entry) stopNode(ctx context.Context) {
 	if e.node == nil {
 		return
--- a/entry/harness_test.go
+++ b/entry/harness_test.go
@@ -21,8 +21,8 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// harness is a control group of one, entries that share it, and an agent with one
-// target that records what it runs.
+// harness is a control group of one replica, entries that share it, and an agent with one target
+// that records what it runs.
 type harness struct {
 	t           testing.TB
 	ctx         context.Context
@@ -32,7 +32,7 @@
 
 	mu        sync.Mutex
 	runCounts map[string]int
-	// beforeAnswer is what the target does before it answers; nil answers at once.
+	// beforeAnswer runs before the target answers; with nil the target answers immediately.
 	beforeAnswer func(w http.ResponseWriter, r *http.Request) (answered bool)
 }
 
@@ -40,19 +40,19 @@
 	return newHarnessWith(t, entries, func(c control.Service) control.Service { return c })
 }
 
-// newHarnessWith makes a rig whose entries reach the control group by what over returns.
-func newHarnessWith(t testing.TB, entries int, over func(control.Service) control.Service) *harness {
+// newHarnessWith returns a harness whose entries use the control group that wrap returns.
+func newHarnessWith(t testing.TB, entries int, wrap func(control.Service) control.Service) *harness {
 	ctx, stop := context.WithCancel(context.Background())
-	g := &harness{t: t, ctx: ctx, runCounts: map[string]int{}, replica: control.NewReplica(control.Config{Planner: place.New(place.Config{})})}
-	g.replica.Attach(control.NewMemoryLog(g.replica, "127.0.0.1:1"))
+	h := &harness{t: t, ctx: ctx, runCounts: map[string]int{}, replica: control.NewReplica(control.Config{Planner: place.New(place.Config{})})}
+	h.replica.Attach(control.NewMemoryLog(h.replica, "127.0.0.1:1"))
 	var wg sync.WaitGroup
 	t.Cleanup(func() { stop(); wg.Wait() })
 	wg.Go(func() {
-		if err := g.replica.Run(ctx); err != nil {
+		if err := h.replica.Run(ctx); err != nil {
 			t.Error(err)
 		}
 	})
-	_, err := g.replica.Propose(ctx, &apiv1.Command{TimeMs: 1, Body: &apiv1.Command_Submit{Submit: &apiv1.Submit{
+	_, err := h.replica.Propose(ctx, &apiv1.Command{TimeMs: 1, Body: &apiv1.Command_Submit{Submit: &apiv1.Submit{
 		SubmissionId: "s1",
 		Configuration: &apiv1.Configuration{TextDigest: "d", Services: []*apiv1.Service{{
 			Name: "bookings", PathPrefixes: []string{"/bookings"}, TimeoutMs: 3000, ObjectiveMs: 80, Slots: 8, Connections: 64,
@@ -70,7 +70,7 @@
 		servers = append(servers, mux)
 		peers = append(peers, settings.Peer{Name: fmt.Sprint("entry-", i), Address: strings.TrimPrefix(s.URL, "http://")})
 	}
-	g.homeAddress = peers[0].Address
+	h.homeAddress = peers[0].Address
 	for i := range entries {
 		s := &settings.Entry{Name: peers[i].Name, InternalAddress: peers[i].Address, Peers: peers}
 		s.SetDefaults()
@@ -78,44 +78,44 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.useControl(over(g.replica))
+		e.useControl(wrap(h.replica))
 		servers[i].Handle("/", e.internalHandler())
 		e.startLoops(ctx)
 		wg.Go(func() { e.loops.Wait(); e.background.Wait() })
-		g.entries = append(g.entries, e)
+		h.entries = append(h.entries, e)
 	}
-	return g
+	return h
 }
 
 // startAgent runs an agent with one target and waits until every entry routes to it.
-func (g *harness) startAgent() *agent.Agent {
-	g.t.Helper()
-	target := httptest.NewServer(http.HandlerFunc(g.serveTarget))
-	g.t.Cleanup(target.Close)
+func (h *harness) startAgent() *agent.Agent {
+	h.t.Helper()
+	target := httptest.NewServer(http.HandlerFunc(h.serveTarget))
+	h.t.Cleanup(target.Close)
 	a, err := agent.New(agent.Options{Settings: &settings.Agent{
 		Name: "host-1", Address: "127.0.0.1:0", LocalAddress: "127.0.0.1:0",
-		Entries:           []settings.Peer{{Name: "entry-0", Address: g.homeAddress}},
+		Entries:           []settings.Peer{{Name: "entry-0", Address: h.homeAddress}},
 		HeartbeatInterval: settings.Duration{Duration: 50 * time.Millisecond},
 		StalenessBound:    settings.Duration{Duration: 3 * time.Second},
 		ShutdownBound:     settings.Duration{Duration: 5 * time.Second},
 	}})
 	if err != nil {
-		g.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- a.Run(ctx) }()
-	g.t.Cleanup(func() { cancel(); <-done })
+	h.t.Cleanup(func() { cancel(); <-done })
 	body := fmt.Sprintf(`{"service":"bookings","address":%q,"slots":8,"connections":64,"ttl_ms":60000}`, strings.TrimPrefix(target.URL, "http://"))
 	req, _ := http.NewRequest(http.MethodPut, "http://"+a.LocalAddress()+"/v1/targets/t1", strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil || resp.StatusCode != http.StatusNoContent {
-		g.t.Fatal("announcement: ", err, resp)
+		h.t.Fatal("announcement: ", err, resp)
 	}
 	resp.Body.Close()
-	g.eventually("every entry routes to the target", func() bool {
-		for _, e := range g.entries {
-			if g.call(e, http.MethodGet, "/bookings/probe", "", nil).Code != http.StatusOK {
+	h.eventually("every entry routes to the target", func() bool {
+		for _, e := range h.entries {
+			if h.call(e, http.MethodGet, "/bookings/probe", "", nil).Code != http.StatusOK {
 				return false
 			}
 		}
@@ -124,34 +124,35 @@
 	return a
 }
 
-// serveTarget is the target: it records the caller's own id and answers with it.
-func (g *harness) serveTarget(w http.ResponseWriter, r *http.Request) {
+// serveTarget is the target's handler: it records the caller's test ID and answers with it.
+func (h *harness) serveTarget(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("Test-Id")
-	g.mu.Lock()
-	g.runCounts[id]++
-	run := g.runCounts[id]
-	work := g.beforeAnswer
-	g.mu.Unlock()
-	if work != nil && !work(w, r) {
+	h.mu.Lock()
+	h.runCounts[id]++
+	run := h.runCounts[id]
+	before := h.beforeAnswer
+	h.mu.Unlock()
+	if before != nil && !before(w, r) {
 		return
 	}
 	fmt.Fprintf(w, "%s run %d of %s", id, run, body)
 }
 
-func (g *harness) runs(id string) int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.runCounts[id]
+// runs returns how often the target ran the request with a test ID.
+func (h *harness) runs(id string) int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.runCounts[id]
 }
 
-func (g *harness) setBeforeAnswer(f func(w http.ResponseWriter, r *http.Request) bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.beforeAnswer = f
+func (h *harness) setBeforeAnswer(f func(w http.ResponseWriter, r *http.Request) bool) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.beforeAnswer = f
 }
 
-func (g *harness) call(e *Entry, method, path, body string, headers map[string]string) *httptest.ResponseRecorder {
+func (h *harness) call(e *Entry, method, path, body string, headers map[string]string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, bytes.NewReader([]byte(body)))
 	for k, v := range headers {
 		req.Header.Set(k, v)
@@ -161,12 +162,13 @@
 	return w
 }
 
-func (g *harness) eventually(what string, f func() bool) {
-	g.t.Helper()
+// eventually waits until f returns true, and fails the test after 15 seconds.
+func (h *harness) eventually(what string, f func() bool) {
+	h.t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if f() {
 			return
 		}
 	}
-	g.t.Fatal("never: " + what)
+	h.t.Fatal("timed out waiting for: " + what)
 }
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -7,8 +7,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Heartbeat answers an agent that has chosen this entry as its home. The
-// worker's part goes on to the leader together with those of other agents.
+// Heartbeat answers an agent that chose this entry as its home. The worker's part of the heartbeat
+// is forwarded to the leader in a batch with those of other agents.
 func (e *Entry) Heartbeat(ctx context.Context, hb *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
 	known := e.recordHeartbeat(hb)
 	resp := &apiv1.HeartbeatResponse{ResendAgent: !known}
@@ -19,7 +19,8 @@
 	return resp, nil
 }
 
-// recordHeartbeat records the heartbeat and tells the router what it changed.
+// recordHeartbeat records the heartbeat and applies its changes to the router. It reports whether
+// the agent is known.
 func (e *Entry) recordHeartbeat(hb *apiv1.HeartbeatRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -28,9 +29,8 @@
 	return known
 }
 
-// addConfiguration tells the agent the newest configuration and how fresh this
-// entry's knowledge of it is. It is read after the renewal, so that the age is
-// not older than it needs to be.
+// addConfiguration adds the newest configuration and the age of its confirmation to the response.
+// It runs after the renewal, so that the age is no higher than necessary.
 func (e *Entry) addConfiguration(resp *apiv1.HeartbeatResponse, hb *apiv1.HeartbeatRequest) {
 	cfg := e.control.Configuration()
 	resp.ConfigurationVersion = cfg.GetVersion()
@@ -38,7 +38,8 @@
 	resp.Configuration, resp.Deltas = e.agentDeltas.updateSince(cfg, hb.GetConfigurationVersion(), hb.GetWholeConfiguration())
 }
 
-// agentConfiguration leaves out what no agent needs: jobs, the text, teams.
+// agentConfiguration returns the parts of a configuration that agents need; it omits the jobs, the
+// text and the teams.
 func agentConfiguration(cfg *apiv1.Configuration) *apiv1.Configuration {
 	return &apiv1.Configuration{
 		Version:  cfg.GetVersion(),
@@ -47,8 +48,8 @@
 	}
 }
 
-// confirmedAgeMs is how long ago a quorum confirmed that the configuration in
-// force here is the newest, rounded up; negative when that never happened.
+// confirmedAgeMs returns the time since a quorum confirmed that this host's configuration is the
+// newest, rounded up to a millisecond, or a negative number without a confirmation.
 func (e *Entry) confirmedAgeMs() int64 {
 	at := e.control.ConfirmedAt()
 	if at.IsZero() {
@@ -64,8 +65,8 @@
 	return !at.IsZero() && e.now().Sub(at) <= e.settings.StalenessBound.Duration
 }
 
-// Renew answers another entry that passes workers' heartbeats on, when this host
-// leads the control group.
+// Renew handles workers' heartbeats that another entry forwards to this host as the leader of the
+// control group.
 func (e *Entry) Renew(ctx context.Context, req *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	if e.replica == nil {
 		return &apiv1.RenewResponse{}, nil
@@ -73,7 +74,7 @@
 	return e.replica.ServeRenew(ctx, req)
 }
 
-// Propose answers another entry that hands a command to the leader.
+// Propose handles a command that another entry forwards to the leader.
 func (e *Entry) Propose(ctx context.Context, req *apiv1.ProposeRequest) (*apiv1.ProposeResponse, error) {
 	if e.replica == nil {
 		return &apiv1.ProposeResponse{NotLeader: true}, nil
@@ -81,7 +82,7 @@
 	return e.replica.ServePropose(ctx, req)
 }
 
-// Sync takes another entry's push of the agents it hears.
+// Sync records the agents that another entry reports and returns newer configurations.
 func (e *Entry) Sync(_ context.Context, req *apiv1.SyncRequest) (*apiv1.SyncResponse, error) {
 	e.mu.Lock()
 	resend := e.directory.ApplySyncRequest(e.now(), req)
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -8,9 +8,8 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// dispatchHedged dispatches to the chosen target and, for an idempotent request
-// that takes longer than most, to a second one. The first whole answer wins and
-// the other attempt is cancelled.
+// dispatchHedged dispatches to the chosen target and, for an idempotent request that takes longer
+// than most, to a second one. The first complete response wins, and the other attempt is canceled.
 func (e *Entry) dispatchHedged(ctx context.Context, r *request) attempt {
 	after, hedge := e.router.HedgeAfter(e.now(), &r.Request)
 	if !hedge {
@@ -36,8 +35,8 @@
 	return firstAnswered(results)
 }
 
-// firstAnswered returns the first of two attempts that was answered; failing that,
-// the one that says more.
+// firstAnswered returns the first of two attempts that was answered, or else the one with the
+// higher outcomeRank.
 func firstAnswered(results <-chan attempt) attempt {
 	a := <-results
 	if a.outcome == apiv1.Outcome_OUTCOME_ANSWERED {
@@ -50,13 +49,13 @@
 	return a
 }
 
-// recordedDispatch is a dispatch that the router has been told of.
+// recordedDispatch is a dispatch that the router has recorded.
 type recordedDispatch struct {
 	target route.Target
 	number uint32
 }
 
-// recordDispatch numbers the next dispatch and tells the router of it.
+// recordDispatch assigns the next attempt number and records the dispatch in the router.
 func (e *Entry) recordDispatch(r *request, c *route.Choice) recordedDispatch {
 	r.dispatches++
 	r.Tried = append(r.Tried, c.Target.ID)
@@ -64,18 +63,18 @@
 	return recordedDispatch{target: c.Target, number: r.dispatches}
 }
 
-// dispatchAsync dispatches in the background and hands the outcome over.
+// dispatchAsync dispatches in the background and sends the outcome to results.
 func (e *Entry) dispatchAsync(ctx context.Context, r *request, c *route.Choice, results chan<- attempt) {
-	b := e.recordDispatch(r, c)
-	e.background.Go("dispatch", func() { results <- e.dispatchAndRecord(ctx, r, b) })
+	d := e.recordDispatch(r, c)
+	e.background.Go("dispatch", func() { results <- e.dispatchAndRecord(ctx, r, d) })
 }
 
-// dispatchAndRecord sends one attempt and tells the router its outcome.
-func (e *Entry) dispatchAndRecord(ctx context.Context, r *request, b recordedDispatch) attempt {
-	a := e.dispatch(ctx, r, b.target, b.number)
+// dispatchAndRecord sends one attempt and records its outcome in the router.
+func (e *Entry) dispatchAndRecord(ctx context.Context, r *request, d recordedDispatch) attempt {
+	a := e.dispatch(ctx, r, d.target, d.number)
 	e.router.RecordOutcome(e.now(), route.AttemptResult{
 		Request: &r.Request,
-		Target:  b.target.ID,
+		Target:  d.target.ID,
 		Outcome: a.outcome,
 		Reason:  a.reason,
 		Load:    a.load,
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -12,8 +12,8 @@
 	"github.com/cairnlift/cairnlift/jobclient"
 )
 
-// setUpJobs makes the host's part in jobs that callers submit: their dispatcher
-// beside a replica, and on every entry a client of the control group.
+// setUpJobs creates the host's part in the handling of submitted jobs: on every entry a client of
+// the control group, and with a replica also a dispatcher.
 func (e *Entry) setUpJobs(log *zap.Logger) {
 	addresses := []string{e.settings.InternalAddress}
 	for _, p := range e.settings.Peers {
@@ -29,13 +29,14 @@
 	})
 }
 
-// notifyDispatcher tells the dispatcher that the applied state changed.
+// notifyDispatcher notifies the dispatcher that the applied state changed.
 func (e *Entry) notifyDispatcher() {
 	if e.dispatcher != nil {
 		e.dispatcher.Applied()
 	}
 }
 
+// controlAddresses returns the addresses of the control group's members.
 func (e *Entry) controlAddresses() []string {
 	var addresses []string
 	for _, r := range e.node.Status().Membership.GetReplicas() {
@@ -44,7 +45,7 @@
 	return addresses
 }
 
-// runJobs starts the loops of submitted jobs; they end with ctx.
+// runJobs starts the background loops for submitted jobs; they end with ctx.
 func (e *Entry) runJobs(ctx context.Context) {
 	e.loops.Go("control hosts", func() { e.jobs.Run(ctx) })
 	if e.dispatcher != nil {
@@ -52,7 +53,8 @@
 	}
 }
 
-// mountJobs serves entries and agents that ask this host's replica about jobs.
+// mountJobs registers the service by which entries and agents query this host's replica about
+// jobs.
 func (e *Entry) mountJobs(mux *http.ServeMux) {
 	if e.dispatcher == nil {
 		return
@@ -61,7 +63,8 @@
 	mux.Handle(server.PathPrefix(), server)
 }
 
-// withJobAPI serves the interface of submitted jobs beside the administration API.
+// withJobAPI returns a handler that serves the API of submitted jobs in addition to the
+// administration API.
 func (e *Entry) withJobAPI(admin http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	jobs := jobapi.Handler(e.jobs)
--- a/entry/jobs_paths_test.go
+++ b/entry/jobs_paths_test.go
@@ -7,10 +7,9 @@
 	"testing"
 )
 
-// Symptom: `cairnlift wave state`, `cairnlift job explain` and `cairnlift host move` say
-// that there is no such page.
-// Sequence: the command asks an entry for a path below those of the jobs' interface.
-// Cause: the entry passes the paths themselves on, and none below them.
+// `cairnlift wave state`, `cairnlift job explain` and `cairnlift host move` request paths below
+// those of the job API from an entry. They fail with "not found" if the entry routes only the paths
+// themselves to the job API and none below them.
 func TestJobPathsReachJobAPI(t *testing.T) {
 	admin := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
 	h := (&Entry{}).withJobAPI(admin)
@@ -23,7 +22,7 @@
 		{http.MethodPost, "/v1/jobs", `{}`, http.StatusBadRequest},
 		{http.MethodPost, "/v1/waves", `{}`, http.StatusBadRequest},
 		{http.MethodPost, "/v1/explanations/x", "", http.StatusMethodNotAllowed},
-		// The administration API explains the jobs of the operators' text.
+		// The administration API explains the jobs of the operators' configuration.
 		{http.MethodGet, "/v1/jobs/x/explanation", "", http.StatusTeapot},
 		{http.MethodGet, "/v1/status", "", http.StatusTeapot},
 	} {
--- a/entry/main.go
+++ b/entry/main.go
@@ -9,12 +9,11 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// Main runs cairnlift-entry with the command line's arguments and returns its
-// exit code.
+// Main runs cairnlift-entry with the given command line arguments and returns its exit code.
 func Main(args []string) int {
 	return daemon.Program[*settings.Entry]{
 		Name: "cairnlift-entry",
-		Help: "Takes callers' requests and operators' texts, and routes requests to targets.",
+		Help: "Accepts callers' requests and operators' configurations, and routes requests to targets.",
 		Load: settings.LoadEntry,
 		Log:  func(s *settings.Entry) settings.Log { return s.Log },
 		Run: func(ctx context.Context, s *settings.Entry, log *zap.Logger) error {
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -8,20 +8,20 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Sample sizes of the response time histogram: the usual ones of the library,
-// which weigh the last five minutes.
+// Parameters of the response time histogram: the library's usual values, which weight the last
+// five minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
 )
 
-// entryMetrics are the entry's counters and histograms; docs/OPERATIONS.md names them.
+// entryMetrics holds the entry's counters and histograms; docs/OPERATIONS.md lists them.
 type entryMetrics struct {
 	answered, failed, notRun, unknown metrics.Counter
 	wrongAnswers, brokenAnswers       metrics.Counter
 	settlesLost                       metrics.Counter
 	cutOff                            metrics.Counter
-	// responseUs is the time from a request's arrival to its answer, microseconds.
+	// responseUs is the time from a request's arrival to its answer, in microseconds.
 	responseUs metrics.Histogram
 }
 
--- a/entry/names.go
+++ b/entry/names.go
@@ -6,7 +6,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// reasonNames are the reasons as callers and logs see them.
+// reasonNames holds the names of the reasons in responses to callers and in logs.
 var reasonNames = buildReasonNames()
 
 func buildReasonNames() map[apiv1.Reason]string {
--- a/entry/request.go
+++ b/entry/request.go
@@ -9,32 +9,31 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// Headers that callers may send and that answers carry.
+// Headers of callers' requests and of their responses.
 const (
-	// HeaderRequestID names the request; made here when the caller sends none.
+	// HeaderRequestID identifies the request; the entry generates an ID when the caller sends none.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderTimeoutMs is the time the caller is ready to wait, milliseconds.
+	// HeaderTimeoutMs is the caller's timeout in milliseconds.
 	HeaderTimeoutMs = "Cairnlift-Timeout-Ms"
-	// HeaderCaller names the caller for fairness; its IP number otherwise.
+	// HeaderCaller names the caller for fair queueing; without it the caller's IP address is used.
 	HeaderCaller = "Cairnlift-Caller"
-	// HeaderIdempotent says, with the value "true", that the request may be run
-	// more than once.
+	// HeaderIdempotent states, with the value "true", that the request may run more than once.
 	HeaderIdempotent = "Cairnlift-Idempotent"
-	// HeaderIdempotencyKey binds resends of one request together.
+	// HeaderIdempotencyKey identifies resends of the same request.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderKeyTimeMs is when the key was made, Unix milliseconds.
+	// HeaderKeyTimeMs is the time at which the key was created, in Unix milliseconds.
 	HeaderKeyTimeMs = "Cairnlift-Key-Time-Ms"
-	// HeaderOutcome is answered, failed, not-run or unknown.
+	// HeaderOutcome is the outcome: answered, failed, not-run or unknown.
 	HeaderOutcome = "Cairnlift-Outcome"
-	// HeaderReason says why a request was not run or has no answer.
+	// HeaderReason is the reason why a request was not run or has no response.
 	HeaderReason = "Cairnlift-Reason"
-	// HeaderTarget names the target that answered.
+	// HeaderTarget names the target of the attempt that the response reports.
 	HeaderTarget = "Cairnlift-Target"
 	// HeaderRetryAfterMs is Retry-After in milliseconds.
 	HeaderRetryAfterMs = "Cairnlift-Retry-After-Ms"
 )
 
-// request is a caller's request on its way through the pipeline.
+// request is the state of a caller's request in the pipeline.
 type request struct {
 	route.Request
 	raw     *http.Request
@@ -45,17 +44,17 @@
 	key     string
 	keyTime int64
 	digest  []byte
-	// claimed: the key is bound to this request in the replicated log.
+	// claimed is set while the key is bound to this request in the replicated log.
 	claimed bool
-	// confirmedNotRun is the last attempt that provably did not run; the next claim of the
-	// key names it.
+	// confirmedNotRun is the number of the last attempt that is confirmed not to have run; the
+	// next claim of the key names it.
 	confirmedNotRun uint32
-	// choice is the target of the next dispatch, picked before the claim so that
-	// the claim can name it.
+	// choice is the target of the next dispatch, picked before the claim because the claim
+	// names it.
 	choice *route.Choice
-	// admitted requests are counted by the router until released.
+	// admitted is set while the router counts the request as in progress.
 	admitted bool
-	// dispatches counts dispatches under way or done.
+	// dispatches is the number of dispatches started so far.
 	dispatches uint32
 
 	answer answer
@@ -68,35 +67,37 @@
 	message  string
 	target   string
 	response *apiv1.HttpResponse
-	// retryAfter is how long the caller is to wait before it retries; set on not run and unknown.
+	// retryAfter is the time after which the caller may retry; it is set for the outcomes not
+	// run and unknown.
 	retryAfter time.Duration
-	// status overrides the HTTP status that follows from the outcome.
+	// status overrides the default HTTP status of the outcome.
 	status int
 }
 
-// notRun is the answer to a request that surely did not run.
-func notRun(reason apiv1.Reason, text string, retryAfter time.Duration) answer {
-	return answer{outcome: apiv1.Outcome_OUTCOME_NOT_RUN, reason: reason, message: text, retryAfter: retryAfter}
+// notRun returns the answer to a request that certainly did not run.
+func notRun(reason apiv1.Reason, message string, retryAfter time.Duration) answer {
+	return answer{outcome: apiv1.Outcome_OUTCOME_NOT_RUN, reason: reason, message: message, retryAfter: retryAfter}
 }
 
-// unknown is the answer to a request that may have run.
-func unknown(reason apiv1.Reason, text string, retryAfter time.Duration) answer {
-	return answer{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: reason, message: text, retryAfter: retryAfter}
+// unknown returns the answer to a request that may have run.
+func unknown(reason apiv1.Reason, message string, retryAfter time.Duration) answer {
+	return answer{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: reason, message: message, retryAfter: retryAfter}
 }
 
-// badRequest is the answer to a request that can't be served as it is.
-func badRequest(status int, reason apiv1.Reason, text string) answer {
-	a := notRun(reason, text, 0)
+// badRequest returns the answer to an invalid request.
+func badRequest(status int, reason apiv1.Reason, message string) answer {
+	a := notRun(reason, message, 0)
 	a.status = status
 	return a
 }
 
-// provesRun reports whether an outcome proves that the request ran.
+// provesRun reports whether an outcome implies that the request ran.
 func provesRun(o apiv1.Outcome) bool {
 	return o == apiv1.Outcome_OUTCOME_ANSWERED || o == apiv1.Outcome_OUTCOME_FAILED
 }
 
-// requestDigest binds an idempotency key to what was asked.
+// requestDigest returns a digest of the request's method, URI and body, to which its idempotency
+// key is bound.
 func requestDigest(r *apiv1.HttpRequest) []byte {
 	h := sha256.New()
 	for _, part := range []string{r.GetMethod(), r.GetUri()} {
--- a/entry/revoke.go
+++ b/entry/revoke.go
@@ -7,15 +7,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// revokeRetryInterval spaces the tries of a revocation.
+// revokeRetryInterval is the time from a failed revocation to its retry.
 const revokeRetryInterval = 5 * time.Millisecond
 
-// revoke asks an agent what became of an attempt, and bars it from running later.
+// revoke queries an agent for the outcome of an attempt and prevents the attempt from running later.
 //
-// The attempt's own connection has often just broken, and the client may reuse
-// one that is about to break the same way: the question then fails although the
-// agent is there, and a request that could have been answered would end as
-// "unknown". Revoking twice changes nothing, so it is tried until the context ends.
+// The attempt's connection has often just failed, and the client may reuse another one that is
+// about to fail in the same way: the revocation then fails although the agent is reachable, and a
+// request that could have been answered would end as "unknown". Revocations are idempotent, so
+// revoke retries until the context ends.
 func revoke(ctx context.Context, client apiv1.Agent, req *apiv1.RevokeRequest) (*apiv1.RevokeResponse, error) {
 	for {
 		resp, err := client.Revoke(ctx, req)
--- a/entry/run.go
+++ b/entry/run.go
@@ -13,7 +13,7 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// requestPipeline is the way of a caller's request.
+// requestPipeline returns the stages of a caller's request.
 func (e *Entry) requestPipeline() pipeline.Pipeline[request] {
 	return pipeline.Pipeline[request]{
 		{Name: "decode", Apply: e.decode},
@@ -26,7 +26,7 @@
 	}
 }
 
-// ServeHTTP answers one caller's request.
+// ServeHTTP handles one caller's request.
 func (e *Entry) ServeHTTP(w http.ResponseWriter, raw *http.Request) {
 	started := e.now()
 	e.inProgress.Add(1)
@@ -37,7 +37,7 @@
 	r := &request{raw: raw}
 	st := e.pipeline.Run(raw.Context(), r)
 	if !st.Passed() && r.claimed {
-		// The claim must not outlive a request that ended early.
+		// A request that ended early must not leave its claim unsettled.
 		e.settle(raw.Context(), r)
 	}
 	e.release(r)
@@ -45,13 +45,13 @@
 	e.logDecision(r, st, e.now().Sub(started))
 }
 
-// requireConfiguration refuses work that this entry could only route by an old configuration.
+// requireConfiguration refuses requests while this entry has no confirmed configuration.
 //
-// An entry that is cut off from the control group does not see that a service
-// was moved or a target removed; it would be noticed as answers by rules that
-// the operators have replaced. The agent is the other half of this check: it
-// serves when either side of the hop is fresh, so an entry past the bound may
-// still pass requests on to agents, which then decide.
+// An entry that is disconnected from the control group does not see that a service was moved or a
+// target removed; callers would get responses by rules that the operators have replaced. The
+// agents make the second half of this check: an agent serves when the entry's configuration or its
+// own is fresh, so an entry beyond the staleness bound may still forward requests, and the agents
+// decide.
 func (e *Entry) requireConfiguration(_ context.Context, r *request) pipeline.Status {
 	if e.control.ConfirmedAt().IsZero() {
 		r.answer = notRun(apiv1.Reason_REASON_STALE_CONFIGURATION, "this host has no confirmed configuration yet", defaultRetryAfter)
@@ -60,8 +60,8 @@
 	return pipeline.Status{}
 }
 
-// admit asks the router for a place among the requests in progress; it waits in
-// the router's queue while the request can still finish in time.
+// admit requests admission from the router. The request waits in the router's queue while it can
+// still finish in time.
 func (e *Entry) admit(ctx context.Context, r *request) pipeline.Status {
 	r.Woken = make(chan route.Admission, 1)
 	a := e.router.Admit(e.now(), &r.Request)
@@ -76,8 +76,8 @@
 	return pipeline.Status{}
 }
 
-// awaitAdmission waits until the router wakes the request, its time is up, or the
-// caller is gone.
+// awaitAdmission waits until the router wakes the request, its latest start time passes or the
+// caller disconnects.
 func (e *Entry) awaitAdmission(ctx context.Context, r *request, a route.Admission) route.Admission {
 	timer := time.NewTimer(a.LatestStart.Sub(e.now()))
 	defer timer.Stop()
@@ -87,15 +87,15 @@
 	case <-timer.C:
 	case <-ctx.Done():
 	}
-	given, ok := e.router.Abandon(e.now(), &r.Request)
+	abandoned, ok := e.router.Abandon(e.now(), &r.Request)
 	if !ok {
-		// The router woke it at the same moment; that admission counts.
+		// The router woke the request concurrently; that admission applies.
 		return <-r.Woken
 	}
-	return given
+	return abandoned
 }
 
-// pick chooses the target of the first dispatch, so that a claim can name it.
+// pick chooses the target of the next dispatch, before the claim that names it.
 func (e *Entry) pick(_ context.Context, r *request) pipeline.Status {
 	c, ok := e.router.Pick(e.now(), &r.Request)
 	if !ok {
@@ -107,9 +107,9 @@
 	return pipeline.Status{}
 }
 
-// dispatchWithRetries dispatches the request until it has a final outcome. Another dispatch
-// follows only where the router allows it: after a proven "not run", or for an
-// idempotent request within the retry budget.
+// dispatchWithRetries dispatches the request until it has a final outcome. It dispatches again only
+// where the router allows it: after a confirmed "not run", or for an idempotent request within the
+// retry budget.
 func (e *Entry) dispatchWithRetries(ctx context.Context, r *request) pipeline.Status {
 	for {
 		a := e.dispatchHedged(ctx, r)
@@ -123,7 +123,7 @@
 			return r.finalStatus(d.Text)
 		}
 		if !e.sleepWithinDeadline(ctx, r, d.Delay) {
-			return r.finalStatus("no time for another attempt")
+			return r.finalStatus("not enough time for another attempt")
 		}
 		best := r.answer
 		st := e.pick(ctx, r)
@@ -138,7 +138,7 @@
 	}
 }
 
-// finalStatus is the status of a request that gets no further attempt.
+// finalStatus returns the status of a request that gets no further attempt.
 func (r *request) finalStatus(why string) pipeline.Status {
 	if provesRun(r.answer.outcome) {
 		return pipeline.Status{}
@@ -146,7 +146,7 @@
 	return pipeline.Rejected(why)
 }
 
-// claimNextAttempt moves the claim to the next attempt after one that was proven not run.
+// claimNextAttempt moves the claim to the next attempt after one that is confirmed not to have run.
 func (e *Entry) claimNextAttempt(ctx context.Context, r *request) pipeline.Status {
 	if !r.claimed {
 		return pipeline.Status{}
@@ -155,8 +155,8 @@
 	return e.claim(ctx, r)
 }
 
-// recordAttempt makes an attempt's outcome the request's answer, unless an earlier one
-// says more.
+// recordAttempt makes an attempt's outcome the request's answer, unless an earlier outcome has a
+// higher rank.
 func (r *request) recordAttempt(a *attempt) {
 	if r.claimed && a.outcome == apiv1.Outcome_OUTCOME_NOT_RUN {
 		r.confirmedNotRun = a.number
@@ -173,8 +173,8 @@
 	r.keepBest(best)
 }
 
-// outcomeRank orders outcomes by how much they say about the whole request: it was run
-// if any attempt was, and may have been run if the outcome of any is unknown.
+// outcomeRank orders outcomes by how much they imply for the whole request: it ran if any attempt
+// ran, and may have run if the outcome of any attempt is unknown.
 var outcomeRank = map[apiv1.Outcome]int{
 	apiv1.Outcome_OUTCOME_NOT_RUN:  1,
 	apiv1.Outcome_OUTCOME_UNKNOWN:  2,
@@ -182,15 +182,15 @@
 	apiv1.Outcome_OUTCOME_ANSWERED: 4,
 }
 
-// keepBest keeps an earlier attempt's answer over a later one that says less: a
-// last attempt that did not run must not hide an earlier one that may have.
+// keepBest restores an earlier answer whose outcome ranks above the current one: a last attempt
+// that did not run must not hide an earlier one that may have run.
 func (r *request) keepBest(earlier answer) {
 	if outcomeRank[earlier.outcome] > outcomeRank[r.answer.outcome] {
 		r.answer = earlier
 	}
 }
 
-// setRetryAfter takes the longer of the waits that the agent and the router ask for.
+// setRetryAfter sets the longer of the waits given by the agent and the router.
 func (r *request) setRetryAfter(agent, router time.Duration) {
 	if provesRun(r.answer.outcome) {
 		return
@@ -198,7 +198,7 @@
 	r.answer.retryAfter = max(agent, router, minRetryAfter)
 }
 
-// release gives the request's place back to the router, once.
+// release releases the request's admission in the router; repeated calls have no effect.
 func (e *Entry) release(r *request) {
 	if !r.admitted {
 		return
@@ -207,7 +207,8 @@
 	route.Deliver(e.router.Release(e.now(), &r.Request, r.answer.outcome))
 }
 
-// sleepWithinDeadline waits within the request's time; false when that or the caller is gone.
+// sleepWithinDeadline waits for d. It returns false if that would exceed the request's deadline or
+// if the context ends first.
 func (e *Entry) sleepWithinDeadline(ctx context.Context, r *request, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -218,7 +219,8 @@
 	return sleepContext(ctx, d)
 }
 
-// logDecision leaves the one line per request that tells what was decided.
+// logDecision records the request's outcome in the metrics, the decision ring and the log, which
+// gets one line per request.
 func (e *Entry) logDecision(r *request, st pipeline.Status, took time.Duration) {
 	e.metrics.recordOutcome(r.answer.outcome, took)
 	e.recordDecision(r, st)
@@ -243,9 +245,9 @@
 	e.routeLog.Info("request decided", fields...)
 }
 
-// recordDecision keeps the decision for operators who ask.
+// recordDecision keeps the decision for operators' queries.
 func (e *Entry) recordDecision(r *request, st pipeline.Status) {
-	one := routeDecision{
+	decision := routeDecision{
 		at:      e.now(),
 		request: r.ID,
 		attempt: r.dispatches,
@@ -253,16 +255,15 @@
 		reason:  st.Reason,
 	}
 	if r.choice != nil {
-		one.candidates = r.choice.Candidates
+		decision.candidates = r.choice.Candidates
 	}
 	if st.Passed() {
-		one.reason = outcomeNames[r.answer.outcome]
+		decision.reason = outcomeNames[r.answer.outcome]
 	}
-	e.decisions.add(one)
+	e.decisions.add(decision)
 }
 
-// logAttempt leaves a line for each further dispatch; the first is told of by
-// the request's own line.
+// logAttempt logs a dispatch after the first; the request's own line covers the first.
 func (e *Entry) logAttempt(r *request, c *route.Choice, number uint32, why string) {
 	e.routeLog.Info(fmt.Sprintf("attempt %s", why),
 		zap.String("request", r.ID),
--- a/entry/server.go
+++ b/entry/server.go
@@ -15,14 +15,14 @@
 
 const (
 	readHeaderTimeout = 10 * time.Second
-	// callerReadTimeout bounds the sending of a whole request: a body that trickles
-	// in must not hold a connection forever.
+	// callerReadTimeout bounds the reading of a complete request: a client that sends its body
+	// very slowly must not occupy a connection indefinitely.
 	callerReadTimeout = 30 * time.Second
 	idleTimeout       = 2 * time.Minute
 	tickInterval      = 200 * time.Millisecond
 )
 
-// server is one listening address.
+// server is an HTTP server with its listener.
 type server struct {
 	name string
 	http *http.Server
@@ -41,8 +41,8 @@
 	}, nil
 }
 
-// listenAll opens the three addresses before anything is served, so that a
-// mistake in the settings ends the start and not a later request.
+// listenAll opens the three addresses before anything is served, so that an error in the settings
+// fails the start and not a later request.
 func (e *Entry) listenAll() (internal, admin, callers *server, err error) {
 	internal, err = listen("internal", e.settings.InternalAddress, e.internalHandler())
 	if err != nil {
@@ -86,9 +86,8 @@
 	})
 }
 
-// Run serves until the context ends, then shuts down gracefully within the
-// shutdown bound. It returns an error when the entry could not start or a part
-// that it can't do without failed.
+// Run serves until the context ends, then shuts down gracefully within the shutdown bound. It
+// returns an error when the entry could not start or an essential part failed.
 func (e *Entry) Run(ctx context.Context) error {
 	if err := e.startNode(e.log); err != nil {
 		return errors.Wrap(err, "control group replica")
@@ -118,7 +117,7 @@
 	case <-ctx.Done():
 		return e.shutdown(internal, admin, callers)
 	}
-	e.log.Error("entry fails", zap.Error(err))
+	e.log.Error("entry failed", zap.Error(err))
 	closeAll(internal, admin, callers)
 	return err
 }
@@ -129,7 +128,7 @@
 	}
 }
 
-// tickLoop judges agents' silence and the router's queues.
+// tickLoop calls tick at every tickInterval until the context ends.
 func (e *Entry) tickLoop(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
--- a/entry/services.go
+++ b/entry/services.go
@@ -7,7 +7,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// serviceTable finds the service of a path. It is never changed once built.
+// serviceTable maps paths to services. It is immutable.
 type serviceTable struct {
 	version uint64
 	byName  map[string]*apiv1.Service
@@ -34,8 +34,8 @@
 	return t
 }
 
-// match returns the service with the longest prefix of the path that ends at a
-// path segment, nil when there is none.
+// match returns the service with the longest prefix of the path that ends at a segment boundary, or
+// nil when there is none.
 func (t *serviceTable) match(path string) *apiv1.Service {
 	for _, p := range t.prefixes {
 		if hasPathPrefix(path, p.prefix) {
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// hasPathPrefix reports whether a path is at or below a prefix, by whole segments:
-// /lotsX is not below /lots.
+// hasPathPrefix reports whether a path is at or below a prefix. It compares whole segments: /lotsX
+// is not below /lots.
 func hasPathPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
 	return ok && (rest == "" || rest[0] == '/')
--- a/entry/setup.go
+++ b/entry/setup.go
@@ -14,7 +14,7 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// New makes an entry; nothing is opened before Run.
+// New creates an entry; Run opens its addresses and files.
 func New(o Options) (*Entry, error) {
 	e, err := newEntry(o)
 	if err != nil {
@@ -25,10 +25,10 @@
 	return e, nil
 }
 
-// newEntry makes an entry that has no control group yet.
+// newEntry creates an entry without a control group.
 func newEntry(o Options) (*Entry, error) {
 	if o.Settings == nil || o.Logger == nil {
-		return nil, errors.New("an entry needs settings and a logger")
+		return nil, errors.New("an entry requires settings and a logger")
 	}
 	if o.Registry == nil {
 		o.Registry = metrics.NewRegistry()
@@ -68,7 +68,7 @@
 	return e, nil
 }
 
-// otherEntries are all entry hosts in the settings but this one, each once.
+// otherEntries returns every other entry host in the settings once.
 func (e *Entry) otherEntries() []settings.Peer {
 	seen := map[string]bool{e.settings.Name: true}
 	var others []settings.Peer
@@ -83,7 +83,7 @@
 	return others
 }
 
-// tick judges agents' silence and wakes or refuses queued requests.
+// tick detects unresponsive agents and wakes or refuses queued requests.
 func (e *Entry) tick() {
 	now := e.now()
 	e.mu.Lock()
@@ -93,8 +93,8 @@
 	route.Deliver(e.router.Tick(now))
 }
 
-// agentAddress returns where an incarnation of an agent is reached, empty when
-// it is not known or another incarnation has taken its place.
+// agentAddress returns the address of an incarnation of an agent. It is empty when the agent is
+// unknown or runs as another incarnation.
 func (e *Entry) agentAddress(name string, incarnation uint64) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -105,7 +105,7 @@
 	return info.GetAddress()
 }
 
-// startLoops starts what the entry does on its own.
+// startLoops starts the entry's periodic work.
 func (e *Entry) startLoops(ctx context.Context) {
 	e.loops.Go("configuration", func() { e.watchConfiguration(ctx) })
 	e.loops.Go("tick", func() { e.tickLoop(ctx) })
--- a/entry/shutdown.go
+++ b/entry/shutdown.go
@@ -7,19 +7,19 @@
 	"go.uber.org/zap"
 )
 
-// shutdown ends the entry without cutting off a request.
+// shutdown stops the entry gracefully within the shutdown bound.
 //
-// The order matters. A balancer that still sends callers here while the entry
-// refuses them would turn a planned stop into refusals that another host could have
-// served. So the entry first reports not ready and goes on serving for the drain
-// delay, with each answer closing its connection; idle connections stay open that
-// long, since a request may be on its way over one of them. Then it stops accepting
-// and finishes what is in progress; the control group's leadership is handed over;
-// and only then the addresses that agents and other entries use close.
+// The order matters. If the entry refused callers while the load balancer still sends them here, a
+// planned stop would refuse requests that another host could have served. So the entry first
+// reports not ready and continues to serve for the drain delay, with each response closing its
+// connection; idle connections stay open for that time, since a request may be in transit on one
+// of them. Then it stops accepting connections and finishes the requests in progress, transfers
+// the leadership of the control group, and only then closes the addresses that agents and other
+// entries use.
 func (e *Entry) shutdown(internal, admin, callers *server) error {
 	started := e.now()
 	e.leaving.Store(true)
-	e.log.Info("entry leaves", zap.Duration("bound", e.settings.ShutdownBound.Duration))
+	e.log.Info("entry shutting down", zap.Duration("bound", e.settings.ShutdownBound.Duration))
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.ShutdownBound.Duration)
 	defer cancel()
 	sleepContext(ctx, e.settings.DrainDelay.Duration)
@@ -28,7 +28,7 @@
 		_ = callers.http.Close()
 	}
 	if !e.background.WaitUntil(ctx) {
-		e.log.Warn("shutdown bound reached; outcomes not stored")
+		e.log.Warn("shutdown bound reached before all outcomes were stored")
 	}
 	e.stopNode(ctx)
 	_ = internal.http.Shutdown(ctx)
@@ -37,14 +37,14 @@
 	return nil
 }
 
-// countCutOff records the requests that the shutdown bound ends.
+// countCutOff records the requests that are aborted at the shutdown bound.
 func (e *Entry) countCutOff() {
 	n := e.inProgress.Load()
 	e.metrics.cutOff.Inc(n)
-	e.log.Error("shutdown bound reached; requests cut off", zap.Int64("requests", n))
+	e.log.Error("shutdown bound reached; requests in progress aborted", zap.Int64("requests", n))
 }
 
-// sleepContext waits for a time; false when the context ended before.
+// sleepContext waits for d. It returns false when the context ends first.
 func sleepContext(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Symptom: an entry that was asked to stop does not end within its shutdown bound, and the
-// platform kills it before it has handed over the leadership of the control group.
-// Sequence: it stores the outcome of a request while the control group does not answer,
-// and is asked to stop. Cause: the wait for such work had no bound of its own.
+// An entry must stop within its shutdown bound; otherwise the platform kills it before it has
+// transferred the leadership of the control group. The entry is stopped while it stores the outcome
+// of a request and the control group does not respond; this guards against an unbounded wait for
+// such background work.
 func TestShutdownBoundHoldsForBackgroundWork(t *testing.T) {
 	e := newHarness(t, 1).entries[0]
 	e.settings.ShutdownBound.Duration = 50 * time.Millisecond
@@ -26,6 +26,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("the entry still waits for an outcome that can't be stored")
+		t.Error("the entry still waits for an outcome that cannot be stored")
 	}
 }
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -15,28 +15,29 @@
 const (
 	syncInterval = 500 * time.Millisecond
 	syncTimeout  = time.Second
-	// peerAliveTimeout is how long after its last push another entry counts as alive.
+	// peerAliveTimeout is the time from another entry's last push during which that entry
+	// counts as alive.
 	peerAliveTimeout = 3 * time.Second
-	// agentsKnownTimeout is how long an entry that starts waits for the others'
-	// agents; in that time an agent whose home is gone finds another.
+	// agentsKnownTimeout is the time from its start for which an entry waits for the agents of
+	// the other entries; in that time an agent whose home is unavailable finds another one.
 	agentsKnownTimeout = 5 * time.Second
 )
 
-// peerState is what this entry knows of another entry.
+// peerState is the last known state of another entry.
 type peerState struct {
 	address string
-	// adminAddress answers operators there.
+	// adminAddress is the address of the peer's administration API.
 	adminAddress         string
 	availabilityZone     string
 	configurationVersion uint64
 	lastPush             time.Time
 	leaving              bool
-	// agentsKnown: since this entry started, the peer's agents were all known here.
+	// agentsKnown is set once all agents of the peer have been known on this entry.
 	agentsKnown bool
 }
 
-// recordPeer records another entry's push and whether its agents are all known
-// here with it. e.mu is held.
+// recordPeer records another entry's push and whether all of its agents are known on this entry
+// with it. The caller must hold e.mu.
 func (e *Entry) recordPeer(req *apiv1.SyncRequest, agentsKnown bool) {
 	e.peers[req.GetEntry()] = peerState{
 		address:              req.GetAddress(),
@@ -49,7 +50,7 @@
 	}
 }
 
-// peerAlive reports whether another entry was heard lately.
+// peerAlive reports whether another entry sent a push within peerAliveTimeout.
 func (e *Entry) peerAlive(name string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -57,12 +58,12 @@
 	return ok && e.now().Sub(p.lastPush) <= peerAliveTimeout
 }
 
-// agentsKnown reports whether this entry has heard of the agents of every other
-// entry, or has waited long enough for those that don't answer.
+// agentsKnown reports whether this entry knows the agents of every other entry, or has waited for
+// agentsKnownTimeout.
 //
-// An entry that starts knows no agent. Were it ready at once, the balancer would
-// send it callers, and it would refuse them for want of a target while the other
-// entries could have served them.
+// An entry knows no agents when it starts. If it were ready immediately, the load balancer would
+// send it requests that it would refuse for lack of a target, although the other entries could
+// have served them.
 func (e *Entry) agentsKnown() bool {
 	if e.now().Sub(e.startedAt) > agentsKnownTimeout {
 		return true
@@ -77,8 +78,8 @@
 	return true
 }
 
-// syncLoop pushes this entry's agents to one other entry until the context ends.
-// The answers bring an entry without a replica its configuration.
+// syncLoop pushes this entry's agents to one other entry until the context ends. An entry without a
+// replica gets its configuration from the responses.
 func (e *Entry) syncLoop(ctx context.Context, peer settings.Peer) {
 	client := apiv1.NewControlProtobufClient("http://"+peer.Address, e.internalClient)
 	ticker := time.NewTicker(syncInterval)
@@ -94,8 +95,8 @@
 	}
 }
 
-// syncOnce pushes once and takes the answer. whole asks for no deltas; it returns
-// whether to do so the next time.
+// syncOnce pushes this entry's agents once and applies the response. whole requests the whole
+// configuration without deltas; syncOnce returns whether the next push must request it.
 func (e *Entry) syncOnce(ctx context.Context, client apiv1.Control, peer settings.Peer, whole bool) bool {
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -120,20 +121,21 @@
 	e.mu.Unlock()
 	if err := e.applySyncResponse(sent, resp); err != nil {
 		if e.control.Configuration().GetVersion() != version {
-			// Another entry's answer was quicker; the next push names what is here now.
+			// Another entry's response changed the configuration in the meantime; the next
+			// push names the current version.
 			return false
 		}
-		e.log.Warn("changes of the configuration don't fit, asking for all of it",
+		e.log.Warn("configuration deltas cannot be applied; requesting the whole configuration",
 			zap.String("entry", peer.Name), zap.Uint64("version", version), zap.Error(err))
 		return true
 	}
 	return false
 }
 
-// applySyncResponse takes a configuration and its confirmation from another entry. The
-// confirmation is as old as the request plus the age that the answer states, so
-// the time on the way never makes it look younger than it is. On an error nothing
-// is adopted, and the next push, an interval later, asks for the whole.
+// applySyncResponse applies a configuration and its confirmation from another entry. The age of the
+// confirmation is the time since the request was sent plus the age that the response states, so
+// that the transit time never makes it appear newer than it is. On an error nothing is applied,
+// and the next push, one interval later, requests the whole configuration.
 func (e *Entry) applySyncResponse(sent time.Time, resp *apiv1.SyncResponse) error {
 	if e.follower == nil || resp.GetConfirmedAgeMs() < 0 {
 		return nil
@@ -150,9 +152,8 @@
 	return nil
 }
 
-// newInternalClient returns the client for other entries and agents. Each host
-// gets a bounded number of idle connections, so that a burst does not open and
-// close one per request.
+// newInternalClient returns the client for other entries and agents. It keeps a bounded number of
+// idle connections per host, so that a burst does not open and close one connection per request.
 func newInternalClient() *http.Client {
 	return &http.Client{Transport: &http.Transport{
 		DialContext:         dialer.DialContext,
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -6,13 +6,14 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// applyDirectoryChanges tells the router what the directory learnt. e.mu is held.
+// applyDirectoryChanges applies the directory's changes to the router. The caller must hold e.mu.
 func (e *Entry) applyDirectoryChanges() {
 	for _, c := range e.directory.TakeChanges() {
 		e.applyDirectoryChange(c)
 	}
 }
 
+// applyDirectoryChange updates the targets of one agent in the router. The caller must hold e.mu.
 func (e *Entry) applyDirectoryChange(c member.Change) {
 	name := c.Agent.GetName()
 	now := e.now()
@@ -36,8 +37,7 @@
 	}
 }
 
-// targetID names a target in the whole system: target names are unique on their
-// agent only.
+// targetID returns the system-wide ID of a target; target names are unique only on their agent.
 func targetID(agent, target string) string { return agent + "/" + target }
 
 func newRouteTarget(a *apiv1.AgentInfo, t *apiv1.TargetInfo) route.Target {
