--- a/control/simworker_test.go
+++ b/control/simworker_test.go
@@ -104,7 +104,7 @@
 	id := o.Task.Task
 	switch {
 	case deadline <= w.now():
-		return agentlease.StartLate
+		return agentlease.StartExpired
 	case o.Task.Attempt <= w.newest[id]:
 		return agentlease.StartRefused
 	}
@@ -205,14 +205,14 @@
 		s.after(w.frozen-s.now, func() { w.orders(life, o) })
 		return
 	}
-	a := w.agent.Orders(w.now(), o)
+	a := w.agent.ApplyOrders(w.now(), o)
 	w.renew(a.Renew, a.Deadline)
 	for _, st := range a.Stop {
 		checkpoint := w.stopTask(st)
 		if s.chance(30) {
 			checkpoint = "" // Its reply was lost.
 		}
-		w.agent.Stopped(st.Task, checkpoint, true)
+		w.agent.RecordStop(st.Task, checkpoint, true)
 	}
 	for _, st := range a.Start {
 		w.carryStart(st, a)
@@ -230,10 +230,10 @@
 func (w *simWorker) carryStart(st *apiv1.StartTask, a agentlease.Actions) {
 	if w.sim.chance(10) {
 		w.sim.after(w.sim.between(0, 3*time.Second), func() { w.start(st, a.StartDeadline) })
-		w.agent.Started(st, agentlease.StartUnknown, "", a.Deadline)
+		w.agent.RecordStart(st, agentlease.StartUnknown, "", a.Deadline)
 		return
 	}
-	if w.agent.Started(st, w.start(st, a.StartDeadline), "", a.Deadline) {
+	if w.agent.RecordStart(st, w.start(st, a.StartDeadline), "", a.Deadline) {
 		w.renew([]*apiv1.TaskAttempt{st.Task}, a.Deadline)
 	}
 }
