--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -314,7 +314,7 @@
 		h.mu.Unlock()
 		h.startAgent()
 	case 3:
-		s.loops.Go(func() { s.log.Lose(duration / 4) })
+		s.loops.Go(func() { s.log.LoseLeadership(duration / 4) })
 	}
 }
 
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -153,7 +153,7 @@
 	return e.follower.LeaderAddress()
 }
 
-func placementDecision(d control.Decided) admin.Decision {
+func placementDecision(d control.RecordedDecision) admin.Decision {
 	return admin.Decision{
 		TimeMs:     d.At.UnixMilli(),
 		Part:       partPlace,
