--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -17,7 +17,7 @@
 
 const benchTasksPerWorker = 8
 
-// newLoadedCoordinator is a coordinator whose workers each run benchTasksPerWorker tasks.
+// newLoadedCoordinator returns a coordinator whose workers run benchTasksPerWorker tasks each.
 func newLoadedCoordinator(workers int) (*coordinator, *state.Machine, []*apiv1.WorkerHeartbeat, time.Time) {
 	now := time.UnixMilli(1e12)
 	m := state.New()
@@ -36,7 +36,7 @@
 		jobs = append(jobs, &apiv1.Job{Name: fmt.Sprintf("j%05d", i), Tasks: benchTasksPerWorker, Size: processors(100)})
 	}
 	apply(submission("s", 0, jobs...))
-	beats := make([]*apiv1.WorkerHeartbeat, workers)
+	heartbeats := make([]*apiv1.WorkerHeartbeat, workers)
 	for i := range workers {
 		name := fmt.Sprintf("w%05d", i)
 		hb := &apiv1.WorkerHeartbeat{Worker: name, Incarnation: 1, Info: info(name, benchTasksPerWorker*100)}
@@ -48,21 +48,21 @@
 			hb.Tasks = append(hb.Tasks, &apiv1.TaskStatus{Task: a, Phase: apiv1.TaskPhase_TASK_PHASE_RUNNING, Checkpoint: "c"})
 		}
 		apply(&apiv1.Command{Body: &apiv1.Command_Place{Place: place}})
-		beats[i] = hb
+		heartbeats[i] = hb
 	}
-	return c, m, beats, now
+	return c, m, heartbeats, now
 }
 
-// BenchmarkLeader times what the leader does per heartbeat and per round, without
-// planning, against the number of workers.
+// BenchmarkLeader measures the leader's cost per heartbeat and per round, without planning, as a
+// function of the number of workers.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{11, 110, 1100, 3700} {
-		c, m, beats, now := newLoadedCoordinator(n)
+		c, m, heartbeats, now := newLoadedCoordinator(n)
 		b.Run(fmt.Sprintf("heartbeat/workers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			sent, answered := 0, 0
 			for i := range b.N {
-				hb := beats[i%n]
+				hb := heartbeats[i%n]
 				hb.Sequence++
 				hb.Info = nil
 				c.observe(now, hb, m)
@@ -86,8 +86,8 @@
 	}
 }
 
-// BenchmarkClaim times a claim, committed by three hosts on loopback with their
-// logs on disk, alone and with others in flight.
+// BenchmarkClaim measures the commit of a claim by three hosts on loopback with their logs on disk,
+// alone and with other claims in flight.
 func BenchmarkClaim(b *testing.B) {
 	hosts, addresses := startGroup(b, 3)
 	entry := NewForwarder(addresses, &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}})
--- a/control/control.go
+++ b/control/control.go
@@ -1,6 +1,6 @@
-// Package control runs the control group's side of an entry host: it applies the
-// replicated log to the state machine, keeps the lease table, and on the leader
-// places tasks and answers workers' heartbeats.
+// Package control implements an entry host's part of the control group: it applies the replicated
+// log to the state machine, maintains the lease table and, on the leader, places tasks and answers
+// worker heartbeats.
 package control
 
 import (
@@ -11,25 +11,25 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Service is what an entry asks of the control group, wherever its leader is.
+// Service is the interface of an entry to the control group, whichever host leads it.
 type Service interface {
-	// Propose commits a command and returns its result once it is applied. The
-	// leader sets the command's time; only the body is taken from cmd.
-	// Errors: *UnavailableError (not proposed), *UnknownError (may be committed).
+	// Propose commits a command and returns its result once it is applied. The leader sets the
+	// command's time; only the body of cmd is used. Errors: *UnavailableError (not proposed),
+	// *UnknownError (may be committed).
 	Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error)
-	// Renew passes workers' heartbeats to the leader and returns its orders.
-	Renew(ctx context.Context, beats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error)
-	// Configuration returns the newest configuration known here; version 0 when none.
+	// Renew forwards worker heartbeats to the leader and returns the leader's orders.
+	Renew(ctx context.Context, heartbeats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error)
+	// Configuration returns the newest configuration known on this host; its version is 0 when
+	// there is none.
 	Configuration() *apiv1.Configuration
-	// ConfirmedAt returns the latest time at which Configuration is known to have
-	// been the newest in the whole group. The zero time means never.
+	// ConfirmedAt returns the latest time at which Configuration was confirmed to be the newest in
+	// the whole group. The zero time means that it was never confirmed.
 	ConfirmedAt() time.Time
 	// Changed returns a channel that is closed at the next configuration change.
 	Changed() <-chan struct{}
 }
 
-// UnavailableError says that nothing was proposed: there is no leader with a
-// quorum within reach.
+// UnavailableError reports that nothing was proposed, because no leader with a quorum is reachable.
 type UnavailableError struct {
 	RetryAfter time.Duration
 	Cause      string
@@ -37,18 +37,18 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("no quorum: %s; come back in %v", e.Cause, e.RetryAfter)
+	return fmt.Sprintf("no quorum: %s; retry after %v", e.Cause, e.RetryAfter)
 }
 
-// UnknownError says that a command may or may not be committed.
+// UnknownError reports that a command may or may not be committed.
 type UnknownError struct{ Cause string }
 
 // Error implements error.
 func (e *UnknownError) Error() string { return "command may or may not be committed: " + e.Cause }
 
-// NotLeaderError says that this replica does not lead; nothing was proposed.
+// NotLeaderError reports that this replica is not the leader; nothing was proposed.
 type NotLeaderError struct {
-	// LeaderAddress is the leader's internal address, empty when none is known.
+	// LeaderAddress is the leader's internal address, empty when it is unknown.
 	LeaderAddress string
 }
 
@@ -57,5 +57,5 @@
 	if e.LeaderAddress == "" {
 		return "not the leader, and no leader is known"
 	}
-	return "not the leader; ask the one at " + e.LeaderAddress
+	return "not the leader; the leader is at " + e.LeaderAddress
 }
--- a/control/controltest/log.go
+++ b/control/controltest/log.go
@@ -1,4 +1,4 @@
-// Package controltest is a stand-in for the replicated log under a control.Replica.
+// Package controltest provides a replicated log for tests of a control.Replica.
 package controltest
 
 import (
@@ -12,12 +12,12 @@
 	"github.com/cairnlift/cairnlift/control"
 )
 
-// commitDelay is what a commit or a confirmation of leadership takes.
+// commitDelay is the duration of a commit or of a confirmation of leadership.
 const commitDelay = 5 * time.Millisecond
 
 var errLeadershipChanged = errors.New("leadership changed")
 
-// Log is a log of one replica whose leadership changes on demand.
+// Log is the log of a single replica whose leadership changes on demand.
 type Log struct {
 	mu      sync.Mutex
 	machine *control.Replica
@@ -26,7 +26,7 @@
 	leading bool
 }
 
-// NewLog returns the log of a replica, which leads in the first term.
+// NewLog returns the log of a replica, which leads in term 1.
 func NewLog(machine *control.Replica) *Log {
 	l := &Log{machine: machine, term: 1, leading: true}
 	machine.Attach(l)
@@ -46,7 +46,7 @@
 	return l.machine.Apply(l.index, command), l.index, nil
 }
 
-// ReadBarrier confirms that the replica leads.
+// ReadBarrier confirms that the replica leads, and has led in the same term since the call.
 func (l *Log) ReadBarrier(context.Context) (uint64, error) {
 	before, _ := l.Leading()
 	time.Sleep(commitDelay)
@@ -58,22 +58,22 @@
 	return l.index, nil
 }
 
-// Leading returns the term, and whether the replica leads.
+// Leading returns the term and whether the replica leads in it.
 func (l *Log) Leading() (uint64, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term, l.leading
 }
 
-// LeaderAddress returns no address: there is no other replica.
+// LeaderAddress returns an empty address, because there is no other replica.
 func (l *Log) LeaderAddress() string { return "" }
 
-// LoseLeadership ends the leadership; after a while another term begins.
-func (l *Log) LoseLeadership(without time.Duration) {
+// LoseLeadership ends the leadership and starts the next term after gap.
+func (l *Log) LoseLeadership(gap time.Duration) {
 	l.mu.Lock()
 	l.leading = false
 	l.mu.Unlock()
-	time.Sleep(without)
+	time.Sleep(gap)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.term++
@@ -81,14 +81,14 @@
 }
 
 const (
-	// proposeTries and proposeInterval bound the time without a leader that Propose bears: longer
-	// than any simulation goes without one.
+	// proposeTries and proposeInterval limit the time without a leader that Propose tolerates,
+	// which is longer than any simulation goes without one.
 	proposeTries    = 10_000
 	proposeInterval = 10 * time.Millisecond
 )
 
-// Propose commits a command about submitted jobs, whoever leads by then. One that is not
-// taken ends the test.
+// Propose commits a command about submitted jobs, repeating it until a replica leads. A refused
+// command fails the test.
 func Propose(ctx context.Context, t testing.TB, replica *control.Replica, c *apiv1.JobsCommand) {
 	t.Helper()
 	for range proposeTries {
@@ -104,5 +104,5 @@
 		case <-time.After(proposeInterval):
 		}
 	}
-	t.Fatal("nobody ever leads")
+	t.Fatal("no replica became leader")
 }
--- a/control/coordinator.go
+++ b/control/coordinator.go
@@ -10,34 +10,33 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Planner decides what runs where and what has to give way, among that what
-// workers hold above their capacity. place.Placer is the real one. It is called
-// by one goroutine at a time and keeps what it learnt from one term to the next.
+// Planner decides where tasks run and which running tasks are evicted or throttled, including those
+// that a worker holds above its capacity. place.Placer is the production implementation. A Planner
+// is called by one goroutine at a time and keeps what it learned across terms.
 type Planner interface {
 	Plan(now time.Time, s *place.Snapshot) place.Plan
-	// Observe learns from a worker's heartbeat that was handled at now.
+	// Observe records a worker's heartbeat that was handled at now.
 	Observe(now time.Time, hb *apiv1.WorkerHeartbeat)
-	// Forget drops what was learnt about a worker that is gone.
+	// Forget drops the records of a worker that was removed.
 	Forget(worker string)
 }
 
-// coordinator is the leader's part of one term, without I/O: it turns
-// heartbeats and the passing of time into commands for the log, and the applied
-// state into orders for workers. Its driver commits the commands and may hand
-// orders out only after a read barrier.
+// coordinator is the leader's logic for one term, without I/O: it turns heartbeats and the passing
+// of time into commands for the log, and the applied state into orders for workers. Its caller
+// commits the commands and may return orders only after a read barrier.
 type coordinator struct {
 	term    uint64
 	leases  *leases
 	planner Planner
 	reports map[string]*workerReport
-	// throttles holds the shares in force, by task.
+	// throttles holds the shares in effect, by task.
 	throttles map[string]throttle
 	cache     map[string]cachedWorker
-	// servedServices holds the services with a target on a live worker as of the last round.
+	// servedServices holds the services that had a target on a live worker in the last round.
 	servedServices map[string]bool
 }
 
-// workerReport is what a worker said last in this term.
+// workerReport is the last report of a worker in this term.
 type workerReport struct {
 	incarnation uint64
 	sequence    uint64
@@ -46,10 +45,11 @@
 	tasks       map[string]*taskReport
 	services    []string
 	reserved    state.Resources
-	// previousCheckpoints holds checkpoints that an earlier incarnation reported, until the
-	// present one is registered.
+	// previousCheckpoints holds the checkpoints that a previous incarnation reported, until the
+	// current incarnation is registered.
 	previousCheckpoints []*apiv1.TaskCheckpoint
-	// ordersSent: orders went out, so that throttles of an earlier leader are lifted.
+	// ordersSent reports whether the worker was sent orders, and with them the end of any throttle
+	// of a previous leader.
 	ordersSent bool
 }
 
@@ -63,8 +63,8 @@
 	share   int32
 }
 
-// newCoordinator returns the coordinator of a term. The throttles go on from the
-// last term that this host led in: the planner, too, still counts on them.
+// newCoordinator returns the coordinator of a term. It continues the throttles of the last term in
+// which this host led, because the planner still counts on them.
 func newCoordinator(term uint64, l *leases, p Planner, throttles map[string]throttle) *coordinator {
 	return &coordinator{
 		term:      term,
@@ -76,8 +76,8 @@
 	}
 }
 
-// observe takes in a heartbeat that is handled now, and returns what has to be
-// committed before it is answered: the worker's registration, ends of attempts.
+// observe records a heartbeat that is handled at now. It returns the commands that must be
+// committed before the heartbeat is answered: the worker's registration and the ends of attempts.
 func (c *coordinator) observe(now time.Time, hb *apiv1.WorkerHeartbeat, m *state.Machine) (registration, end *apiv1.Command) {
 	last := c.reports[hb.Worker]
 	if last != nil && outdated(last, hb) {
@@ -93,8 +93,8 @@
 	return c.registration(hb, r, w, known), recordEndsCommand(hb, m)
 }
 
-// outdated reports whether a later heartbeat of the worker was handled before:
-// the network delivered this one late or twice, and nobody waits for its answer.
+// outdated reports whether a later heartbeat of the worker was already handled. The network then
+// delivered this one late or twice, and no agent waits for its response.
 func outdated(last *workerReport, hb *apiv1.WorkerHeartbeat) bool {
 	if last.incarnation != hb.Incarnation {
 		return hb.Incarnation < last.incarnation
@@ -141,7 +141,8 @@
 	}
 }
 
-// addTargets sums up what the worker's targets take, by the declared sizes.
+// addTargets adds up the resources of the worker's targets, using the declared sizes of their
+// services.
 func (r *workerReport) addTargets(targets []*apiv1.TargetInfo, m *state.Machine) {
 	for _, t := range targets {
 		if !slices.Contains(r.services, t.Service) {
@@ -154,8 +155,9 @@
 	}
 }
 
-// registration is needed at the first contact with an incarnation and when what
-// the worker has, or what its targets take, has changed.
+// registration returns the command that registers the worker, or nil if it is not needed. It is
+// needed at the first contact with an incarnation and when the worker's location, capacity or
+// reserved resources have changed.
 func (c *coordinator) registration(hb *apiv1.WorkerHeartbeat, r *workerReport, w state.Worker, known bool) *apiv1.Command {
 	if r.info == nil && (!known || hb.Incarnation != w.Incarnation) {
 		return nil
@@ -182,20 +184,20 @@
 		}
 	}
 	for _, st := range hb.Tasks {
-		// Ended ones too: their ends are recorded next, by their own reports.
+		// Ended attempts are included: their ends are recorded next, by their own reports.
 		reg.Running = append(reg.Running, st.Task)
 	}
 	reg.Checkpoints = r.previousCheckpoints
 	return &apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: reg}}
 }
 
-// matchesWorker reports whether a registration would change nothing.
+// matchesWorker reports whether a registration would change nothing in the worker's record.
 func matchesWorker(r *apiv1.RegisterWorker, w state.Worker) bool {
 	return r.Region == w.Region && r.AvailabilityZone == w.AvailabilityZone && r.Rack == w.Rack &&
 		state.ResourcesOf(r.Capacity) == w.Capacity && state.ResourcesOf(r.Reserved) == w.Reserved
 }
 
-// checkpoints lists the last durable checkpoints that the worker reported.
+// checkpoints returns the last durable checkpoints that the worker reported.
 func (r *workerReport) checkpoints() []*apiv1.TaskCheckpoint {
 	list := slices.Clone(r.previousCheckpoints)
 	for _, t := range r.tasks {
@@ -207,8 +209,8 @@
 	return list
 }
 
-// recordEndsCommand records the reported ends of attempts that the state counts as live, or
-// as over without a successor yet.
+// recordEndsCommand returns a command that records the reported ends of attempts that are live in
+// the state, or that are finished there without a successor. It returns nil when there are none.
 func recordEndsCommand(hb *apiv1.WorkerHeartbeat, m *state.Machine) *apiv1.Command {
 	rec := &apiv1.RecordTasks{Worker: hb.Worker, WorkerIncarnation: hb.Incarnation}
 	for _, st := range hb.Tasks {
@@ -229,7 +231,7 @@
 	return &apiv1.Command{Body: &apiv1.Command_RecordTasks{RecordTasks: rec}}
 }
 
-// endExpected reports whether the state has a use for a reported end.
+// endExpected reports whether the state still needs a reported end.
 func endExpected(m *state.Machine, worker string, st *apiv1.TaskStatus) bool {
 	t, ok := m.Task(st.Task.GetTask())
 	if !ok || t.LastWorker != worker || t.Attempt != st.Task.GetAttempt() {
@@ -255,8 +257,8 @@
 	return ok && t.Worker == worker && t.Attempt == a.GetAttempt()
 }
 
-// renew counts the worker's leases from now, where the state knows its
-// incarnation. It comes after observe's commands are applied.
+// renew restarts the worker's leases at now if the state has its incarnation registered. It must be
+// called after the commands returned by observe are applied.
 func (c *coordinator) renew(now time.Time, hb *apiv1.WorkerHeartbeat, m *state.Machine) bool {
 	r := c.reports[hb.Worker]
 	if r == nil || r.incarnation != hb.Incarnation || r.sequence != hb.Sequence {
@@ -269,7 +271,7 @@
 	return c.leases.renew(hb.Worker, hb.Incarnation, now)
 }
 
-// taskStatus returns what the worker said about a task, nil when it did not mention it.
+// taskStatus returns the reported status of a task, or nil if the worker did not report the task.
 func (r *workerReport) taskStatus(id string) *apiv1.TaskStatus {
 	if t := r.tasks[id]; t != nil {
 		return t.status
--- a/control/coordinator_test.go
+++ b/control/coordinator_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-// heartbeat handles a heartbeat that reports the given attempts.
+// heartbeat handles a heartbeat that reports the given attempts, and returns the orders.
 func (b *coordinatorHarness) heartbeat(tasks ...*apiv1.TaskStatus) *apiv1.WorkerOrders {
 	b.hb.Sequence++
 	b.hb.Tasks = tasks
@@ -63,11 +63,11 @@
 	return &apiv1.TaskStatus{Task: &apiv1.TaskAttempt{Task: id, Attempt: 1}, Phase: apiv1.TaskPhase_TASK_PHASE_RUNNING, Checkpoint: "c1"}
 }
 
-// Symptom: a task starts on a worker whose attempt is being ended, and again
-// elsewhere. Sequence: a grant's start order is lost while the worker is cut off;
-// its leases run out; while the Expire is on its way, in this log or delayed until
-// after another leader's term, the worker is back. Cause: a renewal, or a later
-// leader's, lets the attempt start that the Expire then ends.
+// A task must not start on a worker whose attempt is being ended, and then again on another worker.
+// A start order is lost while the worker is partitioned, and its leases expire. The worker
+// reconnects while the Expire command is in flight, in this log or delayed until after another
+// leader's term. A renewal by this leader or a later one would let the attempt start that the
+// Expire command then ends.
 func TestNoRenewalWhileExpiryIsInFlight(t *testing.T) {
 	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
 	b.heartbeat()
@@ -77,14 +77,14 @@
 	if o := b.heartbeat(); o.Renewed || len(o.Start) > 0 {
 		t.Fatalf("renewed while the attempt expires: %v", o)
 	}
-	late := expiries["w"]
-	b.apply(&apiv1.Command{Body: &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: 2}}}, late)
+	delayed := expiries["w"]
+	b.apply(&apiv1.Command{Body: &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: 2}}}, delayed)
 	if task, _ := b.m.Task("j@1/0"); !task.Live() {
-		t.Fatal("an earlier leader's Expire was followed")
+		t.Fatal("the Expire command of a previous leader was accepted")
 	}
 	b.c.term = 2
-	again, _ := b.c.dueCommands(b.now, b.m)
-	b.apply(again["w"])
+	next, _ := b.c.dueCommands(b.now, b.m)
+	b.apply(next["w"])
 	b.c.leases.endExpiry("w")
 	if o := b.heartbeat(); !o.Renewed || len(o.Start) > 0 {
 		t.Fatalf("after the expiry: %v", o)
@@ -95,10 +95,10 @@
 	}
 }
 
-// Symptom: a canceled task starts. Sequence: it is granted, its start order is
-// lost, the job is canceled; or the answer to an older heartbeat comes late.
-// Cause: only the worker's own word that it stopped proves that no start is on its
-// way, so the stop is ordered though the worker never reported the attempt.
+// A canceled task must not start. The task is granted, its start order is lost and the job is
+// canceled, or the response to an older heartbeat arrives late. Only the worker's own report that
+// the attempt stopped confirms that no start is in flight, so the stop is ordered although the
+// worker never reported the attempt.
 func TestCanceledBeforeStartNeverStarts(t *testing.T) {
 	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
 	b.heartbeat()
@@ -120,9 +120,9 @@
 	}
 }
 
-// Symptom: a host carries more than it has after it came back smaller. Sequence:
-// two attempts run; the worker announces half its processors. Cause: grants that
-// were right when they were made. The cheaper one goes, and nothing new comes.
+// A worker must not run more than its capacity after it came back smaller. Two attempts run when
+// the worker announces half its processors. The grants were correct when they were made; the
+// cheaper attempt must be evicted and nothing new placed.
 func TestShrunkWorkerEvictsTheExcess(t *testing.T) {
 	b := newCoordinatorHarness(t,
 		&apiv1.Job{Name: "cheap", Tasks: 1, Size: processors(400), EvictionCost: 1},
@@ -146,51 +146,51 @@
 	}
 }
 
-// Symptom: a job that nothing could hold keeps others waiting, or never runs
-// though a host came that could. Cause: it stays in the queue, or stays parked.
+// A job that fits on no worker must not delay others by staying in the queue, and must be requeued
+// when a worker registers on which it fits.
 func TestParkedJobWakesForALargerWorker(t *testing.T) {
 	b := newCoordinatorHarness(t, &apiv1.Job{Name: "large", Tasks: 1, Size: processors(2000)})
 	b.heartbeat()
-	b.apply(parkCommands(map[string]string{"large": "no worker could hold it"})...)
+	b.apply(parkCommands(map[string]string{"large": "no worker is large enough"})...)
 	queued := func() int { return len(b.c.snapshot(b.now, b.m).Queued) }
 	if queued() != 0 || wakeCommand(state.Resources{MilliProcessors: 1999}, b.m) != nil {
-		t.Fatal("a parked job waits in the queue")
+		t.Fatal("a parked job is in the queue")
 	}
 	b.apply(wakeCommand(state.Resources{MilliProcessors: 2000}, b.m))
 	if queued() != 1 {
-		t.Fatal("the job was not woken")
+		t.Fatal("the job was not requeued")
 	}
 }
 
-// Symptom: a task's work is done twice or from further back than needed.
-// Sequence: the worker's host starts anew and does not list an attempt; the leader
-// saw its checkpoint before. The old incarnation's late heartbeat changes nothing.
+// A task's work must not be done twice or resume from further back than needed. The worker's host
+// restarts and does not report an attempt whose checkpoint the leader received before. A late
+// heartbeat of the previous incarnation must change nothing.
 func TestRestartedWorkerResumesFromLastCheckpoint(t *testing.T) {
 	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
 	b.heartbeat()
 	b.plan()
 	b.heartbeat(runningAttempt("j@1/0"))
-	old := b.hb
+	previous := b.hb
 	b.hb = &apiv1.WorkerHeartbeat{Worker: "w", Incarnation: 2, Info: info("w", 1000)}
 	b.c.observe(b.now, b.hb, b.m)
 	if b.c.renew(b.now, b.hb, b.m) {
 		t.Error("renewed before its registration was applied")
 	}
-	b.heartbeat() // The commands of the heartbeat before are lost.
+	b.heartbeat() // The commands of the previous heartbeat are lost.
 	b.plan()
 	o := b.heartbeat()
 	if len(o.Start) != 1 || o.Start[0].Task.Attempt != 2 || o.Start[0].Checkpoint != "c1" {
 		t.Fatalf("orders %v", o)
 	}
-	b.hb = old
+	b.hb = previous
 	if o := b.heartbeat(runningAttempt("j@1/0")); o.Renewed {
-		t.Fatalf("the old incarnation was renewed: %v", o)
+		t.Fatalf("the previous incarnation was renewed: %v", o)
 	}
 }
 
-// Symptom: a charge runs again under a key that is a minute old. Sequence: a
-// leader's wall clock is set days ahead, then a host with such a clock comes to
-// lead. Cause: the log's time leaps past every claim's windows.
+// A charge must not run again under a key that is a minute old. A leader's wall clock is set days
+// ahead, and then a host with such a clock becomes leader. If the log's time followed, it would
+// exceed the windows of every claim.
 func TestLogTimeIgnoresWallClockJumps(t *testing.T) {
 	const start, day = int64(1e12), int64(86_400_000)
 	c := &logClock{}
@@ -215,8 +215,8 @@
 	}
 }
 
-// Symptom: a job starts before the service that it needs. Cause: whether a service
-// has a target is known from live workers' heartbeats alone.
+// A job must not start before the service that it depends on has a target. Only the heartbeats of
+// live workers show whether a service has one.
 func TestJobWaitsForServiceWithLiveTarget(t *testing.T) {
 	b := newCoordinatorHarness(t)
 	submit := submission("s2", 1, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1), DependsOn: []string{"auction"}})
@@ -234,21 +234,21 @@
 	}
 	b.now = b.now.Add(time.Second)
 	if queued() != 0 {
-		t.Fatal("queued though the worker is silent")
+		t.Fatal("queued although the worker is unresponsive")
 	}
 }
 
-// Symptom: a service stays slow though its neighbour counts as held down.
-// Sequence: the planner throttles a task, leadership goes away and comes back; the
-// leader in between, who knew of no throttle, lifted it. Cause: the planner keeps
-// its view over terms and orders only what changes.
+// A service must not stay slow because its neighbor counts as throttled and is not. The planner
+// throttles a task, and leadership moves away and returns. The leader in between had no throttle
+// for the task and lifted it. The planner keeps its view across terms and orders only changes, so
+// the coordinator must repeat the throttles.
 func TestThrottlesPersistAcrossTerms(t *testing.T) {
 	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
 	b.heartbeat()
 	b.plan()
 	b.heartbeat(runningAttempt("j@1/0"))
-	mine := map[string]throttle{"j@1/0": {attempt: 1, share: 500}}
-	for share, known := range map[int32]map[string]throttle{fullShare: {}, 500: mine} {
+	ownThrottles := map[string]throttle{"j@1/0": {attempt: 1, share: 500}}
+	for share, known := range map[int32]map[string]throttle{fullShare: {}, 500: ownThrottles} {
 		b.c = newCoordinator(2, newLeases(time.Second, 1000, b.now), &firstFit{}, known)
 		if o := b.heartbeat(runningAttempt("j@1/0")); len(o.Throttle) != 1 || o.Throttle[0].ShareMilli != share {
 			t.Errorf("throttle %v, want %d", o.Throttle, share)
--- a/control/decisions.go
+++ b/control/decisions.go
@@ -10,23 +10,23 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// decisionRingSize is how many planning decisions are kept for operators.
+// decisionRingSize is the number of planning decisions kept for operators.
 const decisionRingSize = 1024
 
-// RecordedDecision is a planning decision and when it was made.
+// RecordedDecision is a planning decision and the time at which it was made.
 type RecordedDecision struct {
 	At time.Time
 	place.Decision
 }
 
-// decisionRing logs planning decisions and keeps the last ones.
+// decisionRing logs planning decisions and keeps the most recent ones.
 type decisionRing struct {
 	logger *zap.Logger
 	mu     sync.Mutex
 	ring   []RecordedDecision
 	next   int
-	// waiting holds what the last round said about each task that stays queued: a
-	// task that waits is logged when the reason changes, not in each round.
+	// waiting holds the last round's decision on each task that stays queued. A waiting task is
+	// logged when the reason changes, not in each round.
 	waiting map[string]RecordedDecision
 }
 
@@ -47,9 +47,9 @@
 	d.waiting = waiting
 }
 
-// forTasks returns the kept decisions on some tasks, oldest first, and last what the
-// newest round said of those that wait. The kept ones alone would tell an operator
-// why a task waited at first: the same reason sums up refusals that change.
+// forTasks returns the kept decisions on the given tasks, oldest first, followed by the last
+// round's decisions on those that wait. The kept decisions alone would show an operator only why a
+// task waited at first, because one reason can summarize different refusals over time.
 func (d *decisionRing) forTasks(tasks map[string]bool) []RecordedDecision {
 	var list []RecordedDecision
 	for _, dec := range d.list() {
@@ -85,8 +85,8 @@
 		event.Reason(dec.Reason), event.Candidates(dec.Candidates), event.Score(dec.Score), event.Refused(dec.Refused))
 }
 
-// logActions leaves a line for each running task that has to give way. A throttle
-// that is only ordered again is no new decision.
+// logActions logs each eviction and each new or changed throttle of a plan. A throttle that remains
+// in effect is not a new decision.
 func (d *decisionRing) logActions(p place.Plan) {
 	for _, e := range p.Evictions {
 		event.TaskEvicted.Write(d.logger, event.TaskName(e.Task), event.Attempt(e.Attempt), event.Worker(e.Worker),
--- a/control/fixtures_test.go
+++ b/control/fixtures_test.go
@@ -10,8 +10,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// firstFit places each task on the first live worker with room. What a worker
-// holds above its capacity it evicts, cheapest first.
+// firstFit places each task on the first live worker with enough free capacity. It evicts what a
+// worker runs above its capacity, cheapest first.
 type firstFit struct {
 	evict []place.Eviction
 }
@@ -32,7 +32,7 @@
 	p := place.Plan{Evictions: f.evict, Unplaceable: map[string]string{}}
 	f.evict = nil
 	for _, t := range s.Queued {
-		d := place.Decision{Task: t.ID, Attempt: t.Attempt + 1, Reason: "no room"}
+		d := place.Decision{Task: t.ID, Attempt: t.Attempt + 1, Reason: "no free capacity"}
 		for _, w := range s.Workers {
 			if !w.Alive || w.Draining || free[w.Name] < t.Size.MilliProcessors {
 				continue
@@ -71,5 +71,5 @@
 	return &apiv1.WorkerInfo{Name: name, Location: &apiv1.Location{Region: "r", AvailabilityZone: "a"}, Capacity: processors(milli)}
 }
 
-// overCapacity reports whether a worker holds more than it has.
+// overCapacity reports whether a worker's grants exceed its capacity.
 func overCapacity(w state.Worker) bool { return !w.Granted.Within(w.Capacity.Minus(w.Reserved)) }
--- a/control/forwarder.go
+++ b/control/forwarder.go
@@ -16,24 +16,24 @@
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 250 * time.Millisecond
-	// triesPerDeadline divides the time left among tries that may be repeated, so
-	// that one frozen host does not use it all up.
+	// triesPerDeadline divides the remaining time among tries that may be repeated, so that one
+	// unresponsive host does not use all of it.
 	triesPerDeadline = 3
 	minTryTimeout    = 100 * time.Millisecond
-	// maxHintsFollowed is how many hints are followed without a pause: two hosts that each
-	// take the other for the leader must not be asked in a busy loop.
+	// maxHintsFollowed is the number of leader hints followed without a pause. It prevents a busy
+	// loop between two hosts that each name the other as the leader.
 	maxHintsFollowed = 3
-	// defaultDeadline holds for callers that set none.
+	// defaultDeadline applies to callers that set no deadline.
 	defaultDeadline = 5 * time.Second
 )
 
-// Forwarder implements Service on a host that is no replica, and on a replica
-// that does not lead: it sends to the leader, which it finds by the hints of the
-// replicas that it asks. The configuration is handed to it by Adopt.
+// Forwarder implements Service on a host without a replica, and on a replica that is not the
+// leader. It sends requests to the leader, which it finds by the hints in the responses of
+// replicas. Adopt provides the configuration.
 type Forwarder struct {
 	client *http.Client
-	// TryTimeout bounds one try that may be repeated, beside its share of the
-	// caller's deadline; 0 is no bound. Set it before use.
+	// TryTimeout limits one try that may be repeated, in addition to its share of the caller's
+	// deadline; 0 means no limit. It must be set before first use.
 	TryTimeout time.Duration
 
 	mu            sync.Mutex
@@ -48,8 +48,8 @@
 
 var _ Service = (*Forwarder)(nil)
 
-// NewForwarder returns a forwarder to the control hosts at peers, which are
-// internal addresses (IP and port).
+// NewForwarder returns a forwarder to the control hosts at the internal addresses peers (IP and
+// port).
 func NewForwarder(peers []string, client *http.Client) *Forwarder {
 	return &Forwarder{
 		peers:         slices.Clone(peers),
@@ -60,7 +60,7 @@
 	}
 }
 
-// SetPeers replaces the control hosts that are asked.
+// SetPeers replaces the list of control hosts.
 func (f *Forwarder) SetPeers(peers []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -72,19 +72,19 @@
 	return f.propose(ctx, cmd, "", false)
 }
 
-// propose sends a command to the leader until it has an answer or ctx ends.
-// maybeSent says that an earlier try, elsewhere, may have committed it. A try
-// that may have committed is repeated only where resendable says so.
+// propose sends a command to the leader until it gets a result or ctx ends. maybeSent reports that
+// an earlier try through another path may have committed the command. A try that may have committed
+// is repeated only if safeToResend allows it.
 func (f *Forwarder) propose(ctx context.Context, cmd *apiv1.Command, hint string, maybeSent bool) (*apiv1.Result, error) {
-	again := safeToResend(cmd)
+	repeatable := safeToResend(cmd)
 	cause := "no control host is known"
 	var result *apiv1.Result
-	f.tryControl(ctx, hint, again, func(ctx context.Context, c apiv1.Control) (string, bool) {
+	f.tryControl(ctx, hint, repeatable, func(ctx context.Context, c apiv1.Control) (string, bool) {
 		resp, err := c.Propose(ctx, &apiv1.ProposeRequest{Command: cmd})
 		if err != nil {
 			cause = err.Error()
 			maybeSent = maybeSent || !failedBeforeSending(err)
-			return "", !failedBeforeSending(err) && !again
+			return "", !failedBeforeSending(err) && !repeatable
 		}
 		res, err := decodeProposeResponse(resp)
 		if err == nil {
@@ -97,7 +97,7 @@
 			return notLeader.LeaderAddress, false
 		}
 		maybeSent = true
-		return "", !again
+		return "", !repeatable
 	})
 	switch {
 	case result != nil:
@@ -109,24 +109,24 @@
 }
 
 // Renew implements Service.
-func (f *Forwarder) Renew(ctx context.Context, beats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
-	return f.renew(ctx, beats, "")
+func (f *Forwarder) Renew(ctx context.Context, heartbeats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
+	return f.renew(ctx, heartbeats, "")
 }
 
-// renew may send heartbeats twice: a renewal that is handled again only makes the
-// leader count longer, and the agent takes one answer per sequence number.
-func (f *Forwarder) renew(ctx context.Context, beats []*apiv1.WorkerHeartbeat, hint string) ([]*apiv1.WorkerOrders, error) {
+// renew may send heartbeats twice. Handling a renewal again only makes the leader count the lease
+// for longer, and the agent accepts one response per sequence number.
+func (f *Forwarder) renew(ctx context.Context, heartbeats []*apiv1.WorkerHeartbeat, hint string) ([]*apiv1.WorkerOrders, error) {
 	cause := "no control host is known"
 	var orders []*apiv1.WorkerOrders
 	done := false
 	f.tryControl(ctx, hint, true, func(ctx context.Context, c apiv1.Control) (string, bool) {
-		resp, err := c.Renew(ctx, &apiv1.RenewRequest{Workers: beats})
+		resp, err := c.Renew(ctx, &apiv1.RenewRequest{Workers: heartbeats})
 		if err != nil {
 			cause = err.Error()
 			return "", false
 		}
 		if !resp.Leader {
-			cause = "no leader that is ready"
+			cause = "no leader is ready"
 			return resp.LeaderAddress, false
 		}
 		orders, done = resp.Orders, true
@@ -138,22 +138,24 @@
 	return orders, nil
 }
 
-// tryControl calls try with one control host after another, the leader as far as it is
-// known first, until try says stop or ctx ends. try returns a hint of the leader.
-func (f *Forwarder) tryControl(ctx context.Context, hint string, divide bool, try func(context.Context, apiv1.Control) (hint string, stop bool)) {
-	f.tryHosts(ctx, hint, divide, true, func(ctx context.Context, address string) (string, bool) {
+// tryControl calls try with one control host after another, starting with the leader if it is
+// known, until try returns stop or ctx ends. try returns the address of the leader as a hint, if it
+// has one.
+func (f *Forwarder) tryControl(ctx context.Context, hint string, divideDeadline bool, try func(context.Context, apiv1.Control) (hint string, stop bool)) {
+	f.tryHosts(ctx, hint, divideDeadline, true, func(ctx context.Context, address string) (string, bool) {
 		return try(ctx, f.clientOf(address))
 	})
 }
 
-// TryHosts calls try with the address of one control host after another, the leader as
-// far as it is known first, until try says stop or ctx ends. try returns a hint of
-// the leader and is repeatable. leads says that only the leader stops it.
-func (f *Forwarder) TryHosts(ctx context.Context, leads bool, try func(ctx context.Context, address string) (hint string, stop bool)) {
-	f.tryHosts(ctx, "", true, leads, try)
+// TryHosts calls try with the address of one control host after another, starting with the leader
+// if it is known, until try returns stop or ctx ends. try must be repeatable, and returns the
+// address of the leader as a hint, if it has one. onlyLeaderStops states that try returns stop for
+// the leader only; the address is then remembered as the leader's.
+func (f *Forwarder) TryHosts(ctx context.Context, onlyLeaderStops bool, try func(ctx context.Context, address string) (hint string, stop bool)) {
+	f.tryHosts(ctx, "", true, onlyLeaderStops, try)
 }
 
-func (f *Forwarder) tryHosts(ctx context.Context, hint string, divide, leads bool, try func(context.Context, string) (hint string, stop bool)) {
+func (f *Forwarder) tryHosts(ctx context.Context, hint string, divideDeadline, onlyLeaderStops bool, try func(context.Context, string) (hint string, stop bool)) {
 	ctx, cancel := withDeadline(ctx)
 	defer cancel()
 	wait, followed := initialBackoff, 0
@@ -162,11 +164,11 @@
 		if address == "" {
 			return
 		}
-		tryCtx, cancelTry := f.tryContext(ctx, divide)
+		tryCtx, cancelTry := f.tryContext(ctx, divideDeadline)
 		next, stop := try(tryCtx, address)
 		cancelTry()
 		if stop {
-			if leads {
+			if onlyLeaderStops {
 				f.setLeader(address)
 			}
 			return
@@ -191,9 +193,9 @@
 	return context.WithTimeout(ctx, defaultDeadline)
 }
 
-func (f *Forwarder) tryContext(ctx context.Context, divide bool) (context.Context, context.CancelFunc) {
+func (f *Forwarder) tryContext(ctx context.Context, divideDeadline bool) (context.Context, context.CancelFunc) {
 	deadline, _ := ctx.Deadline()
-	if !divide {
+	if !divideDeadline {
 		return context.WithDeadline(ctx, deadline)
 	}
 	timeout := max(minTryTimeout, time.Until(deadline)/triesPerDeadline)
@@ -203,7 +205,7 @@
 	return context.WithTimeout(ctx, timeout)
 }
 
-// nextAddress returns the hinted host, else the last known leader, else the next peer.
+// nextAddress returns the hinted host, or else the last known leader, or else the next peer.
 func (f *Forwarder) nextAddress(hint string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -246,15 +248,15 @@
 	}
 }
 
-// failedBeforeSending reports whether a call failed before anything was sent: no connection
-// came about.
+// failedBeforeSending reports whether a call failed before anything was sent, because no connection
+// could be established.
 func failedBeforeSending(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// Adopt takes over a configuration that another entry passed on, if it is newer,
-// and the time at which it is known to have been the newest.
+// Adopt stores a configuration received from another entry, if it is newer, and the time at which
+// the given version was confirmed to be the newest.
 func (f *Forwarder) Adopt(cfg *apiv1.Configuration, version uint64, confirmedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -263,7 +265,7 @@
 		close(f.changed)
 		f.changed = make(chan struct{})
 	}
-	// A confirmation of a version that is not here says nothing about this one.
+	// A confirmation of a version that this host does not have says nothing about its own version.
 	if version <= f.configuration.Version && confirmedAt.After(f.confirmedAt) {
 		f.confirmedAt = confirmedAt
 	}
@@ -290,8 +292,7 @@
 	return f.changed
 }
 
-// LeaderAddress returns the internal address of the leader as last learnt, empty
-// when none is known.
+// LeaderAddress returns the internal address of the last known leader, empty when none is known.
 func (f *Forwarder) LeaderAddress() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/control/forwarder_test.go
+++ b/control/forwarder_test.go
@@ -13,8 +13,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// scriptedPeer is a control host that answers each Propose with the next of its answers,
-// then with the last one again. A nil answer cuts the connection instead.
+// scriptedPeer is a control host that answers each Propose with the next of its answers, and
+// repeats the last one. A nil answer closes the connection instead.
 type scriptedPeer struct {
 	apiv1.Control
 	calls   int
@@ -36,7 +36,7 @@
 	return s.Listener.Addr().String()
 }
 
-// closedAddress returns an address where nothing listens.
+// closedAddress returns an address on which no server listens.
 func closedAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -46,11 +46,10 @@
 	return l.Addr().String()
 }
 
-// Symptom: a cancellation is carried out a second time, after an operator brought
-// the job back; or a submission is given up though another host leads. Sequence:
-// the answer is lost, the leader can't tell, hosts name each other as leader.
-// Cause: a command sent again that has no identity of its own, or not sent again
-// though nothing was proposed.
+// A cancellation must not be applied a second time after an operator restored the job, and a
+// submission must not fail while another host leads. The response is lost, the leader does not know
+// the outcome, or hosts name each other as leader. A command without an identity of its own must
+// not be resent, and a command that was not proposed must be.
 func TestForwarderResendsOnlySafeCommands(t *testing.T) {
 	submit := submission("s", 0)
 	cancel := &apiv1.Command{Body: &apiv1.Command_Cancel{Cancel: &apiv1.Cancel{Jobs: []string{"j"}}}}
@@ -63,13 +62,13 @@
 		calls   int // 0: more than one
 		err     any
 	}{
-		"submission, answer lost":          {submit, []*apiv1.ProposeResponse{nil, done}, 2, nil},
-		"submission, leader can't tell":    {submit, []*apiv1.ProposeResponse{unknown, done}, 2, nil},
-		"submission, never known":          {submit, []*apiv1.ProposeResponse{unknown, notLeader}, 0, new(*UnknownError)},
-		"submission, never proposed":       {submit, []*apiv1.ProposeResponse{notLeader}, 0, new(*UnavailableError)},
-		"cancellation, answer lost":        {cancel, []*apiv1.ProposeResponse{nil, done}, 1, new(*UnknownError)},
-		"cancellation, leader can't tell":  {cancel, []*apiv1.ProposeResponse{unknown, done}, 1, new(*UnknownError)},
-		"cancellation, leader comes later": {cancel, []*apiv1.ProposeResponse{notLeader, done}, 2, nil},
+		"submission, answer lost":            {submit, []*apiv1.ProposeResponse{nil, done}, 2, nil},
+		"submission, leader does not know":   {submit, []*apiv1.ProposeResponse{unknown, done}, 2, nil},
+		"submission, never known":            {submit, []*apiv1.ProposeResponse{unknown, notLeader}, 0, new(*UnknownError)},
+		"submission, never proposed":         {submit, []*apiv1.ProposeResponse{notLeader}, 0, new(*UnavailableError)},
+		"cancellation, answer lost":          {cancel, []*apiv1.ProposeResponse{nil, done}, 1, new(*UnknownError)},
+		"cancellation, leader does not know": {cancel, []*apiv1.ProposeResponse{unknown, done}, 1, new(*UnknownError)},
+		"cancellation, leader comes later":   {cancel, []*apiv1.ProposeResponse{notLeader, done}, 2, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
 			leader := &scriptedPeer{answers: c.answers}
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -16,8 +16,7 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// controlHost is a host of a control group on loopback: a replica, its log on
-// disk and its server.
+// controlHost is a host of a control group on loopback: a replica, its log on disk and its server.
 type controlHost struct {
 	apiv1.Control
 	*Replica
@@ -43,7 +42,7 @@
 	h.cancel = nil
 	h.server.Close()
 	ended, cancel := context.WithCancel(context.Background())
-	cancel() // No handover: the host is killed.
+	cancel() // The host is killed, so it hands over no leadership.
 	_ = h.node.Stop(ended)
 	h.wg.Wait()
 }
@@ -85,21 +84,21 @@
 	return hosts, addresses
 }
 
-// waitUntil repeats f until it reports success.
+// waitUntil repeats f until it returns true.
 func waitUntil(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// Symptom: a charge runs twice, or a configuration reverts, after the leader was
-// killed. Sequence: an entry that is no replica submits and claims, the leader is
-// killed, the entry resends both through the hosts that are left; meanwhile a
-// worker's heartbeats go to any host. Cause: a follower that answers by itself, or
-// a leader that lacks what the one before it acknowledged.
+// A charge must not run twice, and a configuration must not revert, after the leader was killed. An
+// entry without a replica submits and claims, the leader is killed, and the entry resends both
+// through the remaining hosts; meanwhile a worker's heartbeats go to any host. The test guards
+// against a follower that answers on its own, and against a leader that lacks what its predecessor
+// acknowledged.
 func TestGroupKeepsClaimsAfterLeaderFailure(t *testing.T) {
 	hosts, addresses := startGroup(t, 3)
 	entry := NewForwarder(addresses, &http.Client{})
--- a/control/host.go
+++ b/control/host.go
@@ -12,28 +12,28 @@
 	"github.com/cairnlift/cairnlift/quorum/wal"
 )
 
-// diskCheckInterval is the time between looks at a disk that refused a write. A disk
-// that is full stays so for seconds at least; each look costs one small synced write.
+// diskCheckInterval is the time between two checks of a disk that refused a write. A full disk
+// stays full for seconds at least, and each check costs one small synced write.
 const diskCheckInterval = time.Second
 
-// Host is a control host whose replica may lose the use of its disk.
+// Host runs a control host whose replica may become unable to write to its disk.
 type Host struct {
-	// Replica runs the replica until the context ends, or it fails.
+	// Replica runs the replica until the context ends or the replica fails.
 	Replica func(context.Context) error
 	// Directory serves without a replica until the context ends.
 	Directory func(context.Context) error
-	// CheckWritable returns an error while the disk takes no writes.
+	// CheckWritable returns an error while the disk refuses writes.
 	CheckWritable func() error
 	Logger        *zap.Logger
 }
 
-// Run runs the host until ctx ends or something else than the disk fails.
+// Run runs the host until ctx ends or anything but a disk write fails.
 //
-// What goes wrong without it: a replica stops for good at the first refused write,
-// since nothing after it is known to be stored. A process that ends with it is started
-// again, finds the same full disk and ends again, once a second; nobody on the host
-// passes operators on meanwhile. So the process stays, as a host without a replica, and
-// starts the replica anew from what the disk holds once it takes writes.
+// A replica stops at the first refused write, because nothing after it is known to be stored. A
+// process that exited with its replica would be restarted, find the same full disk and exit again,
+// once a second, and the host would not forward operators' requests in the meantime. The process
+// therefore keeps running as a host without a replica, and restarts the replica from the stored
+// data once the disk accepts writes again.
 func (h Host) Run(ctx context.Context) error {
 	for {
 		err := h.Replica(ctx)
@@ -49,7 +49,7 @@
 	}
 }
 
-// waitForDisk serves as a directory until the disk takes writes.
+// waitForDisk serves without a replica until the disk accepts writes.
 func (h Host) waitForDisk(ctx context.Context) error {
 	serving, stop := context.WithCancel(ctx)
 	defer stop()
--- a/control/host_test.go
+++ b/control/host_test.go
@@ -14,21 +14,19 @@
 	"github.com/cairnlift/cairnlift/quorum/wal"
 )
 
-// Symptom: a control process ends and starts again once a second, and its host passes
-// nothing on.
-// Sequence: the disk is full; after some seconds it has room again.
-// Cause: the process ends with its replica.
-// Evidence: on a day with a full disk one control process ended seven times, each
-// time with "no space left on device" for the file of the log.
+// A control process must not exit with its replica when the disk is full, because it would then
+// restart and exit again once a second, and its host would forward nothing. The disk is full and
+// has free space again some seconds later. On a day with a full disk, one control process exited
+// seven times, each time with "no space left on device" for the log file.
 func TestFullDiskDoesNotStopTheHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var did []string
+		var calls []string
 		full := 3
 		h := control.Host{
 			Logger: zap.NewNop(),
 			Replica: func(ctx context.Context) error {
-				did = append(did, "replica")
+				calls = append(calls, "replica")
 				if full > 0 {
 					return errors.Wrap(&wal.WriteError{Op: "write", Cause: syscall.ENOSPC}, "replica")
 				}
@@ -36,7 +34,7 @@
 				return nil
 			},
 			Directory: func(ctx context.Context) error {
-				did = append(did, "directory")
+				calls = append(calls, "directory")
 				<-ctx.Done()
 				return nil
 			},
@@ -51,15 +49,14 @@
 		if err := h.Run(ctx); err != nil {
 			t.Fatal(err)
 		}
-		if want := []string{"replica", "directory", "replica"}; !slices.Equal(did, want) {
-			t.Errorf("did %v, want %v", did, want)
+		if want := []string{"replica", "directory", "replica"}; !slices.Equal(calls, want) {
+			t.Errorf("calls %v, want %v", calls, want)
 		}
 	})
 }
 
-// Symptom: a host whose log is damaged goes on as if it were well.
-// Sequence: the replica finds damage in the middle of its log.
-// Cause: every failure is taken for a disk that is full.
+// A host whose log is damaged must not continue as if it were healthy. The replica finds damage in
+// the middle of its log, which must not be treated as a full disk.
 func TestOtherFailuresStopTheHost(t *testing.T) {
 	damage := &wal.DamageError{File: "1.log"}
 	h := control.Host{Logger: zap.NewNop(), Replica: func(context.Context) error { return damage }}
@@ -68,9 +65,8 @@
 	}
 }
 
-// Symptom: a host that is stopped while its disk is full never ends.
-// Sequence: the disk is full; the process is told to stop.
-// Cause: the look at the disk does not end with the process.
+// A host that is stopped while its disk is full must exit: the disk check must end with the
+// process.
 func TestHostStopsWhileTheDiskIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/control/leader.go
+++ b/control/leader.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// maxConcurrentProposals bounds the commands of one step that wait for their commit
-	// together; the log groups them.
+	// maxConcurrentProposals limits the commands of one step that wait for their commit
+	// concurrently; the log commits them in groups.
 	maxConcurrentProposals = 64
-	// roundTimeDivisor and maxRoundPause space rounds out: a round takes at most one part
-	// in roundTimeDivisor of the time, unless that is longer than maxRoundPause.
+	// roundTimeDivisor and maxRoundPause set the pause between planning rounds: a round takes at
+	// most one part in roundTimeDivisor of the time, unless the pause needed for that is longer
+	// than maxRoundPause.
 	roundTimeDivisor = 50
 	maxRoundPause    = time.Second
-	// proposalTimeout bounds the leader's own commands.
+	// proposalTimeout limits the commit of each of the leader's own commands.
 	proposalTimeout = 5 * time.Second
 )
 
-// leadLoop becomes the coordinator of each term that this replica leads in, and
-// runs its rounds.
+// leadLoop runs the planning rounds of each term in which this replica leads.
 func (r *Replica) leadLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := r.cfg.PlanInterval
 		if c := r.coordinatorOfTerm(ctx); c != nil {
-			took := r.runRound(ctx, c)
-			// Rounds cost more with more workers; their share of a core stays bounded.
-			wait = max(wait, min(took*roundTimeDivisor, maxRoundPause))
+			elapsed := r.runRound(ctx, c)
+			// Rounds cost more with more workers; this limits their share of a processor.
+			wait = max(wait, min(elapsed*roundTimeDivisor, maxRoundPause))
 		}
 		sleep(ctx, wait)
 	}
 }
 
-// coordinatorOfTerm returns the coordinator of the term that this replica leads in, nil
-// when it does not lead or is not ready to.
+// coordinatorOfTerm returns the coordinator of the term in which this replica leads, or nil if it
+// does not lead or is not ready to.
 func (r *Replica) coordinatorOfTerm(ctx context.Context) *coordinator {
 	term, ok := r.log().Leading()
 	current := r.currentCoordinator()
@@ -53,9 +53,9 @@
 	return r.takeOver(ctx, term)
 }
 
-// takeOver makes this replica ready to lead: once its Lead command is applied,
-// everything of earlier terms is, and nothing that an earlier leader judged by
-// its leases is accepted any more. The leases count from then.
+// takeOver makes this replica ready to lead. Once its Lead command is applied, everything of
+// earlier terms is applied too, and no decision that a previous leader based on its leases is
+// accepted any more. Leases are counted from that moment.
 func (r *Replica) takeOver(ctx context.Context, term uint64) *coordinator {
 	lead := &apiv1.Command{Body: &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: term}}}
 	res, err := r.proposeAsLeader(ctx, lead)
@@ -88,9 +88,8 @@
 	return r.ProposeLocal(ctx, cmd)
 }
 
-// proposeAll commits commands together and returns their results, nil for each
-// that failed. A command that failed is made anew from the state when it is
-// still needed.
+// proposeAll commits commands concurrently and returns their results, nil for each that failed. A
+// failed command is derived from the state again if it is still needed.
 func (r *Replica) proposeAll(ctx context.Context, cmds []*apiv1.Command) []*apiv1.Result {
 	results := make([]*apiv1.Result, len(cmds))
 	if len(cmds) == 0 {
@@ -111,34 +110,34 @@
 	return results
 }
 
-// runRound does what is due and plans once. It returns the time that the leader
-// worked on it itself, waiting for commits left out.
+// runRound commits the commands that are due and then plans once. It returns the leader's own
+// working time, excluding the time spent waiting for commits.
 func (r *Replica) runRound(ctx context.Context, c *coordinator) time.Duration {
-	began := time.Now()
+	start := time.Now()
 	now := r.cfg.Now()
 	expiries, forget := r.dueCommands(c, now)
-	took := time.Since(began)
+	elapsed := time.Since(start)
 	r.expire(ctx, c, expiries)
 	r.proposeAll(ctx, appendCommand(nil, forget))
-	began = time.Now()
+	start = time.Now()
 	cmds, plan := r.plan(c, now)
-	took += time.Since(began)
-	r.metrics.round.Update(took)
+	elapsed += time.Since(start)
+	r.metrics.round.Update(elapsed)
 	results := r.proposeAll(ctx, cmds)
 	r.decisions.add(now, plan.Decisions)
 	r.decisions.logActions(plan)
 	r.logRefusedGrants(cmds, results)
-	return took
+	return elapsed
 }
 
-// dueCommands returns what the passing of time asks for; see coordinator.due.
+// dueCommands calls coordinator.dueCommands with the state locked.
 func (r *Replica) dueCommands(c *coordinator, now time.Time) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
 	r.withState(func(m *state.Machine) { expiries, forget = c.dueCommands(now, m) })
 	return expiries, forget
 }
 
-// expire commits the expiries. A worker's leases may be renewed again only when
-// its Expire is known to be applied; otherwise the next round proposes it anew.
+// expire commits the expiries. A worker's leases may be renewed again only when its Expire command
+// is known to be applied; otherwise the next round proposes it again.
 func (r *Replica) expire(ctx context.Context, c *coordinator, expiries map[string]*apiv1.Command) {
 	workers := sortedKeys(expiries)
 	cmds := make([]*apiv1.Command, len(workers))
@@ -156,8 +155,8 @@
 	}
 }
 
-// plan lets go of the applied state before it plans: a round takes long, and
-// commands have to be applied meanwhile.
+// plan releases the applied state before it plans, because planning takes long and commands must be
+// applied in the meantime.
 func (r *Replica) plan(c *coordinator, now time.Time) ([]*apiv1.Command, place.Plan) {
 	r.coordinatorMu.Lock()
 	defer r.coordinatorMu.Unlock()
@@ -179,9 +178,9 @@
 	}
 }
 
-// RenewLocal answers workers' heartbeats if this replica leads. Errors:
-// *NotLeaderError, *UnavailableError.
-func (r *Replica) RenewLocal(ctx context.Context, beats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
+// RenewLocal answers worker heartbeats if this replica leads. Errors: *NotLeaderError,
+// *UnavailableError.
+func (r *Replica) RenewLocal(ctx context.Context, heartbeats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
 	term, ok := r.log().Leading()
 	if !ok {
 		return nil, &NotLeaderError{LeaderAddress: r.log().LeaderAddress()}
@@ -190,31 +189,31 @@
 	if c == nil || c.term != term {
 		return nil, &UnavailableError{RetryAfter: retryAfter, Cause: "the leader is not ready yet"}
 	}
-	r.commitReports(ctx, c, beats)
-	renewed := r.renewLeases(c, beats)
-	// The barrier begins after the leases were counted: see leases.
+	r.commitReports(ctx, c, heartbeats)
+	renewed := r.renewLeases(c, heartbeats)
+	// The barrier must begin after the leases were renewed; see leases.
 	if _, err := r.log().ReadBarrier(ctx); err != nil {
-		return nil, &UnavailableError{RetryAfter: retryAfter, Cause: "leadership can't be confirmed: " + err.Error()}
+		return nil, &UnavailableError{RetryAfter: retryAfter, Cause: "leadership could not be confirmed: " + err.Error()}
 	}
 	if now, ok := r.log().Leading(); !ok || now != term {
 		return nil, &NotLeaderError{LeaderAddress: r.log().LeaderAddress()}
 	}
-	return r.composeOrders(c, beats, renewed), nil
+	return r.composeOrders(c, heartbeats, renewed), nil
 }
 
-// commitReports commits registrations and ends of attempts before the heartbeats
-// that told of them are answered.
-func (r *Replica) commitReports(ctx context.Context, c *coordinator, beats []*apiv1.WorkerHeartbeat) {
+// commitReports commits registrations and ends of attempts before the heartbeats that reported them
+// are answered.
+func (r *Replica) commitReports(ctx context.Context, c *coordinator, heartbeats []*apiv1.WorkerHeartbeat) {
 	now := r.cfg.Now()
 	var registrations, ends []*apiv1.Command
 	r.withState(func(m *state.Machine) {
-		for _, hb := range beats {
+		for _, hb := range heartbeats {
 			reg, end := c.observe(now, hb, m)
 			registrations = appendCommand(registrations, reg)
 			ends = appendCommand(ends, end)
 		}
 	})
-	// Ends name the incarnation that the registration brings.
+	// Ends refer to the incarnation that the registration records, so registrations come first.
 	results := r.proposeAll(ctx, registrations)
 	r.proposeAll(ctx, ends)
 	r.proposeAll(ctx, r.wakeCommands(registrations, results))
@@ -227,7 +226,7 @@
 	return append(list, cmd)
 }
 
-// withState runs f with the coordinator and the applied state locked.
+// withState calls f with the coordinator and the applied state locked.
 func (r *Replica) withState(f func(m *state.Machine)) {
 	r.coordinatorMu.Lock()
 	defer r.coordinatorMu.Unlock()
@@ -236,7 +235,7 @@
 	f(r.machine)
 }
 
-// wakeCommands returns commands for parked jobs that a registered worker could hold.
+// wakeCommands returns commands that requeue the parked jobs that fit on a registered worker.
 func (r *Replica) wakeCommands(registrations []*apiv1.Command, results []*apiv1.Result) []*apiv1.Command {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
@@ -250,21 +249,21 @@
 	return cmds
 }
 
-func (r *Replica) renewLeases(c *coordinator, beats []*apiv1.WorkerHeartbeat) []bool {
-	renewed := make([]bool, len(beats))
+func (r *Replica) renewLeases(c *coordinator, heartbeats []*apiv1.WorkerHeartbeat) []bool {
+	renewed := make([]bool, len(heartbeats))
 	now := r.cfg.Now()
 	r.withState(func(m *state.Machine) {
-		for i, hb := range beats {
+		for i, hb := range heartbeats {
 			renewed[i] = c.renew(now, hb, m)
 		}
 	})
 	return renewed
 }
 
-func (r *Replica) composeOrders(c *coordinator, beats []*apiv1.WorkerHeartbeat, renewed []bool) []*apiv1.WorkerOrders {
-	orders := make([]*apiv1.WorkerOrders, len(beats))
+func (r *Replica) composeOrders(c *coordinator, heartbeats []*apiv1.WorkerHeartbeat, renewed []bool) []*apiv1.WorkerOrders {
+	orders := make([]*apiv1.WorkerOrders, len(heartbeats))
 	r.withState(func(m *state.Machine) {
-		for i, hb := range beats {
+		for i, hb := range heartbeats {
 			if !renewed[i] {
 				orders[i] = notRenewedOrders(hb)
 				continue
--- a/control/log.go
+++ b/control/log.go
@@ -2,16 +2,15 @@
 
 import "context"
 
-// Log is the replicated log as a replica's driver offers it.
+// Log is the replicated log as a replica uses it.
 type Log interface {
-	// Propose commits a command and returns its result and index once it is
-	// applied here. Errors: *NotLeaderError and *UnavailableError (nothing was
-	// proposed), *UnknownError (it may be committed now or later).
+	// Propose commits a command and returns its result and index once it is applied on this
+	// replica. Errors: *NotLeaderError and *UnavailableError (nothing was proposed), *UnknownError
+	// (the command may be committed now or later).
 	Propose(ctx context.Context, command []byte) (result []byte, index uint64, err error)
-	// ReadBarrier returns once this replica has applied everything that was
-	// committed in the group before the call. On a leader, success proves that a
-	// majority still followed it at some moment after the call: it asks them, it
-	// does not trust a clock.
+	// ReadBarrier returns once this replica has applied everything that was committed in the group
+	// before the call. On a leader, success confirms that a majority still followed it at some
+	// moment after the call: the leader queries the majority and does not rely on a clock.
 	ReadBarrier(ctx context.Context) (index uint64, err error)
 	// Leading returns the replica's term and whether it leads in it.
 	Leading() (term uint64, ok bool)
@@ -19,7 +18,7 @@
 	LeaderAddress() string
 }
 
-// unattachedLog stands for a log that is not there yet.
+// unattachedLog is used until a log is attached; it refuses all calls.
 type unattachedLog struct{}
 
 func (unattachedLog) Propose(context.Context, []byte) ([]byte, uint64, error) {
--- a/control/memorylog.go
+++ b/control/memorylog.go
@@ -7,8 +7,8 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// MemoryLog is a log of one replica that keeps nothing: for the embedded
-// default and for tests. It always leads, in term 1.
+// MemoryLog is a log of a single replica that stores nothing, for the embedded default and for
+// tests. It always leads, in term 1.
 type MemoryLog struct {
 	mu      sync.Mutex
 	machine quorum.StateMachine
@@ -16,8 +16,8 @@
 	address string
 }
 
-// NewMemoryLog returns a log that drives a state machine; address is the
-// replica's own.
+// NewMemoryLog returns a log that applies commands to a state machine; address is the replica's
+// own.
 func NewMemoryLog(machine quorum.StateMachine, address string) *MemoryLog {
 	return &MemoryLog{machine: machine, address: address}
 }
--- a/control/nodelog.go
+++ b/control/nodelog.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/quorum/node"
 )
 
-// NodeLog is a replica of the quorum as a Log.
+// NodeLog adapts a quorum node to Log.
 type NodeLog struct{ *node.Node }
 
 var _ Log = NodeLog{}
@@ -20,8 +20,8 @@
 	return result, index, translateError(err)
 }
 
-// translateError turns the node's errors into those that Log names. Only those that
-// say that nothing was committed become others than UnknownError.
+// translateError converts the node's errors to those documented by Log. Only errors that guarantee
+// that nothing was committed become anything but UnknownError.
 func translateError(err error) error {
 	if err == nil {
 		return nil
--- a/control/orders.go
+++ b/control/orders.go
@@ -8,12 +8,12 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// fullShare is a throttle's share that ends it.
+// fullShare is the share that ends a throttle.
 const fullShare = 1000
 
-// orders composes the answer to a renewed heartbeat from the applied state.
-// Orders are repeated in each answer until the worker's report shows that they
-// were carried out, so a lost answer costs an interval and nothing else.
+// orders returns the response to a renewed heartbeat, based on the applied state. An order is
+// repeated in each response until the worker's report shows that it was carried out, so a lost
+// response costs only one heartbeat interval.
 func (c *coordinator) orders(hb *apiv1.WorkerHeartbeat, m *state.Machine) *apiv1.WorkerOrders {
 	o := &apiv1.WorkerOrders{
 		Worker:   hb.Worker,
@@ -33,22 +33,23 @@
 	return o
 }
 
-// orderForLiveTask orders what an attempt that the state counts on this worker needs.
+// orderForLiveTask adds the order that a task needs whose current attempt the state assigns to this
+// worker.
 func (c *coordinator) orderForLiveTask(o *apiv1.WorkerOrders, r *workerReport, t *state.Task) {
 	attempt := &apiv1.TaskAttempt{Task: t.ID, Attempt: t.Attempt}
 	st := r.taskStatus(t.ID)
 	reported := st != nil && st.Task.Attempt == t.Attempt
 	switch {
 	case reported && st.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING:
-		// It ended; the end is about to be recorded.
+		// The attempt ended; the end is about to be recorded.
 	case t.State == apiv1.TaskState_TASK_STATE_STOPPING:
-		// Also for one that was never reported: its start may be on its way, and
-		// only the worker's own report that it stopped proves that it won't run.
+		// The stop is ordered even if the attempt was never reported: its start may be in flight,
+		// and only the worker's own report that it stopped confirms that it will not run.
 		o.Stop = append(o.Stop, &apiv1.StopTask{Task: attempt, Checkpoint: !t.Canceled, Reason: t.Reason})
 	case reported:
 		c.orderThrottle(o, r, attempt)
 	case st != nil && st.Phase == apiv1.TaskPhase_TASK_PHASE_RUNNING:
-		// Another attempt of the task still runs here; it is told to stop first.
+		// Another attempt of the task still runs on this worker and must be stopped first.
 	default:
 		o.Start = append(o.Start, &apiv1.StartTask{
 			Task:          attempt,
@@ -67,13 +68,13 @@
 		return
 	}
 	if !r.ordersSent {
-		// An earlier leader may have throttled it; this one has no reason to.
+		// A previous leader may have throttled the task; this one has no throttle for it.
 		o.Throttle = append(o.Throttle, &apiv1.ThrottleTask{Task: a, ShareMilli: fullShare})
 	}
 }
 
-// orderForUnknownAttempt answers a report on an attempt that the state counts no longer, or
-// never counted here.
+// orderForUnknownAttempt adds the response to a report on an attempt that the state does not assign
+// to this worker: a running attempt must stop, an ended one is acknowledged.
 func orderForUnknownAttempt(o *apiv1.WorkerOrders, st *apiv1.TaskStatus) {
 	if st.Phase == apiv1.TaskPhase_TASK_PHASE_RUNNING {
 		o.Stop = append(o.Stop, &apiv1.StopTask{Task: st.Task, Reason: "the attempt is not granted to this worker"})
@@ -92,7 +93,7 @@
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// notRenewedOrders answers a heartbeat that renews nothing.
+// notRenewedOrders returns the response to a heartbeat whose leases were not renewed.
 func notRenewedOrders(hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
 	return &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence}
 }
--- a/control/planning.go
+++ b/control/planning.go
@@ -11,14 +11,13 @@
 )
 
 const (
-	// grantsPerCommand bounds the size of one log entry.
+	// grantsPerCommand limits the size of one log entry.
 	grantsPerCommand = 256
-	// forgetWorkerAfter is how long a worker that holds nothing may be silent.
+	// forgetWorkerAfter is the time from the last renewal of a worker without tasks to its removal.
 	forgetWorkerAfter = 24 * time.Hour
 )
 
-// plan runs one planning round on a snapshot and returns the commands that carry
-// it out.
+// plan runs one planning round on a snapshot and returns the commands that carry out the plan.
 func (c *coordinator) plan(now time.Time, s *place.Snapshot) ([]*apiv1.Command, place.Plan) {
 	p := c.planner.Plan(now, s)
 	for _, t := range p.Throttles {
@@ -31,7 +30,7 @@
 	return cmds, p
 }
 
-// dropThrottles forgets the throttles of attempts that ended.
+// dropThrottles removes the throttles of attempts that ended.
 func (c *coordinator) dropThrottles(m *state.Machine) {
 	for id, th := range c.throttles {
 		if t, ok := m.Task(id); !ok || !t.Live() || t.Attempt != th.attempt {
@@ -83,8 +82,8 @@
 	return cmds
 }
 
-// wakeCommand returns a command for the parked jobs that a worker of a new shape could
-// hold when it is empty, nil when there are none.
+// wakeCommand returns a command that requeues the parked jobs whose tasks fit on an empty worker of
+// the given capacity, or nil if there are none.
 func wakeCommand(capacity state.Resources, m *state.Machine) *apiv1.Command {
 	p := &apiv1.Park{Wake: true}
 	m.EachParked(func(d *apiv1.Job) {
@@ -99,25 +98,25 @@
 	return &apiv1.Command{Body: &apiv1.Command_Park{Park: p}}
 }
 
-// dueCommands returns the commands that the passing of time asks for: ends of attempts
-// whose leases ran out, by worker, and the workers to forget, nil when none.
+// dueCommands returns the commands that the passing of time makes necessary: the ends of attempts
+// whose leases expired, by worker, and the removal of unresponsive workers, nil if there are none.
 func (c *coordinator) dueCommands(now time.Time, m *state.Machine) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
 	expiries = map[string]*apiv1.Command{}
-	silent := &apiv1.ForgetWorkers{}
+	unresponsive := &apiv1.ForgetWorkers{}
 	m.EachWorker(func(w state.Worker) {
 		switch {
 		case w.Tasks > 0 && c.leases.expired(w.Name, now):
 			c.leases.beginExpiry(w.Name)
 			expiries[w.Name] = c.expireCommand(w.Name, m)
 		case w.Tasks == 0 && !w.Draining && c.leases.sinceRenewal(w.Name, now) > forgetWorkerAfter:
-			silent.Workers = append(silent.Workers, &apiv1.SilentWorker{Worker: w.Name, Incarnation: w.Incarnation})
+			unresponsive.Workers = append(unresponsive.Workers, &apiv1.SilentWorker{Worker: w.Name, Incarnation: w.Incarnation})
 		}
 	})
-	if len(silent.Workers) == 0 {
+	if len(unresponsive.Workers) == 0 {
 		return expiries, nil
 	}
-	c.dropWorkers(silent.Workers)
-	return expiries, &apiv1.Command{Body: &apiv1.Command_ForgetWorkers{ForgetWorkers: silent}}
+	c.dropWorkers(unresponsive.Workers)
+	return expiries, &apiv1.Command{Body: &apiv1.Command_ForgetWorkers{ForgetWorkers: unresponsive}}
 }
 
 func (c *coordinator) dropWorkers(workers []*apiv1.SilentWorker) {
--- a/control/replica.go
+++ b/control/replica.go
@@ -21,16 +21,16 @@
 )
 
 const (
-	// retryAfter is when a caller may come back that met no leader: about the time
-	// of an election.
+	// retryAfter is the delay suggested to a caller that found no leader: about the time of an
+	// election.
 	retryAfter = time.Second
-	// confirmationsPerBound is how often the configuration is confirmed within the
-	// staleness bound, so that one lost round does not make this host stale.
+	// confirmationsPerBound is the number of times that the configuration is confirmed within the
+	// staleness bound, so that one lost confirmation does not make this host stale.
 	confirmationsPerBound      = 6
 	confirmationTimeoutDivisor = 2
 )
 
-// Defaults of Config; the settings of a daemon have the same.
+// Defaults of Config. The settings of the daemons have the same defaults.
 const (
 	defaultLeaseDuration     = 6 * time.Second
 	defaultClockRateErrorPPM = 1000
@@ -38,24 +38,25 @@
 	defaultPlanInterval      = 100 * time.Millisecond
 )
 
-// Config sets up a Replica. Values of zero take the defaults.
+// Config configures a Replica. Zero values select the defaults.
 type Config struct {
 	// LeaseDuration is how long a worker may run a task without a renewal.
 	LeaseDuration time.Duration
-	// ClockRateErrorPPM bounds the rate error of any host's clock, parts per million.
+	// ClockRateErrorPPM is the upper bound of the rate error of any host's clock, in parts per
+	// million.
 	ClockRateErrorPPM int64
-	// StalenessBound is how old a confirmed configuration may be.
+	// StalenessBound is the maximum age of a confirmed configuration.
 	StalenessBound time.Duration
-	// PlanInterval is the least time between planning rounds.
+	// PlanInterval is the minimum time from the end of one planning round to the start of the next.
 	PlanInterval time.Duration
 	Planner      Planner
-	// Forwarder reaches the leader when it is not this replica. Without one,
-	// commands and renewals are refused here.
+	// Forwarder reaches the leader when this replica does not lead. Without a Forwarder, such a
+	// replica refuses commands and renewals.
 	Forwarder *Forwarder
-	// OnApplied is called after commands were applied or a snapshot was restored, by
-	// the log's own goroutine; it must not block.
+	// OnApplied is called after a command was applied or a snapshot was restored, by the log's own
+	// goroutine; it must not block.
 	OnApplied func()
-	// Now reads the clock; time.Now when unset.
+	// Now reads the clock; the default is time.Now.
 	Now     func() time.Time
 	Logger  *zap.Logger
 	Metrics metrics.Registry
@@ -80,25 +81,25 @@
 	}
 }
 
-// Replica is a member of the control group on an entry host: it applies the log
-// to the state machine, and leads when the log elects it. It implements
-// quorum.StateMachine for the log and Service for the entry.
+// Replica is a member of the control group on an entry host. It applies the log to the state
+// machine, and leads when it is elected. It implements quorum.StateMachine for the log and Service
+// for the entry.
 type Replica struct {
 	cfg       Config
 	attached  atomic.Pointer[Log]
 	clock     logClock
-	started   time.Time // by its monotonic reading
+	started   time.Time // used for its monotonic reading
 	decisions decisionRing
 	logger    *zap.Logger
 	metrics   *replicaMetrics
 
-	// mu guards the applied state and what follows from it.
+	// mu guards the applied state and what is derived from it.
 	mu          sync.RWMutex
 	machine     *state.Machine
 	changed     chan struct{}
 	confirmedAt time.Time
 
-	// coordinatorMu guards the coordinator and its planner. It is taken before mu.
+	// coordinatorMu guards the coordinator and its planner. It must be acquired before mu.
 	coordinatorMu sync.Mutex
 	coordinator   *coordinator
 	throttles     map[string]throttle
@@ -106,7 +107,7 @@
 
 var _ Service = (*Replica)(nil)
 
-// NewReplica returns a replica with an empty state. Run makes it take part.
+// NewReplica returns a replica with an empty state. Attach and Run start it.
 func NewReplica(cfg Config) *Replica {
 	cfg.setDefaults()
 	return &Replica{
@@ -121,9 +122,9 @@
 	}
 }
 
-// Attach gives the replica its log, which was built around it. Until then
-// everything is refused: the other hosts have to reach this one for the log to
-// come about.
+// Attach sets the replica's log, which is created after the replica. Until then all requests are
+// refused. The replica must already be reachable, because the other hosts have to reach this one
+// before the log can be created.
 func (r *Replica) Attach(log Log) { r.attached.Store(&log) }
 
 func (r *Replica) log() Log {
@@ -133,8 +134,8 @@
 	return unattachedLog{}
 }
 
-// Run confirms the configuration and leads when elected, until ctx ends. It
-// returns an error when an invariant is broken; the process must stop then.
+// Run confirms the configuration, and leads when elected, until ctx ends. It returns an error when
+// an invariant is violated; the process must then stop.
 func (r *Replica) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	group := failstop.New()
@@ -162,15 +163,15 @@
 	return result
 }
 
-// ReadState runs f on the applied state, which f must not change nor keep.
+// ReadState calls f with the applied state, which f must neither change nor retain.
 func (r *Replica) ReadState(f func(*state.Machine)) {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	f(r.machine)
 }
 
-// Barrier returns once everything that was committed before the call is applied
-// here; on a leader, success proves that it still led after the call.
+// Barrier returns once everything that was committed before the call is applied on this replica. On
+// a leader, success confirms that it still led after the call.
 func (r *Replica) Barrier(ctx context.Context) error {
 	_, err := r.log().ReadBarrier(ctx)
 	return err
@@ -231,8 +232,8 @@
 	return r.confirmedAt
 }
 
-// confirmLoop confirms by read barriers that the configuration here is the
-// newest: everything committed before a barrier began is applied when it ends.
+// confirmLoop confirms with read barriers that this replica's configuration is the newest:
+// everything committed before a barrier began is applied when it returns.
 func (r *Replica) confirmLoop(ctx context.Context) {
 	ticker := time.NewTicker(r.cfg.StalenessBound / confirmationsPerBound)
 	defer ticker.Stop()
@@ -249,17 +250,17 @@
 func (r *Replica) confirm(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, r.cfg.StalenessBound/confirmationTimeoutDivisor)
 	defer cancel()
-	began := r.cfg.Now()
+	start := r.cfg.Now()
 	if _, err := r.log().ReadBarrier(ctx); err != nil {
 		r.metrics.unconfirmed.Mark(1)
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.confirmedAt = began
+	r.confirmedAt = start
 }
 
-// Propose implements Service: on the leader itself, or by way of it.
+// Propose implements Service, on the leader itself or by forwarding to it.
 func (r *Replica) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	res, err := r.ProposeLocal(ctx, cmd)
 	if err == nil || r.cfg.Forwarder == nil {
@@ -276,7 +277,7 @@
 	return nil, err
 }
 
-// unavailable turns a NotLeaderError into what Service promises.
+// unavailable converts a NotLeaderError to the UnavailableError documented by Service.
 func unavailable(err error) error {
 	var notLeader *NotLeaderError
 	if errors.As(err, &notLeader) {
@@ -285,36 +286,36 @@
 	return err
 }
 
-// ProposeLocal commits a command if this replica leads. Errors:
-// *NotLeaderError, *UnavailableError, *UnknownError.
+// ProposeLocal commits a command if this replica leads. Errors: *NotLeaderError, *UnavailableError,
+// *UnknownError.
 func (r *Replica) ProposeLocal(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	term, ok := r.log().Leading()
 	if !ok {
 		return nil, &NotLeaderError{LeaderAddress: r.log().LeaderAddress()}
 	}
-	// The leader's clock stamps the command: one clock per term, not one per host.
+	// The leader's clock sets the timestamp, so that a term uses one clock, not one per host.
 	now := r.cfg.Now()
 	stamp := r.clock.stamp(term, now.UnixMilli(), now.Sub(r.started), r.timeMs())
 	data, err := proto.Marshal(&apiv1.Command{TimeMs: stamp, ClockTerm: term, Body: cmd.Body})
 	if err != nil {
-		return nil, &UnavailableError{Cause: "command can't be encoded: " + err.Error()}
+		return nil, &UnavailableError{Cause: "command cannot be encoded: " + err.Error()}
 	}
 	if len(data) > quorum.MaxCommandBytes {
-		// No later try could succeed, so it is a refusal and not an absence.
+		// No later try could succeed, so the command is refused instead of reported unavailable.
 		return &apiv1.Result{
 			Verdict: apiv1.Verdict_VERDICT_REFUSED,
-			Message: fmt.Sprintf("the command takes %d bytes, above the limit of %d", len(data), quorum.MaxCommandBytes),
+			Message: fmt.Sprintf("the command of %d bytes exceeds the limit of %d bytes", len(data), quorum.MaxCommandBytes),
 		}, nil
 	}
-	began := time.Now()
+	start := time.Now()
 	out, _, err := r.log().Propose(ctx, data)
 	if err != nil {
 		return nil, err
 	}
-	r.metrics.commit.Since(began)
+	r.metrics.commit.Since(start)
 	res := &apiv1.Result{}
 	if err := proto.Unmarshal(out, res); err != nil {
-		return nil, &UnknownError{Cause: "result can't be decoded: " + err.Error()}
+		return nil, &UnknownError{Cause: "result cannot be decoded: " + err.Error()}
 	}
 	return res, nil
 }
@@ -326,11 +327,11 @@
 }
 
 // Renew implements Service.
-func (r *Replica) Renew(ctx context.Context, beats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
-	orders, err := r.RenewLocal(ctx, beats)
+func (r *Replica) Renew(ctx context.Context, heartbeats []*apiv1.WorkerHeartbeat) ([]*apiv1.WorkerOrders, error) {
+	orders, err := r.RenewLocal(ctx, heartbeats)
 	var notLeader *NotLeaderError
 	if errors.As(err, &notLeader) && r.cfg.Forwarder != nil {
-		return r.cfg.Forwarder.renew(ctx, beats, notLeader.LeaderAddress)
+		return r.cfg.Forwarder.renew(ctx, heartbeats, notLeader.LeaderAddress)
 	}
 	return orders, unavailable(err)
 }
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -16,7 +16,7 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// startReplica starts a replica over a log of its own.
+// startReplica starts a replica with a log of its own.
 func startReplica(t *testing.T) *Replica {
 	r := NewReplica(Config{Planner: &firstFit{}, PlanInterval: time.Millisecond, StalenessBound: 60 * time.Millisecond})
 	startReplicaWithLog(t, r, NewMemoryLog(r, "127.0.0.1:1"))
@@ -34,7 +34,7 @@
 	})
 }
 
-// heartbeatUntil sends a heartbeat until the orders satisfy done.
+// heartbeatUntil sends heartbeats until done returns true for the orders.
 func heartbeatUntil(t *testing.T, r *Replica, hb *apiv1.WorkerHeartbeat, done func(*apiv1.WorkerOrders) bool) *apiv1.WorkerOrders {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
@@ -46,12 +46,12 @@
 		}
 		sleep(ctx, time.Millisecond)
 	}
-	t.Fatalf("no such orders for %v", hb)
+	t.Fatalf("the expected orders never arrived for %v", hb)
 	return nil
 }
 
-// A job is submitted, placed, started, evicted with a checkpoint, resumed from it
-// under the next attempt, and finished; the worker's reports are acknowledged.
+// A job is submitted, placed, started, evicted with a checkpoint, resumed from it under the next
+// attempt, and finished; the worker's reports are acknowledged.
 func TestReplicaTaskLifecycle(t *testing.T) {
 	r := startReplica(t)
 	ctx := context.Background()
@@ -102,11 +102,11 @@
 	}
 }
 
-// scriptedLog is a MemoryLog whose leadership a test takes away.
+// scriptedLog is a MemoryLog whose leadership is controlled by a test.
 type scriptedLog struct {
 	*MemoryLog
 	term atomic.Uint64
-	// barrier, when set, is called in place of the read barrier.
+	// barrier, if set, replaces the read barrier.
 	barrier atomic.Pointer[func() error]
 }
 
@@ -119,10 +119,9 @@
 	return l.MemoryLog.ReadBarrier(ctx)
 }
 
-// Symptom: a worker's lease is prolonged, or a process believes its configuration
-// to be fresh, by a host that leads no more. Sequence: the leader is cut off; or
-// it loses and regains leadership while it waits for its barrier. Cause: an answer
-// that was not confirmed after the renewal was handled, in the same term.
+// A host that no longer leads must not extend a worker's lease, nor let a process treat its
+// configuration as fresh. The leader is partitioned, or loses and regains leadership while it waits
+// for its barrier. An answer must be confirmed after the renewal was handled, in the same term.
 func TestDeposedLeaderAnswersNoRequests(t *testing.T) {
 	r := NewReplica(Config{Planner: &firstFit{}, PlanInterval: time.Millisecond, StalenessBound: 6 * time.Millisecond})
 	log := &scriptedLog{MemoryLog: NewMemoryLog(r, "127.0.0.1:1")}
@@ -135,15 +134,15 @@
 	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return o.Renewed })
 
 	refused := make(chan struct{})
-	cutOff := func() error {
+	partitioned := func() error {
 		select {
 		case refused <- struct{}{}:
 		default:
 		}
 		return &NotLeaderError{}
 	}
-	log.barrier.Store(&cutOff)
-	for range 2 { // Then barriers that began earlier are over.
+	log.barrier.Store(&partitioned)
+	for range 2 { // Barriers that began earlier have finished after that.
 		<-refused
 	}
 	confirmed := r.ConfirmedAt()
@@ -159,7 +158,7 @@
 		t.Errorf("confirmed at %v after %v", at, confirmed)
 	}
 	regains := func() error {
-		log.term.Add(1) // At each barrier, the ones of the configuration included.
+		log.term.Add(1) // At each barrier, including those that confirm the configuration.
 		return nil
 	}
 	log.barrier.Store(&regains)
@@ -174,9 +173,9 @@
 	}
 }
 
-// Symptom: explain says for minutes that no worker's leases were renewed, while all
-// are alive. Sequence: a new leader plans before the workers renew; later rounds refuse
-// the task for other causes. Cause: only changes of the summed-up reason were kept.
+// An explanation must not report for minutes that no worker's leases were renewed while all workers
+// are alive. A new leader plans before the workers renew, and later rounds refuse the task for
+// other causes. The test guards against keeping only changes of the summarized reason.
 func TestExplainReportsTheNewestRefusals(t *testing.T) {
 	d := decisionRing{logger: zap.NewNop()}
 	for _, filter := range []string{"alive", "room"} {
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -14,7 +14,7 @@
 
 const (
 	simLease             = 2 * time.Second
-	simRateErrorPPM      = 200_000 // 20 %, so that the bound outweighs stopMargin.
+	simRateErrorPPM      = 200_000 // 20 %, so that the rate bound exceeds stopMargin
 	simHeartbeatInterval = 300 * time.Millisecond
 	simRoundInterval     = 100 * time.Millisecond
 	simFaultPeriod       = 60 * time.Second
@@ -22,8 +22,8 @@
 	simCapacity          = 1000
 )
 
-// simClock is a host's clock: real time at a rate within the bound. A suspended
-// host's clock loses the time of its suspension.
+// simClock is a host's clock: real time at a rate within the bound. The clock of a suspended host
+// does not count the suspension.
 type simClock struct {
 	rate float64
 	lost time.Duration
@@ -54,19 +54,19 @@
 	return e
 }
 
-// simNode is a control host. One that was deposed without knowing keeps its view
-// and goes on until the cut heals.
+// simNode is a control host. A host that was deposed without noticing keeps its view and continues
+// until the partition heals.
 type simNode struct {
 	clock       simClock
 	term        uint64
 	coordinator *coordinator
 	view        *state.Machine
 	planner     *simPlanner
-	frozenUntil time.Duration // until
+	frozenUntil time.Duration
 }
 
-// simPlanner is the placer in every second run, else first fit; either with
-// random evictions.
+// simPlanner is the placer in every second run, and first fit in the others, each with random
+// evictions.
 type simPlanner struct {
 	Planner
 	rng *rand.Rand
@@ -91,8 +91,8 @@
 	return plan
 }
 
-// sim is a control group of three hosts and some workers at virtual time. It
-// commits instantly or loses; the network delays, loses and doubles messages.
+// sim is a control group of three hosts and some workers at virtual time. A command commits
+// instantly or is lost; the network delays, loses and duplicates messages.
 type sim struct {
 	rng     *rand.Rand
 	now     time.Duration
@@ -102,13 +102,13 @@
 	index   uint64
 	nodes   []*simNode
 	leader  *simNode
-	// previousLeader is the leader before the last one: leadership often bounces back.
+	// previousLeader is the leader before the last one: leadership often returns to it.
 	previousLeader *simNode
 	term           uint64
 	workers        []*simWorker
 	runs           map[string]*simRun
 	violation      string
-	disabledCheck  string // names the guard that a run goes without
+	disabledCheck  string // names the check that a run omits
 }
 
 func newSim(seed int64) *sim {
@@ -122,7 +122,7 @@
 	return s
 }
 
-// newClock is at either bound of the rate, or between them.
+// newClock returns a clock at either bound of the rate, or with the exact rate.
 func (s *sim) newClock() simClock {
 	const e = simRateErrorPPM / 1e6
 	return simClock{rate: []float64{1 - e, 1, 1 + e}[s.rng.Intn(3)]}
@@ -141,7 +141,7 @@
 
 func (s *sim) faulty() bool { return s.now < simFaultPeriod }
 
-// deliver sends a message: soon, late, twice or never.
+// deliver sends a message, which arrives soon, late, twice or never.
 func (s *sim) deliver(f func()) {
 	if s.chance(5) {
 		return
@@ -173,8 +173,8 @@
 	}
 }
 
-// commit applies a command of a node. A command may be lost, its node may die
-// right after the commit, or it may wait in its node until that leads again.
+// commit applies a command of a node. The command may be lost, its node may fail right after the
+// commit, or the command may be delayed in its node and applied if that node leads at that time.
 func (s *sim) commit(n *simNode, cmd *apiv1.Command) *apiv1.Result {
 	if n != s.leader || n.term != s.term {
 		return nil
@@ -201,12 +201,12 @@
 func (s *sim) apply(n *simNode, cmd *apiv1.Command) *apiv1.Result {
 	s.index++
 	s.noteStopCheckpoints(cmd)
-	// A copy: a command that waited or was repeated shares nothing.
+	// The command is copied, so that a delayed or repeated command shares nothing.
 	return s.machine.Apply(s.index, &apiv1.Command{TimeMs: n.clock.read(s.now).Milliseconds(), Body: cmd.Body})
 }
 
-// elect deposes the leader: it died, or it is cut off and does not know. Another
-// host, or the same one again, leads at once: faster than a real election.
+// elect deposes the leader, which failed, or is partitioned and does not notice. Another host or
+// the same one leads at once, which is faster than a real election.
 func (s *sim) elect() {
 	if old := s.leader; old != nil {
 		data, _ := s.machine.Snapshot()
@@ -253,7 +253,7 @@
 
 func (s *sim) time(n *simNode) time.Time { return time.UnixMilli(0).Add(n.clock.read(s.now)) }
 
-// round is leader.go's round.
+// round simulates Replica.runRound.
 func (s *sim) round(n *simNode, c *coordinator) {
 	if n.coordinator != c {
 		return
@@ -278,7 +278,8 @@
 	}
 }
 
-// renew is RenewLocal: the barrier comes some time after the leases were counted.
+// renew simulates Replica.RenewLocal: the barrier completes some time after the leases were
+// renewed.
 func (s *sim) renew(n *simNode, hb *apiv1.WorkerHeartbeat, answer func(*apiv1.WorkerOrders)) {
 	if s.now < n.frozenUntil {
 		s.after(n.frozenUntil-s.now, func() { s.renew(n, hb, answer) })
@@ -300,8 +301,8 @@
 		confirm = s.randomDuration(time.Millisecond, 10*time.Second)
 	}
 	s.after(confirm, func() {
-		sole := n == s.leader && n.term == s.term && n.coordinator == c
-		if !sole && s.disabledCheck != "barrier" {
+		stillLeads := n == s.leader && n.term == s.term && n.coordinator == c
+		if !stillLeads && s.disabledCheck != "barrier" {
 			return
 		}
 		o := notRenewedOrders(hb)
@@ -322,7 +323,7 @@
 	switch s.rng.Intn(6) {
 	case 0:
 		s.elect()
-	case 1: // A control host is suspended, its clock with it or not, and may be deposed meanwhile.
+	case 1: // A control host is suspended, with or without its clock, and may be deposed in the meantime.
 		n := s.nodes[s.rng.Intn(len(s.nodes))]
 		d := s.randomDuration(100*time.Millisecond, 8*time.Second)
 		n.frozenUntil = max(n.frozenUntil, s.now+d)
@@ -348,10 +349,10 @@
 	}
 }
 
-// runSeed runs a seed and returns what went wrong.
-func runSeed(seed int64, noGuard string) string {
+// runSeed runs the simulation with a seed and returns the violation found, empty if there is none.
+func runSeed(seed int64, disabledCheck string) string {
 	s := newSim(seed)
-	s.disabledCheck = noGuard
+	s.disabledCheck = disabledCheck
 	s.elect()
 	jobs := []*apiv1.Job{
 		{Name: "renewals", Tasks: 3, Size: processors(400), MaxFailures: 100},
@@ -383,36 +384,34 @@
 func (s *sim) unfinished() string {
 	for _, j := range s.machine.Jobs() {
 		if j.Tasks[apiv1.TaskState_TASK_STATE_SUCCEEDED] != int(j.Definition.Tasks) {
-			return fmt.Sprintf("tasks of %s never end: %v", j.Definition.Name, j.Tasks)
+			return fmt.Sprintf("tasks of %s never finish: %v", j.Definition.Name, j.Tasks)
 		}
 	}
 	return ""
 }
 
-// Symptom: a renewal is charged twice, a watcher bids twice. Sequence: agents
-// frozen, killed and cut off; leaders killed right after a commit, suspended, cut
-// off in silence and still answering; messages late, lost and doubled; clocks at
-// the bound of their rate; hosts that come back smaller or empty. Cause: an
-// attempt that starts before the one before it has surely ended. The workers'
-// own record judges.
+// A renewal must not be charged twice and a watcher must not bid twice, which happens when an
+// attempt starts before the previous one has certainly ended. The simulation freezes, kills and
+// partitions agents; kills leaders right after a commit, suspends them, and partitions them without
+// notice while they still answer; delays, loses and duplicates messages; runs clocks at the bounds
+// of their rate; and brings hosts back smaller or empty. The checker uses the workers' own records.
 func TestTasksNeverRunTwiceAndResumeOnce(t *testing.T) {
 	for seed := range int64(400) {
-		if fault := runSeed(seed, ""); fault != "" {
-			t.Fatalf("seed %d: %s", seed, fault)
+		if violation := runSeed(seed, ""); violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
 	}
 }
 
-// The simulation notices when a guard is missing: some seed then shows a task
-// that runs twice.
+// The simulation must detect a missing check: some seed then shows a task that runs twice.
 func TestSimulationDetectsMissingChecks(t *testing.T) {
-	for _, guard := range []string{"wait", "ready", "barrier"} {
+	for _, check := range []string{"wait", "ready", "barrier"} {
 		seed := int64(0)
-		for seed < 400 && runSeed(seed, guard) == "" {
+		for seed < 400 && runSeed(seed, check) == "" {
 			seed++
 		}
 		if seed == 400 {
-			t.Errorf("no seed shows that %q matters", guard)
+			t.Errorf("no seed shows that %q matters", check)
 		}
 	}
 }
--- a/control/simworker_test.go
+++ b/control/simworker_test.go
@@ -8,25 +8,25 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// simRun is the judge's record of a task over all workers.
+// simRun is the checker's record of a task over all workers.
 type simRun struct {
 	running int
-	// started holds the attempts that ever ran.
+	// started holds the attempts that were ever started.
 	started    map[uint64]bool
-	checkpoint int // the one that a worker reported with the stop of the last attempt
+	checkpoint int // reported by a worker with the stop of the last attempt
 }
 
-// simTask is an attempt at a worker. Work done counts up to need.
+// simTask is an attempt on a worker.
 type simTask struct {
 	order      *apiv1.StartTask
 	phase      apiv1.TaskPhase
 	deadline   time.Duration // on the host's clock
-	endsAt     time.Duration // when its work is done, real time
+	endsAt     time.Duration // when its work is complete, in real time
 	checkpoint int
 }
 
-// simWorker is a host: the worker that runs tasks until their deadlines, and the
-// agent's lease manager.
+// simWorker is a host: a worker that runs tasks until their deadlines, and the agent's lease
+// manager.
 type simWorker struct {
 	sim           *sim
 	name          string
@@ -34,15 +34,17 @@
 	capacity      int64
 	tasks         map[string]*simTask
 	newestAttempt map[string]uint64
-	// boots counts the starts of the worker; told says that it names them.
+	// boots counts the starts of the worker; reportsIncarnation states that the worker reports them
+	// as its incarnation.
 	boots              uint64
 	reportsIncarnation bool
-	// The agent loses its part when it restarts.
+	// agentIncarnation counts the starts of the agent, which loses its state when it restarts.
 	agentIncarnation int
 	frozenUntil      time.Duration
 	partitionedUntil time.Duration
 	agent            *agentlease.Manager
-	// deposedLeader is the deposed leader that the worker's heartbeats still reach.
+	// deposedLeader is the deposed leader that still receives the worker's heartbeats until
+	// deposedUntil.
 	deposedLeader *simNode
 	deposedUntil  time.Duration
 }
@@ -70,7 +72,7 @@
 
 func (w *simWorker) now() time.Duration { return w.clock.read(w.sim.now) }
 
-// advance ends what is due: by its work or by its deadline.
+// advance ends the attempts whose work is complete or whose deadline has passed.
 func (w *simWorker) advance() {
 	for _, id := range sortedKeys(w.tasks) {
 		t := w.tasks[id]
@@ -86,7 +88,7 @@
 	}
 }
 
-// periodicCheckpoint is the last periodic checkpoint: one per second of work.
+// periodicCheckpoint returns the last periodic checkpoint; there is one per second of work.
 func (w *simWorker) periodicCheckpoint(t *simTask) int {
 	return max(t.checkpoint, int((simWork-(t.endsAt-w.sim.now))/time.Second))
 }
@@ -118,8 +120,8 @@
 	return agentlease.StartDone
 }
 
-// checkStart judges a start: nothing of the task runs anywhere, the attempt never ran
-// before, the checkpoint is not behind, the worker can hold it.
+// checkStart checks a start: the task runs nowhere else, the attempt never ran before, the
+// checkpoint is not older than the last one, and the worker has the capacity.
 func (s *sim) checkStart(w *simWorker, o *apiv1.StartTask, from int) {
 	id := o.Task.Task
 	r := s.runs[id]
@@ -132,7 +134,7 @@
 	case r.running > 1:
 		s.fail("%s runs twice", id)
 	case s.succeeded(id):
-		// A success that was never recorded, since its host was lost, is not known.
+		// A success that was never recorded, because its host was lost, does not count.
 		s.fail("%s runs again after its success was recorded", id)
 	case r.started[o.Task.Attempt]:
 		s.fail("%s attempt %d started twice", id, o.Task.Attempt)
@@ -156,7 +158,7 @@
 	return t.State == apiv1.TaskState_TASK_STATE_SUCCEEDED
 }
 
-// observe lets the agent look at its worker.
+// observe passes the worker's state to the agent.
 func (w *simWorker) observe() {
 	o := agentlease.Observation{
 		Info:      info(w.name, w.capacity),
@@ -173,7 +175,7 @@
 	w.agent.Observe(w.now(), o)
 }
 
-// sendHeartbeat is the agent's heartbeat, to the leader or to a host that was deposed.
+// sendHeartbeat sends the agent's heartbeat to the leader or to a deposed host.
 func (w *simWorker) sendHeartbeat() {
 	s := w.sim
 	s.after(simHeartbeatInterval, w.sendHeartbeat)
@@ -189,20 +191,20 @@
 	if s.faulty() && s.now < w.deposedUntil {
 		n = w.deposedLeader
 	}
-	life := w.agentIncarnation
+	incarnation := w.agentIncarnation
 	s.deliver(func() {
-		s.renew(n, hb, func(o *apiv1.WorkerOrders) { s.deliver(func() { w.followOrders(life, o) }) })
+		s.renew(n, hb, func(o *apiv1.WorkerOrders) { s.deliver(func() { w.followOrders(incarnation, o) }) })
 	})
 }
 
-// followOrders lets the agent follow the leader's answer.
-func (w *simWorker) followOrders(life int, o *apiv1.WorkerOrders) {
+// followOrders lets the agent carry out the leader's orders.
+func (w *simWorker) followOrders(incarnation int, o *apiv1.WorkerOrders) {
 	s := w.sim
-	if life != w.agentIncarnation || s.now < w.partitionedUntil {
+	if incarnation != w.agentIncarnation || s.now < w.partitionedUntil {
 		return
 	}
 	if s.now < w.frozenUntil {
-		s.after(w.frozenUntil-s.now, func() { w.followOrders(life, o) })
+		s.after(w.frozenUntil-s.now, func() { w.followOrders(incarnation, o) })
 		return
 	}
 	a := w.agent.Orders(w.now(), o)
@@ -210,7 +212,7 @@
 	for _, st := range a.Stop {
 		checkpoint := w.stopTask(st)
 		if s.chance(30) {
-			checkpoint = "" // Its reply was lost.
+			checkpoint = "" // The response was lost.
 		}
 		w.agent.Stopped(st.Task, checkpoint, true)
 	}
@@ -218,15 +220,15 @@
 		w.deliverStart(st, a)
 	}
 	for _, t := range a.Forget {
-		if held := w.tasks[t.Task]; held != nil && held.order.Task.Attempt == t.Attempt && held.phase != apiv1.TaskPhase_TASK_PHASE_RUNNING {
+		if task := w.tasks[t.Task]; task != nil && task.order.Task.Attempt == t.Attempt && task.phase != apiv1.TaskPhase_TASK_PHASE_RUNNING {
 			delete(w.tasks, t.Task)
 		}
 	}
 }
 
-// deliverStart asks the worker to start an attempt; the call may be late, and its
-// reply lost, also because the agent dies. A late one may reach a worker that has
-// restarted since: it took the connection before the agent knew of the restart.
+// deliverStart requests the worker to start an attempt. The call may be late and its response lost,
+// for example because the agent fails. A late call may reach a worker that has restarted since: its
+// connection was accepted before the agent noticed the restart.
 func (w *simWorker) deliverStart(st *apiv1.StartTask, a agentlease.Actions) {
 	if w.sim.chance(10) {
 		w.sim.after(w.sim.randomDuration(0, 3*time.Second), func() { w.start(st, a.StartDeadline) })
@@ -246,7 +248,7 @@
 	}
 }
 
-// stopTask takes a checkpoint where one is asked for and stops the attempt.
+// stopTask takes a checkpoint if the order requests one, and stops the attempt.
 func (w *simWorker) stopTask(st *apiv1.StopTask) string {
 	t := w.tasks[st.Task.Task]
 	if t == nil || t.order.Task.Attempt != st.Task.Attempt || t.phase != apiv1.TaskPhase_TASK_PHASE_RUNNING {
@@ -259,8 +261,8 @@
 	return fmt.Sprint("c", t.checkpoint)
 }
 
-// noteStopCheckpoints notes the checkpoints of the stops that a command is about to record.
-// One that comes before its worker's registration, which was lost, records nothing.
+// noteStopCheckpoints records the checkpoints of the stops that a command is about to record. A
+// command whose worker's registration was lost records nothing.
 func (s *sim) noteStopCheckpoints(cmd *apiv1.Command) {
 	rec := cmd.GetRecordTasks()
 	if w, _ := s.machine.Worker(rec.GetWorker()); w.Incarnation != rec.GetWorkerIncarnation() {
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -10,8 +10,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// snapshot copies what a planning round needs, in an order that depends on the
-// state alone, so that a round can be replayed.
+// snapshot copies the data that a planning round needs. Its order depends only on the state, so
+// that a round can be replayed.
 func (c *coordinator) snapshot(now time.Time, m *state.Machine) *place.Snapshot {
 	c.dropThrottles(m)
 	s := &place.Snapshot{
@@ -35,8 +35,8 @@
 	return s
 }
 
-// cachedWorker is a worker as the last snapshot showed it, and what that followed
-// from. Most workers are the same from one round to the next.
+// cachedWorker is a worker of the last snapshot, with the versions of the data that it was built
+// from. Most workers do not change from one round to the next.
 type cachedWorker struct {
 	changed       uint64
 	configuration uint64
@@ -53,7 +53,7 @@
 	}
 	alive := r != nil && r.incarnation == w.Incarnation && c.leases.alive(w.Name, now)
 	if cached.worker.Alive != alive {
-		// The last round's snapshot may still be read: it gets no change.
+		// The last round's snapshot may still be in use and must not change.
 		fresh := *cached.worker
 		fresh.Alive = alive
 		cached.worker = &fresh
@@ -104,7 +104,7 @@
 		FailedWorkers: t.FailedWorkers,
 	}
 	if t.Live() {
-		// What it holds counts, not what its job declares by now.
+		// The granted resources count, not the size that the job declares now.
 		p.Size = place.Resources(t.Grant)
 		p.Declared = place.Resources(state.ResourcesOf(d.Size))
 		c.addProgress(p)
@@ -125,7 +125,7 @@
 	p.ProgressMilli = t.status.ProgressMilli
 }
 
-// servedServices lists the services that have a target on a live worker.
+// servedServices returns the services that have a target on a live worker.
 func servedServices(workers []*place.Worker) map[string]bool {
 	served := map[string]bool{}
 	for _, w := range workers {
@@ -139,9 +139,9 @@
 	return served
 }
 
-// missingService judges a job's dependencies on services; the replicated state
-// has judged those on jobs. It names the first that is not served, empty when
-// there is none.
+// missingService checks a job's dependencies on services; the replicated state has already checked
+// those on jobs. It returns the first service without a target on a live worker, or an empty string
+// if there is none.
 func missingService(d *apiv1.Job, m *state.Machine, served map[string]bool) string {
 	for _, name := range d.DependsOn {
 		if m.Service(name) != nil && !served[name] {
--- a/control/status.go
+++ b/control/status.go
@@ -11,38 +11,38 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// Status is a replica's view of the control group and of what it holds.
+// Status is a replica's view of the control group and of the state that it has applied.
 type Status struct {
 	Term          uint64
 	Leading       bool
 	LeaderAddress string
-	// Index is the last log index applied here.
+	// Index is the last log index applied on this replica.
 	Index   uint64
 	Workers []WorkerStatus
 	Jobs    []state.Job
 }
 
-// WorkerStatus is a worker's record and how long ago it was heard of.
+// WorkerStatus is a worker's record and the age of its last report.
 type WorkerStatus struct {
 	state.Worker
-	// ReportAge is negative where this replica has no report in its term: only
-	// the leader has them.
+	// ReportAge is negative if this replica has no report of the worker in its term: only the
+	// leader has reports.
 	ReportAge time.Duration
 }
 
-// Explanation says where a job stands and why its tasks wait.
+// Explanation describes the state of a job and why its tasks wait.
 type Explanation struct {
 	Job   state.Job
 	Tasks []state.Task
-	// MissingService is a service that the job depends on and that has no target on
-	// a live worker; only the leader can tell.
+	// MissingService is a service that the job depends on and that has no target on a live worker;
+	// only the leader knows it.
 	MissingService string
-	// Decisions are the kept planning decisions about its tasks, oldest first;
-	// only the leader has them.
+	// Decisions are the kept planning decisions on the job's tasks, oldest first; only the leader
+	// has them.
 	Decisions []RecordedDecision
 }
 
-// Status returns the replica's view.
+// Status returns the replica's current view.
 func (r *Replica) Status() Status {
 	s := Status{LeaderAddress: r.log().LeaderAddress()}
 	s.Term, s.Leading = r.log().Leading()
@@ -76,7 +76,7 @@
 	return times
 }
 
-// Explain returns where a job stands; false when there is none of the name.
+// Explain returns the explanation of a job, or false if there is no job of that name.
 func (r *Replica) Explain(job string) (Explanation, bool) {
 	var e Explanation
 	var ok bool
@@ -89,18 +89,18 @@
 	if !ok {
 		return Explanation{}, false
 	}
-	own := make(map[string]bool, len(e.Tasks))
+	taskIDs := make(map[string]bool, len(e.Tasks))
 	for _, t := range e.Tasks {
-		own[t.ID] = true
+		taskIDs[t.ID] = true
 	}
-	e.Decisions = r.decisions.forTasks(own)
+	e.Decisions = r.decisions.forTasks(taskIDs)
 	return e, true
 }
 
-// Decisions returns the last planning decisions made here, oldest first.
+// Decisions returns the most recent planning decisions made on this replica, oldest first.
 func (r *Replica) Decisions() []RecordedDecision { return r.decisions.list() }
 
-// replicaMetrics are the replica's metrics in the registry of its daemon.
+// replicaMetrics holds the replica's metrics, which are registered with its daemon's registry.
 type replicaMetrics struct {
 	applied     metrics.Meter
 	unconfirmed metrics.Meter
--- a/control/wire.go
+++ b/control/wire.go
@@ -9,14 +9,14 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// ServePropose answers the Control service's Propose for another host; what went
-// wrong is in the response. Only the leader commits; what the leader alone may
-// judge is not taken from others.
+// ServePropose implements the Control service's Propose for other hosts; failures are reported in
+// the response. Only the leader commits, and commands that only the leader may issue are refused
+// from other hosts.
 func (r *Replica) ServePropose(ctx context.Context, req *apiv1.ProposeRequest) (*apiv1.ProposeResponse, error) {
 	if !proposableByPeers(req.GetCommand()) {
 		return &apiv1.ProposeResponse{Result: &apiv1.Result{
 			Verdict: apiv1.Verdict_VERDICT_REFUSED,
-			Message: "only the leader makes this command",
+			Message: "only the leader may issue this command",
 		}}, nil
 	}
 	res, err := r.ProposeLocal(ctx, req.Command)
@@ -35,8 +35,9 @@
 	return false
 }
 
-// jobsProposableByPeers: what agents report and what runs where the leader alone commits,
-// since it counts leases by them.
+// jobsProposableByPeers reports whether a command about submitted jobs may come from another host.
+// Reports of agents and the placement of runs are committed by the leader only, because it counts
+// leases by them.
 func jobsProposableByPeers(cmd *apiv1.JobsCommand) bool {
 	switch cmd.GetBody().(type) {
 	case *apiv1.JobsCommand_PutQueues, *apiv1.JobsCommand_Submit, *apiv1.JobsCommand_Cancel:
@@ -59,20 +60,20 @@
 	return &apiv1.ProposeResponse{Unknown: true}
 }
 
-// decodeProposeResponse reads a response back into what ProposeLocal returned.
+// decodeProposeResponse converts a response back to the values that ProposeLocal returned.
 func decodeProposeResponse(resp *apiv1.ProposeResponse) (*apiv1.Result, error) {
 	switch {
 	case resp.Unknown:
-		return nil, &UnknownError{Cause: "the leader can't tell"}
+		return nil, &UnknownError{Cause: "the leader does not know the outcome"}
 	case resp.NotLeader:
 		return nil, &NotLeaderError{LeaderAddress: resp.LeaderAddress}
 	case resp.Result == nil:
-		return nil, &UnknownError{Cause: "the answer has no result"}
+		return nil, &UnknownError{Cause: "the response has no result"}
 	}
 	return resp.Result, nil
 }
 
-// ServeRenew answers the Control service's Renew for another host.
+// ServeRenew implements the Control service's Renew for other hosts.
 func (r *Replica) ServeRenew(ctx context.Context, req *apiv1.RenewRequest) (*apiv1.RenewResponse, error) {
 	orders, err := r.RenewLocal(ctx, req.GetWorkers())
 	if err == nil {
@@ -85,18 +86,16 @@
 	return &apiv1.RenewResponse{}, nil
 }
 
-// safeToResend reports whether a command may be proposed again when the first
-// proposal may have been committed. A submission is bound to its id, a claim and
-// its settlement to key, request and attempt: the state machine answers a second
-// one like the first. A cancellation or a drain has no such identity: applied
-// late, it would undo what an operator did in between.
+// safeToResend reports whether a command may be proposed again when the first proposal may have
+// been committed. A submission is identified by its id, and a claim and its settlement by key,
+// request and attempt: the state machine answers a repeated one like the first. A cancellation or a
+// drain has no such identity: applied late, it would undo what an operator did in between.
 func safeToResend(cmd *apiv1.Command) bool {
 	switch cmd.GetBody().(type) {
 	case *apiv1.Command_Submit, *apiv1.Command_Claim, *apiv1.Command_Settle:
 		return true
 	case *apiv1.Command_Jobs:
-		// A job and its cancellation are bound to the id, a configuration to its
-		// version.
+		// A job and its cancellation are identified by the job's id, a configuration by its version.
 		return true
 	}
 	return false
@@ -111,7 +110,7 @@
 	return string(f.Name())
 }
 
-// sleep waits for a while or until ctx ends.
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
