--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon holds what the mains of all daemons share: flags, signals and
-// exit codes.
+// Package daemon contains what the main functions of all daemons share: flags, signals and exit
+// codes.
 package daemon
 
 import (
@@ -19,31 +19,31 @@
 // Exit codes of the daemons.
 const (
 	ExitOK = 0
-	// ExitFailed: the daemon could not start or had to stop.
+	// ExitFailed is returned when the daemon could not start or had to stop.
 	ExitFailed = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage is returned when the command line is invalid.
 	ExitUsage = 2
-	// ExitSettings: the settings file is wrong; every mistake is printed.
+	// ExitSettings is returned when the settings file is invalid; every error in it is printed.
 	ExitSettings = 3
 )
 
-// Program is a daemon as its main sees it.
+// Program describes a daemon to Main.
 type Program[S any] struct {
 	Name string
 	Help string
-	// Load reads and checks the settings file.
+	// Load reads and validates the settings file.
 	Load func(path string) (S, error)
-	// Log picks the log settings.
+	// Log returns the log settings.
 	Log func(S) settings.Log
 	// Run serves until the context ends and then shuts down gracefully.
 	Run func(ctx context.Context, s S, log *zap.Logger) error
 }
 
-// Main runs a daemon with the command line's arguments, program name excluded,
-// and returns its exit code.
+// Main runs a daemon with the command line's arguments, without the program name, and returns its
+// exit code.
 //
-// The first SIGTERM or SIGINT starts a graceful shutdown. A second one ends the
-// process at once: an operator who sends it has decided not to wait.
+// The first SIGTERM or SIGINT starts a graceful shutdown. A second one terminates the process
+// immediately, because an operator who sends it has decided not to wait.
 func (p Program[S]) Main(args []string) int {
 	app := kingpin.New(p.Name, p.Help)
 	app.UsageWriter(os.Stdout)
@@ -71,10 +71,10 @@
 		fmt.Fprintf(os.Stderr, "%s: %v\n", p.Name, err)
 		return ExitSettings
 	}
-	defer func() { _ = log.Sync() }() // standard error can't always be synced
+	defer func() { _ = log.Sync() }() // Not every standard error can be synced.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Once the first signal came, the next one gets its default action.
+	// After the first signal, the next one has its default action.
 	context.AfterFunc(ctx, stop)
 	go tuneGC(ctx)
 	if err := p.Run(ctx, s, log); err != nil {
--- a/daemon/gc_test.go
+++ b/daemon/gc_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Symptom: a daemon takes gigabytes, or spends half its time collecting. Sequence:
-// its tables fill up. Cause: a growth target that does not look at what is live.
+// A daemon must neither use gigabytes of memory nor spend half its time on collections when its
+// tables fill up. Either happens with a growth target that does not depend on the live heap.
 func TestHeapStaysNearTarget(t *testing.T) {
 	for live := uint64(1 << 20); live <= 1<<30; live *= 2 {
 		percent := gcPercent(live)
