--- a/dev/command.go
+++ b/dev/command.go
@@ -11,11 +11,11 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// AddCommand adds `dev` to the operators' command line.
+// AddCommand adds the dev command to the operators' command line.
 func AddCommand(app *cli.App) {
-	app.Command(app.Root(), "dev", "Run an entry, an agent and stand-ins in one process, for a first look.",
+	app.Command(app.Root(), "dev", "Run an entry, an agent and simulated components in one process, to try the system.",
 		func(c *kingpin.CmdClause) cli.Runner {
-			data := c.Flag("data", "Data folder to keep; a temporary one otherwise.").String()
+			data := c.Flag("data", "Data folder; the default is a temporary one that is removed at the end.").String()
 			level := c.Flag("log-level", "debug, info, warn or error.").Default("warn").Enum("debug", "info", "warn", "error")
 			return func(ctx context.Context) error {
 				log, err := logging.New(settings.Log{Level: *level, Format: "console"})
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -1,6 +1,6 @@
-// Package dev runs a whole system in one process for a first look: an entry with
-// a control group of one, an agent, and stand-ins for the platform's worker and
-// for two targets. Nothing of it is meant for service.
+// Package dev runs a complete system in one process, to try it out: an entry with a control group
+// of one, an agent, and fakes of the platform's worker and of two targets. It is not meant for
+// production.
 package dev
 
 import (
@@ -39,11 +39,11 @@
 	shutdownBound     = 10 * time.Second
 )
 
-// Addresses are where the parts answer, each an IP number and a port.
+// Addresses are the addresses on which the components listen, each an IP address and a port.
 type Addresses struct {
-	// Callers, Admin and Internal are the entry's.
+	// Callers, Admin and Internal are the entry's addresses.
 	Callers, Admin, Internal string
-	// Agent answers the entry, AgentLocal the targets.
+	// Agent is the agent's address for the entry, AgentLocal its address for the targets.
 	Agent, AgentLocal string
 	Worker            string
 	Targets           []string
@@ -62,14 +62,14 @@
 	}
 }
 
-// Options say where the system runs and what it prints.
+// Options configure the system.
 type Options struct {
 	Addresses Addresses
-	// DataFolder holds the replicated log; a temporary folder that is removed at
-	// the end when empty.
+	// DataFolder holds the replicated log. If it is empty, a temporary folder is used and removed
+	// at the end.
 	DataFolder string
 	Logger     *zap.Logger
-	// Out gets the commands to try.
+	// Out receives the guide with the commands to try.
 	Out io.Writer
 }
 
@@ -90,7 +90,7 @@
 	return s.run(ctx, o)
 }
 
-// system is all parts, made and not yet running.
+// system holds all components, which are created but not yet running.
 type system struct {
 	entry     *entry.Entry
 	agent     *agent.Agent
@@ -106,7 +106,7 @@
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			s.close()
-			return nil, errors.Wrapf(err, "dev needs %s for itself", address)
+			return nil, errors.Wrapf(err, "dev cannot listen on %s", address)
 		}
 		s.listeners = append(s.listeners, ln)
 	}
@@ -123,7 +123,7 @@
 	}
 }
 
-// build makes all parts; their goroutines start in run.
+// build creates all components; run starts their goroutines.
 func (s *system) build(o Options) (err error) {
 	s.entry, err = entry.New(entry.Options{Settings: entrySettings(o), Logger: o.Logger})
 	if err != nil {
@@ -153,8 +153,8 @@
 	return nil
 }
 
-// run starts the parts and stops them in the order that cuts nothing off: the
-// entry first, while agent and targets still serve what it passed on.
+// run starts the components and, when ctx ends, stops the entry first, so that no request is cut
+// off: the agent and the targets still serve the requests that the entry forwarded.
 func (s *system) run(ctx context.Context, o Options) error {
 	var wg conc.WaitGroup
 	defer wg.Wait()
@@ -229,7 +229,7 @@
 			Name:     host,
 			Location: &apiv1.Location{Region: region, AvailabilityZone: zone, Rack: rack},
 			Capacity: &apiv1.Resources{MilliProcessors: milliProcessors, MemoryBytes: memoryBytes},
-			// The stand-in loses its tasks with the process, so each start is another one.
+			// The fake loses its tasks with the process, so each start is a new incarnation.
 			Incarnation: uint64(time.Now().UnixNano()),
 		},
 		RunFactor:   1,
--- a/dev/guide.go
+++ b/dev/guide.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-const guide = `cairnlift runs in this process: an entry, an agent, two stand-in targets, a stand-in worker.
+const guide = `cairnlift runs in this process: an entry, an agent, two simulated targets, a simulated worker.
 
-Submit a first text (examples/dev/bookings.toml), from another terminal:
+Submit a first configuration (examples/dev/bookings.toml) from another terminal:
 
   go run ./cmd/cairnlift --address %[1]s apply --wait examples/dev/bookings.toml
 
-Then send a first request, and look at what runs:
+Then send a first request and see what runs:
 
   curl -i -X POST http://%[2]s/bookings/pitch-7 -d 'trader=florist'
   go run ./cmd/cairnlift --address %[1]s status
   go run ./cmd/cairnlift --address %[1]s explain renewals
 
-Jobs of callers go to queues: submit the queues, hand a job in, and ask for its state.
+Callers submit jobs to queues: configure the queues, submit a job and query its state.
 
   go run ./cmd/cairnlift --address %[1]s queues apply examples/dev/queues.json
   go run ./cmd/cairnlift --address %[1]s job submit examples/dev/renewal.json
--- a/dev/jobs.go
+++ b/dev/jobs.go
@@ -15,14 +15,14 @@
 
 const (
 	jobPool = "market"
-	// jobTaskDuration is how long a task of a submitted job works at the stand-in.
+	// jobTaskDuration is the run time of a submitted job's task on the fake worker.
 	jobTaskDuration = time.Second
-	// announceInterval is the time between the stand-in's announcements.
+	// announceInterval is the time between two announcements of the fake worker.
 	announceInterval = time.Second
 	jobMemoryMB      = 8192
 )
 
-// jobsDemo is a stand-in worker for submitted jobs with its agent's part.
+// jobsDemo is a fake worker for submitted jobs and the part of an agent that drives it.
 type jobsDemo struct {
 	client *jobclient.Client
 	driver *runs.Driver
@@ -57,7 +57,7 @@
 	defer ticker.Stop()
 	for sequence := uint64(1); ctx.Err() == nil; sequence++ {
 		if err := d.driver.Announce(runs.Announcement{Worker: d.worker.Spec, Sequence: sequence}); err != nil {
-			d.log.Error("worker is not taken", zap.Error(err))
+			d.log.Error("worker announcement failed", zap.Error(err))
 		}
 		select {
 		case <-ctx.Done():
