--- a/worker/client.go
+++ b/worker/client.go
@@ -16,12 +16,12 @@
 
 const (
 	dialTimeout = time.Second
-	// maxReplyBytes bounds what a worker may make its agent hold.
+	// maxReplyBytes limits the memory that a worker's response can take in its agent.
 	maxReplyBytes = 16 << 20
 	idleConns     = 8
 )
 
-// Client speaks to a worker over HTTP. It bounds each call by the context only.
+// Client calls a worker over HTTP. Apart from the dial timeout, only the context limits a call.
 type Client struct {
 	base string
 	http *http.Client
@@ -29,7 +29,7 @@
 
 var _ Worker = (*Client)(nil)
 
-// NewClient returns a client of the worker at an IP and port.
+// NewClient returns a client of the worker at address (IP and port).
 func NewClient(address string) *Client {
 	transport := &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: dialTimeout}).DialContext,
@@ -98,8 +98,8 @@
 	return TaskRequest{Task: JSON[*apiv1.TaskAttempt]{t}}
 }
 
-// call sends one request. A refusal comes back as *Error; any other error
-// leaves open whether the worker acted.
+// call sends one request. A refusal is returned as *Error; after any other error it is unknown
+// whether the worker acted on the request.
 func (c *Client) call(ctx context.Context, method, path string, body, reply any) error {
 	req, err := c.newRequest(ctx, method, path, body)
 	if err != nil {
@@ -112,7 +112,7 @@
 	defer resp.Body.Close()
 	b, err := io.ReadAll(io.LimitReader(resp.Body, maxReplyBytes))
 	if err != nil {
-		return errors.Wrapf(err, "worker %s: short reply", path)
+		return errors.Wrapf(err, "worker %s: incomplete response", path)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return refusalError(path, resp.StatusCode, b)
@@ -120,7 +120,7 @@
 	if reply == nil {
 		return nil
 	}
-	return errors.Wrapf(json.Unmarshal(b, reply), "worker %s: bad reply", path)
+	return errors.Wrapf(json.Unmarshal(b, reply), "worker %s: malformed response", path)
 }
 
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
@@ -129,7 +129,7 @@
 	}
 	b, err := json.Marshal(body)
 	if err != nil {
-		return nil, errors.Wrap(err, "request can't be encoded")
+		return nil, errors.Wrap(err, "request cannot be encoded")
 	}
 	return http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(b))
 }
--- a/worker/errors.go
+++ b/worker/errors.go
@@ -6,22 +6,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Code says why the worker refused.
+// Code is the reason for a refusal by the worker.
 type Code string
 
-// The worker's refusals.
+// Reasons for refusals.
 const (
-	// CodeFenced: the attempt is at or below the task's newest.
+	// CodeFenced means that the attempt number is not above the newest attempt of the task.
 	CodeFenced Code = "fenced"
-	// CodeNotRunning: the worker does not run this attempt.
+	// CodeNotRunning means that the worker does not run this attempt.
 	CodeNotRunning Code = "not_running"
-	// CodeExpired: the deadline has passed.
+	// CodeExpired means that the deadline has passed.
 	CodeExpired Code = "expired"
-	// CodeInvalid: the request can't be read.
+	// CodeInvalid means that the request cannot be decoded.
 	CodeInvalid Code = "invalid"
 )
 
-// Error is a refusal by the worker: nothing was changed.
+// Error is a refusal by the worker, which changed nothing.
 type Error struct {
 	Code    Code
 	Message string
@@ -30,7 +30,7 @@
 // Error implements error.
 func (e *Error) Error() string { return "worker refused (" + string(e.Code) + "): " + e.Message }
 
-// Status returns the refusal's HTTP status.
+// Status returns the HTTP status of the refusal.
 func (e *Error) Status() int {
 	switch e.Code {
 	case CodeFenced, CodeExpired:
@@ -41,7 +41,7 @@
 	return http.StatusBadRequest
 }
 
-// Refused reports whether err is a refusal with the code.
+// Refused reports whether err is a refusal with the given code.
 func Refused(err error, code Code) bool {
 	var e *Error
 	return errors.As(err, &e) && e.Code == code
--- a/worker/wire.go
+++ b/worker/wire.go
@@ -7,7 +7,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// Paths of the worker's HTTP interface. Bodies are JSON.
+// Paths of the worker's HTTP API. Request and response bodies are JSON.
 const (
 	PathInfo       = "/v1/info"
 	PathTasks      = "/v1/tasks"
@@ -20,7 +20,7 @@
 	PathForget     = "/v1/forget"
 )
 
-// JSON carries a protobuf message as a JSON value.
+// JSON encodes a protobuf message as a JSON value.
 type JSON[M proto.Message] struct{ Message M }
 
 // Wrap returns messages as JSON values.
@@ -50,22 +50,22 @@
 	return protojson.Unmarshal(b, j.Message)
 }
 
-// InfoReply answers PathInfo.
+// InfoReply is the response to PathInfo.
 type InfoReply struct {
 	Info JSON[*apiv1.WorkerInfo] `json:"info"`
 }
 
-// TasksReply answers PathTasks.
+// TasksReply is the response to PathTasks.
 type TasksReply struct {
 	Tasks []JSON[*apiv1.TaskStatus] `json:"tasks"`
 }
 
-// UsageReply answers PathUsage.
+// UsageReply is the response to PathUsage.
 type UsageReply struct {
 	Reports []JSON[*apiv1.UsageReport] `json:"reports"`
 }
 
-// StartRequest asks for a run until a reading of the boot clock, nanoseconds.
+// StartRequest starts an attempt that runs until a reading of the boot clock in nanoseconds.
 type StartRequest struct {
 	Task       JSON[*apiv1.StartTask] `json:"task"`
 	DeadlineNS int64                  `json:"deadline_ns"`
@@ -77,7 +77,7 @@
 	DeadlineNS int64                      `json:"deadline_ns"`
 }
 
-// ThrottleRequest holds a task down to a share of its grant.
+// ThrottleRequest limits a task to a share of its grant.
 type ThrottleRequest struct {
 	Task JSON[*apiv1.ThrottleTask] `json:"task"`
 }
@@ -97,7 +97,7 @@
 	Checkpoint string `json:"checkpoint"`
 }
 
-// ErrorReply is the body of every status but 200.
+// ErrorReply is the response body of every status other than 200.
 type ErrorReply struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
