--- a/control/coordinator.go
+++ b/control/coordinator.go
@@ -32,8 +32,8 @@
 	// throttles holds the shares in effect, by task.
 	throttles map[string]throttle
 	cache     map[string]cachedWorker
-	// servedServices holds the services that had a target on a live worker in the last round.
-	servedServices map[string]bool
+	// served holds the services that had a target on a live worker in the last round.
+	served map[string]bool
 }
 
 // workerReport is the last report of a worker in this term.
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -25,7 +25,7 @@
 	m.EachWorker(func(w state.Worker) { s.Workers = append(s.Workers, c.snapshotWorker(now, w, m)) })
 	slices.SortFunc(s.Workers, func(a, b *place.Worker) int { return cmp.Compare(a.Name, b.Name) })
 	served := servedServices(s.Workers)
-	c.servedServices = served
+	c.served = served
 	m.EachQueued(func(t state.Task) {
 		if missingService(t.Definition, m, served) == "" {
 			s.Queued = append(s.Queued, c.snapshotTask(t))
--- a/control/status.go
+++ b/control/status.go
@@ -83,7 +83,7 @@
 	r.withState(func(m *state.Machine) {
 		e.Job, e.Tasks, ok = m.Job(job)
 		if ok && r.coordinator != nil {
-			e.MissingService = missingService(e.Job.Definition, m, r.coordinator.servedServices)
+			e.MissingService = missingService(e.Job.Definition, m, r.coordinator.served)
 		}
 	})
 	if !ok {
