--- a/dev/guide.go
+++ b/dev/guide.go
@@ -14,7 +14,7 @@
   go run ./cmd/cairnlift --address %[1]s status
   go run ./cmd/cairnlift --address %[1]s explain renewals
 
-Callers submit jobs to queues: configure the queues, submit a job and query its state.
+Jobs of callers go to queues: configure the queues, submit a job and query its state.
 
   go run ./cmd/cairnlift --address %[1]s queues apply examples/dev/queues.json
   go run ./cmd/cairnlift --address %[1]s job submit examples/dev/renewal.json
