--- a/control/decisions.go
+++ b/control/decisions.go
@@ -93,7 +93,7 @@
 			event.Reason(e.Reason))
 	}
 	for _, t := range p.Throttles {
-		if t.Reason == place.ReasonStillInForce {
+		if t.Reason == place.ReasonStillInEffect {
 			continue
 		}
 		event.TaskThrottled.Write(d.logger, event.TaskName(t.Task), event.Attempt(t.Attempt), event.Worker(t.Worker),
--- a/control/simworker_test.go
+++ b/control/simworker_test.go
@@ -106,7 +106,7 @@
 	id := o.Task.Task
 	switch {
 	case deadline <= w.now():
-		return agentlease.StartLate
+		return agentlease.StartExpired
 	case o.Task.Attempt <= w.newestAttempt[id]:
 		return agentlease.StartRefused
 	}
@@ -207,14 +207,14 @@
 		s.after(w.frozenUntil-s.now, func() { w.followOrders(incarnation, o) })
 		return
 	}
-	a := w.agent.Orders(w.now(), o)
+	a := w.agent.ApplyOrders(w.now(), o)
 	w.renew(a.Renew, a.Deadline)
 	for _, st := range a.Stop {
 		checkpoint := w.stopTask(st)
 		if s.chance(30) {
 			checkpoint = "" // The response was lost.
 		}
-		w.agent.Stopped(st.Task, checkpoint, true)
+		w.agent.RecordStop(st.Task, checkpoint, true)
 	}
 	for _, st := range a.Start {
 		w.deliverStart(st, a)
@@ -232,10 +232,10 @@
 func (w *simWorker) deliverStart(st *apiv1.StartTask, a agentlease.Actions) {
 	if w.sim.chance(10) {
 		w.sim.after(w.sim.randomDuration(0, 3*time.Second), func() { w.start(st, a.StartDeadline) })
-		w.agent.Started(st, agentlease.StartUnknown, "", a.Deadline)
+		w.agent.RecordStart(st, agentlease.StartUnknown, "", a.Deadline)
 		return
 	}
-	if w.agent.Started(st, w.start(st, a.StartDeadline), "", a.Deadline) {
+	if w.agent.RecordStart(st, w.start(st, a.StartDeadline), "", a.Deadline) {
 		w.renew([]*apiv1.TaskAttempt{st.Task}, a.Deadline)
 	}
 }
--- a/fakes/runworker_calls.go
+++ b/fakes/runworker_calls.go
@@ -39,7 +39,7 @@
 func (w *RunWorker) check(o runs.Order) runs.Answer {
 	switch {
 	case w.gone || o.Incarnation != w.Spec.Id:
-		return runs.AnswerOther
+		return runs.AnswerOtherIncarnation
 	case o.Term < w.term:
 		return runs.AnswerFenced
 	}
@@ -61,7 +61,7 @@
 		return a
 	}
 	if s.DeadlineMs <= w.clockMs(time.Now()) {
-		return runs.AnswerLate
+		return runs.AnswerDeadlinePassed
 	}
 	w.deadlineMs = max(w.deadlineMs, w.shorten(s.DeadlineMs))
 	task := s.Run.Task
@@ -69,7 +69,7 @@
 		return runs.AnswerDone
 	}
 	if s.Run.Number <= w.newest[task] || w.running[task] != nil {
-		return runs.AnswerOver
+		return runs.AnswerEnded
 	}
 	if w.Advisor != nil && !w.Advisor.Valid(s.Run.Task.StepID(), w.Spec.Id, s.Ticket) {
 		return runs.AnswerNoTicket
@@ -146,7 +146,7 @@
 	defer w.mu.Unlock()
 	w.advance()
 	if w.gone {
-		return status, runs.AnswerOther, nil
+		return status, runs.AnswerOtherIncarnation, nil
 	}
 	return w.status(), answer, nil
 }
