--- a/agent/runs/earlierleader_test.go
+++ b/agent/runs/earlierleader_test.go
@@ -21,8 +21,8 @@
 func TestAgentTellsALeaderOfTheReleaseBeforeOfALapse(t *testing.T) {
 	l := &leader{epoch: 1, orders: starts(1, 1)}
 	with(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
 		w.Fault = w.fault
 		other := &leader{epoch: 1, orders: starts(1, 1)}
@@ -56,8 +56,8 @@
 func TestAgentAsksAgainWhetherALeaseIsHeld(t *testing.T) {
 	l := &leader{epoch: 1, orders: starts(1, 1)}
 	with(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
 		w.Fault = w.fault
 		other := &leader{epoch: 1, orders: starts(1, 1)}
--- a/agent/runs/fencedstop_test.go
+++ b/agent/runs/fencedstop_test.go
@@ -58,8 +58,8 @@
 					}
 				}
 				l := &leader{epoch: 1, orders: orders(term, 1)}
-				watch := fakes.NewRunWatch()
-				watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+				watch := fakes.NewRunChecker()
+				watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 				w := &fencingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
 				d := runs.New(runs.Options{Worker: w, Leader: promptLeader{l}})
 				defer run(d)()
--- a/agent/runs/incarnation_test.go
+++ b/agent/runs/incarnation_test.go
@@ -73,7 +73,7 @@
 // withFencedFirst runs a driver on such a worker, the second life of w1, in virtual time.
 func withFencedFirst(t *testing.T, l *leader, f func(*runs.Driver)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := fencedFirst{&countingWorker{RunWorker: fakes.NewRunWorker(spec("w1@2"), fakes.NewRunWatch())}}
+		w := fencedFirst{&countingWorker{RunWorker: fakes.NewRunWorker(spec("w1@2"), fakes.NewRunChecker())}}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
 		defer run(d)()
 		f(d)
@@ -151,8 +151,8 @@
 func TestAgentOfAWorkerAtWorkFindsTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, lookedFor: true}
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := fakes.NewRunWorker(spec("w1"), watch)
 		id := jobqueue.RunID{Task: first, Number: 1}
 		answer, err := w.Start(t.Context(), runs.Order{Incarnation: "w1"}, runs.Start{Run: id, DeadlineMs: 1_000_000 + leaseMs})
--- a/agent/runs/lines_test.go
+++ b/agent/runs/lines_test.go
@@ -21,7 +21,7 @@
 func TestLostWorkerIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch())}
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), fakes.NewRunChecker())}
 		w.Fault = w.fault
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -52,14 +52,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
 		w := &replaceableWorker{}
-		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch()))
+		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunChecker()))
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { d.Run(ctx) })
 		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
 		time.Sleep(3 * time.Second)
-		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch()))
+		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunChecker()))
 		time.Sleep(3 * time.Second)
 		if n := lines.FilterMessage("worker's clock went back").Len(); n != 1 {
 			t.Errorf("told %d times", n)
@@ -73,7 +73,7 @@
 func TestAgentThatStopsTellsOfNoWorkerThatLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch())
+		w := fakes.NewRunWorker(spec("w1"), fakes.NewRunChecker())
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
 		stop := run(d)
 		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
--- a/agent/runs/rig_test.go
+++ b/agent/runs/rig_test.go
@@ -187,8 +187,8 @@
 // with runs a driver on a stand-in worker in virtual time.
 func with(t *testing.T, l *leader, f func(d *runs.Driver, w *countingWorker)) {
 	synctest.Test(t, func(t *testing.T) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
 		w.Fault = w.fault
 		d := runs.New(runs.Options{Worker: w, Leader: l})
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -144,7 +144,7 @@
 	}
 	s.worker = fakes.NewWorkerServer(workerConfig(), runs)
 	for i, address := range o.Addresses.Targets {
-		requests, err := fakes.NewRecorder[fakes.RanRequest]("")
+		requests, err := fakes.NewRecorder[fakes.ExecutedRequest]("")
 		if err != nil {
 			return err
 		}
--- a/dev/jobs.go
+++ b/dev/jobs.go
@@ -31,7 +31,7 @@
 }
 
 func newJobsDemo(o Options) *jobsDemo {
-	watch := fakes.NewRunWatch()
+	watch := fakes.NewRunChecker()
 	worker := fakes.NewRunWorker(&apiv1.JobWorker{
 		Id: "worker-" + time.Now().Format("150405.000"), Host: host, Pool: jobPool, AvailabilityZone: zone,
 		CpuMilli: milliProcessors, MemoryMb: jobMemoryMB,
