--- a/fakes/advisor.go
+++ b/fakes/advisor.go
@@ -11,20 +11,21 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// Advisor is a stand-in for a policy outside that says which workers may run a
-// step: it answers one question at a time, takes a while for each worker that a
-// question names, and gives tickets that are valid for some seconds.
+// Advisor is a stand-in for the external placement advisor, which decides which
+// workers may run a step. It processes one request at a time, with a latency that
+// grows with the number of workers named, and issues tickets with a limited validity.
 type Advisor struct {
-	// Allowed is the policy; nil allows everything.
+	// Allowed is the placement policy; nil allows every worker.
 	Allowed func(step jobqueue.StepID, worker string) bool
-	// Applies tells which jobs need tickets; nil stands for all.
+	// Applies reports whether a job needs tickets; nil means that all do.
 	Applies func(job string) bool
-	// BaseLatency and LatencyPerWorker are what an answer takes.
+	// The latency of a response is BaseLatency plus LatencyPerWorker for each worker
+	// in the request.
 	BaseLatency      time.Duration
 	LatencyPerWorker time.Duration
-	// ValidFor is how long a ticket is valid.
+	// ValidFor is the validity of a ticket, from its issue.
 	ValidFor time.Duration
-	// Fails tells which questions, counted from 1, get no answer.
+	// Fails reports whether the request with this number, counted from 1, fails.
 	Fails func(number int) bool
 
 	requestMu    sync.Mutex
@@ -39,7 +40,7 @@
 	expires time.Time
 }
 
-var errNoAdvice = errors.New("advisor gives no answer")
+var errNoAdvice = errors.New("advisor does not answer")
 
 // Approve implements dispatch.Advisor.
 func (a *Advisor) Approve(ctx context.Context, q schedule.AdviceRequest) (schedule.Advice, error) {
@@ -71,14 +72,14 @@
 	return advice, nil
 }
 
-// RequestCount returns how many questions were put.
+// RequestCount returns the number of requests processed, failed ones included.
 func (a *Advisor) RequestCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.requestCount
 }
 
-// Valid reports whether a ticket lets a step run on a worker now.
+// Valid reports whether a ticket currently permits a step to run on a worker.
 func (a *Advisor) Valid(step jobqueue.StepID, worker, ticket string) bool {
 	if a.Applies != nil && !a.Applies(step.Job) {
 		return true
--- a/fakes/announce.go
+++ b/fakes/announce.go
@@ -10,13 +10,14 @@
 
 const (
 	announceTimeout = time.Second
-	// leaveTimeout is how long a leaving target waits for its agent to be done with it.
+	// leaveTimeout is how long a leaving target waits until its agent reports that no
+	// request to it is in progress.
 	leaveTimeout = 30 * time.Second
-	// renewalsPerTTL keeps an announcement alive over lost renewals.
+	// renewalsPerTTL is above one so that an announcement outlives lost renewals.
 	renewalsPerTTL = 3
 )
 
-// Announcement is what a target tells its agent.
+// Announcement is the description that a target registers with its agent.
 type Announcement struct {
 	Name        string `json:"-"`
 	Service     string `json:"service"`
@@ -26,14 +27,14 @@
 	TTLMS       int64  `json:"ttl_ms"`
 }
 
-// Announcer keeps a target announced.
+// Announcer registers a target with its agent and renews the registration.
 type Announcer struct {
 	url  string
 	body []byte
 	ttl  time.Duration
 }
 
-// NewAnnouncer returns an announcer to the agent at a local address.
+// NewAnnouncer returns an announcer for the agent at a local address.
 func NewAnnouncer(agent string, a Announcement) *Announcer {
 	body, err := json.Marshal(a)
 	if err != nil {
@@ -46,9 +47,9 @@
 	}
 }
 
-// Run announces and renews until ctx ends, then takes the announcement back and
-// returns once the agent says that nothing is in progress. It calls left when the
-// agent has taken note.
+// Run announces the target and renews the announcement until ctx ends, then withdraws
+// it and returns once the agent reports that no request is in progress. It calls left
+// when the agent has acknowledged the withdrawal.
 func (a *Announcer) Run(ctx context.Context, left func()) {
 	tick := time.NewTicker(a.ttl / renewalsPerTTL)
 	defer tick.Stop()
@@ -65,14 +66,14 @@
 func (a *Announcer) leave(left func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
-	noted := false
+	acknowledged := false
 	for ctx.Err() == nil {
 		status := a.send(ctx, http.MethodDelete, nil)
-		if status != 0 && !noted {
-			noted = true
+		if status != 0 && !acknowledged {
+			acknowledged = true
 			left()
 		}
-		// Anything else means that requests are still in progress.
+		// Any other status means that requests are still in progress.
 		if status == http.StatusOK || status == http.StatusNotFound {
 			return
 		}
@@ -80,7 +81,7 @@
 	}
 }
 
-// send returns the agent's status, zero when there was none.
+// send returns the HTTP status of the agent's response, or zero if there was none.
 func (a *Announcer) send(ctx context.Context, method string, body []byte) int {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
--- a/fakes/balancer.go
+++ b/fakes/balancer.go
@@ -15,15 +15,15 @@
 	probeTimeout  = 500 * time.Millisecond
 )
 
-// EntryAddress is where callers reach an entry and, when it is probed, the URL
-// that says whether it is ready.
+// EntryAddress is the address at which callers reach an entry and the URL of its
+// readiness probe, which is empty if the entry is not probed.
 type EntryAddress struct {
 	Address  string
 	ReadyURL string
 }
 
-// Balancer stands in for the platform's balancer: it spreads requests over the
-// entries that say they are ready.
+// Balancer is a stand-in for the platform's load balancer: it distributes requests
+// round-robin over the entries that report ready.
 type Balancer struct {
 	entries []EntryAddress
 	next    atomic.Uint64
@@ -32,7 +32,7 @@
 	ready []string
 }
 
-// NewBalancer returns a balancer that takes every entry for ready.
+// NewBalancer returns a balancer that considers every entry ready until the first probe.
 func NewBalancer(entries []EntryAddress) *Balancer {
 	b := &Balancer{entries: entries}
 	for _, e := range entries {
@@ -41,15 +41,15 @@
 	return b
 }
 
-// Pick returns the next entry in turn.
+// Pick returns the address of the next ready entry, in round-robin order.
 func (b *Balancer) Pick() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.ready[b.next.Add(1)%uint64(len(b.ready))]
 }
 
-// Probe keeps the list of ready entries until ctx ends. While none is ready it
-// keeps the last list, as balancers do.
+// Probe updates the list of ready entries until ctx ends. While no entry is ready the
+// last list stays in effect, as is usual for load balancers.
 func (b *Balancer) Probe(ctx context.Context) {
 	client := &http.Client{Timeout: probeTimeout}
 	tick := time.NewTicker(probeInterval)
--- a/fakes/bench.go
+++ b/fakes/bench.go
@@ -7,36 +7,38 @@
 	"time"
 )
 
-// BenchConfig compares callers that reach a target through the system with the
-// same callers straight at the target.
+// BenchConfig describes a comparison of callers that reach a target through the system
+// with the same callers connected directly to the target.
 type BenchConfig struct {
 	Direct  string
 	Through string
 	Path    string
-	// InFlight are the numbers of callers to compare at.
+	// InFlight lists the numbers of concurrent callers to measure.
 	InFlight []int
-	// Duration of each measurement, and Warmup before it, whose calls don't count.
+	// Duration is the length of each measurement. Warmup precedes it; its calls are not
+	// counted.
 	Duration time.Duration
 	Warmup   time.Duration
 	Rounds   int
-	// Processes are the programs on the path, by name, whose processor time is
-	// measured.
+	// Processes maps the name of each program on the path to the id of the process whose
+	// processor time is measured.
 	Processes   map[string]int
 	AnswerBytes int
 }
 
-// BenchRow is one comparison. Each side is the round of middle throughput.
+// BenchRow is one comparison. Direct and Through each come from the round with the
+// median throughput.
 type BenchRow struct {
-	// Load names the load: callers in flight, or calls a second.
+	// Load describes the load: the callers in flight or the calls per second.
 	Load            string
 	Direct, Through CallSummary
-	// ProcessorTimePerCall is each process's processor time per call through the system, over all
-	// rounds. It depends little on what else the machine does.
+	// ProcessorTimePerCall is each process's processor time per call through the system,
+	// over all rounds. Other load on the machine affects it little.
 	ProcessorTimePerCall map[string]time.Duration
 }
 
-// Bench measures at each number of callers, then at an open loop of half the
-// best throughput through the system.
+// Bench measures a closed loop at each number of callers, then an open loop at half the
+// highest throughput reached through the system.
 func Bench(ctx context.Context, cfg BenchConfig) []BenchRow {
 	var rows []BenchRow
 	best := 0.0
@@ -51,8 +53,8 @@
 	return append(rows, half)
 }
 
-// compare alternates between both ways, so that a change of the machine's other
-// load meets both.
+// compare alternates between the direct path and the path through the system, so that a
+// change of other load on the machine affects both.
 func (cfg BenchConfig) compare(ctx context.Context, load CallerConfig) BenchRow {
 	var direct, through []CallSummary
 	calls := 0
@@ -73,15 +75,15 @@
 	return BenchRow{Direct: medianThroughput(direct), Through: medianThroughput(through), ProcessorTimePerCall: spent}
 }
 
-// processorTimes returns the processor time of each process; one that has ended is left out.
+// processorTimes returns the processor time of each process, without those that have exited.
 func (cfg BenchConfig) processorTimes() map[string]time.Duration {
-	spent := map[string]time.Duration{}
+	times := map[string]time.Duration{}
 	for name, pid := range cfg.Processes {
 		if t, err := processorTime(pid); err == nil {
-			spent[name] = t
+			times[name] = t
 		}
 	}
-	return spent
+	return times
 }
 
 func (cfg BenchConfig) measure(ctx context.Context, address string, load CallerConfig) CallSummary {
@@ -92,11 +94,11 @@
 	load.SummaryOnly = true
 	load.Warmup = cfg.Warmup
 	load.Duration = cfg.Warmup + cfg.Duration
-	record, _ := NewRecorder[CallRecord]("") // without a file there is nothing to fail
+	record, _ := NewRecorder[CallRecord]("") // Cannot fail without a file.
 	return NewCaller(load, record).Run(ctx)
 }
 
-// medianThroughput returns the summary of median throughput.
+// medianThroughput returns the summary with the median throughput.
 func medianThroughput(all []CallSummary) CallSummary {
 	for _, s := range all {
 		below := 0
@@ -112,7 +114,7 @@
 	return all[0]
 }
 
-// WriteBench writes rows as a table in Markdown.
+// WriteBench writes rows as a Markdown table.
 func WriteBench(w io.Writer, rows []BenchRow) {
 	fmt.Fprintln(w, "| load | way | requests/s | p50 | p99 | p99.9 | outcomes or processor time per call |")
 	fmt.Fprintln(w, "|---|---|---:|---:|---:|---:|---|")
@@ -131,7 +133,7 @@
 	fmt.Fprintf(w, "| %s | %s | %.0f | %v | %v | %v | %v |\n", load, way, s.PerSecond, s.P50, s.P99, s.P999, s.Outcomes)
 }
 
-// formatOverhead gives a latency's excess as a difference and a ratio.
+// formatOverhead returns the difference and the ratio between two latencies.
 func formatOverhead(through, direct time.Duration) string {
 	return fmt.Sprintf("%v (%.2fx)", through-direct, float64(through)/float64(max(direct, 1)))
 }
--- a/fakes/call.go
+++ b/fakes/call.go
@@ -14,31 +14,32 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// Outcome is what a caller learns about a request in the end.
+// Outcome is the final outcome of a request as its caller sees it.
 type Outcome string
 
-// The outcomes that the system names, and those that a caller sees for itself.
+// The outcomes that the system reports, followed by those that a caller determines.
 const (
 	Answered Outcome = "answered"
 	Failed   Outcome = "failed"
 	NotRun   Outcome = "not-run"
 	Unknown  Outcome = "unknown"
-	// Unsent: no entry took the connection; nothing was sent.
+	// Unsent means that no entry accepted the connection and nothing was sent.
 	Unsent Outcome = "unsent"
-	// Lost: the connection broke before a whole answer.
+	// Lost means that the connection broke before the answer was complete.
 	Lost Outcome = "lost"
-	// NoAnswer: the caller gave up and the connection still stood.
+	// NoAnswer means that the caller timed out while the connection was still open.
 	NoAnswer Outcome = "no-answer"
-	// Unnamed: an answer without an outcome, as from a target directly.
+	// Unnamed means an answer without an outcome header, as sent by a target directly.
 	Unnamed Outcome = "unnamed"
 )
 
 const (
-	// responseGrace is how long past the deadline a call may end, for the way of the
-	// answer and the waits for a processor on a machine that runs a whole cluster.
+	// responseGrace is how long after its deadline a call may end. It allows for the
+	// transfer of the answer and for scheduling delays on a machine that runs a whole
+	// cluster.
 	responseGrace = 2 * time.Second
-	// maxFreeze is added to a caller's patience: an entry that a script freezes
-	// can't answer before it is thawed. The judge deducts the time it was frozen.
+	// maxFreeze is added to a caller's timeout, since an entry that a script freezes
+	// cannot answer before it is thawed. Check deducts the time for which it was frozen.
 	maxFreeze = 10 * time.Second
 )
 
@@ -53,34 +54,34 @@
 	WorkMS      int
 }
 
-// CallResult is what became of a call.
+// CallResult is the result of a call.
 type CallResult struct {
 	CallerID  string `json:"caller_id"`
 	RequestID string `json:"request_id,omitempty"`
 	Method    string `json:"method"`
 	URI       string `json:"uri"`
 	Key       string `json:"key,omitempty"`
-	// Repeatable calls may run more than once.
+	// Repeatable marks a call that may run more than once.
 	Repeatable bool    `json:"repeatable"`
 	Outcome    Outcome `json:"outcome"`
 	Reason     string  `json:"reason,omitempty"`
 	Status     int     `json:"status,omitempty"`
-	// Correct: the answer is whole and answers this request.
+	// Correct reports that the answer is complete and belongs to this request.
 	Correct    bool   `json:"own"`
 	RetryAfter string `json:"retry_after,omitempty"`
 	Entry      string `json:"entry"`
 	Sends      int    `json:"sends"`
-	// At is when the last send began, Took how long it lasted, and Bound how long it
-	// may have lasted while the entry was not frozen.
+	// At is the start of the last attempt and Duration its length; MaxDuration limits
+	// the part of it during which the entry was not frozen.
 	At          time.Duration `json:"at_ns"`
 	Duration    time.Duration `json:"took_ns"`
 	MaxDuration time.Duration `json:"bound_ns"`
-	// Latency is that of all sends together.
+	// Latency covers all attempts.
 	Latency time.Duration `json:"latency_ns"`
 	Error   string        `json:"error,omitempty"`
 }
 
-// sender makes calls over pooled connections.
+// sender sends calls over pooled connections.
 type sender struct {
 	http    *http.Client
 	timeout time.Duration
@@ -98,12 +99,12 @@
 
 // send makes one attempt at a call through an entry.
 func (s *sender) send(ctx context.Context, entry string, c Call) CallResult {
-	bound := s.timeout + responseGrace
-	ctx, cancel := context.WithTimeout(ctx, bound+maxFreeze)
+	maxDuration := s.timeout + responseGrace
+	ctx, cancel := context.WithTimeout(ctx, maxDuration+maxFreeze)
 	defer cancel()
-	began := worker.Now()
+	start := worker.Now()
 	res := s.exchange(ctx, entry, c)
-	res.At, res.Duration, res.MaxDuration = began, worker.Now()-began, bound
+	res.At, res.Duration, res.MaxDuration = start, worker.Now()-start, maxDuration
 	return res
 }
 
@@ -157,9 +158,9 @@
 	return Unnamed
 }
 
-// transportFailure names the outcome of a call that ended in a transport error. The error
-// alone does not tell whether anything was sent: the HTTP client sends a GET
-// again by itself when its connection breaks, and may then fail to connect.
+// transportFailure sets the outcome of a call that ended in a transport error. Whether
+// anything was sent cannot be derived from the error: the HTTP client itself retries a
+// GET whose connection breaks, and the retry may fail to connect.
 func (r CallResult) transportFailure(ctx context.Context, err error, sent bool) CallResult {
 	r.Error = err.Error()
 	r.Outcome = Lost
--- a/fakes/caller.go
+++ b/fakes/caller.go
@@ -19,50 +19,54 @@
 	histogramDigits = 3
 	retryDelay      = 20 * time.Millisecond
 	defaultTimeout  = 5 * time.Second
-	// maxOpenLoopInFlight bounds an open loop whose answers don't come.
+	// maxOpenLoopInFlight limits the calls in flight of an open loop whose answers are
+	// missing.
 	maxOpenLoopInFlight = 4096
 )
 
-// CallerConfig describes a load.
+// CallerConfig describes the load that a caller generates.
 type CallerConfig struct {
 	Name    string
 	Entries []EntryAddress
-	// Path precedes each request's own part of the URI.
+	// Path is the prefix of each request's URI.
 	Path string
-	// InFlight calls are kept up in a closed loop, when Rate is zero.
+	// InFlight is the number of calls in flight of the closed loop that runs if Rate is
+	// zero.
 	InFlight int
-	// Rate is the number of calls a second that start whether or not earlier
-	// ones have ended.
+	// Rate is the number of calls per second of an open loop, which starts calls whether
+	// or not earlier ones have ended.
 	Rate float64
-	// Requests and Duration end the load, whichever comes first; zero is no end.
+	// Requests and Duration limit the load, whichever is reached first; zero means no
+	// limit.
 	Requests int
 	Duration time.Duration
-	// Warmup is a time at the beginning whose calls are left out of the summary's
-	// rate and latencies.
+	// Warmup is the length of the initial phase whose calls are excluded from the
+	// summary's rate and latencies.
 	Warmup time.Duration
-	// Timeout is the deadline that the service grants.
+	// Timeout is the request timeout of the service.
 	Timeout time.Duration
-	// NonIdempotent is the share of calls that must run at most once, and Keyed
-	// the share of those that carry an idempotency key.
+	// NonIdempotent is the fraction of calls that must run at most once, and Keyed the
+	// fraction of those that carry an idempotency key.
 	NonIdempotent float64
 	Keyed         float64
-	// MaxRetries is how often a keyed call whose answer was lost is sent again.
+	// MaxRetries limits the retries of a keyed call whose answer was lost.
 	MaxRetries  int
 	BodyBytes   int
 	AnswerBytes int
 	WorkMS      int
 	Seed        int64
-	// NoRecord is for measurements: only the summary is recorded.
+	// SummaryOnly omits the results from the record, for measurements.
 	SummaryOnly bool
 }
 
-// CallRecord is one line of a caller's record: a result or, last, the summary.
+// CallRecord is one line of a caller's record: a result or, in the last line, the summary.
 type CallRecord struct {
 	Result  *CallResult  `json:"result,omitempty"`
 	Summary *CallSummary `json:"summary,omitempty"`
 }
 
-// CallSummary closes a caller's record. Latencies are those of answered calls.
+// CallSummary is the last line of a caller's record. The latencies and the rate cover
+// the correctly answered calls.
 type CallSummary struct {
 	Started   int             `json:"started"`
 	Outcomes  map[Outcome]int `json:"outcomes"`
@@ -73,14 +77,14 @@
 	Max       time.Duration   `json:"max_ns"`
 }
 
-// Caller makes calls and records how each ended.
+// Caller makes calls and records their results.
 type Caller struct {
 	cfg      CallerConfig
 	record   *Recorder[CallRecord]
 	sender   *sender
 	balancer *Balancer
 
-	// measuredFrom is when the warm-up ends.
+	// measuredFrom is the end of the warm-up.
 	measuredFrom time.Duration
 
 	mu       sync.Mutex
@@ -90,7 +94,7 @@
 	latency  *hdrhistogram.Histogram
 }
 
-// NewCaller returns a caller.
+// NewCaller returns a caller that adds its results to record.
 func NewCaller(cfg CallerConfig, record *Recorder[CallRecord]) *Caller {
 	if cfg.Timeout <= 0 {
 		cfg.Timeout = defaultTimeout
@@ -110,8 +114,8 @@
 	}
 }
 
-// Run makes calls until the load's end or the end of ctx, waits until each has
-// ended, and records the summary.
+// Run makes calls until the load is complete or ctx ends, waits for the calls in
+// progress, and records the summary.
 func (c *Caller) Run(ctx context.Context) CallSummary {
 	if c.cfg.Duration > 0 {
 		var cancel context.CancelFunc
@@ -150,28 +154,28 @@
 	wg.Wait()
 }
 
-// openLoop counts a call's latency from when it was due, so that a slow answer
-// does not hide the wait of the calls behind it.
+// openLoop measures a call's latency from its scheduled start, so that a slow answer
+// does not hide the delay of the calls scheduled after it (coordinated omission).
 func (c *Caller) openLoop(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	room := make(chan struct{}, maxOpenLoopInFlight)
+	slots := make(chan struct{}, maxOpenLoopInFlight)
 	period := time.Duration(float64(time.Second) / c.cfg.Rate)
 	for due := worker.Now(); ; due += period {
 		time.Sleep(due - worker.Now())
-		room <- struct{}{}
+		slots <- struct{}{}
 		call, ok := c.nextCall(ctx)
 		if !ok {
 			return
 		}
 		wg.Go(func() {
-			defer func() { <-room }()
+			defer func() { <-slots }()
 			c.execute(call, due)
 		})
 	}
 }
 
-// nextCall draws the next call, or reports that the load is over.
+// nextCall generates the next call, or returns false if the load is complete.
 func (c *Caller) nextCall(ctx context.Context) (Call, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,13 +199,14 @@
 	return call, true
 }
 
-// execute sends a call and, where its key allows, sends it again until the
-// answer is known. A send that took too long ends it, so that the judge sees it.
+// execute sends a call and, if it has an idempotency key, retries it until its answer is
+// known. An attempt that exceeds its maximum duration is not retried, so that it is
+// recorded and Check reports it.
 func (c *Caller) execute(call Call, due time.Duration) {
 	res := c.sender.send(context.Background(), c.balancer.Pick(), call)
-	for sends := 1; ; sends++ {
-		res.Sends = sends
-		if call.Key == "" || sends > c.cfg.MaxRetries || !shouldRetry(res) || res.Duration > res.MaxDuration {
+	for attempts := 1; ; attempts++ {
+		res.Sends = attempts
+		if call.Key == "" || attempts > c.cfg.MaxRetries || !shouldRetry(res) || res.Duration > res.MaxDuration {
 			break
 		}
 		time.Sleep(retryDelay)
--- a/fakes/check.go
+++ b/fakes/check.go
@@ -7,143 +7,146 @@
 	"time"
 )
 
-// Records is what the stand-ins recorded.
+// Records are the records of the stand-ins.
 type Records struct {
 	Calls    []CallRecord
 	Executed []ExecutedRequest
 	Workers  []RunEvent
-	// Freezes are the times for which entries were frozen.
+	// Freezes are the intervals during which entries were frozen.
 	Freezes []Freeze
 }
 
-// Freeze is a time for which an entry was frozen.
+// Freeze is an interval during which an entry was frozen.
 type Freeze struct {
-	// Entry is the address that callers use.
+	// Entry is the address at which callers reach the entry.
 	Entry string        `json:"entry"`
 	From  time.Duration `json:"from_ns"`
 	To    time.Duration `json:"to_ns"`
 }
 
-// Rules says what a run may and must show beyond the standing promises.
+// Rules are limits and minimum counts that a test sets for its records, in addition to
+// the guarantees that always apply.
 type Rules struct {
-	// MaxLost bounds the calls whose connection broke; kills of an entry break
-	// those in progress there.
+	// MaxLost limits the calls whose connection broke. Killing an entry breaks the
+	// connections of the calls in progress there.
 	MaxLost int
-	// MaxUnknown bounds the calls that ended as unknown.
+	// MaxUnknown limits the calls with unknown outcome.
 	MaxUnknown int
-	// AllAnswered asks that each call was answered.
+	// AllAnswered requires that every call was answered.
 	AllAnswered bool
-	// MinAnswered guards against a run that proves nothing.
+	// MinAnswered is the minimum number of answered calls, without which the records
+	// would prove nothing.
 	MinAnswered int
-	// MinNotRun asks that refusals were seen.
+	// MinNotRun is the minimum number of refused calls.
 	MinNotRun int
-	// MinSucceeded asks for that many finished tasks.
+	// MinSucceeded is the minimum number of successful runs.
 	MinSucceeded int
-	// MinResumed asks for that many starts from a checkpoint.
+	// MinResumed is the minimum number of runs started from a checkpoint.
 	MinResumed int
-	// AllowRerun passes over tasks that ran again after they finished, which
-	// can't be avoided where a worker was lost before it could report the end.
+	// AllowRerun permits tasks to run again after they finished, which cannot be avoided
+	// if a worker was lost before it reported the end.
 	AllowRerun bool
 }
 
-// leaveGrace is how long after its agent has taken note a leaving target may
-// still get requests: those that the agent had let through before.
+// leaveGrace is how long a leaving target may still receive requests after its agent has
+// acknowledged that it leaves: the requests that the agent had admitted before.
 const leaveGrace = time.Second
 
-// Check returns the broken promises, each as a sentence.
-func Check(e Records, rules Rules) []string {
-	faults := checkCalls(e, rules)
-	faults = append(faults, checkLeaving(e.Executed)...)
-	faults = append(faults, checkRuns(e.Workers, rules)...)
-	sort.Strings(faults)
-	return faults
+// Check returns a description of each violated guarantee.
+func Check(records Records, rules Rules) []string {
+	violations := checkCalls(records, rules)
+	violations = append(violations, checkLeaving(records.Executed)...)
+	violations = append(violations, checkRuns(records.Workers, rules)...)
+	sort.Strings(violations)
+	return violations
 }
 
-// executionCounts counts runs by the caller's and by the system's name of a request.
+// executionCounts counts executions by the caller's and by the system's request id.
 type executionCounts struct {
 	byCaller  map[string]int
 	byRequest map[string]int
 }
 
 func countExecutions(ran []ExecutedRequest) executionCounts {
-	idx := executionCounts{byCaller: map[string]int{}, byRequest: map[string]int{}}
+	executions := executionCounts{byCaller: map[string]int{}, byRequest: map[string]int{}}
 	for _, r := range ran {
 		if r.Left {
 			continue
 		}
-		idx.byCaller[r.CallerID]++
-		idx.byRequest[r.RequestID]++
+		executions.byCaller[r.CallerID]++
+		executions.byRequest[r.RequestID]++
 	}
-	return idx
+	return executions
 }
 
-func checkCalls(e Records, rules Rules) []string {
-	var faults []string
-	idx := countExecutions(e.Executed)
+func checkCalls(records Records, rules Rules) []string {
+	var violations []string
+	executions := countExecutions(records.Executed)
 	counts := map[Outcome]int{}
 	started, ended := 0, 0
-	for _, rec := range e.Calls {
+	for _, rec := range records.Calls {
 		if rec.Summary != nil {
 			started += rec.Summary.Started
 			continue
 		}
 		ended++
 		counts[rec.Result.Outcome]++
-		faults = append(faults, checkCall(*rec.Result, idx)...)
-		faults = append(faults, checkDuration(*rec.Result, e.Freezes)...)
+		violations = append(violations, checkCall(*rec.Result, executions)...)
+		violations = append(violations, checkDuration(*rec.Result, records.Freezes)...)
 	}
 	if started != ended {
-		faults = append(faults, fmt.Sprintf("%d calls began and %d ended", started, ended))
+		violations = append(violations, fmt.Sprintf("%d calls began and %d ended", started, ended))
 	}
-	faults = append(faults, checkOutcomeCounts(counts, ended, rules)...)
-	return append(faults, checkAllAnswered(e.Calls, rules)...)
+	violations = append(violations, checkOutcomeCounts(counts, ended, rules)...)
+	return append(violations, checkAllAnswered(records.Calls, rules)...)
 }
 
-func checkCall(r CallResult, idx executionCounts) []string {
-	var faults []string
-	fault := func(format string, args ...any) {
-		faults = append(faults, fmt.Sprintf("call %s (%s %s): ", r.CallerID, r.Method, r.Outcome)+fmt.Sprintf(format, args...))
+func checkCall(r CallResult, executions executionCounts) []string {
+	var violations []string
+	report := func(format string, args ...any) {
+		violations = append(violations, fmt.Sprintf("call %s (%s %s): ", r.CallerID, r.Method, r.Outcome)+fmt.Sprintf(format, args...))
 	}
-	ran := idx.byCaller[r.CallerID]
+	ran := executions.byCaller[r.CallerID]
 	if !r.Repeatable && ran > 1 {
-		fault("a call that must run at most once ran %d times", ran)
+		report("a call that must run at most once ran %d times", ran)
 	}
 	switch r.Outcome {
 	case Answered:
 		if !r.Correct {
-			fault("the answer is not its own whole answer (status %d)", r.Status)
+			report("the answer is incomplete or belongs to another request (status %d)", r.Status)
 		}
 		if ran == 0 {
-			fault("answered and in no target's record")
+			report("answered but in no target's record")
 		}
 	case NotRun:
-		// An earlier send of the same call may have run; then only the refused
-		// send, known by the system's request id, has to be absent.
+		// An earlier attempt of the same call may have run. In that case only the
+		// refused attempt, identified by the system's request id, must not have run.
 		if r.Sends == 1 && ran > 0 {
-			fault("said not to have run and ran %d times", ran)
+			report("reported as not run but ran %d times", ran)
 		}
-		if n := idx.byRequest[r.RequestID]; r.RequestID != "" && n > 0 {
-			fault("request %s said not to have run and ran %d times", r.RequestID, n)
+		if n := executions.byRequest[r.RequestID]; r.RequestID != "" && n > 0 {
+			report("request %s was reported as not run but ran %d times", r.RequestID, n)
 		}
 		if r.Status == http.StatusServiceUnavailable && r.RetryAfter == "" {
-			fault("refused without a time to come back")
+			report("refused without a Retry-After header")
 		}
 	case Unsent:
 		if r.Sends == 1 && ran > 0 {
-			fault("never sent and ran %d times", ran)
+			report("never sent but ran %d times", ran)
 		}
 	case NoAnswer:
-		fault("left without a final answer")
+		report("ended without a final answer")
 	case Failed, Unknown, Lost:
 	default:
-		fault("no such final outcome (status %d)", r.Status)
+		report("not a valid final outcome (status %d)", r.Status)
 	}
-	return faults
+	return violations
 }
 
-// checkDuration bounds how long a call lasted, whatever its end was. A frozen entry can
-// neither read nor answer, so the time for which the call's entry was frozen does not
-// count; without that a call would be blamed whose deadline passed in the meantime.
+// checkDuration checks that a call did not exceed its maximum duration, whatever its
+// outcome. A frozen entry can neither read nor answer, so the time for which the call's
+// entry was frozen is deducted. Otherwise, a call whose deadline passed in the meantime
+// would be reported.
 func checkDuration(r CallResult, standstills []Freeze) []string {
 	counted := r.Duration
 	for _, s := range standstills {
@@ -159,20 +162,21 @@
 }
 
 func checkOutcomeCounts(counts map[Outcome]int, ended int, rules Rules) []string {
-	var faults []string
+	var violations []string
 	check := func(bad bool, format string, args ...any) {
 		if bad {
-			faults = append(faults, fmt.Sprintf(format, args...))
+			violations = append(violations, fmt.Sprintf(format, args...))
 		}
 	}
-	check(counts[Lost] > rules.MaxLost, "%d calls were cut off, at most %d allowed", counts[Lost], rules.MaxLost)
-	check(counts[Unknown] > rules.MaxUnknown, "%d calls ended unknown, at most %d allowed", counts[Unknown], rules.MaxUnknown)
-	check(counts[Answered] < rules.MinAnswered, "%d calls were answered, at least %d asked", counts[Answered], rules.MinAnswered)
-	check(counts[NotRun] < rules.MinNotRun, "%d calls were refused, at least %d asked", counts[NotRun], rules.MinNotRun)
-	return faults
+	check(counts[Lost] > rules.MaxLost, "%d calls were lost, at most %d allowed", counts[Lost], rules.MaxLost)
+	check(counts[Unknown] > rules.MaxUnknown, "%d calls had an unknown outcome, at most %d allowed", counts[Unknown], rules.MaxUnknown)
+	check(counts[Answered] < rules.MinAnswered, "%d calls were answered, at least %d required", counts[Answered], rules.MinAnswered)
+	check(counts[NotRun] < rules.MinNotRun, "%d calls were refused, at least %d required", counts[NotRun], rules.MinNotRun)
+	return violations
 }
 
-// checkAllAnswered names the first calls of each kind that were not answered.
+// checkAllAnswered reports the calls that were not answered, grouped by outcome, reason
+// and entry, with the first call of each group.
 func checkAllAnswered(calls []CallRecord, rules Rules) []string {
 	if !rules.AllAnswered {
 		return nil
@@ -192,21 +196,22 @@
 			}
 		}
 	}
-	var faults []string
+	var violations []string
 	for k, r := range first {
-		faults = append(faults, fmt.Sprintf("%d calls through %s ended %s %s %s, first %s (request %s)",
+		violations = append(violations, fmt.Sprintf("%d calls through %s ended %s %s %s, first %s (request %s)",
 			counts[k], k.entry, k.outcome, k.reason, r.Error, r.CallerID, r.RequestID))
 	}
-	return faults
+	return violations
 }
 
-// checkLeaving looks at each start of a target; its record is in order.
+// checkLeaving checks that a target begins no request after it has left and leaveGrace
+// has passed. The record of each start of a target is in chronological order.
 func checkLeaving(ran []ExecutedRequest) []string {
 	type start struct {
 		target  string
 		process int
 	}
-	var faults []string
+	var violations []string
 	left := map[start]time.Duration{}
 	for _, r := range ran {
 		s := start{r.Target, r.Process}
@@ -215,8 +220,8 @@
 		case r.Left:
 			left[s] = r.At
 		case leaving && r.At > at+leaveGrace:
-			faults = append(faults, fmt.Sprintf("target %s began %s %v after it had left", r.Target, r.CallerID, r.At-at))
+			violations = append(violations, fmt.Sprintf("target %s began request %s %v after it had left", r.Target, r.CallerID, r.At-at))
 		}
 	}
-	return faults
+	return violations
 }
--- a/fakes/check_runs.go
+++ b/fakes/check_runs.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// runInterval is one run of one attempt on one worker.
+// runInterval is the interval during which one attempt ran on one worker.
 type runInterval struct {
 	start RunEvent
-	// end is when the run was over; for a run whose end no one recorded it is the
-	// last deadline the worker was given, or the worker's next start.
+	// end is the end of the run. If no end was recorded it is the last deadline that the
+	// worker received, or the worker's next start if that is earlier.
 	end       time.Duration
 	endReason string
-	// deadline is the newest that the worker was given.
+	// deadline is the latest deadline that the worker received.
 	deadline time.Duration
 }
 
@@ -24,9 +24,9 @@
 }
 
 func checkRuns(events []RunEvent, rules Rules) []string {
-	spans, faults := pairRuns(events)
-	faults = append(faults, checkTasks(spans, rules)...)
-	faults = append(faults, checkCapacity(events, spans)...)
+	spans, violations := pairRuns(events)
+	violations = append(violations, checkTasks(spans, rules)...)
+	violations = append(violations, checkCapacity(events, spans)...)
 	succeeded, resumed := 0, 0
 	for _, s := range spans {
 		if s.endReason == EndReasonSucceeded {
@@ -37,18 +37,19 @@
 		}
 	}
 	if succeeded < rules.MinSucceeded {
-		faults = append(faults, fmt.Sprintf("%d tasks finished, at least %d asked", succeeded, rules.MinSucceeded))
+		violations = append(violations, fmt.Sprintf("%d runs succeeded, at least %d required", succeeded, rules.MinSucceeded))
 	}
 	if resumed < rules.MinResumed {
-		faults = append(faults, fmt.Sprintf("%d runs resumed from a checkpoint, at least %d asked", resumed, rules.MinResumed))
+		violations = append(violations, fmt.Sprintf("%d runs resumed from a checkpoint, at least %d required", resumed, rules.MinResumed))
 	}
-	return faults
+	return violations
 }
 
-// pairRuns pairs starts and ends. Events of one worker are in their order.
+// pairRuns combines the events of each run into an interval. The events of one worker
+// are in chronological order.
 func pairRuns(events []RunEvent) ([]*runInterval, []string) {
 	var spans []*runInterval
-	var faults []string
+	var violations []string
 	open := map[attemptKey]*runInterval{}
 	for _, e := range events {
 		key := attemptKey{e.Worker, e.Task, e.Incarnation, e.Attempt}
@@ -62,28 +63,28 @@
 		case EventRenew:
 			s := open[key]
 			if s == nil || e.At >= s.deadline {
-				faults = append(faults, fmt.Sprintf("worker %s renewed %s/%d after its deadline", e.Worker, e.Task, e.Attempt))
+				violations = append(violations, fmt.Sprintf("worker %s renewed %s/%d after its deadline", e.Worker, e.Task, e.Attempt))
 				continue
 			}
 			s.end, s.deadline = e.Deadline, e.Deadline
 		case EventEnd:
 			s := open[key]
 			if s == nil {
-				faults = append(faults, fmt.Sprintf("worker %s ended %s/%d, which it did not run", e.Worker, e.Task, e.Attempt))
+				violations = append(violations, fmt.Sprintf("worker %s ended %s/%d, which it did not run", e.Worker, e.Task, e.Attempt))
 				continue
 			}
 			s.end, s.endReason = e.At, e.EndReason
 			if s.end > s.deadline {
-				faults = append(faults, fmt.Sprintf("worker %s ran %s/%d past its deadline", e.Worker, e.Task, e.Attempt))
+				violations = append(violations, fmt.Sprintf("worker %s ran %s/%d past its deadline", e.Worker, e.Task, e.Attempt))
 			}
 			delete(open, key)
 		}
 	}
-	return spans, faults
+	return spans, violations
 }
 
-// closePreviousIncarnations ends what earlier incarnations of a worker ran: a worker's restart
-// loses its tasks.
+// closePreviousIncarnations ends the runs of previous incarnations of a worker, since a
+// restart of a worker loses its tasks.
 func closePreviousIncarnations(open map[attemptKey]*runInterval, e RunEvent) {
 	for key, s := range open {
 		if key.worker == e.Worker && key.incarnation != e.Incarnation {
@@ -94,7 +95,7 @@
 }
 
 func checkTasks(spans []*runInterval, rules Rules) []string {
-	var faults []string
+	var violations []string
 	byTask := map[string][]*runInterval{}
 	for _, s := range spans {
 		byTask[s.start.Task] = append(byTask[s.start.Task], s)
@@ -107,34 +108,35 @@
 				succeeded++
 			}
 			if i > 0 {
-				faults = append(faults, checkConsecutiveRuns(task, runs[i-1], s, rules)...)
+				violations = append(violations, checkConsecutiveRuns(task, runs[i-1], s, rules)...)
 			}
 		}
 		if succeeded > 1 && !rules.AllowRerun {
-			faults = append(faults, fmt.Sprintf("task %s finished %d times", task, succeeded))
+			violations = append(violations, fmt.Sprintf("task %s finished %d times", task, succeeded))
 		}
 	}
-	return faults
+	return violations
 }
 
-// checkConsecutiveRuns looks at two runs of a task, earlier first.
+// checkConsecutiveRuns checks two consecutive runs of a task, of which a is the earlier.
 func checkConsecutiveRuns(task string, a, b *runInterval, rules Rules) []string {
-	var faults []string
+	var violations []string
 	if b.start.Attempt <= a.start.Attempt {
-		faults = append(faults, fmt.Sprintf("task %s started attempt %d after attempt %d", task, b.start.Attempt, a.start.Attempt))
+		violations = append(violations, fmt.Sprintf("task %s started attempt %d after attempt %d", task, b.start.Attempt, a.start.Attempt))
 	}
 	if b.start.At < a.end {
-		faults = append(faults, fmt.Sprintf("task %s ran on %s and %s at once for %v", task, a.start.Worker, b.start.Worker, a.end-b.start.At))
+		violations = append(violations, fmt.Sprintf("task %s ran on %s and %s at once for %v", task, a.start.Worker, b.start.Worker, a.end-b.start.At))
 	}
 	if a.endReason == EndReasonSucceeded && !rules.AllowRerun {
-		faults = append(faults, fmt.Sprintf("task %s ran again after it had finished", task))
+		violations = append(violations, fmt.Sprintf("task %s ran again after it had finished", task))
 	}
-	return faults
+	return violations
 }
 
-// checkCapacity adds up what runs on a worker at each start.
+// checkCapacity checks at each start that the grants of the runs on the worker are within
+// its capacity.
 func checkCapacity(events []RunEvent, spans []*runInterval) []string {
-	var faults []string
+	var violations []string
 	for _, e := range events {
 		if e.Kind != EventStart {
 			continue
@@ -146,18 +148,18 @@
 			}
 		}
 		if limit := capacityAt(events, e); !sum.within(limit) {
-			faults = append(faults, fmt.Sprintf("worker %s held %+v of %+v when %s/%d started", e.Worker, sum, limit, e.Task, e.Attempt))
+			violations = append(violations, fmt.Sprintf("worker %s held %+v of %+v when %s/%d started", e.Worker, sum, limit, e.Task, e.Attempt))
 		}
 	}
-	return faults
+	return violations
 }
 
 func capacityAt(events []RunEvent, at RunEvent) Amount {
-	none := Amount{math.MaxInt64, math.MaxInt64, math.MaxInt64}
+	unlimited := Amount{math.MaxInt64, math.MaxInt64, math.MaxInt64}
 	for _, e := range events {
 		if e.Kind == EventWorkerStart && e.Worker == at.Worker && e.Incarnation == at.Incarnation {
 			return e.Capacity
 		}
 	}
-	return none
+	return unlimited
 }
--- a/fakes/doc.go
+++ b/fakes/doc.go
@@ -1,5 +1,5 @@
-// Package fakes holds small stand-ins for what surrounds the system: the
-// platform's worker, targets, callers and network links. Each keeps a record of
-// what happened to it, and Judge compares the records with the promises of the
-// brief.
+// Package fakes provides small stand-ins for the environment of the system: the
+// platform's worker and host interface, targets, callers and network links. Workers,
+// targets and callers record the events that they see, and Check verifies the records
+// against the system's guarantees.
 package fakes
--- a/fakes/fakecmd/caller.go
+++ b/fakes/fakecmd/caller.go
@@ -14,24 +14,24 @@
 )
 
 func registerCaller(app *kingpin.Application) (string, action) {
-	c := app.Command("caller", "Call a service and record how each call ended. SIGTERM ends the load and waits for the answers.")
+	c := app.Command("caller", "Call a service and record the result of each call. SIGTERM ends the load and waits for outstanding answers.")
 	cfg := &fakes.CallerConfig{}
-	c.Flag("name", "Prefix of its calls' names; no two callers share one.").Required().StringVar(&cfg.Name)
-	entries := c.Flag("entry", "ADDRESS or ADDRESS=READY-URL; several times for several entries.").Required().Strings()
+	c.Flag("name", "Prefix of the ids of calls; it must be unique among callers.").Required().StringVar(&cfg.Name)
+	entries := c.Flag("entry", "ADDRESS or ADDRESS=READY-URL of an entry; can be repeated.").Required().Strings()
 	c.Flag("path", "Path of the service.").Required().StringVar(&cfg.Path)
-	c.Flag("in-flight", "Calls kept up at a time.").Default("1").IntVar(&cfg.InFlight)
-	c.Flag("rate", "Calls a second, started whatever became of earlier ones.").Float64Var(&cfg.Rate)
-	c.Flag("requests", "Calls to make.").IntVar(&cfg.Requests)
-	c.Flag("duration", "Time after which no call starts.").DurationVar(&cfg.Duration)
-	c.Flag("timeout", "Deadline of the service.").Default("5s").DurationVar(&cfg.Timeout)
-	c.Flag("non-idempotent", "Share of calls that must run at most once.").Float64Var(&cfg.NonIdempotent)
-	c.Flag("keyed", "Share of those that carry an idempotency key.").Float64Var(&cfg.Keyed)
-	c.Flag("resends", "Times a keyed call is sent again when its answer is lost.").IntVar(&cfg.MaxRetries)
+	c.Flag("in-flight", "Number of calls in flight.").Default("1").IntVar(&cfg.InFlight)
+	c.Flag("rate", "Calls started per second, whether or not earlier ones have ended.").Float64Var(&cfg.Rate)
+	c.Flag("requests", "Number of calls to make.").IntVar(&cfg.Requests)
+	c.Flag("duration", "Time after which no call is started.").DurationVar(&cfg.Duration)
+	c.Flag("timeout", "Request timeout of the service.").Default("5s").DurationVar(&cfg.Timeout)
+	c.Flag("non-idempotent", "Fraction of calls that must run at most once.").Float64Var(&cfg.NonIdempotent)
+	c.Flag("keyed", "Fraction of those calls that carry an idempotency key.").Float64Var(&cfg.Keyed)
+	c.Flag("resends", "Maximum number of retries of a keyed call whose answer is lost.").IntVar(&cfg.MaxRetries)
 	c.Flag("body-bytes", "Length of request bodies.").Default("64").IntVar(&cfg.BodyBytes)
-	c.Flag("answer-bytes", "Least length of answers.").Default("256").IntVar(&cfg.AnswerBytes)
-	c.Flag("work-ms", "Time each call asks its target to take.").IntVar(&cfg.WorkMS)
-	c.Flag("seed", "Seed of the mix of calls.").Default("1").Int64Var(&cfg.Seed)
-	c.Flag("no-record", "Record the summary only, for measurements.").BoolVar(&cfg.SummaryOnly)
+	c.Flag("answer-bytes", "Minimum length of answers.").Default("256").IntVar(&cfg.AnswerBytes)
+	c.Flag("work-ms", "Duration of each request on the target, in milliseconds.").IntVar(&cfg.WorkMS)
+	c.Flag("seed", "Seed of the random mix of calls.").Default("1").Int64Var(&cfg.Seed)
+	c.Flag("no-record", "Record only the summary, for measurements.").BoolVar(&cfg.SummaryOnly)
 	path := c.Flag("record", "File to append the record to.").String()
 	return c.FullCommand(), func(ctx context.Context) error {
 		for _, e := range *entries {
@@ -48,41 +48,41 @@
 }
 
 func registerJudge(app *kingpin.Application) (string, action) {
-	c := app.Command("judge", "Compare records with the promises; exits 1 when one is broken.")
+	c := app.Command("judge", "Check records against the guarantees; exits 1 if one is violated.")
 	calls := c.Flag("calls", "Record of a caller.").Strings()
 	ran := c.Flag("ran", "Record of a target.").Strings()
 	workers := c.Flag("runs", "Record of a worker.").Strings()
-	frozen := c.Flag("frozen", "Record of the times for which entries were frozen.").Strings()
+	frozen := c.Flag("frozen", "Record of the intervals during which entries were frozen.").Strings()
 	rules := &fakes.Rules{}
-	c.Flag("max-lost", "Calls that may have been cut off.").IntVar(&rules.MaxLost)
-	c.Flag("max-unknown", "Calls that may have ended unknown.").IntVar(&rules.MaxUnknown)
-	c.Flag("all-answered", "Ask that each call was answered.").BoolVar(&rules.AllAnswered)
-	c.Flag("min-answered", "Calls that must have been answered.").IntVar(&rules.MinAnswered)
-	c.Flag("min-not-run", "Calls that must have been refused.").IntVar(&rules.MinNotRun)
-	c.Flag("min-succeeded", "Tasks that must have finished.").IntVar(&rules.MinSucceeded)
-	c.Flag("min-resumed", "Runs that must have resumed from a checkpoint.").IntVar(&rules.MinResumed)
-	c.Flag("allow-rerun", "Pass over tasks that ran again after they finished.").BoolVar(&rules.AllowRerun)
+	c.Flag("max-lost", "Maximum number of lost calls.").IntVar(&rules.MaxLost)
+	c.Flag("max-unknown", "Maximum number of calls with unknown outcome.").IntVar(&rules.MaxUnknown)
+	c.Flag("all-answered", "Require that every call was answered.").BoolVar(&rules.AllAnswered)
+	c.Flag("min-answered", "Minimum number of answered calls.").IntVar(&rules.MinAnswered)
+	c.Flag("min-not-run", "Minimum number of refused calls.").IntVar(&rules.MinNotRun)
+	c.Flag("min-succeeded", "Minimum number of successful runs.").IntVar(&rules.MinSucceeded)
+	c.Flag("min-resumed", "Minimum number of runs resumed from a checkpoint.").IntVar(&rules.MinResumed)
+	c.Flag("allow-rerun", "Permit tasks to run again after they finished.").BoolVar(&rules.AllowRerun)
 	return c.FullCommand(), func(context.Context) error {
-		evidence, err := readRecords(*calls, *ran, *workers)
+		records, err := readRecords(*calls, *ran, *workers)
 		if err != nil {
 			return err
 		}
-		if evidence.Freezes, err = readAll[fakes.Freeze](*frozen); err != nil {
+		if records.Freezes, err = readAll[fakes.Freeze](*frozen); err != nil {
 			return err
 		}
-		return reportViolations(fakes.Check(evidence, *rules))
+		return reportViolations(fakes.Check(records, *rules))
 	}
 }
 
-func readRecords(calls, ran, workers []string) (e fakes.Records, err error) {
-	if e.Calls, err = readAll[fakes.CallRecord](calls); err != nil {
-		return e, err
+func readRecords(calls, ran, workers []string) (r fakes.Records, err error) {
+	if r.Calls, err = readAll[fakes.CallRecord](calls); err != nil {
+		return r, err
 	}
-	if e.Executed, err = readAll[fakes.ExecutedRequest](ran); err != nil {
-		return e, err
+	if r.Executed, err = readAll[fakes.ExecutedRequest](ran); err != nil {
+		return r, err
 	}
-	e.Workers, err = readAll[fakes.RunEvent](workers)
-	return e, err
+	r.Workers, err = readAll[fakes.RunEvent](workers)
+	return r, err
 }
 
 func readAll[T any](paths []string) ([]T, error) {
@@ -97,15 +97,15 @@
 	return all, nil
 }
 
-// maxPrinted faults are printed; one broken guard can make thousands.
+// maxPrinted limits the violations printed, since one fault can cause thousands.
 const maxPrinted = 20
 
-func reportViolations(faults []string) error {
-	for _, f := range faults[:min(len(faults), maxPrinted)] {
-		fmt.Fprintln(os.Stderr, "broken:", f)
+func reportViolations(violations []string) error {
+	for _, v := range violations[:min(len(violations), maxPrinted)] {
+		fmt.Fprintln(os.Stderr, "violated:", v)
 	}
-	if len(faults) > 0 {
-		return errors.Newf("%d promises were broken", len(faults))
+	if len(violations) > 0 {
+		return errors.Newf("%d guarantees were violated", len(violations))
 	}
 	return nil
 }
--- a/fakes/fakecmd/hosts.go
+++ b/fakes/fakecmd/hosts.go
@@ -18,7 +18,7 @@
 )
 
 func registerWorker(app *kingpin.Application) (string, action) {
-	c := app.Command("worker", "Run pretend tasks as the platform's worker.")
+	c := app.Command("worker", "Simulate tasks as a worker of the platform.")
 	address := c.Flag("listen", "IP and port.").Required().String()
 	name := c.Flag("name", "Name of the worker.").Required().String()
 	region := c.Flag("region", "Region.").Default("local").String()
@@ -27,10 +27,10 @@
 	processors := c.Flag("processors", "Processors.").Default("8").Int64()
 	memory := c.Flag("memory-gb", "Memory in GB.").Default("16").Int64()
 	accelerators := c.Flag("accelerators", "Accelerators.").Int64()
-	runFactor := c.Flag("run-factor", "Real run time per declared run time.").Default("1").Float64()
-	usageFactor := c.Flag("usage-factor", "Processors used per processor granted.").Default("1").Float64()
-	usageLag := c.Flag("usage-lag", "Least age of usage reports.").Default("1s").Duration()
-	failing := c.Flag("fail-everything", "Fail each task as it starts.").Bool()
+	runFactor := c.Flag("run-factor", "Ratio of actual to declared run time.").Default("1").Float64()
+	usageFactor := c.Flag("usage-factor", "Ratio of used to granted processors.").Default("1").Float64()
+	usageLag := c.Flag("usage-lag", "Minimum age of usage reports.").Default("1s").Duration()
+	failing := c.Flag("fail-everything", "Fail each task when it starts.").Bool()
 	record := c.Flag("record", "File to append the record to.").String()
 	return c.FullCommand(), func(ctx context.Context) error {
 		info := &apiv1.WorkerInfo{
@@ -58,27 +58,27 @@
 	if err != nil {
 		return err
 	}
-	// Two starts on one host never read the same boot clock.
+	// The boot clock of a host advances, so its reading is unique for each start there.
 	cfg.Info.Incarnation = uint64(worker.Now())
 	return fakes.NewWorkerServer(cfg, record).Serve(ctx, listener)
 }
 
 func registerTarget(app *kingpin.Application) (string, action) {
-	c := app.Command("target", "Answer requests for a service, announced to an agent.")
+	c := app.Command("target", "Answer requests for a service as a target announced to an agent.")
 	cfg := &fakes.TargetConfig{}
 	c.Flag("listen", "IP and port.").Required().StringVar(&cfg.Announcement.Address)
 	c.Flag("name", "Name of the target.").Required().StringVar(&cfg.Announcement.Name)
-	c.Flag("service", "Service it belongs to.").Required().StringVar(&cfg.Announcement.Service)
-	c.Flag("slots", "Requests at a time.").Default("8").IntVar(&cfg.Announcement.Slots)
+	c.Flag("service", "Service of the target.").Required().StringVar(&cfg.Announcement.Service)
+	c.Flag("slots", "Maximum number of concurrent requests.").Default("8").IntVar(&cfg.Announcement.Slots)
 	c.Flag("connections", "Connections.").Default("64").IntVar(&cfg.Announcement.Connections)
-	c.Flag("ttl-ms", "Life of an announcement without renewal.").Default("1500").Int64Var(&cfg.Announcement.TTLMS)
-	c.Flag("work", "Time a request takes.").DurationVar(&cfg.Work)
-	c.Flag("truncated", "Share of answers cut short.").Float64Var(&cfg.Faults.Truncated)
-	c.Flag("swapped", "Share of answers sent to another request.").Float64Var(&cfg.Faults.Swapped)
-	c.Flag("failed", "Share of requests failed.").Float64Var(&cfg.Faults.Failed)
-	c.Flag("closed", "Share of connections closed without an answer.").Float64Var(&cfg.Faults.Closed)
-	c.Flag("late", "Share of answers sent late.").Float64Var(&cfg.Faults.Late)
-	c.Flag("late-ms", "How late.").Int64Var(&cfg.Faults.LateMS)
+	c.Flag("ttl-ms", "Validity of an announcement in milliseconds, from its last renewal.").Default("1500").Int64Var(&cfg.Announcement.TTLMS)
+	c.Flag("work", "Duration of a request.").DurationVar(&cfg.Work)
+	c.Flag("truncated", "Fraction of answers truncated.").Float64Var(&cfg.Faults.Truncated)
+	c.Flag("swapped", "Fraction of answers sent to another request.").Float64Var(&cfg.Faults.Swapped)
+	c.Flag("failed", "Fraction of requests failed.").Float64Var(&cfg.Faults.Failed)
+	c.Flag("closed", "Fraction of connections closed without an answer.").Float64Var(&cfg.Faults.Closed)
+	c.Flag("late", "Fraction of answers delayed.").Float64Var(&cfg.Faults.Late)
+	c.Flag("late-ms", "Delay of delayed answers in milliseconds.").Int64Var(&cfg.Faults.LateMS)
 	c.Flag("seed", "Seed of the faults.").Default("1").Int64Var(&cfg.Seed)
 	c.Flag("no-record", "Keep no record, for measurements.").BoolVar(&cfg.NoRecord)
 	agent := c.Flag("agent", "Local address of its agent.").Required().String()
@@ -97,8 +97,8 @@
 }
 
 func registerLink(app *kingpin.Application) (string, action) {
-	c := app.Command("link", "Forward TCP connections until told otherwise.")
-	control := c.Flag("control", "IP and port that takes changes of state.").Required().String()
+	c := app.Command("link", "Forward TCP connections; the state of each link can be changed over HTTP.")
+	control := c.Flag("control", "IP and port of the HTTP interface that changes the states of links.").Required().String()
 	routes := c.Arg("route", "NAME=LISTEN=UPSTREAM").Required().Strings()
 	return c.FullCommand(), func(ctx context.Context) error {
 		controlListener, err := listen(*control)
--- a/fakes/fakecmd/main.go
+++ b/fakes/fakecmd/main.go
@@ -1,4 +1,4 @@
-// Package fakecmd is the command line of the stand-ins.
+// Package fakecmd implements the command line of the stand-ins.
 package fakecmd
 
 import (
@@ -20,11 +20,11 @@
 	exitUsage  = 2
 )
 
-// action runs a chosen sub-command until it is done or ctx ends.
+// action runs a subcommand until it is complete or ctx ends.
 type action func(ctx context.Context) error
 
-// Main runs the command line and returns the exit code. SIGTERM and SIGINT end
-// every sub-command gracefully.
+// Main runs the command line and returns the exit code. SIGTERM and SIGINT end every
+// subcommand gracefully.
 func Main(args []string) int {
 	app := kingpin.New("cairnlift-fake", "Stand-ins for workers, targets, callers and network links.")
 	actions := map[string]action{}
--- a/fakes/hosts.go
+++ b/fakes/hosts.go
@@ -13,45 +13,46 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// Hosts is a stand-in for the platform's interface to its hosts: it checks fencing
-// tokens, takes hosts down and up again, moves them between pools, and may leave a call
-// unanswered and carry it out late.
+// Hosts is a stand-in for the platform's interface to its hosts. It checks fencing
+// tokens, shuts hosts down and starts them again, moves them between pools, and can leave
+// a call unanswered and execute it later.
 type Hosts struct {
-	// OnDown is called when a host goes down for its maintenance or a move, Up when it is
-	// back, unless it is switched off then.
+	// OnDown is called when a host goes down for maintenance or a move, and OnUp when it
+	// is up again, unless it is switched off after the move.
 	OnDown func(host string)
 	OnUp   func(host string)
-	// Duration is how long a maintenance or a move takes.
+	// Duration is the duration of a maintenance or a move.
 	Duration time.Duration
-	// Standby are the pools whose hosts are switched off.
+	// Standby contains the pools whose hosts are switched off.
 	Standby map[string]bool
-	// Stale is asked for each list; true answers with the hosts as they were before the
-	// last change. Nil means that lists are up to date.
+	// Stale is called for each list; if it returns true, the list contains the hosts as
+	// they were before the last change. Nil means that lists are up to date.
 	Stale func() bool
-	// CallsPerSecond is how many lists and orders are accepted in a second; 0 is no bound.
+	// CallsPerSecond limits the lists and orders accepted per second; 0 means no limit.
 	CallsPerSecond int
-	// Fault is asked for each order; nil means that nothing goes wrong.
+	// Fault returns the fault to apply to an order; nil means no faults.
 	Fault func(call string) OrderFault
 
 	mu      sync.Mutex
 	hosts   map[string]*hostState
 	maxDown map[uint64]int
-	// previous are the hosts before the last change.
+	// previous contains the hosts as they were before the last change.
 	previous map[string]schedule.HostView
-	// maxMoving is the largest number of hosts that were between two pools at once.
+	// maxMoving is the maximum number of hosts moving between pools at a time.
 	maxMoving int
-	// lists and orders count the calls, refused those that came too fast.
+	// lists is the number of list calls; refused is the number of lists and orders
+	// above CallsPerSecond.
 	lists, refused int
 	orders         []HostOrder
 	window         time.Time
 	callsInWindow  int
 }
 
-// HostOrder is an order as it was sent, whatever became of it.
+// HostOrder is an order as it was sent, whether or not it was executed.
 type HostOrder struct {
 	Host  string
 	Token uint64
-	// Pool is where the host was to go, empty for maintenance in Wave.
+	// Pool is the destination of a move; it is empty for maintenance in Wave.
 	Pool string
 	Wave uint64
 }
@@ -65,7 +66,7 @@
 	busy       bool
 }
 
-// Put adds a host, or tells of its worker's new incarnation.
+// Put adds a host or sets the new incarnation of its worker.
 func (f *Hosts) Put(host, worker string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -79,7 +80,7 @@
 	f.hosts[host].view.Worker = worker
 }
 
-// SetPool says which pool a host is in and what it has; in a standby pool it is off.
+// SetPool sets the pool and the capacity of a host. In a standby pool it is switched off.
 func (f *Hosts) SetPool(host, pool string, capacity jobqueue.Resources) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -96,49 +97,51 @@
 	return f.hosts[host].view.Pool
 }
 
-// SetBusy has the platform refuse orders about a host as busy.
+// SetBusy sets whether orders for a host are refused as busy.
 func (f *Hosts) SetBusy(host string, busy bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[host].busy = busy
 }
 
-// Fence has another holder give an order about a host, under a higher token than any.
+// Fence simulates an order for a host by another holder with the highest possible token,
+// so that all further orders are fenced.
 func (f *Hosts) Fence(host string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hosts[host].token = math.MaxUint64
 }
 
-// Orders returns the orders in the sequence that they were sent in.
+// Orders returns the orders in the sequence in which they were sent.
 func (f *Hosts) Orders() []HostOrder {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.orders)
 }
 
-// Calls counts the lists and orders, and those that were refused as too many.
+// Calls returns the number of lists and orders and how many of them exceeded
+// CallsPerSecond.
 func (f *Hosts) Calls() (all, refused int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lists + len(f.orders), f.refused
 }
 
-// MaxMoving is the largest number of hosts that were between two pools at once.
+// MaxMoving returns the maximum number of hosts that were moving between pools at a time.
 func (f *Hosts) MaxMoving() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.maxMoving
 }
 
-// MaxDown is the largest number of hosts that were down for a wave at once.
+// MaxDown returns the maximum number of hosts that were down for a wave at a time.
 func (f *Hosts) MaxDown(wave uint64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.maxDown[wave]
 }
 
-// Maintained reports whether a host had its maintenance in a wave.
+// Maintained reports whether the maintenance of a host in a wave has begun.
 func (f *Hosts) Maintained(host string, wave uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,10 +172,11 @@
 
 var errTooManyCalls = errors.New("too many calls")
 
-// exceedsCallLimit counts a call.
+// exceedsCallLimit counts a call and reports whether it exceeds CallsPerSecond. The
+// caller must hold f.mu.
 func (f *Hosts) exceedsCallLimit() bool {
-	if second := time.Now().Truncate(time.Second); !second.Equal(f.window) {
-		f.window, f.callsInWindow = second, 0
+	if window := time.Now().Truncate(time.Second); !window.Equal(f.window) {
+		f.window, f.callsInWindow = window, 0
 	}
 	f.callsInWindow++
 	if f.CallsPerSecond == 0 || f.callsInWindow <= f.CallsPerSecond {
--- a/fakes/http.go
+++ b/fakes/http.go
@@ -17,8 +17,8 @@
 	headerTimeout = 10 * time.Second
 )
 
-// requestCopier reads a request's body once and returns a function that makes equal
-// requests from it.
+// requestCopier reads a request's body and returns a function that returns a copy of the
+// request with the whole body.
 func requestCopier(r *http.Request, body io.Reader) func() *http.Request {
 	b, _ := io.ReadAll(body)
 	return func() *http.Request {
@@ -34,19 +34,19 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// serve answers on listener until ctx ends, then finishes requests in progress
-// within the grace period.
+// serve serves requests on listener until ctx ends, then waits for requests in progress,
+// at most for the grace period.
 func serve(ctx context.Context, listener net.Listener, h http.Handler, grace time.Duration) error {
 	server := &http.Server{Handler: h, ReadHeaderTimeout: headerTimeout}
 	stopped := make(chan error, 1)
 	stop := context.AfterFunc(ctx, func() {
-		bound, cancel := context.WithTimeout(context.Background(), grace)
+		shutdownCtx, cancel := context.WithTimeout(context.Background(), grace)
 		defer cancel()
-		stopped <- server.Shutdown(bound)
+		stopped <- server.Shutdown(shutdownCtx)
 	})
 	err := server.Serve(listener)
 	if stop() || !errors.Is(err, http.ErrServerClosed) {
-		return errors.Wrap(err, "server ended")
+		return errors.Wrap(err, "HTTP server failed")
 	}
-	return errors.Wrap(<-stopped, "requests were cut off")
+	return errors.Wrap(<-stopped, "HTTP server shutdown with requests in progress")
 }
--- a/fakes/link.go
+++ b/fakes/link.go
@@ -10,19 +10,19 @@
 	"github.com/sourcegraph/conc"
 )
 
-// LinkMode says what a link does with bytes.
+// LinkMode is how a link treats connections and the data on them.
 type LinkMode string
 
 // The modes of a link.
 const (
-	// LinkOpen forwards.
+	// LinkOpen forwards data in both directions.
 	LinkOpen LinkMode = "open"
-	// LinkCut forwards nothing and closes nothing, as a network partition does:
-	// both ends keep connections that carry nothing.
+	// LinkCut blackholes the link: it forwards nothing and closes nothing, as in a
+	// network partition, so that both ends keep connections on which no data arrives.
 	LinkCut LinkMode = "cut"
-	// LinkCutReplies forwards what the connecting side sends and holds the answers.
+	// LinkCutReplies forwards data from the connecting side and holds back the replies.
 	LinkCutReplies LinkMode = "cut-replies"
-	// LinkDropped closes its connections and takes no new ones.
+	// LinkDropped closes all connections and accepts no new ones.
 	LinkDropped LinkMode = "dropped"
 )
 
@@ -31,14 +31,14 @@
 	linkDialTimeout = time.Second
 )
 
-// LinkState is what a link does.
+// LinkState is the mode of a link and the delay that it adds to forwarded data.
 type LinkState struct {
 	Mode    LinkMode `json:"mode"`
 	DelayMS int64    `json:"delay_ms"`
 }
 
-// Link is a TCP proxy that can be cut. Bytes held by a cut are sent on once it
-// is healed, as a network's retransmissions would.
+// Link is a TCP proxy that can simulate network faults. Data held back while the link is
+// cut is forwarded once it is open again, as TCP retransmissions would do.
 type Link struct {
 	upstream string
 
@@ -58,12 +58,12 @@
 	}
 }
 
-// Set changes what the link does.
+// Set changes the state of the link.
 func (l *Link) Set(s LinkState) error {
 	switch s.Mode {
 	case LinkOpen, LinkCut, LinkCutReplies, LinkDropped:
 	default:
-		return errors.Newf("a link has no mode %q", s.Mode)
+		return errors.Newf("unknown link mode %q", s.Mode)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,7 +82,7 @@
 	}
 }
 
-// Serve forwards connections of listener until ctx ends.
+// Serve accepts connections on listener and forwards them until ctx ends.
 func (l *Link) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
@@ -100,7 +100,7 @@
 			return nil
 		}
 		if err != nil {
-			return errors.Wrap(err, "link")
+			return errors.Wrap(err, "link can't accept connections")
 		}
 		wg.Go(func() { l.proxy(ctx, conn) })
 	}
@@ -130,7 +130,8 @@
 	wg.Wait()
 }
 
-// track registers a connection so that it can be closed.
+// track registers a connection so that it is closed when the link is dropped or ends. It
+// returns false if that is already the case.
 func (l *Link) track(ctx context.Context, c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,8 +148,8 @@
 	delete(l.conns, c)
 }
 
-// forward copies one direction. The end of one direction ends both, since HTTP
-// makes no use of half-closed connections.
+// forward copies data in one direction. The end of one direction closes both, since HTTP
+// does not use half-closed connections.
 func (l *Link) forward(ctx context.Context, to, from net.Conn, modes ...LinkMode) {
 	defer to.Close()
 	defer from.Close()
@@ -167,8 +168,8 @@
 	}
 }
 
-// awaitMode waits until the link is in one of the modes and then for its delay. It
-// reports false when the link is dropped or ctx ended.
+// awaitMode waits until the link is in one of the modes and then for the link's delay.
+// It returns false if the link is dropped or ctx ends.
 func (l *Link) awaitMode(ctx context.Context, modes ...LinkMode) bool {
 	for {
 		l.mu.Lock()
--- a/fakes/link_server.go
+++ b/fakes/link_server.go
@@ -10,9 +10,9 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Paths of a link server's control address.
+// Paths on the control address of a link server.
 const (
-	// PathLink precedes a link's name; PUT changes its state.
+	// PathLink is followed by the name of a link; PUT changes the link's state.
 	PathLink       = "/v1/links/"
 	PathLinksReady = "/v1/ready"
 )
@@ -24,8 +24,8 @@
 	Upstream string
 }
 
-// ServeLinks runs links and answers changes of their states on control until
-// ctx ends.
+// ServeLinks runs the links and serves changes of their states on the control listener
+// until ctx ends.
 func ServeLinks(ctx context.Context, control net.Listener, routes []LinkRoute) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
@@ -47,7 +47,7 @@
 
 func setLink(w http.ResponseWriter, r *http.Request, link *Link) {
 	if link == nil {
-		http.Error(w, "no such link", http.StatusNotFound)
+		http.Error(w, "unknown link", http.StatusNotFound)
 		return
 	}
 	var s LinkState
--- a/fakes/link_test.go
+++ b/fakes/link_test.go
@@ -10,8 +10,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// A connection that stands when its link is cut hears nothing and is not closed;
-// what was sent meanwhile arrives once the link is healed.
+// A connection that is open when its link is cut receives nothing and is not closed;
+// data sent in the meantime arrives once the link is open again.
 func TestLinkCutKeepsConnectionsOpen(t *testing.T) {
 	echo := localListener(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,23 +51,23 @@
 	}{{LinkCut, 0}, {LinkCutReplies, 1}} {
 		_, _ = conn.Write([]byte("a"))
 		if err := reads(long); err != nil || <-received != 'a' {
-			t.Fatalf("an open link: %v", err)
+			t.Fatalf("open link: %v", err)
 		}
 		_ = link.Set(LinkState{Mode: c.mode})
 		_, _ = conn.Write([]byte("b"))
 		if err := reads(short); err == nil || err == io.EOF {
-			t.Errorf("%s: reading gave %v, want silence", c.mode, err)
+			t.Errorf("%s: read returned %v, want a timeout", c.mode, err)
 		}
 		if len(received) != c.arrives {
 			t.Errorf("%s: %d bytes arrived, want %d", c.mode, len(received), c.arrives)
 		}
 		_ = link.Set(LinkState{Mode: LinkOpen})
 		if err := reads(long); err != nil || <-received != 'b' {
-			t.Errorf("%s: after healing: %v", c.mode, err)
+			t.Errorf("%s: after the link was opened again: %v", c.mode, err)
 		}
 	}
 	_ = link.Set(LinkState{Mode: LinkDropped})
 	if err := reads(long); err == nil {
-		t.Error("a dropped link still carries")
+		t.Error("a dropped link still forwards data")
 	}
 }
--- a/fakes/path_test.go
+++ b/fakes/path_test.go
@@ -11,7 +11,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// startAgentStub counts what a target announces.
+// startAgentStub starts an agent that counts the announcements and withdrawals of targets.
 func startAgentStub(t *testing.T) (address string, puts, deletes *atomic.Int64) {
 	puts, deletes = new(atomic.Int64), new(atomic.Int64)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -36,9 +36,9 @@
 
 const requestCount = 400
 
-// A caller straight at a target that spoils answers in every way: the caller
-// never takes a spoilt answer for its own, each request is in the target's
-// record, and the target takes its announcement back.
+// A caller is connected directly to a target that corrupts answers in every way. The
+// caller must not accept a corrupted answer as correct, each request must be in the
+// target's record, and the target must withdraw its announcement.
 func TestCallerDetectsEveryFault(t *testing.T) {
 	agent, puts, deletes := startAgentStub(t)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,24 +63,24 @@
 	caller.Run(ctx)
 
 	counts := map[Outcome]int{}
-	own := 0
+	correct := 0
 	for _, c := range calls.Values() {
 		if c.Result != nil {
 			counts[c.Result.Outcome]++
 			if c.Result.Correct {
-				own++
+				correct++
 			}
 		}
 	}
-	if counts[Lost] == 0 || counts[Unnamed] == 0 || own == 0 || own >= counts[Unnamed] {
-		t.Errorf("outcomes %v with %d own answers: want lost, foreign and own ones", counts, own)
+	if counts[Lost] == 0 || counts[Unnamed] == 0 || correct == 0 || correct >= counts[Unnamed] {
+		t.Errorf("outcomes %v with %d correct answers: want lost, wrong and correct ones", counts, correct)
 	}
 	if ran := len(record.Values()); ran != requestCount {
-		t.Errorf("the target ran %d of %d requests", ran, requestCount)
+		t.Errorf("target executed %d of %d requests", ran, requestCount)
 	}
 	cancel()
 	wg.Wait()
 	if puts.Load() < 2 || deletes.Load() != 1 {
-		t.Errorf("the agent saw %d announcements and %d leaves, want renewals and one leave", puts.Load(), deletes.Load())
+		t.Errorf("agent received %d announcements and %d withdrawals, want renewals and one withdrawal", puts.Load(), deletes.Load())
 	}
 }
--- a/fakes/record.go
+++ b/fakes/record.go
@@ -10,17 +10,17 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Recorder appends one JSON value a line to a file and keeps the values for
-// readers. Each line is one write, so what a killed process recorded stays whole
-// in the file but for its last line.
+// Recorder appends values to a file as JSON lines and keeps them in memory. Each line is
+// written by one write call, so if the process is killed only the last line may be
+// incomplete.
 type Recorder[T any] struct {
 	mu     sync.Mutex
 	file   *os.File
 	values []T
 }
 
-// NewRecorder returns a recorder that appends to the file at path; with an empty
-// path it keeps the values in memory only.
+// NewRecorder returns a recorder that appends to the file at path. If path is empty the
+// values are kept in memory only.
 func NewRecorder[T any](path string) (*Recorder[T], error) {
 	if path == "" {
 		return &Recorder[T]{}, nil
@@ -32,8 +32,8 @@
 	return &Recorder[T]{file: f}, nil
 }
 
-// Add records a value. A judge that lacks lines judges wrongly, so a failed
-// write stops the process.
+// Add records a value. It panics if the write fails, since Check gives wrong results for
+// an incomplete record.
 func (r *Recorder[T]) Add(v T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -60,15 +60,15 @@
 	return errors.Wrap(r.file.Close(), "record can't be closed")
 }
 
-// Values returns a copy of what was recorded by this process.
+// Values returns a copy of the values that this recorder added.
 func (r *Recorder[T]) Values() []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]T(nil), r.values...)
 }
 
-// ReadRecord returns the values of a record file. A torn last line, left by a
-// killed process, is passed over.
+// ReadRecord returns the values of a record file. It ignores an incomplete last line,
+// which a killed process may leave.
 func ReadRecord[T any](path string) ([]T, error) {
 	f, err := os.Open(path)
 	if err != nil {
--- a/fakes/reply_faults.go
+++ b/fakes/reply_faults.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// ReplyMode says what goes wrong with a reply.
+// ReplyMode is the kind of fault injected into a reply.
 type ReplyMode string
 
-// What can go wrong with a reply.
+// The kinds of reply faults.
 const (
-	// ReplyLost: the order is carried out and the connection closes without a reply.
+	// ReplyLost executes the order and closes the connection without a reply.
 	ReplyLost ReplyMode = "lost"
-	// ReplyLate: the order is carried out and the reply waits.
+	// ReplyLate executes the order and delays the reply.
 	ReplyLate ReplyMode = "late"
-	// OrderDuplicated: the order is carried out twice, as by a resent packet.
+	// OrderDuplicated executes the order twice, as after a retransmission.
 	OrderDuplicated ReplyMode = "doubled"
 )
 
-// ReplyFault makes the next Times replies on one path go wrong.
+// ReplyFault applies a fault to the next Times replies on one path.
 type ReplyFault struct {
 	Path    string    `json:"path"`
 	Mode    ReplyMode `json:"mode"`
@@ -29,13 +29,13 @@
 	DelayMS int64     `json:"delay_ms"`
 }
 
-// ReplyFaults injects faults in front of a handler.
+// ReplyFaults injects faults into the replies of a handler.
 type ReplyFaults struct {
 	mu     sync.Mutex
 	faults []ReplyFault
 }
 
-// Add arms a fault.
+// Add schedules a fault.
 func (f *ReplyFaults) Add(fault ReplyFault) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +54,7 @@
 	return ReplyFault{}, false
 }
 
-// Wrap returns a handler that carries out orders and spoils replies as armed.
+// Wrap returns a handler that passes orders to next and applies the scheduled faults.
 func (f *ReplyFaults) Wrap(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		fault, ok := f.take(r.URL.Path)
@@ -84,7 +84,7 @@
 	_, _ = w.Write(reply.body.Bytes())
 }
 
-// bufferedReply keeps a reply until its fate is decided.
+// bufferedReply holds a reply until the fault has been applied.
 type bufferedReply struct {
 	header http.Header
 	status int
@@ -99,7 +99,7 @@
 func (r *bufferedReply) WriteHeader(status int)      { r.status = status }
 func (r *bufferedReply) Write(b []byte) (int, error) { return r.body.Write(b) }
 
-// handleFault arms the fault in the body.
+// handleFault schedules the fault in the request's body.
 func (f *ReplyFaults) handleFault(w http.ResponseWriter, r *http.Request) {
 	var fault ReplyFault
 	if err := json.NewDecoder(r.Body).Decode(&fault); err != nil {
--- a/fakes/run_event.go
+++ b/fakes/run_event.go
@@ -6,10 +6,10 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// EventKind names what a RunEvent tells.
+// EventKind is the kind of a RunEvent.
 type EventKind string
 
-// The kinds of RunEvent.
+// The kinds of run events.
 const (
 	EventWorkerStart EventKind = "worker-start"
 	EventStart       EventKind = "start"
@@ -19,7 +19,7 @@
 	EventEnd         EventKind = "end"
 )
 
-// Why a run ended.
+// The reasons for the end of a run.
 const (
 	EndReasonSucceeded = "succeeded"
 	EndReasonFailed    = "failed"
@@ -27,8 +27,8 @@
 	EndReasonExpired   = "lease expired"
 )
 
-// RunEvent is one line of a worker's record. Times are readings of the boot
-// clock, which the workers of one host share.
+// RunEvent is one line of a worker's record. Times are readings of the boot clock, which
+// the workers of one host share.
 type RunEvent struct {
 	Kind        EventKind     `json:"kind"`
 	Worker      string        `json:"worker"`
@@ -44,7 +44,7 @@
 	Capacity    Amount        `json:"capacity"`
 }
 
-// Amount is an amount of what a worker has, in a form that can be compared.
+// Amount is a resource vector that can be compared and added.
 type Amount struct {
 	MilliProcessors int64 `json:"milli_processors,omitempty"`
 	MemoryBytes     int64 `json:"memory_bytes,omitempty"`
--- a/fakes/runchecker.go
+++ b/fakes/runchecker.go
@@ -10,10 +10,10 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// RunChecker checks, from what the workers do, what must always hold of submitted
-// jobs: no task runs in two places, none starts before its turn or after an end
-// that was taken note of, no worker is given more than it has, and a task that crashes its
-// workers is not started again and again.
+// RunChecker checks the invariants of submitted jobs against the runs of the stand-in
+// workers: no task runs on two workers at the same time, none starts before the steps on
+// which it depends have finished or after an end that was acknowledged, no worker's
+// capacity is exceeded, and a task that crashes its workers is not started repeatedly.
 type RunChecker struct {
 	mu              sync.Mutex
 	workers         []*RunWorker
@@ -21,27 +21,27 @@
 	finishedAt      map[jobqueue.TaskID]time.Time
 	acknowledgedEnd map[jobqueue.TaskID]time.Time
 	starts          map[jobqueue.TaskID][]time.Time
-	// crashes are the crashes of workers under tasks.
+	// crashes counts, for each task, the crashes of workers that were running it.
 	crashes    map[jobqueue.TaskID]*taskCrashes
 	violations []string
 }
 
-// taskCrashes counts the workers that crashed under a task, and the starts of one that causes it
-// since toleratedCrashes of them.
+// taskCrashes counts the workers that crashed while running a task and, for a task that
+// causes the crashes, its starts since toleratedCrashes of them.
 type taskCrashes struct {
 	crashes, startsAfter int
-	// causes: the task is what they crash of.
+	// causes reports that the task itself crashes its workers.
 	causes bool
 }
 
 const (
-	// toleratedCrashes is the number of crashes under a task after which its starts are counted, and
-	// toleratedStarts how many of them may follow.
+	// toleratedCrashes is the number of crashes after which the starts of a task that
+	// causes them are counted, and toleratedStarts the number of starts that may follow.
 	toleratedCrashes = 3
 	toleratedStarts  = 2
 )
 
-// NewRunChecker returns a watch that has seen nothing.
+// NewRunChecker returns a checker without jobs and workers.
 func NewRunChecker() *RunChecker {
 	return &RunChecker{
 		jobs: map[string]*apiv1.JobSpec{}, finishedAt: map[jobqueue.TaskID]time.Time{},
@@ -50,77 +50,78 @@
 	}
 }
 
-// AddJob tells the watch of a job.
-func (j *RunChecker) AddJob(spec *apiv1.JobSpec) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[spec.Id] = spec
+// AddJob registers a submitted job.
+func (rc *RunChecker) AddJob(spec *apiv1.JobSpec) {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.jobs[spec.Id] = spec
 }
 
-// Violations returns what was seen to go wrong.
-func (j *RunChecker) Violations() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]string(nil), j.violations...)
+// Violations returns the violations found so far.
+func (rc *RunChecker) Violations() []string {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return append([]string(nil), rc.violations...)
 }
 
-func (j *RunChecker) addWorker(w *RunWorker) {
-	if j == nil {
+func (rc *RunChecker) addWorker(w *RunWorker) {
+	if rc == nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.workers = append(j.workers, w)
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.workers = append(rc.workers, w)
 }
 
-// recordEnd takes in that a run ended, noted or not.
-func (j *RunChecker) recordEnd(_ *RunWorker, id jobqueue.RunID, kind apiv1.RunEndKind, at time.Time) {
-	if j == nil {
+// recordEnd records the end of a run, whether or not the leader acknowledges it.
+func (rc *RunChecker) recordEnd(_ *RunWorker, id jobqueue.RunID, kind apiv1.RunEndKind, at time.Time) {
+	if rc == nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	if kind == apiv1.RunEndKind_RUN_END_KIND_DONE {
-		j.finishedAt[id.Task] = at
+		rc.finishedAt[id.Task] = at
 	}
 }
 
-// recordCrash takes in that a worker crashed; its lock is held.
-func (j *RunChecker) recordCrash(w *RunWorker) {
-	if j == nil {
+// recordCrash records the crash of a worker. The caller must hold the worker's lock.
+func (rc *RunChecker) recordCrash(w *RunWorker) {
+	if rc == nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	for task, r := range w.running {
-		c := j.crashesOf(task)
+		c := rc.crashesOf(task)
 		c.crashes++
 		c.causes = c.causes || r.work.CrashAfter > 0
 	}
 }
 
-// CrashesDuring returns how many workers crashed under a task.
-func (j *RunChecker) CrashesDuring(task jobqueue.TaskID) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.crashesOf(task).crashes
+// CrashesDuring returns the number of workers that crashed while running a task.
+func (rc *RunChecker) CrashesDuring(task jobqueue.TaskID) int {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	return rc.crashesOf(task).crashes
 }
 
-func (j *RunChecker) crashesOf(task jobqueue.TaskID) *taskCrashes {
-	c := j.crashes[task]
+func (rc *RunChecker) crashesOf(task jobqueue.TaskID) *taskCrashes {
+	c := rc.crashes[task]
 	if c == nil {
 		c = &taskCrashes{}
-		j.crashes[task] = c
+		rc.crashes[task] = c
 	}
 	return c
 }
 
-// Crashes returns how many workers crashed under tasks that cause it.
-func (j *RunChecker) Crashes() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// Crashes returns the number of workers that crashed while running a task that causes
+// crashes.
+func (rc *RunChecker) Crashes() int {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	total := 0
-	for _, c := range j.crashes {
+	for _, c := range rc.crashes {
 		if c.causes {
 			total += c.crashes
 		}
@@ -128,94 +129,98 @@
 	return total
 }
 
-// Starts returns how many runs began.
-func (j *RunChecker) Starts() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// Starts returns the number of runs started.
+func (rc *RunChecker) Starts() int {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
 	total := 0
-	for _, starts := range j.starts {
+	for _, starts := range rc.starts {
 		total += len(starts)
 	}
 	return total
 }
 
-// checkCrashes counts a start of a task that crashes its workers.
-func (j *RunChecker) checkCrashes(id jobqueue.RunID) {
-	c := j.crashes[id.Task]
+// checkCrashes counts a start of a task that crashes its workers and reports one start
+// too many. The caller must hold the lock.
+func (rc *RunChecker) checkCrashes(id jobqueue.RunID) {
+	c := rc.crashes[id.Task]
 	if c == nil || !c.causes || c.crashes < toleratedCrashes {
 		return
 	}
 	c.startsAfter++
 	if c.startsAfter > toleratedStarts {
-		j.addViolation("%v is start %d after %d workers crashed under the task", id, c.startsAfter, toleratedCrashes)
+		rc.addViolation("%v is start %d after %d workers crashed while running the task", id, c.startsAfter, toleratedCrashes)
 	}
 }
 
-// recordAcknowledgedEnd takes in that a good end of a task at some time was taken note of. No start
-// may follow that end, neither before it was noted nor after.
-func (j *RunChecker) recordAcknowledgedEnd(task jobqueue.TaskID, at time.Time) {
-	if j == nil {
+// recordAcknowledgedEnd records that the leader acknowledged the successful end of a task
+// at the given time. No start may follow that end, neither before nor after the
+// acknowledgement.
+func (rc *RunChecker) recordAcknowledgedEnd(task jobqueue.TaskID, at time.Time) {
+	if rc == nil {
 		return
 	}
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.acknowledgedEnd[task] = at
-	for _, start := range j.starts[task] {
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.acknowledgedEnd[task] = at
+	for _, start := range rc.starts[task] {
 		if start.After(at) {
-			j.addViolation("%v started at %s, after its noted end at %s", task, start.Format("05.000"), at.Format("05.000"))
+			rc.addViolation("%v started at %s, after its acknowledged end at %s", task, start.Format("05.000"), at.Format("05.000"))
 		}
 	}
 }
 
-// checkStart judges a start. The calling worker's lock is held; the others are asked
-// beside the call, since two of them may ask each other.
-func (j *RunChecker) checkStart(w *RunWorker, id jobqueue.RunID) {
-	if j == nil {
+// checkStart checks a start. The caller must hold the lock of its worker. The other
+// workers are checked in a separate goroutine, since two workers that check each other
+// would deadlock.
+func (rc *RunChecker) checkStart(w *RunWorker, id jobqueue.RunID) {
+	if rc == nil {
 		return
 	}
 	now := time.Now()
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.starts[id.Task] = append(j.starts[id.Task], now)
-	spec := j.jobs[id.Task.Job]
+	rc.mu.Lock()
+	defer rc.mu.Unlock()
+	rc.starts[id.Task] = append(rc.starts[id.Task], now)
+	spec := rc.jobs[id.Task.Job]
 	if spec == nil {
-		j.addViolation("%v starts, which nobody submitted", id)
+		rc.addViolation("%v starts, but its job was not submitted", id)
 		return
 	}
-	if at, noted := j.acknowledgedEnd[id.Task]; noted && now.After(at) {
-		j.addViolation("%v starts after its end was noted", id)
+	if at, acknowledged := rc.acknowledgedEnd[id.Task]; acknowledged && now.After(at) {
+		rc.addViolation("%v starts after its end was acknowledged", id)
 	}
-	j.checkCrashes(id)
-	j.checkStepOrder(spec, id)
-	j.checkPlacement(spec, w, id)
-	if used := j.reservedOn(w); !w.allows(used) {
-		j.addViolation("%s runs %v of %v with %v", w.Spec.Id, used, capacityOf(w.Spec), id)
+	rc.checkCrashes(id)
+	rc.checkStepOrder(spec, id)
+	rc.checkPlacement(spec, w, id)
+	if used := rc.reservedOn(w); !w.allows(used) {
+		rc.addViolation("worker %s: its runs reserve %v of its capacity %v after the start of %v", w.Spec.Id, used, capacityOf(w.Spec), id)
 	}
-	go j.checkOtherWorkers(w, id)
+	go rc.checkOtherWorkers(w, id)
 }
 
-func (j *RunChecker) checkStepOrder(spec *apiv1.JobSpec, id jobqueue.RunID) {
+func (rc *RunChecker) checkStepOrder(spec *apiv1.JobSpec, id jobqueue.RunID) {
 	for _, before := range spec.Steps[id.Task.Step].After {
 		step := spec.Steps[before]
 		ended := uint32(0)
 		for i := range step.Count {
 			task := jobqueue.TaskID{Job: id.Task.Job, Occurrence: id.Task.Occurrence, Step: before, Index: i}
-			if _, done := j.finishedAt[task]; done {
+			if _, done := rc.finishedAt[task]; done {
 				ended++
 			}
 		}
-		// The end of one member of a gang stands for all.
+		// A gang has finished if one of its members has.
 		if ended < step.Count && !(step.Gang && ended > 0) {
-			j.addViolation("%v starts when %d of %d tasks of step %d are done", id, ended, step.Count, before)
+			rc.addViolation("%v starts when only %d of %d tasks of step %d have finished", id, ended, step.Count, before)
 		}
 	}
 }
 
-// checkPlacement checks label, spread, due time and draining; the worker's lock is held.
-func (j *RunChecker) checkPlacement(spec *apiv1.JobSpec, w *RunWorker, id jobqueue.RunID) {
+// checkPlacement checks the required label, the run of a gang, the limit per worker and
+// the start time. The caller must hold the worker's lock.
+func (rc *RunChecker) checkPlacement(spec *apiv1.JobSpec, w *RunWorker, id jobqueue.RunID) {
 	step := spec.Steps[id.Task.Step]
 	if step.RequiredLabel != "" && !slices.Contains(w.Spec.Labels, step.RequiredLabel) {
-		j.addViolation("%v starts on %s, which lacks the label %q", id, w.Spec.Id, step.RequiredLabel)
+		rc.addViolation("%v starts on %s, which lacks the label %q", id, w.Spec.Id, step.RequiredLabel)
 	}
 	beside := 0
 	for task, run := range w.running {
@@ -224,50 +229,51 @@
 		}
 		beside++
 		if step.Gang && run.id.Number != id.Number {
-			j.addViolation("%v starts beside run %d of its gang", id, run.id.Number)
+			rc.addViolation("%v starts on the worker of run %d of its gang", id, run.id.Number)
 		}
 	}
 	if step.MaxPerWorker > 0 && beside > int(step.MaxPerWorker) {
-		j.addViolation("%d tasks of the step of %v run on %s", beside, id, w.Spec.Id)
+		rc.addViolation("%d tasks of the step of %v run on %s, more than its limit per worker", beside, id, w.Spec.Id)
 	}
 	due := time.UnixMilli(spec.StartAtMs + int64(id.Task.Occurrence)*spec.IntervalMs)
 	if spec.Occurrences > 0 && time.Now().Before(due) {
-		j.addViolation("%v starts %v early", id, time.Until(due))
+		rc.addViolation("%v starts %v before its start time", id, time.Until(due))
 	}
 }
 
-// checkOtherWorkers looks for a run of the same task elsewhere.
-func (j *RunChecker) checkOtherWorkers(w *RunWorker, id jobqueue.RunID) {
-	j.mu.Lock()
-	others := append([]*RunWorker(nil), j.workers...)
-	j.mu.Unlock()
+// checkOtherWorkers checks that no other worker runs the same task.
+func (rc *RunChecker) checkOtherWorkers(w *RunWorker, id jobqueue.RunID) {
+	rc.mu.Lock()
+	others := append([]*RunWorker(nil), rc.workers...)
+	rc.mu.Unlock()
 	for _, other := range others {
 		if other == w || !other.isRunning(id.Task) {
 			continue
 		}
-		j.mu.Lock()
-		j.addViolation("%v starts on %s while the task runs on %s", id, w.Spec.Id, other.Spec.Id)
-		j.mu.Unlock()
+		rc.mu.Lock()
+		rc.addViolation("%v starts on %s while the task runs on %s", id, w.Spec.Id, other.Spec.Id)
+		rc.mu.Unlock()
 	}
 }
 
-// addViolation notes a violation; j.mu is held.
-func (j *RunChecker) addViolation(format string, args ...any) {
-	j.violations = append(j.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
+// addViolation records a violation. The caller must hold rc.mu.
+func (rc *RunChecker) addViolation(format string, args ...any) {
+	rc.violations = append(rc.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// reservedOn sums what a worker's runs take; the worker's lock is held.
-func (j *RunChecker) reservedOn(w *RunWorker) jobqueue.Resources {
+// reservedOn returns the sum of the resources reserved for the runs on a worker. The
+// caller must hold the worker's lock.
+func (rc *RunChecker) reservedOn(w *RunWorker) jobqueue.Resources {
 	var sum jobqueue.Resources
 	for task := range w.running {
-		if spec := j.jobs[task.Job]; spec != nil {
+		if spec := rc.jobs[task.Job]; spec != nil {
 			sum = sum.Add(jobqueue.Reserved(spec.Steps[task.Step]))
 		}
 	}
 	return sum
 }
 
-// isRunning reports whether the worker runs a task right now.
+// isRunning reports whether the worker currently runs a task.
 func (w *RunWorker) isRunning(task jobqueue.TaskID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/fakes/runworker.go
+++ b/fakes/runworker.go
@@ -15,69 +15,74 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// OrderFault is what goes wrong with one call of a RunWorker.
+// OrderFault is a fault injected into one call of a RunWorker or Hosts.
 type OrderFault struct {
-	// Lost: the call is not carried out and gets no answer.
+	// Lost calls are neither executed nor answered.
 	Lost bool
-	// Late: the call gets no answer and is carried out so much later.
+	// Late, if not zero, leaves the call unanswered and executes it after this delay.
 	Late time.Duration
 }
 
-// Work is what a run does.
+// Work describes what a run does.
 type Work struct {
-	// Duration is how long it works; 0 means until it is stopped.
+	// Duration is how long the run works; 0 means until it is stopped.
 	Duration time.Duration
-	// Fails: it ends failed.
+	// Fails makes the run end as failed.
 	Fails bool
-	// CrashAfter is how long after its start it crashes the worker; 0 for never.
+	// CrashAfter is the time from the start of the run until it crashes the worker; 0
+	// means never.
 	CrashAfter time.Duration
-	// Startup is how long a task that lasts takes to be at work. Others tell their progress.
+	// Startup is how long a long-running task takes from its start until all of it is
+	// running. Other tasks report their progress instead.
 	Startup     time.Duration
 	LongRunning bool
 }
 
-// RunObserver is told what becomes of runs.
+// RunObserver is notified of the starts and ends of runs and of expired leases.
 type RunObserver interface {
 	RunBegan(run jobqueue.RunID, at time.Time)
 	RunEnded(run jobqueue.RunID, kind apiv1.RunEndKind, at time.Time)
-	// LeaseExpired: the worker's lease ran out, whether anything ran under it or not.
+	// LeaseExpired is called when the worker's lease has expired, whether or not anything
+	// ran under it.
 	LeaseExpired(at time.Time)
 }
 
-// RunWorker is a stand-in for a worker that runs submitted jobs' tasks under one
-// lease: numbered runs, refusals of old ones, a list of ends with a cursor, a clock
-// of its own that may be slow, and orders that are lost or carried out late.
+// RunWorker is a stand-in for a worker that runs the tasks of submitted jobs under one
+// lease. It numbers runs and refuses old ones, lists ended runs with a cursor, has a clock
+// of its own that may be slow, and can lose orders or execute them late.
 type RunWorker struct {
 	// Spec describes the worker; its id is the incarnation.
 	Spec *apiv1.JobWorker
-	// ClockRatePPM is how much slower than true time its clock runs.
+	// ClockRatePPM is how much slower than true time its clock runs, in parts per million.
 	ClockRatePPM int64
-	// ClockStartMs is what its clock shows at its start; a million when 0.
+	// ClockStartMs is the reading of its clock at its start; 0 means defaultClockStartMs.
 	ClockStartMs int64
-	// Fault is asked for each call; nil means that nothing goes wrong.
+	// Fault returns the fault to apply to a call; nil means no faults.
 	Fault func(call string) OrderFault
-	// Duration is how long a task works; 0 means until it is stopped.
+	// Duration returns how long a task works; 0 means until it is stopped.
 	Duration func(jobqueue.TaskID) time.Duration
-	// Fails tells which runs end failed.
+	// Fails reports whether a run ends as failed.
 	Fails func(jobqueue.RunID) bool
-	// CrashAfter tells which runs crash the worker; see Work.
+	// CrashAfter returns when a run crashes the worker; see Work.
 	CrashAfter func(jobqueue.RunID) time.Duration
-	// OnCrash is called when a run crashes the worker; it has to end the worker.
+	// OnCrash is called when a run crashes the worker; it must end the worker.
 	OnCrash func()
-	// Work, if set, tells what a run does from its payload, instead of Duration, Fails and CrashAfter.
+	// Work, if set, determines what a run does from its payload. It replaces Duration,
+	// Fails and CrashAfter.
 	Work func(run jobqueue.RunID, payload string) Work
-	// Observer, if set, is told of the begin and end of every run. The worker's lock is held.
+	// Observer, if set, is notified of the start and end of every run and of expired
+	// leases. The worker's lock is held during the call.
 	Observer RunObserver
-	// Advisor, if set, gives the tickets that starts need.
+	// Advisor, if set, validates the ticket of each start.
 	Advisor *Advisor
-	// Checker is told of every run; nil for none.
+	// Checker checks every run; it may be nil.
 	Checker *RunChecker
 
 	mu        sync.Mutex
 	startedAt time.Time
 	crashed   bool
 	draining  bool
-	// registered is set once the judge knows the worker.
+	// registered is set once the worker has been added to the checker.
 	registered bool
 	term       uint64
 	deadlineMs int64
@@ -87,11 +92,11 @@
 	newestRun  map[jobqueue.TaskID]uint64
 	ended      []*apiv1.RunEnd
 	endedAt    map[uint64]time.Time
-	// previousCapacities are the capacities before changes.
+	// previousCapacities are the capacities before each change.
 	previousCapacities []previousCapacity
-	// calledAt is when the call came that is being carried out.
+	// calledAt is when the call that is being executed arrived.
 	calledAt time.Time
-	// expiredAt is when the lease ran out last.
+	// expiredAt is when the lease last expired.
 	expiredAt time.Time
 	endSignal chan struct{}
 }
@@ -104,24 +109,24 @@
 }
 
 const (
-	// defaultClockStartMs is what the clock of a new worker shows by default.
+	// defaultClockStartMs is the default reading of a new worker's clock.
 	defaultClockStartMs = 1_000_000
-	// maxLeaseMs is the longest lease that it grants.
+	// maxLeaseMs is the longest lease that a worker accepts.
 	maxLeaseMs            = 6000
 	checkpointIntervalSec = 1
 	partsPerMillion       = 1_000_000
 )
 
-// NewRunWorker returns a worker that runs nothing yet.
-func NewRunWorker(spec *apiv1.JobWorker, judge *RunChecker) *RunWorker {
+// NewRunWorker returns a worker without runs.
+func NewRunWorker(spec *apiv1.JobWorker, checker *RunChecker) *RunWorker {
 	return &RunWorker{
-		Spec: spec, Checker: judge, startedAt: time.Now(),
+		Spec: spec, Checker: checker, startedAt: time.Now(),
 		running: map[jobqueue.TaskID]*workerRun{}, newestRun: map[jobqueue.TaskID]uint64{},
 		endSignal: make(chan struct{}), endedAt: map[uint64]time.Time{},
 	}
 }
 
-// Crash ends the worker and all that runs on it, without a word.
+// Crash ends the worker and all its runs without reporting the ends.
 func (w *RunWorker) Crash() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -133,14 +138,14 @@
 	clear(w.running)
 }
 
-// Drain has the worker say from now on that it is about to leave.
+// Drain makes the worker report from now on that it is draining.
 func (w *RunWorker) Drain() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.draining = true
 }
 
-// Resize changes the worker's capacity while it runs.
+// Resize changes the capacity of the running worker.
 func (w *RunWorker) Resize(cpuMilli, memoryMB int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -150,7 +155,7 @@
 	w.Spec = spec
 }
 
-// previousCapacity is what a worker had until a change.
+// previousCapacity is the capacity of a worker until a change.
 type previousCapacity struct {
 	capacity jobqueue.Resources
 	until    time.Time
@@ -160,17 +165,19 @@
 	return jobqueue.Resources{CPUMilli: spec.CpuMilli, MemoryMB: spec.MemoryMb, Accelerators: spec.Accelerators}
 }
 
-// shrinkGrace is how long after a shrinking of the capacity a call may still go by the one before.
+// shrinkGrace is how long after a reduction of the capacity a call may still rely on the
+// previous one.
 const shrinkGrace = 3700 * time.Millisecond
 
-// allows reports whether the worker may hold so much; its lock is held.
+// allows reports whether the reserved resources fit the current or a recent capacity. The
+// caller must hold w.mu.
 func (w *RunWorker) allows(used jobqueue.Resources) bool {
 	return used.Fits(capacityOf(w.Spec)) || slices.ContainsFunc(w.previousCapacities, func(f previousCapacity) bool {
 		return w.calledAt.Sub(f.until) < shrinkGrace && used.Fits(f.capacity)
 	})
 }
 
-// Description is what the worker says of itself.
+// Description returns the description that the worker reports, including whether it drains.
 func (w *RunWorker) Description() *apiv1.JobWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,10 +186,10 @@
 	return spec
 }
 
-// ClockMs is what the worker's clock shows.
+// ClockMs returns the reading of the worker's clock.
 func (w *RunWorker) ClockMs() int64 { return w.clockMs(time.Now()) }
 
-// Running returns the tasks that are at work.
+// Running returns the running tasks.
 func (w *RunWorker) Running() []jobqueue.TaskID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -190,7 +197,7 @@
 	return slices.Collect(maps.Keys(w.running))
 }
 
-// limitDeadline brings a deadline down to the longest lease that the worker grants.
+// limitDeadline limits a deadline to the longest lease that the worker accepts.
 func (w *RunWorker) limitDeadline(deadlineMs int64) int64 {
 	return min(deadlineMs, w.clockMs(time.Now())+maxLeaseMs)
 }
@@ -202,35 +209,36 @@
 
 func (w *RunWorker) clockStart() int64 { return cmp.Or(w.ClockStartMs, defaultClockStartMs) }
 
-// expiryTime is when the lease runs out.
+// expiryTime returns the true time at which the lease expires by the worker's clock.
 func (w *RunWorker) expiryTime() time.Time {
-	left := (w.deadlineMs - w.clockStart()) * partsPerMillion / (partsPerMillion - w.ClockRatePPM)
-	return w.startedAt.Add(time.Duration(left) * time.Millisecond)
+	elapsed := (w.deadlineMs - w.clockStart()) * partsPerMillion / (partsPerMillion - w.ClockRatePPM)
+	return w.startedAt.Add(time.Duration(elapsed) * time.Millisecond)
 }
 
-// advance ends what has ended by now; w.mu is held.
+// advance ends the runs that have finished or whose lease has expired since the last call.
+// The caller must hold w.mu.
 func (w *RunWorker) advance() {
 	now := time.Now()
-	lapse := w.expiryTime()
-	if w.deadlineMs > 0 && !lapse.After(now) && !lapse.Equal(w.expiredAt) {
-		w.expiredAt = lapse
+	expiry := w.expiryTime()
+	if w.deadlineMs > 0 && !expiry.After(now) && !expiry.Equal(w.expiredAt) {
+		w.expiredAt = expiry
 		if w.Observer != nil {
-			w.Observer.LeaseExpired(lapse)
+			w.Observer.LeaseExpired(expiry)
 		}
 	}
 	for task, r := range w.running {
 		end := r.startedAt.Add(r.work.Duration)
-		works := r.work.Duration > 0 && !end.After(now)
-		lapsed := !lapse.After(now)
+		finished := r.work.Duration > 0 && !end.After(now)
+		expired := !expiry.After(now)
 		switch {
-		case works && (!lapsed || end.Before(lapse)):
+		case finished && (!expired || end.Before(expiry)):
 			kind := apiv1.RunEndKind_RUN_END_KIND_DONE
 			if r.work.Fails {
 				kind = apiv1.RunEndKind_RUN_END_KIND_FAILED
 			}
 			w.end(task, r, kind, end)
-		case lapsed:
-			w.end(task, r, apiv1.RunEndKind_RUN_END_KIND_LAPSED, lapse)
+		case expired:
+			w.end(task, r, apiv1.RunEndKind_RUN_END_KIND_LAPSED, expiry)
 		}
 	}
 }
@@ -251,7 +259,8 @@
 	}
 }
 
-// lastCheckpoint is the checkpoint of the last whole second of work.
+// lastCheckpoint returns the checkpoint of the last whole second of work, or the one from
+// which the run started if there is none.
 func (r *workerRun) lastCheckpoint() string {
 	worked := int(time.Since(r.startedAt).Seconds()) / checkpointIntervalSec
 	if worked == 0 {
@@ -260,13 +269,13 @@
 	return fmt.Sprintf("%v@%d", r.id.Task, worked)
 }
 
-// crashFrom crashes the worker if a run is still there.
+// crashFrom calls OnCrash if the run is still in progress.
 func (w *RunWorker) crashFrom(r *workerRun) {
 	w.mu.Lock()
 	w.advance()
-	there := !w.crashed && w.running[r.id.Task] == r
+	inProgress := !w.crashed && w.running[r.id.Task] == r
 	w.mu.Unlock()
-	if there && w.OnCrash != nil {
+	if inProgress && w.OnCrash != nil {
 		w.OnCrash()
 	}
 }
@@ -288,14 +297,15 @@
 
 const fullPercent = 100
 
-// percent is how far a task has come, or how much of a task that lasts is at work.
+// percent returns the progress of a task or, for a long-running task, the part of it that
+// is running.
 func (r *workerRun) percent() uint32 {
-	whole := r.work.Duration
+	total := r.work.Duration
 	if r.work.LongRunning {
-		whole = r.work.Startup
+		total = r.work.Startup
 	}
-	if whole == 0 {
+	if total == 0 {
 		return fullPercent
 	}
-	return uint32(min(fullPercent, fullPercent*time.Since(r.startedAt)/whole))
+	return uint32(min(fullPercent, fullPercent*time.Since(r.startedAt)/total))
 }
--- a/fakes/runworker_calls.go
+++ b/fakes/runworker_calls.go
@@ -9,15 +9,15 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// call carries a call out, or loses or delays it. It returns false when there is no
-// answer.
+// call executes a call, or loses or delays it according to Fault. It returns false if the
+// call is not answered.
 func (w *RunWorker) call(ctx context.Context, name string, f func()) bool {
 	var fault OrderFault
 	if w.Fault != nil {
 		fault = w.Fault(name)
 	}
 	calledAt := time.Now()
-	carryOut := func() {
+	execute := func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.advance()
@@ -25,17 +25,18 @@
 		f()
 	}
 	if fault.Late > 0 {
-		time.AfterFunc(fault.Late, carryOut)
+		time.AfterFunc(fault.Late, execute)
 	}
 	if fault.Lost || fault.Late > 0 {
 		<-ctx.Done()
 		return false
 	}
-	carryOut()
+	execute()
 	return true
 }
 
-// check refuses calls for another incarnation or under an old term; w.mu is held.
+// check refuses calls for another incarnation or under an old term. The caller must hold
+// w.mu.
 func (w *RunWorker) check(o runs.Order) runs.Answer {
 	switch {
 	case w.crashed || o.Incarnation != w.Spec.Id:
@@ -123,10 +124,10 @@
 func (w *RunWorker) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
 	var status runs.Status
 	var answer runs.Answer
-	var news <-chan struct{}
+	var ended <-chan struct{}
 	renew := func() {
 		answer = w.renew(o, r)
-		status, news = w.status(), w.endSignal
+		status, ended = w.status(), w.endSignal
 	}
 	if !w.call(ctx, "renew", renew) {
 		return runs.Status{}, 0, ctx.Err()
@@ -137,7 +138,7 @@
 	timer := time.NewTimer(min(r.Wait, w.untilNextEnd()))
 	defer timer.Stop()
 	select {
-	case <-news:
+	case <-ended:
 	case <-timer.C:
 	case <-ctx.Done():
 		return status, 0, ctx.Err()
@@ -151,7 +152,7 @@
 	return w.status(), answer, nil
 }
 
-// untilNextEnd is the time to the next end by itself.
+// untilNextEnd returns the time until the next run finishes its work.
 func (w *RunWorker) untilNextEnd() time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -179,8 +180,8 @@
 	return runs.AnswerDone
 }
 
-// reportAcknowledgedEnd tells the judge of an end that was taken note of; one from before the lease
-// ran out doesn't count, since the leader had given the run up by then.
+// reportAcknowledgedEnd reports an acknowledged end to the checker, except one that
+// precedes the expiry of the lease: the leader then had already declared the run lost.
 func (w *RunWorker) reportAcknowledgedEnd(e *apiv1.RunEnd) {
 	at := w.endedAt[e.Sequence]
 	if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE && !w.expiredAt.After(at) {
--- a/fakes/target.go
+++ b/fakes/target.go
@@ -21,8 +21,8 @@
 
 const (
 	targetShutdownGrace = 30 * time.Second
-	// quietPeriod without a request follows a target's leave, so that requests
-	// its agent let through just before are served.
+	// quietPeriod is how long a leaving target must have received no request before it
+	// stops, so that requests that its agent admitted just before are still served.
 	quietPeriod       = 200 * time.Millisecond
 	drainPollInterval = 10 * time.Millisecond
 )
@@ -30,16 +30,16 @@
 // TargetConfig describes a stand-in target.
 type TargetConfig struct {
 	Announcement Announcement
-	// Work is how long a request takes when it does not say itself.
+	// Work is the duration of a request that does not set its own.
 	Work   time.Duration
 	Faults TargetFaults
 	Seed   int64
-	// NoRecord is for measurements: requests are not recorded.
+	// NoRecord disables the recording of requests, for measurements.
 	NoRecord bool
 }
 
-// ExecutedRequest is one line of a target's record, written before the work begins.
-// Equal request ids on several lines mean that the request ran several times.
+// ExecutedRequest is one line of a target's record, written before the work begins. If
+// several lines have the same request id, the request ran several times.
 type ExecutedRequest struct {
 	Target    string        `json:"target"`
 	CallerID  string        `json:"caller_id"`
@@ -47,14 +47,14 @@
 	Method    string        `json:"method"`
 	URI       string        `json:"uri"`
 	At        time.Duration `json:"at_ns"`
-	// Process tells starts of a target apart.
+	// Process is the process id, which distinguishes the starts of a target.
 	Process int `json:"process"`
-	// Left marks the line that says when the agent took note that the target
-	// leaves; it is no request.
+	// Left marks a line that is not a request: it records when the agent acknowledged
+	// that the target leaves.
 	Left bool `json:"left,omitempty"`
 }
 
-// Target answers requests for one service.
+// Target is a stand-in target that answers requests for one service.
 type Target struct {
 	cfg           TargetConfig
 	record        *Recorder[ExecutedRequest]
@@ -67,7 +67,7 @@
 	faults TargetFaults
 }
 
-// NewTarget returns a target.
+// NewTarget returns a target that adds its requests to record.
 func NewTarget(cfg TargetConfig, record *Recorder[ExecutedRequest]) *Target {
 	return &Target{
 		cfg:    cfg,
@@ -77,9 +77,9 @@
 	}
 }
 
-// Serve announces the target to its agent and answers on listener. When ctx
-// ends it leaves: it takes its announcement back, finishes what its agent still
-// sends, and returns.
+// Serve announces the target to its agent and serves requests on listener. When ctx ends
+// the target leaves: it withdraws its announcement, finishes the requests that its agent
+// still sends, and returns.
 func (t *Target) Serve(ctx context.Context, listener net.Listener, agent string) error {
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
@@ -93,12 +93,12 @@
 	return serve(serving, listener, t.Handler(), targetShutdownGrace)
 }
 
-// recordLeave records that the agent has taken note of the leave.
+// recordLeave records that the agent has acknowledged that the target leaves.
 func (t *Target) recordLeave() {
 	t.record.Add(ExecutedRequest{Target: t.cfg.Announcement.Name, At: worker.Now(), Process: os.Getpid(), Left: true})
 }
 
-// drain waits until no request is in progress nor was seen lately.
+// drain waits until no request is in progress and none arrived during the quiet period.
 func (t *Target) drain() {
 	t.lastRequestAt.Store(int64(worker.Now()))
 	for t.inFlight.Load() > 0 || worker.Now()-time.Duration(t.lastRequestAt.Load()) < quietPeriod {
@@ -106,8 +106,8 @@
 	}
 }
 
-// Handler returns the target's HTTP interface: PathTargetRecord and
-// PathTargetFaults for tests, anything else is a request.
+// Handler returns the target's HTTP handler. PathTargetRecord and PathTargetFaults are
+// reserved for tests; any other path is a request for the service.
 func (t *Target) Handler() http.Handler {
 	r := httprouter.New()
 	r.HandlerFunc(http.MethodGet, PathTargetRecord, t.serveRecord)
@@ -117,7 +117,7 @@
 	return r
 }
 
-// Paths that the stand-in target keeps for tests.
+// Paths that the stand-in target reserves for tests.
 const (
 	PathTargetRecord = "/fake/record"
 	PathTargetFaults = "/fake/faults"
@@ -144,14 +144,14 @@
 	t.lastRequestAt.Store(int64(worker.Now()))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		http.Error(w, "the body is short", http.StatusBadRequest)
+		http.Error(w, "request body is incomplete or too large", http.StatusBadRequest)
 		return
 	}
 	t.recordRequest(r)
 	t.work(r)
 	size, _ := strconv.Atoi(r.Header.Get(HeaderAnswerBytes))
-	whole := Answer(r.Header.Get(HeaderCallerID), r.Method, r.URL.RequestURI(), body, min(size, maxBodyBytes))
-	t.respond(w, reply{requestID: r.Header.Get(HeaderRequestID), body: whole})
+	answer := Answer(r.Header.Get(HeaderCallerID), r.Method, r.URL.RequestURI(), body, min(size, maxBodyBytes))
+	t.respond(w, reply{requestID: r.Header.Get(HeaderRequestID), body: answer})
 }
 
 func (t *Target) recordRequest(r *http.Request) {
@@ -169,8 +169,8 @@
 	})
 }
 
-// work takes its time even when the caller is gone: work that has begun is not
-// undone by a cut connection.
+// work sleeps for the duration of the request even if the caller has disconnected, since
+// work in progress is not undone by a broken connection.
 func (t *Target) work(r *http.Request) {
 	d := t.cfg.Work
 	if ms, err := strconv.Atoi(r.Header.Get(HeaderWorkMS)); err == nil {
--- a/fakes/target_faults.go
+++ b/fakes/target_faults.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// TargetFaults gives the share of requests, 0 to 1, whose answers go wrong in
-// each way. Each request runs all the same.
+// TargetFaults is the fraction of requests, from 0 to 1, to whose answers each kind of
+// fault is applied. The requests themselves are executed.
 type TargetFaults struct {
-	// Truncated answers end before their declared length.
+	// Truncated answers are shorter than their declared length.
 	Truncated float64 `json:"truncated"`
-	// Swapped answers go to another request in progress.
+	// Swapped answers are sent to another request in progress.
 	Swapped float64 `json:"swapped"`
-	// Failed requests are answered with status 500.
+	// Failed requests get status 500.
 	Failed float64 `json:"failed"`
-	// Closed connections carry no answer.
+	// Closed connections are closed without an answer.
 	Closed float64 `json:"closed"`
-	// Late answers wait for LateMS.
+	// Late answers are delayed by LateMS.
 	Late   float64 `json:"late"`
 	LateMS int64   `json:"late_ms"`
 }
 
-// swapWait bounds how long an answer waits for another to be swapped with.
+// swapWait is how long an answer waits for another one to be swapped with.
 const swapWait = 50 * time.Millisecond
 
 type reply struct {
@@ -31,24 +31,24 @@
 	body      []byte
 }
 
-// respond sends a reply, or what the drawn fault leaves of it.
+// respond sends a reply after applying the fault that is drawn for it, if any.
 func (t *Target) respond(w http.ResponseWriter, r reply) {
 	f, draw := t.draw()
 	for _, fault := range []struct {
-		share float64
-		apply func()
+		fraction float64
+		apply    func()
 	}{
 		{f.Truncated, func() { writeTruncated(w, r) }},
 		{f.Swapped, func() { writeReply(w, t.swap.exchange(r)) }},
-		{f.Failed, func() { http.Error(w, "the target failed", http.StatusInternalServerError) }},
+		{f.Failed, func() { http.Error(w, "target fault injected", http.StatusInternalServerError) }},
 		{f.Closed, func() { panic(http.ErrAbortHandler) }},
 		{f.Late, func() { time.Sleep(time.Duration(f.LateMS) * time.Millisecond); writeReply(w, r) }},
 	} {
-		if draw < fault.share {
+		if draw < fault.fraction {
 			fault.apply()
 			return
 		}
-		draw -= fault.share
+		draw -= fault.fraction
 	}
 	writeReply(w, r)
 }
@@ -65,7 +65,7 @@
 	_, _ = w.Write(r.body)
 }
 
-// writeTruncated declares the whole length and sends half.
+// writeTruncated declares the full length of a reply, sends half of it and aborts.
 func writeTruncated(w http.ResponseWriter, r reply) {
 	w.Header().Set(HeaderRequestID, r.requestID)
 	w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
@@ -81,7 +81,7 @@
 	offered reply
 }
 
-// exchange returns the reply of another request, or r itself when none comes.
+// exchange returns the reply to another request, or r if there is none within swapWait.
 func (s *swapper) exchange(r reply) reply {
 	s.mu.Lock()
 	if s.waiting != nil {
@@ -91,22 +91,24 @@
 		s.mu.Unlock()
 		return other
 	}
-	got := make(chan reply, 1)
-	s.waiting, s.offered = got, r
+	partner := make(chan reply, 1)
+	s.waiting, s.offered = partner, r
 	s.mu.Unlock()
 	select {
-	case other := <-got:
+	case other := <-partner:
 		return other
 	case <-time.After(swapWait):
-		return s.withdraw(got, r)
+		return s.withdraw(partner, r)
 	}
 }
 
-func (s *swapper) withdraw(got chan reply, r reply) reply {
+// withdraw takes back the offer of r, or returns the other reply if the exchange has
+// happened in the meantime.
+func (s *swapper) withdraw(partner chan reply, r reply) reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.waiting != got {
-		return <-got
+	if s.waiting != partner {
+		return <-partner
 	}
 	s.waiting = nil
 	return r
--- a/fakes/worker.go
+++ b/fakes/worker.go
@@ -12,29 +12,30 @@
 
 const (
 	fullShare = 1000
-	// sampleInterval is the time between measurements of usage.
+	// sampleInterval is the time between two samples of a task's usage.
 	sampleInterval = 100 * time.Millisecond
 	maxSamples     = 600
 )
 
 // WorkerConfig describes a stand-in worker.
 type WorkerConfig struct {
-	// Info includes the incarnation, which names this start of the worker: the
-	// tasks of an earlier one are gone.
+	// Info includes the incarnation, which identifies this start of the worker. The tasks
+	// of previous incarnations are lost.
 	Info *apiv1.WorkerInfo
-	// RunFactor multiplies declared run times, which are far off in practice.
+	// RunFactor is the ratio of the actual to the declared run time of a task, since
+	// declared run times are inaccurate in practice.
 	RunFactor float64
-	// UsageFactor multiplies the grant to give what a task uses.
+	// UsageFactor is the ratio of used to granted processors of a task.
 	UsageFactor float64
-	// UsageLag is the least age of a usage report.
+	// UsageLag is the minimum age of a usage report.
 	UsageLag time.Duration
 	// FailEverything makes each task fail as soon as it has started.
 	FailEverything bool
 }
 
-// Worker pretends to run tasks on a timeline: a task is over at the instant its
-// work is done or its deadline passes, whichever comes first, however late the
-// process gets to look. All times are readings of the boot clock.
+// Worker simulates the execution of tasks. A task ends at the time at which its work is
+// done or its deadline passes, whichever comes first, even if the process notices that
+// later. All times are readings of the boot clock.
 type Worker struct {
 	cfg    WorkerConfig
 	record *Recorder[RunEvent]
@@ -49,7 +50,7 @@
 	deadline time.Duration
 	work     time.Duration
 	progress time.Duration
-	// progressTime is the time up to which progress is counted.
+	// progressTime is the time up to which progress includes the work done.
 	progressTime time.Duration
 	share        int64
 	checkpoint   string
@@ -63,7 +64,7 @@
 	used *apiv1.Resources
 }
 
-// NewWorker returns a worker without tasks and records its start.
+// NewWorker returns a worker without tasks and adds its start to record.
 func NewWorker(cfg WorkerConfig, record *Recorder[RunEvent], now time.Duration) *Worker {
 	if cfg.RunFactor <= 0 {
 		cfg.RunFactor = 1
@@ -83,14 +84,14 @@
 	w.cfg.FailEverything = on
 }
 
-// SetCapacity changes what the worker says it has.
+// SetCapacity changes the capacity that the worker reports.
 func (w *Worker) SetCapacity(c *apiv1.Resources) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cfg.Info.Capacity = c
 }
 
-// Info returns what the worker has.
+// Info returns the description that the worker reports.
 func (w *Worker) Info() *apiv1.WorkerInfo {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -102,7 +103,7 @@
 	}
 }
 
-// Advance brings every run up to now.
+// Advance updates the progress of every run up to now and ends those that are due.
 func (w *Worker) Advance(now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -134,10 +135,10 @@
 
 func (r *run) running() bool { return r.phase == apiv1.TaskPhase_TASK_PHASE_RUNNING }
 
-// completionTime is when the work is done if nothing changes.
+// completionTime returns when the work is done if the share of the run does not change.
 func (r *run) completionTime() time.Duration {
-	left := r.work - r.progress
-	return r.progressTime + left*fullShare/time.Duration(max(r.share, 1))
+	remaining := r.work - r.progress
+	return r.progressTime + remaining*fullShare/time.Duration(max(r.share, 1))
 }
 
 func (r *run) accrueProgress(until time.Duration) {
@@ -182,7 +183,8 @@
 	}
 }
 
-// Tasks lists running attempts and ended ones that were not forgotten, by name.
+// Tasks returns the running attempts, and the ended ones that were not forgotten, sorted by
+// task name.
 func (w *Worker) Tasks(now time.Duration) []*apiv1.TaskStatus {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -206,8 +208,8 @@
 	}
 }
 
-// Usage returns each running task's newest measurement that is at least
-// UsageLag old.
+// Usage returns, for each running task, the newest usage sample that is at least UsageLag
+// old.
 func (w *Worker) Usage(now time.Duration) []*apiv1.UsageReport {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -230,8 +232,8 @@
 	return r.samples[i-1], true
 }
 
-// checkpointName tells any worker where to resume; the worker's real store is
-// shared and durable.
+// checkpointName encodes the progress of a run, so that any worker can resume it. Real
+// workers use a shared, durable store instead.
 func checkpointName(r *run) string {
 	return fmt.Sprintf("%s@%d+%dms", r.task(), r.attempt(), r.progress.Milliseconds())
 }
--- a/fakes/worker_orders.go
+++ b/fakes/worker_orders.go
@@ -18,10 +18,10 @@
 		return nil
 	}
 	if newest := w.newest[task]; attempt <= newest {
-		return newRefusal(worker.CodeFenced, "attempt %d of %s is not above %d", attempt, task, newest)
+		return newRefusal(worker.CodeFenced, "attempt %d of %s is not higher than attempt %d", attempt, task, newest)
 	}
 	if r := w.runs[task]; r != nil && r.running() {
-		return newRefusal(worker.CodeFenced, "attempt %d of %s still runs", r.attempt(), task)
+		return newRefusal(worker.CodeFenced, "attempt %d of %s is still running", r.attempt(), task)
 	}
 	if now >= deadline {
 		return newRefusal(worker.CodeExpired, "the deadline of %s has passed", task)
@@ -53,7 +53,8 @@
 	}
 }
 
-// progressOf reads the work done from a checkpoint's name; none is no work.
+// progressOf returns the work done according to a checkpoint's name, or zero if there is
+// no checkpoint.
 func progressOf(checkpoint string) time.Duration {
 	d, err := time.ParseDuration(checkpoint[strings.LastIndex(checkpoint, "+")+1:])
 	if err != nil {
@@ -62,7 +63,7 @@
 	return d
 }
 
-// Renew moves deadlines forward; attempts that don't run are passed over.
+// Renew extends the deadlines of running attempts and ignores all others.
 func (w *Worker) Renew(tasks []*apiv1.TaskAttempt, deadline, now time.Duration) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,16 +78,16 @@
 	}
 }
 
-// find returns the running attempt.
+// find returns a running attempt, or a refusal if the attempt does not run.
 func (w *Worker) find(t *apiv1.TaskAttempt) (*run, error) {
 	r := w.runs[t.GetTask()]
 	if r == nil || r.attempt() != t.GetAttempt() || !r.running() {
-		return nil, newRefusal(worker.CodeNotRunning, "attempt %d of %s does not run", t.GetAttempt(), t.GetTask())
+		return nil, newRefusal(worker.CodeNotRunning, "attempt %d of %s is not running", t.GetAttempt(), t.GetTask())
 	}
 	return r, nil
 }
 
-// Throttle slows a task down to a share of its grant.
+// Throttle limits a task to a share of its granted processors.
 func (w *Worker) Throttle(t *apiv1.ThrottleTask, now time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -114,7 +115,7 @@
 	return r.checkpoint, nil
 }
 
-// Stop ends an attempt. Ending one that has ended changes nothing.
+// Stop ends an attempt. It has no effect on an attempt that has already ended.
 func (w *Worker) Stop(t *apiv1.TaskAttempt, now time.Duration) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -130,7 +131,7 @@
 	return nil
 }
 
-// Forget drops ended attempts. Their numbers stay fenced.
+// Forget removes ended attempts. Their numbers remain fenced.
 func (w *Worker) Forget(tasks []*apiv1.TaskAttempt) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/fakes/worker_server.go
+++ b/fakes/worker_server.go
@@ -15,7 +15,7 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// Paths that only the stand-in serves, for tests.
+// Paths for tests that only the stand-in serves.
 const (
 	PathRecord   = "/v1/record"
 	PathFaults   = "/v1/faults"
@@ -35,15 +35,15 @@
 	faults ReplyFaults
 }
 
-// NewWorkerServer returns a server around a new worker.
+// NewWorkerServer returns a server for a new worker.
 func NewWorkerServer(cfg WorkerConfig, record *Recorder[RunEvent]) *WorkerServer {
 	return &WorkerServer{worker: NewWorker(cfg, record, worker.Now()), record: record}
 }
 
-// Worker returns the worker that is served.
+// Worker returns the server's worker.
 func (s *WorkerServer) Worker() *Worker { return s.worker }
 
-// Serve answers on listener and advances the worker until ctx ends.
+// Serve serves requests on listener and advances the worker until ctx ends.
 func (s *WorkerServer) Serve(ctx context.Context, listener net.Listener) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg conc.WaitGroup
@@ -66,7 +66,7 @@
 	}
 }
 
-// Handler returns the worker's HTTP interface.
+// Handler returns the worker's HTTP handler.
 func (s *WorkerServer) Handler() http.Handler {
 	r := httprouter.New()
 	r.HandlerFunc(http.MethodGet, worker.PathInfo, s.info)
@@ -139,7 +139,7 @@
 	return nil, nil
 }
 
-// orderHandler adapts a typed order to HTTP.
+// orderHandler returns an HTTP handler that decodes an order and calls do.
 func orderHandler[T any](do func(T) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
@@ -159,7 +159,7 @@
 func writeRefusal(w http.ResponseWriter, err error) {
 	var e *worker.Error
 	if !errors.As(err, &e) {
-		panic("fakes: a worker refuses with a worker.Error only")
+		panic("fakes: a worker must refuse orders with a worker.Error")
 	}
 	writeJSON(w, e.Status(), worker.ErrorReply{Code: e.Code, Message: e.Message})
 }
--- a/fakes/worker_test.go
+++ b/fakes/worker_test.go
@@ -18,9 +18,9 @@
 	return &apiv1.StartTask{Task: taskAttempt(n), ExpectedRunMs: 1000, Checkpoint: checkpoint}
 }
 
-// Random orders at random times, some looked at late: the record must never
-// show a run past its deadline, a lower attempt, or a second run of an attempt,
-// and work resumed from a checkpoint must add up.
+// A worker receives random orders at random times, some after runs have ended unnoticed.
+// The record must never show a run past its deadline, a lower attempt after a higher one,
+// or a second run of an attempt.
 func TestWorkerEnforcesDeadlinesAndFencing(t *testing.T) {
 	for seed := range int64(300) {
 		rng := rand.New(rand.NewSource(seed))
@@ -49,14 +49,14 @@
 				w.Forget([]*apiv1.TaskAttempt{taskAttempt(n)})
 			}
 		}
-		if faults := Check(Records{Workers: record.Values()}, Rules{AllowRerun: true}); len(faults) > 0 {
-			t.Fatalf("seed %d: %q", seed, faults)
+		if violations := Check(Records{Workers: record.Values()}, Rules{AllowRerun: true}); len(violations) > 0 {
+			t.Fatalf("seed %d: %q", seed, violations)
 		}
 	}
 }
 
-// A checkpoint taken halfway leaves the other half for the next attempt, on a
-// worker that has only its name.
+// After a checkpoint at 400 ms of 1000 ms of work, the next attempt does only the
+// remaining work, on another worker that receives only the checkpoint's name.
 func TestRunResumesFromCheckpoint(t *testing.T) {
 	record, _ := NewRecorder[RunEvent]("")
 	cfg := WorkerConfig{Info: &apiv1.WorkerInfo{Name: "w"}}
@@ -78,9 +78,8 @@
 	}
 }
 
-// Symptom: a start whose reply was lost is sent again and the task runs twice.
-// Sequence: start, lost reply, start again, doubled stop. Cause: an order that
-// is not idempotent.
+// Guards against orders that are not idempotent: a start whose reply was lost is retried,
+// and a stop is executed twice. The task must run only once.
 func TestClientToleratesLostAndDuplicatedReplies(t *testing.T) {
 	record, _ := NewRecorder[RunEvent]("")
 	s := NewWorkerServer(WorkerConfig{Info: &apiv1.WorkerInfo{Name: "w1", Incarnation: 1}}, record)
@@ -94,19 +93,19 @@
 
 	deadline := worker.Now() + time.Hour
 	if err := client.Start(ctx, startTask(3, ""), deadline); err == nil || worker.Refused(err, worker.CodeFenced) {
-		t.Fatalf("a lost reply gave %v, want an error that leaves the order's fate open", err)
+		t.Fatalf("a lost reply returned %v, want an error other than a refusal", err)
 	}
 	if err := client.Start(ctx, startTask(3, ""), deadline); err != nil {
-		t.Fatalf("a resent start: %v", err)
+		t.Fatalf("retried start: %v", err)
 	}
 	if err := client.Stop(ctx, taskAttempt(3)); err != nil {
-		t.Fatalf("a doubled stop: %v", err)
+		t.Fatalf("duplicated stop: %v", err)
 	}
 	if err := client.Start(ctx, startTask(2, ""), deadline); !worker.Refused(err, worker.CodeFenced) {
-		t.Fatalf("a lower attempt gave %v, want a refusal as fenced", err)
+		t.Fatalf("a lower attempt returned %v, want a refusal as fenced", err)
 	}
 	if _, err := client.Checkpoint(ctx, taskAttempt(3)); !worker.Refused(err, worker.CodeNotRunning) {
-		t.Fatalf("a checkpoint of an ended attempt gave %v", err)
+		t.Fatalf("a checkpoint of an ended attempt returned %v, want a refusal as not running", err)
 	}
 	if tasks, err := client.Tasks(ctx); err != nil || len(tasks) != 1 || tasks[0].GetPhase() != apiv1.TaskPhase_TASK_PHASE_STOPPED {
 		t.Fatalf("tasks are %v, %v; want one, stopped", tasks, err)
@@ -118,6 +117,6 @@
 		}
 	}
 	if starts != 1 {
-		t.Fatalf("the task started %d times", starts)
+		t.Fatalf("the task started %d times, want once", starts)
 	}
 }
