--- a/scenario/bench_test.go
+++ b/scenario/bench_test.go
@@ -9,22 +9,23 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// Length and number of the benchmark's measurements of each kind.
+// benchDuration and benchRounds are the length and the number of the measurements of each
+// kind.
 const (
 	benchDuration = "3s"
 	benchRounds   = "3"
 )
 
-// benchmarkT lets a script run as a benchmark.
+// benchmarkT adapts a testing.B to testscript.T, so that a script can run as a benchmark.
 type benchmarkT struct{ *testing.B }
 
 func (t benchmarkT) Parallel()                               {}
 func (t benchmarkT) Verbose() bool                           { return testing.Verbose() }
 func (t benchmarkT) Run(_ string, script func(testscript.T)) { script(t) }
 
-// BenchmarkPath compares requests through an entry and an agent with the same
-// requests straight at the target, all as separate processes, and prints the
-// table. It takes two minutes; run it with -benchtime=1x.
+// BenchmarkPath compares requests through an entry and an agent with the same requests
+// sent directly to the target, all as separate processes, and prints the table. It takes
+// two minutes; run it with -benchtime=1x.
 func BenchmarkPath(b *testing.B) {
 	table := filepath.Join(b.TempDir(), "table.md")
 	for b.Loop() {
--- a/scenario/chaos/chaos_test.go
+++ b/scenario/chaos/chaos_test.go
@@ -1,9 +1,9 @@
-// Package chaos plays scripts in the language of package scenario that are drawn
-// from seeds: random faults at random moments, several at once, then everything
-// is healed and the records are judged.
+// Package chaos runs randomly generated scripts in the language of package scenario. A
+// script injects random faults at random times, several at once, then ends all of them
+// and checks the records.
 //
-// A seed gives the same script each time; what the processes make of it depends
-// on the machine's timing too.
+// A seed always generates the same script, but its effect also depends on the timing of
+// the processes on the machine.
 package chaos
 
 import (
@@ -24,7 +24,7 @@
 )
 
 var (
-	seeds = flag.Int("chaos.seeds", 4, "number of seeds to play")
+	seeds = flag.Int("chaos.seeds", 4, "number of seeds to run")
 	first = flag.Int64("chaos.first", 1, "first seed")
 )
 
@@ -41,10 +41,10 @@
 	testscript.Main(m, programs)
 }
 
-// Symptom: a promise of the brief is broken. Sequence: hosts are killed, frozen,
-// cut off, stopped and lose their disks, workers shrink and fail, replies are
-// lost, operators race, cancel and drain, in an order that a seed draws. Cause: a
-// coincidence that no written scenario has.
+// TestChaos guards against violations of the system's guarantees by combinations of faults
+// that no handwritten scenario covers. Hosts are killed, frozen, cut off, shut down and
+// lose their disks, workers shrink and fail, replies are lost, and operators submit
+// concurrently, cancel and drain, in an order drawn from a seed.
 func TestChaos(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
--- a/scenario/chaos/faults_test.go
+++ b/scenario/chaos/faults_test.go
@@ -18,8 +18,8 @@
 	g.scheduleEnd(host, "up "+host)
 }
 
-// freeze stops an entry for one stretch only: one that lasts over steps could
-// outlast the callers' patience.
+// freeze freezes a host. An entry is thawed in the same step, since a freeze over several
+// steps could exceed the callers' timeout.
 func (g *generator) freeze(host string) {
 	if g.isFaulted(host) {
 		return
@@ -49,7 +49,8 @@
 	g.scheduleEnd(link, "heal "+link)
 }
 
-// replaceDisk takes an entry's disk once the one lost before is repaired.
+// replaceDisk replaces an entry's disk by an empty one, after the entry whose disk was
+// replaced before has been repaired.
 func (g *generator) replaceDisk(host string) {
 	g.healEntries()
 	g.writeLine(`capture LOST '"id": (\d+),\s+"name": "%s"' cairnlift members list --json`, host)
@@ -66,8 +67,8 @@
 	}
 }
 
-// terminate asks a host to stop in good order, and sees that it does. One that has
-// just been started may not listen to signals yet, and a target waits for its agent.
+// terminate shuts a host down gracefully and waits for its exit. A host that has just been
+// started may not handle signals yet, and a target needs its agent to shut down.
 func (g *generator) terminate(host string) {
 	if g.isFaulted(host) || g.isFaulted("agent"+strings.TrimPrefix(host, "target")) {
 		return
@@ -77,7 +78,7 @@
 	g.scheduleEnd(host, "up "+host)
 }
 
-// injectWorkerFault changes what a worker has, or its next replies.
+// injectWorkerFault changes a worker's capacity or injects a fault into its next replies.
 func (g *generator) injectWorkerFault(host string) {
 	if g.isFaulted(host) {
 		return
@@ -94,7 +95,7 @@
 		number, path, mode, 1+g.rng.Intn(3), g.rng.Intn(3000))
 }
 
-// injectTargetFaults makes a share of a target's answers go wrong until it restarts.
+// injectTargetFaults corrupts a fraction of a target's answers until it restarts.
 func (g *generator) injectTargetFaults(host string) {
 	if g.isFaulted(host) {
 		return
--- a/scenario/chaos/generate_test.go
+++ b/scenario/chaos/generate_test.go
@@ -8,35 +8,35 @@
 )
 
 const (
-	hostsPerKind = 3 // of each kind
+	hostsPerKind = 3
 	faultSteps   = 18
-	// maxActiveFaults bounds the faults that last at the same time.
+	// maxActiveFaults limits the number of faults that are active at the same time.
 	maxActiveFaults = 4
-	// maxFreezeMS is well past the leases of two seconds, and short enough for a
-	// caller to get an answer from an entry that was frozen at its deadline: it waits
-	// for ten seconds beyond what the judge allows an entry that is not frozen.
+	// maxFreezeMS is well above the lease duration of two seconds, but short enough for a
+	// caller to get an answer from an entry that was frozen at its deadline: a caller
+	// waits ten seconds longer than the checker allows for an entry that is not frozen.
 	maxFreezeMS = 3500
 )
 
-// activeFault is a fault that lasts until its end is written.
+// activeFault is a fault that stays active until the commands that end it are written.
 type activeFault struct {
 	name string
 	end  func()
-	// remainingSteps are left until it ends.
+	// remainingSteps is the number of steps until the fault ends.
 	remainingSteps int
 }
 
-// generator writes a script. It keeps what is broken, so that what it asks for
-// stays within the promises: a majority of the control group's disks lives.
+// generator writes a script. It keeps track of the active faults, so that the script stays
+// within the conditions of the guarantees: a majority of the control group's disks survives.
 type generator struct {
 	rng    *rand.Rand
 	script bytes.Buffer
 	files  bytes.Buffer
 	active []activeFault
-	// version is that of the last race that was settled.
+	// version is the configuration version after the last race that was settled.
 	version   int
 	pending   *race
-	repairing string // The entry whose lost disk is not known to be repaired.
+	repairing string // The entry whose replaced disk may not be repaired yet.
 	jobs      []job
 	canceled  map[string]bool
 	drained   map[string]bool
@@ -50,14 +50,15 @@
 }
 
 const (
-	// repairedScript succeeds once a host votes and its lost replica is removed.
+	// repairedScript succeeds once a host is a voter again and its lost replica has been
+	// removed.
 	repairedScript = `members=$(cairnlift members list --json | tr -d ' "\n')
 ! echo "$members" | grep -q "id:$2,name" || exit 1
 echo "$members" | grep -Eq "name:$1,address:[^,]+,role:(follower|leader)"
 `
-	// finishedScript waits until no task of a job is left and the counts match. After
-	// an eviction the planner may leave room alone for a minute, longer than a wait of the
-	// scenario language.
+	// finishedScript waits until no task of a job is left and the counts match. After an
+	// eviction the planner may leave free capacity unused for a minute, which is longer
+	// than the timeout of a wait in the scenario language.
 	finishedScript = `for i in $(seq 200); do
   job=$(cairnlift explain --json $1 | tr -d ' "\n')
   echo "$job" | grep -Eq "queued:0,running:0,stopping:0,($2)" && exit 0
@@ -66,16 +67,17 @@
 echo "$job"
 exit 1
 `
-	// acceptanceScript fails when an acceptance that an operator was told of is not repeated.
+	// acceptanceScript fails if a submission that was reported to an operator as accepted
+	// is not reported as accepted when it is submitted again.
 	acceptanceScript = `! grep -q 'accepted' $1.log || grep -q "version $2 had been accepted before" $1-again.log
 `
 )
 
-// cairnlift is the operators' command in the background, where it has to be told
-// of every entry.
+// cairnlift is the operators' command for background use, where the addresses of all
+// entries must be given as arguments.
 const cairnlift = "cairnlift -a $ADMIN1 -a $ADMIN2 -a $ADMIN3"
 
-// generate returns the script of a seed.
+// generate returns the script for a seed.
 func generate(seed int64) []byte {
 	g := &generator{
 		rng:      rand.New(rand.NewSource(seed)),
@@ -103,7 +105,7 @@
 
 func (g *generator) pause(maxMS int) { g.writeLine("exec sleep %.3f", float64(g.rng.Intn(maxMS))/1000) }
 
-// hostNames names the hosts of some kinds.
+// hostNames returns the names of all hosts of the given kinds, separated by blanks.
 func hostNames(kinds ...string) string {
 	var names []string
 	for _, kind := range kinds {
@@ -128,8 +130,9 @@
 	g.writeLine("progress load1 20")
 }
 
-// configuration declares the service, the jobs and a team by which the text is known. The
-// objective is loose: the guard would hold jobs back for minutes after slow answers.
+// configuration returns a text that declares the service, the jobs and a team, whose name
+// identifies the text. The objective is loose, since after slow answers the protection of
+// services would hold back jobs for minutes.
 func (g *generator) configuration(team string) string {
 	var b strings.Builder
 	b.WriteString(`[[service]]
@@ -150,7 +153,7 @@
 	return b.String()
 }
 
-// step starts or ends something.
+// step ends the faults that are due and injects a new one, unless too many are active.
 func (g *generator) step() {
 	g.endExpiredFaults()
 	switch n := g.rng.Intn(20); {
@@ -179,7 +182,7 @@
 	g.pause(500)
 }
 
-// endExpiredFaults ends the faults whose time has come.
+// endExpiredFaults ends the faults that have no remaining steps.
 func (g *generator) endExpiredFaults() {
 	for i := range g.active {
 		g.active[i].remainingSteps--
@@ -187,10 +190,10 @@
 	g.endFaults(func(f activeFault) bool { return f.remainingSteps <= 0 })
 }
 
-func (g *generator) endFaults(over func(activeFault) bool) {
+func (g *generator) endFaults(ends func(activeFault) bool) {
 	var rest []activeFault
 	for _, f := range g.active {
-		if over(f) {
+		if ends(f) {
 			f.end()
 		} else {
 			rest = append(rest, f)
@@ -208,12 +211,13 @@
 	return false
 }
 
-// scheduleEnd keeps a fault until one of the next steps.
+// scheduleEnd registers a fault on a host and draws the step in which the command end ends
+// it.
 func (g *generator) scheduleEnd(host, end string) {
 	g.active = append(g.active, activeFault{host, func() { g.writeLine("%s", end) }, 1 + g.rng.Intn(4)})
 }
 
-// writeFinish heals everything, waits until nothing is left to do and judges.
+// writeFinish ends all faults, waits until all work is done, and checks the records.
 func (g *generator) writeFinish() {
 	g.writeLine("# heal")
 	g.endFaults(func(activeFault) bool { return true })
@@ -242,7 +246,7 @@
 	g.addFile("kept.sh", acceptanceScript)
 }
 
-// waitForJob waits until each task of a job is in one final state.
+// waitForJob waits until each task of a job is in a final state.
 func (g *generator) waitForJob(j job) {
 	if g.canceled[j.name] {
 		g.writeLine("waitfor '' cairnlift cancel %s", j.name)
@@ -256,7 +260,7 @@
 	g.writeLine("exec sh finished.sh %s '%s'", j.name, strings.Join(ends, "|"))
 }
 
-// checkConfiguration asks every entry for the last accepted version.
+// checkConfiguration checks that every entry returns the last accepted version.
 func (g *generator) checkConfiguration() {
 	g.writeLine(`capture DIGEST '"version": %d,\s+"digest": "(\w+)"' cairnlift -a $ADMIN1 get --json`, g.version)
 	for i := 1; i < hostsPerKind; i++ {
--- a/scenario/chaos/operators_test.go
+++ b/scenario/chaos/operators_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// race is two operators that submit on the same version.
+// race is a pair of concurrent submissions by two operators with the same base version.
 type race struct {
 	version   int
 	operators []string
@@ -23,8 +23,8 @@
 	g.pending = r
 }
 
-// settleRace gives up on the answers and sends both texts again: exactly one wins,
-// and it is the one that was said to have won.
+// settleRace abandons the pending submissions and submits both texts again. Exactly one
+// must be accepted, and it must be the one that had been reported as accepted, if any.
 func (g *generator) settleRace() {
 	r := g.pending
 	if r == nil {
@@ -42,7 +42,8 @@
 	g.version, g.pending = r.version, nil
 }
 
-// runOperator sends a change in the background and again at the end.
+// runOperator runs an operator's command in the background. Since the command may get lost,
+// writeFinish repeats the cancellations and ends the drains.
 func (g *generator) runOperator(args string) {
 	g.commands++
 	g.writeLine("run operator%d %s %s", g.commands, cairnlift, args)
@@ -56,7 +57,7 @@
 
 func (g *generator) drain(host string) {
 	if g.drained[host] {
-		g.runOperator("drain --undo " + host) // Refused for a target: that restarts.
+		g.runOperator("drain --undo " + host) // Refused for a target, whose drain ends with its restart.
 		return
 	}
 	g.drained[host] = true
--- a/scenario/cluster.go
+++ b/scenario/cluster.go
@@ -27,20 +27,21 @@
 
 const zones = 3
 
-// addressVariable tells the operators' command where the entries are.
+// addressVariable is the environment variable with the entries' addresses for the
+// operators' command.
 const addressVariable = "CAIRNLIFT_ADDRESS"
 
-// cluster is the hosts of a script and the files that describe them.
+// cluster describes the hosts of a script and writes their files.
 type cluster struct {
 	entries, agents int
 	subnet          *subnet
-	// links are TCP proxies between agents and entries, empty when they reach each
-	// other directly. Entries know each other by the addresses they listen on, so
-	// none is between them: freeze an entry to have it fall silent.
+	// links are the TCP proxies between agents and entries; it is empty if these connect
+	// directly. There are no links between entries, which use each other's listen
+	// addresses: to make an entry unresponsive, a script freezes it.
 	links []link
 }
 
-// link carries what one agent sends to an entry, and the answers.
+// link is a proxy for the connections from an agent to an entry.
 type link struct {
 	from, to, listen, upstream string
 }
@@ -68,7 +69,7 @@
 func agentName(i int) string { return fmt.Sprintf("agent%d", i) }
 func zoneName(i int) string  { return fmt.Sprintf("zone-%d", (i-1)%zones+1) }
 
-// linksOf returns the links with the name, or those that touch the host.
+// linksOf returns the link with the given name, or all links of the host with that name.
 func (c *cluster) linksOf(name string) []link {
 	var out []link
 	for _, l := range c.links {
@@ -79,7 +80,7 @@
 	return out
 }
 
-// hostSettings is what the templates of settings files see.
+// hostSettings contains the values for the templates of settings files.
 type hostSettings struct {
 	Name, Zone, Rack           string
 	Callers, Admin, Internal   string
@@ -96,7 +97,7 @@
 	hostTemplate = `name = "{{.Name}}"
 shutdown_bound = "10s"
 `
-	// peersHead and peersTail stand around the name of a list of peers.
+	// peersHead and peersTail enclose the header of a list of peers.
 	peersHead = `{{range .Peers}}
 `
 	peersTail = `
@@ -133,7 +134,7 @@
 
 func init() { template.Must(settingsTemplates.New("agent").Parse(agentTemplate)) }
 
-// bookingsText declares the service that targets belong to by default.
+// bookingsText is a configuration that declares the default service of targets.
 const bookingsText = `[[service]]
 name = "bookings"
 paths = ["/bookings"]
@@ -145,16 +146,16 @@
 idempotent = ["GET /bookings"]
 `
 
-// write writes each host's settings file and data folder into dir, and
-// bookings.toml for the operator.
+// write creates each host's settings file and data folder in dir, and bookings.toml for
+// the operator.
 func (c *cluster) write(dir string) error {
 	if err := os.WriteFile(filepath.Join(dir, "bookings.toml"), []byte(bookingsText), 0o644); err != nil {
-		return errors.Wrap(err, "bookings.toml")
+		return errors.Wrap(err, "can't write bookings.toml")
 	}
 	for i := 1; i <= c.entries; i++ {
 		h := c.entry(i, dir)
 		if err := os.MkdirAll(h.DataFolder, 0o755); err != nil {
-			return errors.Wrap(err, "data folder")
+			return errors.Wrap(err, "can't create the data folder")
 		}
 		if err := writeSettings("entry", dir, h); err != nil {
 			return err
@@ -191,7 +192,7 @@
 	}
 }
 
-// peersOf gives the entries' addresses as a host knows them.
+// peersOf returns the entries with the addresses at which a host reaches them.
 func (c *cluster) peersOf(host string) []peer {
 	var peers []peer
 	for i := 1; i <= c.entries; i++ {
@@ -209,15 +210,15 @@
 func writeSettings(kind, dir string, h hostSettings) error {
 	f, err := os.Create(filepath.Join(dir, h.Name+".toml"))
 	if err != nil {
-		return errors.Wrap(err, "settings")
+		return errors.Wrap(err, "can't create the settings file")
 	}
 	if err := settingsTemplates.ExecuteTemplate(f, kind, h); err != nil {
-		return errors.CombineErrors(errors.Wrap(err, "settings"), f.Close())
+		return errors.CombineErrors(errors.Wrap(err, "can't write the settings file"), f.Close())
 	}
-	return errors.Wrap(f.Close(), "settings")
+	return errors.Wrap(f.Close(), "can't close the settings file")
 }
 
-// variables are the addresses as scripts see them.
+// variables returns the environment variables with the addresses for scripts.
 func (c *cluster) variables() map[string]string {
 	vars := map[string]string{}
 	var admins []string
@@ -239,7 +240,7 @@
 
 var hostPattern = regexp.MustCompile(`^(entry|agent|worker|target|links)([0-9]*)$`)
 
-// command gives the program that runs as a host, and its arguments.
+// command returns the program of a host and its arguments.
 func (c *cluster) command(name string) (program string, args []string, err error) {
 	m := hostPattern.FindStringSubmatch(name)
 	if m == nil {
@@ -270,7 +271,7 @@
 
 func (c *cluster) linkControl() string { return c.subnet.address(linkHost, 1, portLinkControl) }
 
-// readyURL answers 200 once a host is ready.
+// readyURL returns a URL that responds with status 200 once a host is ready.
 func (c *cluster) readyURL(name string) (string, error) {
 	m := hostPattern.FindStringSubmatch(name)
 	if m == nil {
@@ -290,11 +291,11 @@
 	return "http://" + c.linkControl() + "/v1/ready", nil
 }
 
-// serviceURL is a request for the default service through an entry.
+// serviceURL returns the URL of a request to the default service through an entry.
 func (c *cluster) serviceURL(entry string) (string, error) {
 	m := hostPattern.FindStringSubmatch(entry)
 	if m == nil || m[1] != "entry" {
-		return "", errors.Newf("%s is not an entry", entry)
+		return "", errors.Newf("host %s is not an entry", entry)
 	}
 	i, _ := strconv.Atoi(m[2])
 	return "http://" + c.subnet.address(entryHosts, i, portCallers) + "/bookings/probe", nil
--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -9,10 +9,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// command is a script command without the means to negate it.
+// command is a script command that cannot be negated.
 type command func(s *scriptEnv, ts *testscript.TestScript, args []string) error
 
-// Commands returns the script commands; they are a testscript Params.Cmds.
+// Commands returns the script commands, for testscript.Params.Cmds.
 func Commands() map[string]func(ts *testscript.TestScript, neg bool, args []string) {
 	cmds := map[string]func(ts *testscript.TestScript, neg bool, args []string){}
 	for name, run := range map[string]command{
@@ -62,11 +62,11 @@
 	}
 	entries, err := strconv.Atoi(args[0])
 	if err != nil {
-		return errors.Wrap(err, "entries")
+		return errors.Wrap(err, "number of entries")
 	}
 	agents, err := strconv.Atoi(args[1])
 	if err != nil {
-		return errors.Wrap(err, "agents")
+		return errors.Wrap(err, "number of agents")
 	}
 	s.cluster = newCluster(s.subnet, entries, agents, len(args) > 2 && args[2] == "linked")
 	for k, v := range s.cluster.variables() {
@@ -82,14 +82,14 @@
 	if s.cluster == nil {
 		return errors.New("there is no cluster yet")
 	}
-	program, hostArgs, err := s.cluster.command(args[0])
+	program, defaultArgs, err := s.cluster.command(args[0])
 	if err != nil {
 		return err
 	}
-	return s.start(ts, args[0], program, append(hostArgs, args[1:]...))
+	return s.start(ts, args[0], program, append(defaultArgs, args[1:]...))
 }
 
-// startHosts starts hosts of the cluster with what each runs by default.
+// startHosts starts hosts of the cluster with their default arguments.
 func startHosts(s *scriptEnv, ts *testscript.TestScript, args []string) error {
 	for _, name := range args {
 		if err := startHost(s, ts, []string{name}); err != nil {
@@ -106,7 +106,7 @@
 	return s.start(ts, args[0], args[1], args[2:])
 }
 
-// startLoad starts a caller that speaks to every entry that is ready.
+// startLoad starts a caller that distributes its calls over the ready entries.
 func startLoad(s *scriptEnv, ts *testscript.TestScript, args []string) error {
 	if err := requireArgs(args, 1, "load NAME ARGS..."); err != nil {
 		return err
@@ -125,7 +125,7 @@
 	return s.start(ts, args[0], "cairnlift-fake", append(caller, args[1:]...))
 }
 
-// checkRecords judges every record in the work directory.
+// checkRecords checks all records in the work directory.
 func checkRecords(s *scriptEnv, ts *testscript.TestScript, args []string) error {
 	all := []string{"judge"}
 	for flag, pattern := range map[string]string{
--- a/scenario/links.go
+++ b/scenario/links.go
@@ -9,7 +9,7 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// setLinkMode returns the command that sets links to a mode of the link proxy.
+// setLinkMode returns a command that sets the mode of links.
 func setLinkMode(mode string) command {
 	return func(s *scriptEnv, _ *testscript.TestScript, args []string) error {
 		for _, name := range args {
--- a/scenario/process.go
+++ b/scenario/process.go
@@ -9,23 +9,24 @@
 	"github.com/cockroachdb/errors"
 )
 
-// process is a program that a script started.
+// process is a process that a script started.
 type process struct {
 	name string
 	log  string
 	cmd  *exec.Cmd
 
 	exited chan struct{}
-	// frozenAt is when it was frozen, on the clock of the callers' records.
+	// frozenAt is when the process was frozen, by the clock that the callers' records use.
+	// It is zero if the process is not frozen.
 	frozenAt time.Duration
 }
 
-// startProcess starts a program whose output goes to the end of a log file. The
-// program dies with the test, whatever becomes of the test.
+// startProcess starts a program and appends its output to a log file. The kernel kills the
+// process when the test process ends, even if the test crashes.
 func startProcess(name, program string, args, env []string, dir, log string) (*process, error) {
 	out, err := os.OpenFile(log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
-		return nil, errors.Wrap(err, "log")
+		return nil, errors.Wrap(err, "can't open the log")
 	}
 	defer out.Close()
 	cmd := exec.Command(program, args...)
@@ -40,10 +41,10 @@
 	return p, nil
 }
 
-// reap runs on a plain goroutine: it must outlive the script command that
-// started the process.
+// reap waits for the exit of the process. It runs in a plain goroutine, since it must
+// outlive the script command that started the process.
 func (p *process) reap() {
-	_ = p.cmd.Wait() // the state tells how it ended
+	_ = p.cmd.Wait() // The exit status is in cmd.ProcessState.
 	close(p.exited)
 }
 
@@ -60,28 +61,28 @@
 	}
 }
 
-// errIfExited returns an error that ends a wait when the process has ended.
+// errIfExited returns an error marked with errProcessExited if the process has exited.
 func (p *process) errIfExited() error {
 	if p.running() {
 		return nil
 	}
-	return errors.Mark(errors.Newf("%s has ended with %s", p.name, p.cmd.ProcessState), errProcessExited)
+	return errors.Mark(errors.Newf("%s has exited with %s", p.name, p.cmd.ProcessState), errProcessExited)
 }
 
 // waitExit waits until the process has exited with code 0.
-func (p *process) waitExit(bound time.Duration) error {
+func (p *process) waitExit(timeout time.Duration) error {
 	select {
 	case <-p.exited:
-	case <-time.After(bound):
-		return errors.Newf("%s did not end within %v", p.name, bound)
+	case <-time.After(timeout):
+		return errors.Newf("%s did not exit within %v", p.name, timeout)
 	}
 	if !p.cmd.ProcessState.Success() {
-		return errors.Newf("%s ended with %s", p.name, p.cmd.ProcessState)
+		return errors.Newf("%s exited with %s", p.name, p.cmd.ProcessState)
 	}
 	return nil
 }
 
-// kill ends the process at once, stopped or not, and waits for its end.
+// kill kills the process, frozen or not, and waits for its exit.
 func (p *process) kill() {
 	if p.running() {
 		_ = p.cmd.Process.Kill()
--- a/scenario/script_env.go
+++ b/scenario/script_env.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	// waitTimeout ends waits for conditions; it is far above what they take.
+	// waitTimeout limits waits for conditions; it is far above the time that they take.
 	waitTimeout  = 30 * time.Second
 	pollInterval = 20 * time.Millisecond
-	// maxParallelScripts bounds how many scripts run at a time.
+	// maxParallelScripts limits the number of scripts that run at a time.
 	maxParallelScripts = 4
-	// logTailBytes is how much of each log a failed script prints.
+	// logTailBytes is the length of the end of each log that a failed script prints.
 	logTailBytes = 6000
 )
 
 type scriptEnvKey struct{}
 
-// scriptEnv is what one script has set up.
+// scriptEnv is the environment of one script.
 type scriptEnv struct {
 	dir     string
 	subnet  *subnet
@@ -38,7 +38,7 @@
 
 var scriptSlots = make(chan struct{}, maxParallelScripts)
 
-// Setup prepares a script; it is a testscript Params.Setup.
+// Setup prepares the environment of a script, for testscript.Params.Setup.
 func Setup(env *testscript.Env) error {
 	scriptSlots <- struct{}{}
 	net, err := acquireSubnet()
@@ -63,12 +63,12 @@
 func scriptEnvOf(ts *testscript.TestScript) *scriptEnv {
 	s, ok := ts.Value(scriptEnvKey{}).(*scriptEnv)
 	if !ok {
-		ts.Fatalf("the script was set up without scenario.Setup")
+		ts.Fatalf("the script's Params.Setup is not scenario.Setup")
 	}
 	return s
 }
 
-// cleanUp leaves no process behind.
+// cleanUp kills all processes and releases the subnet.
 func (s *scriptEnv) cleanUp() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,12 +95,12 @@
 
 func (s *scriptEnv) logPath(name string) string { return filepath.Join(s.dir, name+".log") }
 
-// start starts a program under a name that no running process has.
+// start starts a program under a name that no running process uses.
 func (s *scriptEnv) start(ts *testscript.TestScript, name, program string, args []string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if old := s.processes[name]; old != nil && old.running() {
-		return errors.Newf("%s runs already", name)
+		return errors.Newf("%s is already running", name)
 	}
 	path, err := lookPath(ts, program)
 	if err != nil {
@@ -118,7 +118,7 @@
 	return nil
 }
 
-// programEnv is the environment of the programs that a script starts.
+// programEnv returns the environment variables of the programs that a script starts.
 func (s *scriptEnv) programEnv(ts *testscript.TestScript) []string {
 	return []string{"PATH=" + ts.Getenv("PATH"), "HOME=" + s.dir, "TMPDIR=" + s.dir}
 }
@@ -130,7 +130,7 @@
 			return path, nil
 		}
 	}
-	return "", errors.Newf("no program %s", program)
+	return "", errors.Newf("program %s not found", program)
 }
 
 func (s *scriptEnv) process(name string) (*process, error) {
@@ -138,19 +138,19 @@
 	defer s.mu.Unlock()
 	p := s.processes[name]
 	if p == nil {
-		return nil, errors.Newf("%s was not started", name)
+		return nil, errors.Newf("%s has not been started", name)
 	}
 	return p, nil
 }
 
-// errProcessExited marks the error of a condition whose process has ended: it can't come
-// true any more.
-var errProcessExited = errors.New("the process has ended")
+// errProcessExited marks the error of a condition that cannot become true any more because
+// its process has exited.
+var errProcessExited = errors.New("the process has exited")
 
-// poll repeats try until it returns nil, the bound has passed, or the process that
-// it looks at has ended.
+// poll repeats try until it returns nil or errProcessExited, or until waitTimeout has
+// passed.
 func poll(try func() error) error {
-	limit := time.Now().Add(waitTimeout)
+	deadline := time.Now().Add(waitTimeout)
 	for {
 		err := try()
 		if err == nil {
@@ -159,8 +159,8 @@
 		if errors.Is(err, errProcessExited) {
 			return err
 		}
-		if time.Now().After(limit) {
-			return errors.Wrapf(err, "waited %v", waitTimeout)
+		if time.Now().After(deadline) {
+			return errors.Wrapf(err, "condition not met within %v", waitTimeout)
 		}
 		time.Sleep(pollInterval)
 	}
--- a/scenario/signals.go
+++ b/scenario/signals.go
@@ -12,7 +12,7 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// forEachProcess does something to every process named, until the first error.
+// forEachProcess calls do for each named process, until the first error.
 func (s *scriptEnv) forEachProcess(names []string, do func(p *process) error) error {
 	for _, name := range names {
 		p, err := s.process(name)
@@ -45,14 +45,15 @@
 	})
 }
 
-// signalAll returns the command that sends a signal to each process named.
+// signalAll returns a command that sends a signal to each named process.
 func signalAll(sig syscall.Signal) command {
 	return func(s *scriptEnv, _ *testscript.TestScript, args []string) error {
 		return s.forEachProcess(args, func(p *process) error { return p.signal(sig) })
 	}
 }
 
-// frozenSuffix ends the name of an entry's record of the times for which it was frozen.
+// frozenSuffix is the file name suffix of an entry's record of the intervals during which
+// it was frozen.
 const frozenSuffix = ".frozen"
 
 func freeze(s *scriptEnv, _ *testscript.TestScript, args []string) error {
@@ -73,7 +74,8 @@
 	})
 }
 
-// recordFreeze tells the judge for how long an entry could not answer callers.
+// recordFreeze records the interval during which an entry could not answer callers, for the
+// checker.
 func (s *scriptEnv) recordFreeze(p *process, until time.Duration) error {
 	i, isEntry := strings.CutPrefix(p.name, "entry")
 	if !isEntry || p.frozenAt == 0 {
--- a/scenario/subnet.go
+++ b/scenario/subnet.go
@@ -11,12 +11,13 @@
 const (
 	firstSubnet = 10
 	subnets     = 240
-	// lockPort is held on a subnet's last address for as long as it is in use.
+	// lockPort is the port on a subnet's last address that is listened on while the subnet
+	// is in use.
 	lockPort = 7099
 )
 
-// subnet is a range 127.0.N.1 to 127.0.N.254 that one script has for itself, so
-// that scripts with fixed ports can run side by side, in other test runs too.
+// subnet is an address range 127.0.N.1 to 127.0.N.254 reserved for one script, so that
+// scripts with fixed ports can run concurrently, also in other test processes.
 type subnet struct {
 	prefix string
 	lock   net.Listener
@@ -26,9 +27,9 @@
 	for i := range subnets {
 		n := firstSubnet + (os.Getpid()+i)%subnets
 		prefix := fmt.Sprintf("127.0.%d", n)
-		guard, err := net.Listen("tcp", fmt.Sprintf("%s.254:%d", prefix, lockPort))
+		lock, err := net.Listen("tcp", fmt.Sprintf("%s.254:%d", prefix, lockPort))
 		if err == nil {
-			return &subnet{prefix: prefix, lock: guard}, nil
+			return &subnet{prefix: prefix, lock: lock}, nil
 		}
 	}
 	return nil, errors.New("every loopback subnet is in use")
@@ -36,12 +37,13 @@
 
 func (s *subnet) release() { _ = s.lock.Close() }
 
-// address of a port on the k-th host of a group.
+// address returns the address of a port on the k-th host of a group.
 func (s *subnet) address(g group, k, port int) string {
 	return fmt.Sprintf("%s.%d:%d", s.prefix, int(g)+k, port)
 }
 
-// group is the first host number, less one, of a kind of host.
+// group is a kind of host; its value is the number of its first host in the subnet, less
+// one.
 type group int
 
 const (
--- a/scenario/waits.go
+++ b/scenario/waits.go
@@ -16,7 +16,7 @@
 	"github.com/cairnlift/cairnlift/fakes"
 )
 
-// progress waits until a load got a number of answers from now on.
+// progress waits until a load has received a number of further answers.
 func progress(s *scriptEnv, _ *testscript.TestScript, args []string) error {
 	if err := requireArgs(args, 2, "progress NAME N"); err != nil {
 		return err
@@ -31,15 +31,16 @@
 	}
 	before := s.countAnswers(args[0])
 	return poll(func() error {
-		alive := p.errIfExited() // looked at first: what it recorded last is counted below
+		exited := p.errIfExited() // Checked first, so that its last records are counted below.
 		if got := s.countAnswers(args[0]) - before; got < more {
-			return errors.CombineErrors(alive, errors.Newf("%s got %d answers, not %d", args[0], got, more))
+			return errors.CombineErrors(exited, errors.Newf("%s received %d answers, want %d", args[0], got, more))
 		}
 		return nil
 	})
 }
 
-// countAnswers counts a load's answers; a record that does not exist yet has none.
+// countAnswers returns the number of answers in a load's record, or zero if the record does
+// not exist yet.
 func (s *scriptEnv) countAnswers(name string) int {
 	text, _ := os.ReadFile(filepath.Join(s.dir, name+".calls"))
 	return bytes.Count(text, []byte(`"outcome":"`+string(fakes.Answered)+`"`))
@@ -54,7 +55,7 @@
 	return s.waitForOK(args, s.cluster.serviceURL)
 }
 
-// waitForOK waits until each process's URL answers 200.
+// waitForOK waits until each process's URL responds with status 200.
 func (s *scriptEnv) waitForOK(names []string, urlOf func(name string) (string, error)) error {
 	for _, name := range names {
 		url, err := urlOf(name)
@@ -74,7 +75,7 @@
 
 var httpClient = &http.Client{Timeout: time.Second}
 
-// probe returns nil when the process runs and the URL answers 200.
+// probe returns nil if the process is running and the URL responds with status 200.
 func probe(p *process, url string) error {
 	if err := p.errIfExited(); err != nil {
 		return err
@@ -90,7 +91,7 @@
 	return nil
 }
 
-// waitFor runs a program again and again until it succeeds and prints a match.
+// waitFor runs a program repeatedly until it succeeds and prints a match.
 func waitFor(s *scriptEnv, ts *testscript.TestScript, args []string) error {
 	if err := requireArgs(args, 2, "waitfor REGEXP PROGRAM ARGS..."); err != nil {
 		return err
@@ -99,7 +100,7 @@
 	return err
 }
 
-// capture waits as waitFor does and keeps a part of what was printed.
+// capture waits like waitFor and sets a variable to the first group of the match.
 func capture(s *scriptEnv, ts *testscript.TestScript, args []string) error {
 	if err := requireArgs(args, 3, "capture VAR REGEXP PROGRAM ARGS..."); err != nil {
 		return err
@@ -108,14 +109,15 @@
 	if err != nil {
 		return err
 	}
-	if err := requireArgs(groups, 2, "the pattern of capture needs a group"); err != nil {
+	if err := requireArgs(groups, 2, "capture VAR REGEXP PROGRAM ARGS..., with a group in REGEXP"); err != nil {
 		return err
 	}
 	ts.Setenv(args[0], groups[1])
 	return nil
 }
 
-// waitForMatch returns the pattern's match and groups.
+// waitForMatch runs a program repeatedly until it succeeds and its output matches expr. It
+// returns the match and its groups.
 func waitForMatch(s *scriptEnv, ts *testscript.TestScript, expr, program string, args []string) (groups []string, err error) {
 	pattern, err := regexp.Compile("(?m)" + expr)
 	if err != nil {
@@ -156,14 +158,14 @@
 		return err
 	}
 	return poll(func() error {
-		alive := p.errIfExited() // looked at first: what it logged last is read below
+		exited := p.errIfExited() // Checked first, so that the end of its log is read below.
 		text, err := os.ReadFile(p.log)
 		if err != nil {
-			return errors.Wrap(err, "log")
+			return errors.Wrap(err, "can't read the log")
 		}
 		if pattern.Match(text) {
 			return nil
 		}
-		return errors.CombineErrors(alive, errors.Newf("no match for %q in the log of %s", args[1], args[0]))
+		return errors.CombineErrors(exited, errors.Newf("no match for %q in the log of %s", args[1], args[0]))
 	})
 }
