--- a/scenario/commands.go
+++ b/scenario/commands.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if s.cluster == nil {
-		return errors.New("there is no cluster yet")
+		return errors.New("the script must run the cluster command first")
 	}
 	program, defaultArgs, err := s.cluster.command(args[0])
 	if err != nil {
@@ -112,7 +112,7 @@
 		return err
 	}
 	if s.cluster == nil {
-		return errors.New("there is no cluster yet")
+		return errors.New("the script must run the cluster command first")
 	}
 	caller := []string{"caller", "--name", args[0], "--record", args[0] + ".calls"}
 	for i := 1; i <= s.cluster.entries; i++ {
