--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -31,7 +31,7 @@
 		h.worker.Drain()
 		h.mu.Unlock()
 		s.sleep(2 * time.Second)
-		h.SetCut(true)
+		h.SetPartitioned(true)
 		h.mu.Lock()
 		h.stop()
 		h.worker.Crash()
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -86,9 +86,9 @@
 		Leader:  func() runstest.Leader { return s.dispatcher },
 		Context: func() context.Context { return s.ctx },
 		Go:      func(f func()) { s.loops.Go(f) }, Sleep: s.sleep, OrdersWait: 500 * time.Millisecond,
-		HeldUp:   func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
-		Late:     func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
-		OnReport: h.recordReport,
+		DelaysReport:  func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
+		DeliveryDelay: func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
+		OnReport:      h.recordReport,
 	}
 	return h
 }
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	h.driver, h.stop = driver, cancel
 	h.mu.Unlock()
-	h.Forget()
+	h.ForgetLeader()
 	h.s.loops.Go(func() { driver.Run(ctx) })
 }
 
@@ -300,8 +300,8 @@
 	duration := time.Duration(500+s.intN(8000)) * time.Millisecond
 	switch s.intN(4) {
 	case 0:
-		h.SetCut(true)
-		time.AfterFunc(duration, func() { h.SetCut(false) })
+		h.SetPartitioned(true)
+		time.AfterFunc(duration, func() { h.SetPartitioned(false) })
 	case 1:
 		h.mu.Lock()
 		worker := h.worker
@@ -314,7 +314,7 @@
 		h.mu.Unlock()
 		h.startAgent()
 	case 3:
-		s.loops.Go(func() { s.log.Lose(duration / 4) })
+		s.loops.Go(func() { s.log.LoseLeadership(duration / 4) })
 	}
 }
 
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -129,7 +129,7 @@
 	for i := range 8 {
 		s.submit(i)
 		if s.intN(3) == 0 {
-			s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
+			s.loops.Go(func() { s.log.LoseLeadership(time.Duration(s.intN(1500)) * time.Millisecond) })
 		}
 		s.sleep(time.Duration(500+s.intN(1500)) * time.Millisecond)
 	}
--- a/fakes/runworker_calls.go
+++ b/fakes/runworker_calls.go
@@ -40,7 +40,7 @@
 func (w *RunWorker) check(o runs.Order) runs.Answer {
 	switch {
 	case w.crashed || o.Incarnation != w.Spec.Id:
-		return runs.AnswerOther
+		return runs.AnswerOtherIncarnation
 	case o.Term < w.term:
 		return runs.AnswerFenced
 	}
@@ -62,7 +62,7 @@
 		return a
 	}
 	if s.DeadlineMs <= w.clockMs(time.Now()) {
-		return runs.AnswerLate
+		return runs.AnswerDeadlinePassed
 	}
 	w.deadlineMs = max(w.deadlineMs, w.limitDeadline(s.DeadlineMs))
 	task := s.Run.Task
@@ -70,7 +70,7 @@
 		return runs.AnswerDone
 	}
 	if s.Run.Number <= w.newestRun[task] || w.running[task] != nil {
-		return runs.AnswerOver
+		return runs.AnswerEnded
 	}
 	if w.Advisor != nil && !w.Advisor.Valid(s.Run.Task.StepID(), w.Spec.Id, s.Ticket) {
 		return runs.AnswerNoTicket
@@ -147,7 +147,7 @@
 	defer w.mu.Unlock()
 	w.advance()
 	if w.crashed {
-		return status, runs.AnswerOther, nil
+		return status, runs.AnswerOtherIncarnation, nil
 	}
 	return w.status(), answer, nil
 }
