--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -160,7 +160,7 @@
 		s := platformtest.WorkerSettings{
 			ID: workerName(number), Address: platformtest.WorkerAddress(m.IP), Registry: platformtest.ControlAddress(m.IP),
 			Pool: pool, Zone: m.Zone, Labels: []string{"a"}, CPUMilli: workerCPU, MemoryMB: workerMemory, HeartbeatMs: heartbeatMs,
-			Sick: h.sick.Load(), ClockStartMs: clockStart(number, lives), ClockRatePPM: int64(number%clockRates) * clockRateStep,
+			FailsAllRuns: h.sick.Load(), ClockStartMs: clockStart(number, lives), ClockRatePPM: int64(number%clockRates) * clockRateStep,
 		}
 		if h.link != nil {
 			s.Listen = h.link.worker
@@ -220,7 +220,7 @@
 		}
 	}
 	err := c.until(ctx, "configuration", func() bool {
-		status, err := c.client.Put(ctx, c.seedIPs[0], configuration)
+		status, err := c.client.PutConfiguration(ctx, c.seedIPs[0], configuration)
 		return err == nil && status == http.StatusOK
 	})
 	if err != nil {
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -22,7 +22,7 @@
 	l := &load{c: c}
 	const lasting, crashing, tasks = "00000000000000ab", "00000000000000ac", 3
 	l.call(t.Context(), servingPath, lasting, platformtest.Job{
-		Spec:  platformtest.Behavior{Lasts: true}.Payload(),
+		Spec:  platformtest.Behavior{LongRunning: true}.Payload(),
 		Steps: []platformtest.Step{{Count: tasks, CPU: 500, MemoryMB: 500, LongRunning: true}},
 	}, caller{})
 	all := func() bool { return runningOf(t, c, lasting, tasks) == tasks }
--- a/soak/record.go
+++ b/soak/record.go
@@ -101,12 +101,12 @@
 			continue // another line, or one cut off by the end of the process
 		}
 		switch e.Kind {
-		case platformtest.LifeBegan:
-			now = &life{worker: name, sick: e.Sick, began: e.At()}
+		case platformtest.IncarnationStarted:
+			now = &life{worker: name, sick: e.FailsAllRuns, began: e.At()}
 			now.end = rec.endOf(now)
 			rec.lives = append(rec.lives, now)
 			open, ended = map[string]*run{}, nil
-		case platformtest.RunBegan:
+		case platformtest.RunStarted:
 			r := &run{task: e.Task, number: e.Run, life: now, began: e.At(), end: now.end, how: "died"}
 			if now.end.Equal(rec.end) {
 				r.how = "runs"
@@ -115,10 +115,10 @@
 			rec.runs, now.runs = append(rec.runs, r), append(now.runs, r)
 		case platformtest.RunEnded:
 			if r := open[e.Task]; r != nil && r.number == e.Run {
-				r.end, r.how = e.At(), e.How
+				r.end, r.how = e.At(), e.EndKind
 				ended = append(ended, r)
 			}
-		case platformtest.LeaseLapsed:
+		case platformtest.LeaseExpired:
 			now.lapsed = e.At()
 		case platformtest.EndsAcknowledged:
 			for ; len(ended) > 0 && now.ends < e.Ends; now.ends++ {
