--- a/agent/home/home.go
+++ b/agent/home/home.go
@@ -9,9 +9,9 @@
 
 const (
 	backoffBase = 50 * time.Millisecond
-	// returnAfter is how long an agent stays with another entry before it tries the
+	// returnDelay is how long an agent stays with another entry before it tries the
 	// preferred one again. A shorter time would make agents swing with an entry that flaps.
-	returnAfter = 15 * time.Second
+	returnDelay = 15 * time.Second
 	// timeoutFactor is how many times as long as its last answer took an entry may take
 	// for the next one.
 	timeoutFactor = 4
@@ -19,7 +19,7 @@
 
 // Selector is the choice. Entries are numbered in order of preference from 0.
 type Selector struct {
-	entries    int
+	entryCount int
 	maxBackoff time.Duration
 	rng        *rand.Rand
 
@@ -42,7 +42,7 @@
 
 // New returns a selector over a number of entries. rng spreads the agents' retries.
 func New(entries int, maxBackoff time.Duration, timeouts TimeoutBounds, rng *rand.Rand) *Selector {
-	return &Selector{entries: entries, maxBackoff: maxBackoff, timeouts: timeouts, timeout: timeouts.Min, rng: rng}
+	return &Selector{entryCount: entries, maxBackoff: maxBackoff, timeouts: timeouts, timeout: timeouts.Min, rng: rng}
 }
 
 // Timeout is how long to wait for the answer to the next heartbeat. It doubles with each
@@ -61,34 +61,34 @@
 	return s.next
 }
 
-// Succeeded notes that an entry answered, and how long it took: it is the home entry
+// RecordSuccess notes that an entry answered, and how long it took: it is the home entry
 // from now on.
-func (s *Selector) Succeeded(now time.Time, entry int, took time.Duration) {
+func (s *Selector) RecordSuccess(now time.Time, entry int, took time.Duration) {
 	s.failures = 0
 	s.timeout = s.timeouts.clamp(timeoutFactor * took)
 	s.next = entry
 	if entry != s.current || s.returnAt.IsZero() {
-		s.returnAt = now.Add(returnAfter)
+		s.returnAt = now.Add(returnDelay)
 	}
 	s.current = entry
 }
 
-// Failed notes that an entry did not answer and returns how long to wait before
+// RecordFailure notes that an entry did not answer and returns how long to wait before
 // the next pick. The others are tried at once, one after the other; only after a whole
 // round the waits grow, with jitter so that agents do not come back all together.
-func (s *Selector) Failed(now time.Time, entry int) time.Duration {
+func (s *Selector) RecordFailure(now time.Time, entry int) time.Duration {
 	if entry == 0 && s.current != 0 && s.failures == 0 {
 		// Only the try to return failed; the current entry may well be fine.
-		s.returnAt = now.Add(returnAfter)
+		s.returnAt = now.Add(returnDelay)
 		s.next = s.current
 		return 0
 	}
 	s.failures++
-	s.next = (entry + 1) % s.entries
-	if s.failures%s.entries == 0 {
+	s.next = (entry + 1) % s.entryCount
+	if s.failures%s.entryCount == 0 {
 		s.timeout = s.timeouts.clamp(2 * s.timeout)
 	}
-	rounds := s.failures / s.entries
+	rounds := s.failures / s.entryCount
 	if rounds == 0 {
 		return 0
 	}
--- a/agent/home/home_test.go
+++ b/agent/home/home_test.go
@@ -13,7 +13,7 @@
 // Sequence: each entry answers a heartbeat in 600 ms, later each in 2 s, then quickly
 // again. Cause: a timeout that neither grows while no entry answers within it, nor
 // follows the answers once they come.
-func TestTimeoutGrowsUntilAnEntryAnswers(t *testing.T) {
+func TestTimeoutGrowsUntilEntryAnswers(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	s := New(3, time.Second, testTimeouts, rand.New(rand.NewSource(1)))
 	// failures counts the heartbeats that time out before one is answered.
@@ -22,9 +22,9 @@
 			if n > 100 {
 				t.Fatalf("an answer after %v is never waited for", took)
 			}
-			s.Failed(now, s.Pick(now))
+			s.RecordFailure(now, s.Pick(now))
 		}
-		s.Succeeded(now, s.Pick(now), took)
+		s.RecordSuccess(now, s.Pick(now), took)
 		return n
 	}
 	for i, want := range []struct {
@@ -43,7 +43,7 @@
 		}
 	}
 	for range 30 {
-		s.Failed(now, s.Pick(now))
+		s.RecordFailure(now, s.Pick(now))
 	}
 	if s.Timeout() != testTimeouts.Max {
 		t.Errorf("the timeout grew to %v, want %v", s.Timeout(), testTimeouts.Max)
@@ -68,10 +68,10 @@
 		{0, false, false, 0},
 		{1, false, false, 0},
 		{2, true, false, time.Second},
-		{2, true, false, returnAfter}, // The preferred entry is tried again after this,
+		{2, true, false, returnDelay}, // The preferred entry is tried again after this,
 		{0, false, false, 0},          // and its failure costs no wait:
 		{2, true, false, time.Second}, // the present one is asked at once.
-		{2, true, false, returnAfter},
+		{2, true, false, returnDelay},
 		{0, true, false, time.Second},
 		{0, false, false, 0},
 		{1, false, false, 0},
@@ -85,8 +85,8 @@
 			t.Fatalf("step %d: asked %d, want %d", i, entry, step.entry)
 		}
 		if step.answers {
-			s.Succeeded(now, entry, time.Millisecond)
-		} else if wait := s.Failed(now, entry); (wait > 0) != step.waits || wait > time.Second {
+			s.RecordSuccess(now, entry, time.Millisecond)
+		} else if wait := s.RecordFailure(now, entry); (wait > 0) != step.waits || wait > time.Second {
 			t.Fatalf("step %d: wait of %v", i, wait)
 		}
 		now = now.Add(step.pause)
--- a/agent/latency/latency.go
+++ b/agent/latency/latency.go
@@ -13,10 +13,10 @@
 const (
 	// Window is how long responses are gathered for one report.
 	Window = 5 * time.Second
-	// digits is the precision of the histograms, in significant digits.
-	digits = 2
-	// slowest is the largest response time told apart, microseconds.
-	slowest = int64(10 * time.Minute / time.Microsecond)
+	// significantDigits is the precision of the histograms, in significant digits.
+	significantDigits = 2
+	// maxResponseMicros is the largest response time told apart, microseconds.
+	maxResponseMicros = int64(10 * time.Minute / time.Microsecond)
 	// maxPending bounds the reports that wait for an answered heartbeat.
 	maxPending = 256
 	milli      = 1000
@@ -34,14 +34,14 @@
 	service   string
 	histogram *hdrhistogram.Histogram
 	inFlight  int
-	// busy is the time integral of inFlight up to changed.
-	busy    time.Duration
-	changed time.Time
+	// inFlightTime is the time integral of inFlight up to changed.
+	inFlightTime time.Duration
+	updatedAt    time.Time
 }
 
 type report struct {
 	message *apiv1.LatencyReport
-	ended   time.Time
+	endedAt time.Time
 }
 
 // New returns a recorder whose first window starts now.
@@ -49,37 +49,37 @@
 	return &Recorder{start: now, targets: make(map[string]*window)}
 }
 
-// Began notes that a target got a request.
-func (r *Recorder) Began(now time.Time, target, service string) {
-	r.roll(now)
+// RequestStarted notes that a target got a request.
+func (r *Recorder) RequestStarted(now time.Time, target, service string) {
+	r.rollWindow(now)
 	w := r.targets[target]
 	if w == nil {
-		w = &window{service: service, histogram: hdrhistogram.New(1, slowest, digits), changed: now}
+		w = &window{service: service, histogram: hdrhistogram.New(1, maxResponseMicros, significantDigits), updatedAt: now}
 		r.targets[target] = w
 	}
 	w.integrate(now)
 	w.inFlight++
 }
 
-// Ended notes that a request ended; answered says whether its response time counts.
-func (r *Recorder) Ended(now time.Time, target string, took time.Duration, answered bool) {
-	r.roll(now)
+// RequestEnded notes that a request ended; answered says whether its response time counts.
+func (r *Recorder) RequestEnded(now time.Time, target string, took time.Duration, answered bool) {
+	r.rollWindow(now)
 	w := r.targets[target]
 	w.integrate(now)
 	w.inFlight--
 	if answered {
 		// The error can only say "too large", which min rules out.
-		_ = w.histogram.RecordValue(min(max(took.Microseconds(), 1), slowest))
+		_ = w.histogram.RecordValue(min(max(took.Microseconds(), 1), maxResponseMicros))
 	}
 }
 
 func (w *window) integrate(now time.Time) {
-	w.busy += now.Sub(w.changed) * time.Duration(w.inFlight)
-	w.changed = now
+	w.inFlightTime += now.Sub(w.updatedAt) * time.Duration(w.inFlight)
+	w.updatedAt = now
 }
 
-// roll closes the current window once it is over.
-func (r *Recorder) roll(now time.Time) {
+// rollWindow closes the current window once it is over.
+func (r *Recorder) rollWindow(now time.Time) {
 	length := now.Sub(r.start)
 	if length < Window {
 		return
@@ -87,10 +87,10 @@
 	for name, w := range r.targets {
 		w.integrate(now)
 		if w.histogram.TotalCount() > 0 {
-			r.pending = append(r.pending, report{message: w.report(name, length), ended: now})
+			r.pending = append(r.pending, report{message: w.report(name, length), endedAt: now})
 		}
 		w.histogram.Reset()
-		w.busy = 0
+		w.inFlightTime = 0
 		if w.inFlight == 0 {
 			delete(r.targets, name)
 		}
@@ -108,7 +108,7 @@
 		P50Us:             w.histogram.ValueAtQuantile(50),
 		P99Us:             w.histogram.ValueAtQuantile(99),
 		Requests:          w.histogram.TotalCount(),
-		MeanInFlightMilli: int64(w.busy * milli / length),
+		MeanInFlightMilli: int64(w.inFlightTime * milli / length),
 		WindowMs:          length.Milliseconds(),
 	}
 }
@@ -116,14 +116,14 @@
 // Reports returns the reports of windows that are over, with their ages. They stay
 // until Sent.
 func (r *Recorder) Reports(now time.Time) []*apiv1.LatencyReport {
-	r.roll(now)
+	r.rollWindow(now)
 	out := make([]*apiv1.LatencyReport, 0, len(r.pending))
 	for _, p := range r.pending {
-		p.message.AgeMs = now.Sub(p.ended).Milliseconds()
+		p.message.AgeMs = now.Sub(p.endedAt).Milliseconds()
 		out = append(out, p.message)
 	}
 	return out
 }
 
-// Sent drops the first n reports of those that Reports returned.
-func (r *Recorder) Sent(n int) { r.pending = r.pending[min(n, len(r.pending)):] }
+// DropSent drops the first n reports of those that Reports returned.
+func (r *Recorder) DropSent(n int) { r.pending = r.pending[min(n, len(r.pending)):] }
--- a/agent/latency/latency_test.go
+++ b/agent/latency/latency_test.go
@@ -14,19 +14,19 @@
 	now := time.Unix(1e9, 0)
 	r := New(now)
 	for range 2 {
-		r.Began(now, "t", "s")
+		r.RequestStarted(now, "t", "s")
 	}
 	now = now.Add(Window / 2)
 	for range 2 {
-		r.Ended(now, "t", time.Millisecond, true)
+		r.RequestEnded(now, "t", time.Millisecond, true)
 	}
 	for i := range 198 {
-		r.Began(now, "t", "s")
+		r.RequestStarted(now, "t", "s")
 		took := time.Millisecond
 		if i < 3 {
 			took = 99 * time.Millisecond
 		}
-		r.Ended(now, "t", took, true)
+		r.RequestEnded(now, "t", took, true)
 	}
 	if n := len(r.Reports(now)); n != 0 {
 		t.Fatalf("%d reports before the window is over", n)
@@ -45,7 +45,7 @@
 	if got.Requests != 200 || got.MeanInFlightMilli != 1000 || got.AgeMs != 1000 || got.WindowMs != Window.Milliseconds() {
 		t.Errorf("report: %v", got)
 	}
-	r.Sent(1)
+	r.DropSent(1)
 	if reports := r.Reports(now.Add(10 * Window)); len(reports) != 0 {
 		t.Errorf("idle windows are reported: %v", reports)
 	}
--- a/agent/lease/amount.go
+++ b/agent/lease/amount.go
@@ -19,25 +19,25 @@
 // that a huge request never wraps around into a small one that fits.
 func (a Amount) Add(r *apiv1.Resources) Amount {
 	return Amount{
-		addCapped(a.MilliProcessors, r.GetMilliProcessors()),
-		addCapped(a.MemoryBytes, r.GetMemoryBytes()),
-		addCapped(a.Accelerators, r.GetAccelerators()),
+		addSaturating(a.MilliProcessors, r.GetMilliProcessors()),
+		addSaturating(a.MemoryBytes, r.GetMemoryBytes()),
+		addSaturating(a.Accelerators, r.GetAccelerators()),
 	}
 }
 
-func addCapped(a, b int64) int64 {
+func addSaturating(a, b int64) int64 {
 	if b > math.MaxInt64-a {
 		return math.MaxInt64
 	}
 	return a + b
 }
 
-func (a Amount) within(capacity Amount) bool {
+func (a Amount) fitsIn(capacity Amount) bool {
 	return a.MilliProcessors <= capacity.MilliProcessors &&
 		a.MemoryBytes <= capacity.MemoryBytes &&
 		a.Accelerators <= capacity.Accelerators
 }
 
-func valid(r *apiv1.Resources) bool {
+func validResources(r *apiv1.Resources) bool {
 	return r != nil && r.MilliProcessors >= 0 && r.MemoryBytes >= 0 && r.Accelerators >= 0
 }
--- a/agent/lease/identity.go
+++ b/agent/lease/identity.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// maxRefusals is how many heartbeats in a row may renew nothing before the
+	// maxUnrenewed is how many heartbeats in a row may renew nothing before the
 	// incarnation is raised.
-	maxRefusals = 5
-	// firstRaise is how much it is raised by, nanoseconds; each further time twice as much.
-	firstRaise = uint64(time.Hour)
+	maxUnrenewed = 5
+	// minRaise is how much it is raised by, nanoseconds; each further time twice as much.
+	minRaise = uint64(time.Hour)
 )
 
 // identity is the worker's incarnation. The leader takes a higher one as "started
@@ -20,41 +20,41 @@
 // nothing is renewed and raises it.
 type identity struct {
 	known bool
-	// fromWorker says that the worker named the incarnation.
-	fromWorker  bool
-	incarnation uint64
-	instance    string
+	// namedByWorker says that the worker named the incarnation.
+	namedByWorker bool
+	incarnation   uint64
+	instance      string
 
-	refusals int
-	raise    uint64
+	unrenewed int
+	lastRaise uint64
 }
 
 // observe reports whether the worker started anew since the last time.
 func (id *identity) observe(o Observation) (changed bool) {
 	named := o.Info.GetIncarnation()
 	switch {
-	case named != 0 && (!id.fromWorker || named != id.incarnation):
+	case named != 0 && (!id.namedByWorker || named != id.incarnation):
 		id.incarnation, changed = named, true
-	case named == 0 && (!id.known || id.fromWorker || o.Instance != id.instance):
+	case named == 0 && (!id.known || id.namedByWorker || o.Instance != id.instance):
 		id.incarnation, changed = max(id.incarnation+1, o.WallClock), true
 	}
-	id.known, id.fromWorker, id.instance = true, named != 0, o.Instance
+	id.known, id.namedByWorker, id.instance = true, named != 0, o.Instance
 	return changed
 }
 
-// answered counts the heartbeats that renewed nothing, and reports whether they
+// recordReply counts the heartbeats that renewed nothing, and reports whether they
 // made it raise the incarnation.
-func (id *identity) answered(renewed bool) (raised bool) {
-	if renewed || id.fromWorker {
-		id.refusals = 0
+func (id *identity) recordReply(renewed bool) (raised bool) {
+	if renewed || id.namedByWorker {
+		id.unrenewed = 0
 		return false
 	}
-	id.refusals++
-	if id.refusals < maxRefusals {
+	id.unrenewed++
+	if id.unrenewed < maxUnrenewed {
 		return false
 	}
-	id.refusals = 0
-	id.raise = max(id.raise*2, firstRaise)
-	id.incarnation += id.raise
+	id.unrenewed = 0
+	id.lastRaise = max(id.lastRaise*2, minRaise)
+	id.incarnation += id.lastRaise
 	return true
 }
--- a/agent/lease/lease.go
+++ b/agent/lease/lease.go
@@ -25,8 +25,8 @@
 	startWindow = 2 * time.Second
 	// maxStartTries is how often the start of one attempt is tried.
 	maxStartTries = 3
-	// keptBeats is how many heartbeats a reply may be late by.
-	keptBeats = 16
+	// keptHeartbeats is how many heartbeats a reply may be late by.
+	keptHeartbeats = 16
 )
 
 // Attempt names one run of one task.
@@ -43,49 +43,49 @@
 	return &apiv1.TaskAttempt{Task: a.Task, Attempt: a.Number}
 }
 
-// held is an attempt that takes, or may take, room on the worker.
-type held struct {
+// attemptState is an attempt that takes, or may take, room on the worker.
+type attemptState struct {
 	// grant is nil when the agent does not know it: then nothing new starts.
 	grant *apiv1.Resources
 	// checkpoint is the newest that the agent knows to be durable.
 	checkpoint string
 	// deadline is the latest that the worker may have been given; zero when an
 	// earlier agent gave it, then expires counts from first.
-	deadline time.Duration
-	first    time.Duration
+	deadline  time.Duration
+	firstSeen time.Duration
 	// status is what the worker said last; nil while it has not listed the attempt.
 	status *apiv1.TaskStatus
 	// missing says that the worker no longer lists an attempt it listed before.
 	missing bool
 	// stopping says that a stop is being carried out, unwanted that it was ordered
 	// without a checkpoint.
-	stopping bool
-	unwanted bool
-	tries    int
+	stopping   bool
+	unwanted   bool
+	startTries int
 }
 
-func (h *held) running() bool {
+func (h *attemptState) running() bool {
 	return h.status.GetPhase() == apiv1.TaskPhase_TASK_PHASE_RUNNING && !h.missing
 }
 
 // ended reports whether the worker said that the attempt is over.
-func (h *held) ended() bool {
+func (h *attemptState) ended() bool {
 	return h.status != nil && h.status.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING
 }
 
-// beat is what a heartbeat said, kept until its reply comes.
-type beat struct {
+// sentHeartbeat is what a heartbeat said, kept until its reply comes.
+type sentHeartbeat struct {
 	sequence    uint64
-	sent        time.Duration
+	sentAt      time.Duration
 	incarnation uint64
 	running     []Attempt
 }
 
 // Manager decides what the agent asks of the worker.
 type Manager struct {
-	began time.Duration
-	// lease is the longest length in any orders, zero before the first.
-	lease time.Duration
+	startedAt time.Duration
+	// longestLease is the longest length in any orders, zero before the first.
+	longestLease time.Duration
 
 	identity identity
 	// registered says that the leader renewed under the present incarnation.
@@ -94,23 +94,23 @@
 	infoKnown  bool // The leader has the present info.
 	reserved   Amount
 
-	held map[Attempt]*held
-	// ends are attempts that ended without the worker ever listing their end.
-	ends map[Attempt]*apiv1.TaskStatus
+	attempts map[Attempt]*attemptState
+	// inferredEnds are attempts that ended without the worker ever listing their end.
+	inferredEnds map[Attempt]*apiv1.TaskStatus
 
-	sequence uint64
-	beats    []beat
+	sequence       uint64
+	sentHeartbeats []sentHeartbeat
 }
 
 // New returns a manager for an agent that started now.
 func New(now time.Duration) *Manager {
 	return &Manager{
-		began: now,
+		startedAt: now,
 		// Heartbeats come slower than one per millisecond, so the sequence goes on
 		// growing over restarts of the agent.
-		sequence: uint64(now.Milliseconds()),
-		held:     make(map[Attempt]*held),
-		ends:     make(map[Attempt]*apiv1.TaskStatus),
+		sequence:     uint64(now.Milliseconds()),
+		attempts:     make(map[Attempt]*attemptState),
+		inferredEnds: make(map[Attempt]*apiv1.TaskStatus),
 	}
 }
 
@@ -133,7 +133,7 @@
 func (m *Manager) Observe(now time.Duration, o Observation) (ended bool) {
 	if m.identity.observe(o) {
 		m.infoKnown, m.registered = false, false
-		m.lose()
+		m.dropPreviousInstance()
 	}
 	if !sameInfo(o.Info, m.info) {
 		m.infoKnown = false
@@ -143,26 +143,26 @@
 	for _, st := range o.Tasks {
 		k := attemptOf(st.Task)
 		listed[k] = true
-		ended = m.list(now, k, st) || ended
+		ended = m.recordListed(now, k, st) || ended
 	}
-	return m.unlisted(now, listed) || ended
+	return m.checkUnlisted(now, listed) || ended
 }
 
-// lose drops what the worker's earlier instance ran. Starts that were not seen to
+// dropPreviousInstance drops what the worker's earlier instance ran. Starts that were not seen to
 // succeed stay: they may have been sent to the new instance already.
-func (m *Manager) lose() {
-	for k, h := range m.held {
+func (m *Manager) dropPreviousInstance() {
+	for k, h := range m.attempts {
 		if h.status != nil {
-			delete(m.held, k)
+			delete(m.attempts, k)
 		}
 	}
 }
 
-func (m *Manager) list(now time.Duration, k Attempt, st *apiv1.TaskStatus) (ended bool) {
-	h := m.held[k]
+func (m *Manager) recordListed(now time.Duration, k Attempt, st *apiv1.TaskStatus) (ended bool) {
+	h := m.attempts[k]
 	if h == nil {
-		h = &held{first: now}
-		m.held[k] = h
+		h = &attemptState{firstSeen: now}
+		m.attempts[k] = h
 	}
 	if st.Grant != nil {
 		h.grant = st.Grant
@@ -172,19 +172,19 @@
 	}
 	was := h.ended()
 	h.status, h.missing = st, false
-	delete(m.ends, k) // What the worker reports precedes the agent's conclusion.
+	delete(m.inferredEnds, k) // What the worker reports precedes the agent's conclusion.
 	return h.ended() && !was
 }
 
-// unlisted looks at the attempts that the worker did not list. One that may still
+// checkUnlisted looks at the attempts that the worker did not list. One that may still
 // be started by a late message, or that the worker may yet be running, is over only
 // when its deadline has passed: said earlier, the next attempt could run beside it.
-func (m *Manager) unlisted(now time.Duration, listed map[Attempt]bool) (ended bool) {
-	for k, h := range m.held {
+func (m *Manager) checkUnlisted(now time.Duration, listed map[Attempt]bool) (ended bool) {
+	for k, h := range m.attempts {
 		switch {
 		case listed[k]:
 		case h.ended():
-			delete(m.held, k) // Forgotten by the worker.
+			delete(m.attempts, k) // Forgotten by the worker.
 		case !m.expired(now, h):
 			h.missing = h.status != nil
 		default:
@@ -192,8 +192,8 @@
 			if h.status != nil {
 				message = "worker no longer lists it"
 			}
-			m.end(k, h.checkpoint, message)
-			delete(m.held, k)
+			m.inferEnd(k, h.checkpoint, message)
+			delete(m.attempts, k)
 			ended = true
 		}
 	}
@@ -201,19 +201,19 @@
 }
 
 // expired reports whether every deadline that an attempt may have is past.
-func (m *Manager) expired(now time.Duration, h *held) bool {
+func (m *Manager) expired(now time.Duration, h *attemptState) bool {
 	if h.deadline > 0 {
 		return now >= h.deadline
 	}
-	return m.lease > 0 && now >= h.first+m.lease
+	return m.longestLease > 0 && now >= h.firstSeen+m.longestLease
 }
 
-// settled reports whether the starts that an earlier agent sent can no longer take
+// startsSettled reports whether the starts that an earlier agent sent can no longer take
 // effect. Before that an attempt which nobody lists may yet begin to run and take room.
-func (m *Manager) settled(now time.Duration) bool { return now >= m.began+startWindow }
+func (m *Manager) startsSettled(now time.Duration) bool { return now >= m.startedAt+startWindow }
 
-func (m *Manager) end(k Attempt, checkpoint, message string) {
-	m.ends[k] = &apiv1.TaskStatus{
+func (m *Manager) inferEnd(k Attempt, checkpoint, message string) {
+	m.inferredEnds[k] = &apiv1.TaskStatus{
 		Task:       k.proto(),
 		Phase:      apiv1.TaskPhase_TASK_PHASE_STOPPED,
 		Checkpoint: checkpoint,
@@ -238,26 +238,26 @@
 		Incarnation: m.identity.incarnation,
 		Sequence:    m.sequence,
 	}
-	if !m.infoKnown && m.settled(now) {
+	if !m.infoKnown && m.startsSettled(now) {
 		hb.Info = m.info
 	}
-	b := beat{sequence: m.sequence, sent: now, incarnation: m.identity.incarnation}
-	for k, h := range m.held {
+	b := sentHeartbeat{sequence: m.sequence, sentAt: now, incarnation: m.identity.incarnation}
+	for k, h := range m.attempts {
 		if h.running() {
 			b.running = append(b.running, k)
 		}
 		if h.status != nil && !h.missing {
-			hb.Tasks = append(hb.Tasks, h.report())
+			hb.Tasks = append(hb.Tasks, h.reportedStatus())
 		}
 	}
-	for _, st := range m.ends {
+	for _, st := range m.inferredEnds {
 		hb.Tasks = append(hb.Tasks, st)
 	}
 	slices.SortFunc(hb.Tasks, byTask)
 	slices.SortFunc(b.running, byAttempt)
-	m.beats = append(m.beats, b)
-	if len(m.beats) > keptBeats {
-		m.beats = m.beats[1:]
+	m.sentHeartbeats = append(m.sentHeartbeats, b)
+	if len(m.sentHeartbeats) > keptHeartbeats {
+		m.sentHeartbeats = m.sentHeartbeats[1:]
 	}
 	return hb
 }
@@ -266,13 +266,13 @@
 // A heartbeat with a new incarnation must be: the leader takes what it leaves out
 // as ended and grants it anew, so a start that is still under way would run twice.
 func (m *Manager) conclusive(now time.Duration) bool {
-	if !m.identity.known || !m.identity.fromWorker && !m.settled(now) {
+	if !m.identity.known || !m.identity.namedByWorker && !m.startsSettled(now) {
 		return false
 	}
 	if m.registered {
 		return true
 	}
-	for _, h := range m.held {
+	for _, h := range m.attempts {
 		if h.status == nil {
 			return false
 		}
@@ -280,9 +280,9 @@
 	return true
 }
 
-// report is the worker's status, with the checkpoint filled in from the reply to the
+// reportedStatus is the worker's status, with the checkpoint filled in from the reply to the
 // agent's own request where the worker names none.
-func (h *held) report() *apiv1.TaskStatus {
+func (h *attemptState) reportedStatus() *apiv1.TaskStatus {
 	st := h.status
 	if st.Checkpoint != "" || h.checkpoint == "" {
 		return st
--- a/agent/lease/lease_test.go
+++ b/agent/lease/lease_test.go
@@ -13,37 +13,37 @@
 )
 
 const (
-	seeds     = 400
-	steps     = 3000
-	tasks     = 3
-	hosts     = 3
-	duration  = 3 * time.Second
-	rateError = 0.02 // Far beyond real clocks, so that a missing bound shows.
-	room      = 2    // Grants that fit on a worker.
-	running   = apiv1.TaskPhase_TASK_PHASE_RUNNING
+	seeds         = 400
+	steps         = 3000
+	tasks         = 3
+	hosts         = 3
+	leaseDuration = 3 * time.Second
+	rateError     = 0.02 // Far beyond real clocks, so that a missing bound shows.
+	maxRunning    = 2    // Grants that fit on a worker.
+	running       = apiv1.TaskPhase_TASK_PHASE_RUNNING
 )
 
-var one = &apiv1.Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30, Accelerators: 1}
+var unitGrant = &apiv1.Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30, Accelerators: 1}
 
 // host is a stand-in worker and the agent beside it, with a clock of its own.
 type host struct {
-	w       *world
-	name    string
-	rate    float64
-	starts  uint64 // Of the worker.
-	tells   bool   // The worker names its incarnation and the grants.
-	worker  *fakes.Worker
-	manager *Manager
-	frozen  time.Duration
+	sim              *simulation
+	name             string
+	rate             float64
+	starts           uint64 // Of the worker.
+	namesIncarnation bool   // The worker names its incarnation and the grants.
+	worker           *fakes.Worker
+	manager          *Manager
+	frozenUntil      time.Duration
 	// The leader's view.
-	handled               time.Duration
+	lastHeartbeat         time.Duration
 	incarnation, sequence uint64
 }
 
 // event is something on its way.
 type event struct {
-	at time.Duration
-	do func()
+	at  time.Duration
+	run func()
 }
 
 // task is the leader's record of one task.
@@ -58,29 +58,29 @@
 // faults are chances in percent; each seed has its own, some of them extreme.
 type faults struct{ lost, startFails, stopHangs, evicted, restarts, lateLoss int }
 
-// world is true time, the leader, and the judge of what runs where.
-type world struct {
-	t      *testing.T
-	rng    *rand.Rand
-	now    time.Duration
-	events []event
-	hosts  []*host
-	tasks  []*task
-	rate   float64 // Of the leader's clock.
-	faults faults
-	ended  int // Attempts that ended in any way, to see that the run does something.
+// simulation is true time, the leader, and the judge of what runs where.
+type simulation struct {
+	t               *testing.T
+	rng             *rand.Rand
+	now             time.Duration
+	events          []event
+	hosts           []*host
+	tasks           []*task
+	leaderClockRate float64 // Of the leader's clock.
+	faults          faults
+	ended           int // Attempts that ended in any way, to see that the run does something.
 }
 
-func newWorld(t *testing.T, seed int64) *world {
-	w := &world{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Hour}
+func newSimulation(t *testing.T, seed int64) *simulation {
+	w := &simulation{t: t, rng: rand.New(rand.NewSource(seed)), now: time.Hour}
 	pick := func(values ...int) int { return values[w.rng.Intn(len(values))] }
 	w.faults = faults{
 		lost: pick(0, 10, 40), startFails: pick(5, 30, 80), stopHangs: pick(0, 30, 90),
 		evicted: pick(0, 5, 40), restarts: pick(0, 1, 4), lateLoss: pick(10, 50),
 	}
-	w.rate = w.clockRate()
+	w.leaderClockRate = w.clockRate()
 	for i := range hosts {
-		h := &host{w: w, name: fmt.Sprint("h", i), rate: w.clockRate(), tells: w.chance(50)}
+		h := &host{sim: w, name: fmt.Sprint("h", i), rate: w.clockRate(), namesIncarnation: w.chance(50)}
 		h.startWorker()
 		h.manager = New(h.clock())
 		w.hosts = append(w.hosts, h)
@@ -91,26 +91,32 @@
 	return w
 }
 
-func (w *world) clockRate() float64 { return 1 + rateError*(2*w.rng.Float64()-1) }
+func (w *simulation) clockRate() float64 { return 1 + rateError*(2*w.rng.Float64()-1) }
 
-func (w *world) chance(percent int) bool { return w.rng.Intn(100) < percent }
+func (w *simulation) chance(percent int) bool { return w.rng.Intn(100) < percent }
 
-func (w *world) upTo(d time.Duration) time.Duration { return time.Duration(w.rng.Int63n(int64(d))) }
+func (w *simulation) randomUpTo(d time.Duration) time.Duration {
+	return time.Duration(w.rng.Int63n(int64(d)))
+}
 
-func (w *world) later(d time.Duration, do func()) { w.events = append(w.events, event{w.now + d, do}) }
+func (w *simulation) schedule(d time.Duration, do func()) {
+	w.events = append(w.events, event{w.now + d, do})
+}
 
-func (w *world) leaderClock() time.Duration { return time.Duration(float64(w.now) * w.rate) }
+func (w *simulation) leaderClock() time.Duration {
+	return time.Duration(float64(w.now) * w.leaderClockRate)
+}
 
-func (h *host) clock() time.Duration { return time.Duration(float64(h.w.now) * h.rate) }
+func (h *host) clock() time.Duration { return time.Duration(float64(h.sim.now) * h.rate) }
 
 func (h *host) startWorker() {
 	h.starts++
 	record, _ := fakes.NewRecorder[fakes.RunEvent]("")
-	capacity := &apiv1.Resources{MilliProcessors: room * 1000, MemoryBytes: room << 30, Accelerators: room}
+	capacity := &apiv1.Resources{MilliProcessors: maxRunning * 1000, MemoryBytes: maxRunning << 30, Accelerators: maxRunning}
 	h.worker = fakes.NewWorker(fakes.WorkerConfig{Info: &apiv1.WorkerInfo{Name: h.name, Capacity: capacity}}, record, h.clock())
 }
 
-func (w *world) judge() {
+func (w *simulation) check() {
 	where := map[string]string{}
 	for _, h := range w.hosts {
 		n := 0
@@ -124,16 +130,16 @@
 			}
 			where[st.Task.Task] = h.name
 		}
-		if n > room {
-			w.t.Fatalf("%s runs %d tasks and has room for %d", h.name, n, room)
+		if n > maxRunning {
+			w.t.Fatalf("%s runs %d tasks and has room for %d", h.name, n, maxRunning)
 		}
 	}
 }
 
 func (h *host) observe() {
-	o := Observation{Info: h.worker.Info(), Instance: strconv.FormatUint(h.starts, 10), WallClock: uint64(h.w.now)}
+	o := Observation{Info: h.worker.Info(), Instance: strconv.FormatUint(h.starts, 10), WallClock: uint64(h.sim.now)}
 	o.Tasks = h.worker.Tasks(h.clock())
-	if h.tells {
+	if h.namesIncarnation {
 		o.Info.Incarnation = h.starts
 	} else {
 		for _, st := range o.Tasks {
@@ -143,37 +149,37 @@
 	h.manager.Observe(h.clock(), o)
 }
 
-// beat is one turn of an agent: look, send, and some time later follow the reply.
-func (h *host) beat() {
-	if h.w.now < h.frozen {
+// heartbeat is one turn of an agent: look, send, and some time later follow the reply.
+func (h *host) heartbeat() {
+	if h.sim.now < h.frozenUntil {
 		return
 	}
 	h.observe()
 	hb := h.manager.Heartbeat(h.clock())
-	if hb == nil || h.w.chance(h.w.faults.lost) {
+	if hb == nil || h.sim.chance(h.sim.faults.lost) {
 		return
 	}
 	m := h.manager
-	h.w.later(h.w.upTo(400*time.Millisecond), func() {
-		reply := h.w.handle(h, hb)
-		if reply != nil && !h.w.chance(h.w.faults.lost) {
-			h.w.later(h.w.upTo(400*time.Millisecond), func() { h.follow(m, reply) })
+	h.sim.schedule(h.sim.randomUpTo(400*time.Millisecond), func() {
+		reply := h.sim.handleHeartbeat(h, hb)
+		if reply != nil && !h.sim.chance(h.sim.faults.lost) {
+			h.sim.schedule(h.sim.randomUpTo(400*time.Millisecond), func() { h.followOrders(m, reply) })
 		}
 	})
 }
 
-// follow carries out orders. An agent that was frozen follows them when it wakes;
+// followOrders carries out orders. An agent that was frozen follows them when it wakes;
 // one that was restarted never does.
-func (h *host) follow(m *Manager, o *apiv1.WorkerOrders) {
-	if h.w.now < h.frozen {
-		h.w.later(h.frozen-h.w.now, func() { h.follow(m, o) })
+func (h *host) followOrders(m *Manager, o *apiv1.WorkerOrders) {
+	if h.sim.now < h.frozenUntil {
+		h.sim.schedule(h.frozenUntil-h.sim.now, func() { h.followOrders(m, o) })
 		return
 	}
 	if m != h.manager {
 		return
 	}
-	a := m.Orders(h.clock(), o)
-	if !h.w.chance(h.w.faults.lost) {
+	a := m.ApplyOrders(h.clock(), o)
+	if !h.sim.chance(h.sim.faults.lost) {
 		h.worker.Renew(a.Renew, a.Deadline, h.clock())
 	}
 	for _, s := range a.Stop {
@@ -186,15 +192,15 @@
 }
 
 func (h *host) stop(m *Manager, s *apiv1.StopTask) {
-	if h.w.chance(h.w.faults.stopHangs) {
-		m.Stopped(s.Task, "", false)
+	if h.sim.chance(h.sim.faults.stopHangs) {
+		m.RecordStop(s.Task, "", false)
 		return
 	}
 	name, _ := h.worker.Checkpoint(s.Task, h.clock())
-	if h.w.chance(30) {
+	if h.sim.chance(30) {
 		name = "" // The reply is lost.
 	}
-	m.Stopped(s.Task, name, h.worker.Stop(s.Task, h.clock()) == nil)
+	m.RecordStop(s.Task, name, h.worker.Stop(s.Task, h.clock()) == nil)
 }
 
 // start may lose the message, the reply, or deliver the message late, also to a
@@ -202,12 +208,12 @@
 func (h *host) start(m *Manager, s *apiv1.StartTask, a Actions) {
 	run := func() error { return h.worker.Start(s, a.StartDeadline, h.clock()) }
 	result := StartUnknown
-	if !h.w.chance(h.w.faults.startFails) {
+	if !h.sim.chance(h.sim.faults.startFails) {
 		result = resultOf(run())
-	} else if !h.w.chance(h.w.faults.lateLoss) {
-		h.w.later(h.w.upTo(duration), func() { _ = run() })
+	} else if !h.sim.chance(h.sim.faults.lateLoss) {
+		h.sim.schedule(h.sim.randomUpTo(leaseDuration), func() { _ = run() })
 	}
-	if m.Started(s, result, "refused", a.Deadline) {
+	if m.RecordStart(s, result, "refused", a.Deadline) {
 		h.worker.Renew([]*apiv1.TaskAttempt{s.Task}, a.Deadline, h.clock())
 	}
 }
@@ -217,13 +223,13 @@
 	case err == nil:
 		return StartDone
 	case worker.Refused(err, worker.CodeExpired):
-		return StartLate
+		return StartExpired
 	}
 	return StartRefused
 }
 
-// handle is the leader's side of a heartbeat.
-func (w *world) handle(h *host, hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
+// handleHeartbeat is the leader's side of a heartbeat.
+func (w *simulation) handleHeartbeat(h *host, hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
 	fresh := hb.Incarnation > h.incarnation
 	if hb.Incarnation < h.incarnation || fresh && hb.Info == nil {
 		return &apiv1.WorkerOrders{Sequence: hb.Sequence} // As the leader, which can't register it.
@@ -231,25 +237,25 @@
 	if !fresh && hb.Sequence <= h.sequence {
 		return nil
 	}
-	h.incarnation, h.sequence, h.handled = hb.Incarnation, hb.Sequence, w.leaderClock()
-	o := &apiv1.WorkerOrders{Sequence: hb.Sequence, Renewed: true, LeaseMs: duration.Milliseconds()}
-	reported := w.takeReports(h, hb, o)
+	h.incarnation, h.sequence, h.lastHeartbeat = hb.Incarnation, hb.Sequence, w.leaderClock()
+	o := &apiv1.WorkerOrders{Sequence: hb.Sequence, Renewed: true, LeaseMs: leaseDuration.Milliseconds()}
+	reported := w.applyReports(h, hb, o)
 	for _, t := range w.tasks {
 		a := Attempt{t.name, t.attempt}
 		switch {
 		case t.host != h:
 		case fresh && !reported[a]:
-			w.end(t)
+			w.endTask(t)
 		case t.stopping:
 			o.Stop = append(o.Stop, &apiv1.StopTask{Task: a.proto(), Checkpoint: true})
 		case !reported[a]:
-			o.Start = append(o.Start, &apiv1.StartTask{Task: a.proto(), Grant: one, Checkpoint: t.checkpoint, ExpectedRunMs: 20000})
+			o.Start = append(o.Start, &apiv1.StartTask{Task: a.proto(), Grant: unitGrant, Checkpoint: t.checkpoint, ExpectedRunMs: 20000})
 		}
 	}
 	return o
 }
 
-func (w *world) takeReports(h *host, hb *apiv1.WorkerHeartbeat, o *apiv1.WorkerOrders) map[Attempt]bool {
+func (w *simulation) applyReports(h *host, hb *apiv1.WorkerHeartbeat, o *apiv1.WorkerOrders) map[Attempt]bool {
 	reported := map[Attempt]bool{}
 	for _, st := range hb.Tasks {
 		k := attemptOf(st.Task)
@@ -269,29 +275,29 @@
 		}
 		if st.Checkpoint != "" {
 			t.checkpoint = st.Checkpoint
-		} else if t.checkpoint != "" && st.Message != neverStarted {
+		} else if t.checkpoint != "" && st.Message != neverStartedMessage {
 			w.t.Fatalf("%v lost its checkpoint %s", k, t.checkpoint)
 		}
-		w.end(t)
+		w.endTask(t)
 	}
 	return reported
 }
 
-func (w *world) end(t *task) {
+func (w *simulation) endTask(t *task) {
 	t.host, t.stopping = nil, false
 	w.ended++
 }
 
-// lead places, evicts, and expires what has surely run out. It overfills the
+// leaderStep places, evicts, and expires what has surely run out. It overfills the
 // workers on purpose: the agent must check again.
-func (w *world) lead() {
-	wait := duration * 102 / 98 // (1 + rateError) / (1 - rateError)
+func (w *simulation) leaderStep() {
+	wait := leaseDuration * 102 / 98 // (1 + rateError) / (1 - rateError)
 	for _, t := range w.tasks {
 		h := w.hosts[w.rng.Intn(hosts)]
 		switch {
-		case t.host != nil && w.leaderClock()-t.host.handled > wait:
-			w.end(t)
-		case t.host == nil && w.leaderClock()-h.handled < duration/2 && w.chance(30):
+		case t.host != nil && w.leaderClock()-t.host.lastHeartbeat > wait:
+			w.endTask(t)
+		case t.host == nil && w.leaderClock()-h.lastHeartbeat < leaseDuration/2 && w.chance(30):
 			t.attempt++
 			t.host = h
 		case t.host != nil && w.chance(w.faults.evicted):
@@ -300,8 +306,8 @@
 	}
 }
 
-func (w *world) step() {
-	w.now += w.upTo(60 * time.Millisecond)
+func (w *simulation) step() {
+	w.now += w.randomUpTo(60 * time.Millisecond)
 	due := w.events
 	w.events = nil
 	for _, e := range due {
@@ -309,23 +315,23 @@
 			w.events = append(w.events, e)
 			continue
 		}
-		e.do()
+		e.run()
 	}
-	w.disturb(w.hosts[w.rng.Intn(hosts)])
-	w.judge()
+	w.hostStep(w.hosts[w.rng.Intn(hosts)])
+	w.check()
 }
 
-func (w *world) disturb(h *host) {
+func (w *simulation) hostStep(h *host) {
 	switch n := w.rng.Intn(100); {
 	case n < 30:
-		h.beat()
+		h.heartbeat()
 	case n < 50:
-		w.lead()
+		w.leaderStep()
 	case n < 53:
 		h.observe()
 	case n >= 60 || !w.chance(25*w.faults.restarts):
 	case n < 56:
-		h.frozen = w.now + w.upTo(4*duration)
+		h.frozenUntil = w.now + w.randomUpTo(4*leaseDuration)
 	case n < 59:
 		h.manager = New(h.clock()) // The agent restarts.
 	default:
@@ -337,10 +343,10 @@
 // Sequence: heartbeats, replies, starts and stops are lost, late or out of order; agents
 // freeze and restart; workers restart; clocks run at different rates.
 // Cause: a deadline counted from the wrong moment, or an end reported too early.
-func TestNeverInTwoPlaces(t *testing.T) {
+func TestTaskNeverRunsOnTwoWorkers(t *testing.T) {
 	ended := 0
 	for seed := range int64(seeds) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		for range steps {
 			w.step()
 		}
--- a/agent/lease/orders_test.go
+++ b/agent/lease/orders_test.go
@@ -12,40 +12,40 @@
 	stopped = apiv1.TaskPhase_TASK_PHASE_STOPPED
 )
 
-// bench is a manager moved by hand. Its worker runs attempt 1 of task a.
-type bench struct {
-	m        *Manager
-	now      time.Duration
-	tasks    []*apiv1.TaskStatus
-	instance string
-	wall     uint64
-	told     uint64
+// harness is a manager moved by hand. Its worker runs attempt 1 of task a.
+type harness struct {
+	m                *Manager
+	now              time.Duration
+	tasks            []*apiv1.TaskStatus
+	instance         string
+	wallClock        uint64
+	namedIncarnation uint64
 }
 
-func newBench() *bench {
-	b := &bench{m: New(boot), now: boot + startWindow, instance: "one", wall: 1 << 60}
-	b.tasks = []*apiv1.TaskStatus{{Task: Attempt{"a", 1}.proto(), Phase: running, Grant: one}}
+func newHarness() *harness {
+	b := &harness{m: New(boot), now: boot + startWindow, instance: "one", wallClock: 1 << 60}
+	b.tasks = []*apiv1.TaskStatus{{Task: Attempt{"a", 1}.proto(), Phase: running, Grant: unitGrant}}
 	b.observe()
 	return b
 }
 
-func (b *bench) observe() {
-	info := &apiv1.WorkerInfo{Incarnation: b.told}
+func (b *harness) observe() {
+	info := &apiv1.WorkerInfo{Incarnation: b.namedIncarnation}
 	info.Capacity = &apiv1.Resources{MilliProcessors: 3000, MemoryBytes: 3 << 30, Accelerators: 3}
-	b.m.Observe(b.now, Observation{Info: info, Instance: b.instance, Tasks: b.tasks, WallClock: b.wall})
+	b.m.Observe(b.now, Observation{Info: info, Instance: b.instance, Tasks: b.tasks, WallClock: b.wallClock})
 }
 
-func (b *bench) beat() *apiv1.WorkerHeartbeat { return b.m.Heartbeat(b.now) }
+func (b *harness) heartbeat() *apiv1.WorkerHeartbeat { return b.m.Heartbeat(b.now) }
 
-// turn is a heartbeat and its reply; answer is the time between them.
-func (b *bench) turn(answer time.Duration, o *apiv1.WorkerOrders) Actions {
-	o.Sequence, o.Renewed, o.LeaseMs = b.beat().GetSequence(), true, duration.Milliseconds()
+// exchange is a heartbeat and its reply; answer is the time between them.
+func (b *harness) exchange(answer time.Duration, o *apiv1.WorkerOrders) Actions {
+	o.Sequence, o.Renewed, o.LeaseMs = b.heartbeat().GetSequence(), true, leaseDuration.Milliseconds()
 	b.now += answer
-	return b.m.Orders(b.now, o)
+	return b.m.ApplyOrders(b.now, o)
 }
 
-func (b *bench) reported(task string) *apiv1.TaskStatus {
-	for _, st := range b.beat().GetTasks() {
+func (b *harness) reported(task string) *apiv1.TaskStatus {
+	for _, st := range b.heartbeat().GetTasks() {
 		if st.Task.Task == task {
 			return st
 		}
@@ -53,22 +53,22 @@
 	return nil
 }
 
-func start(task string, attempt uint64) *apiv1.StartTask {
-	return &apiv1.StartTask{Task: Attempt{task, attempt}.proto(), Grant: one, Checkpoint: "from"}
+func startTask(task string, attempt uint64) *apiv1.StartTask {
+	return &apiv1.StartTask{Task: Attempt{task, attempt}.proto(), Grant: unitGrant, Checkpoint: "from"}
 }
 
-func starts(task string, attempt uint64) *apiv1.WorkerOrders {
-	return &apiv1.WorkerOrders{Start: []*apiv1.StartTask{start(task, attempt)}}
+func startOrders(task string, attempt uint64) *apiv1.WorkerOrders {
+	return &apiv1.WorkerOrders{Start: []*apiv1.StartTask{startTask(task, attempt)}}
 }
 
-func stops(checkpoint bool, task string) *apiv1.WorkerOrders {
+func stopOrders(checkpoint bool, task string) *apiv1.WorkerOrders {
 	return &apiv1.WorkerOrders{Stop: []*apiv1.StopTask{{Task: Attempt{task, 1}.proto(), Checkpoint: checkpoint}}}
 }
 
 // tryStart orders the start of attempt 1 of task n and has it go some way.
-func (b *bench) tryStart(r StartResult) Actions {
-	a := b.turn(0, starts("n", 1))
-	b.m.Started(start("n", 1), r, "", a.Deadline)
+func (b *harness) tryStart(r StartResult) Actions {
+	a := b.exchange(0, startOrders("n", 1))
+	b.m.RecordStart(startTask("n", 1), r, "", a.Deadline)
 	return a
 }
 
@@ -77,136 +77,136 @@
 // reports whether the agent did the right thing. Cause: orders that are carried out
 // without a look at their age, at the attempt or at the worker that they are for.
 func TestOrders(t *testing.T) {
-	tests := map[string]func(b *bench) bool{
-		"late orders start and renew nothing": func(b *bench) bool {
-			a := b.turn(duration, starts("n", 1))
+	tests := map[string]func(b *harness) bool{
+		"late orders start and renew nothing": func(b *harness) bool {
+			a := b.exchange(leaseDuration, startOrders("n", 1))
 			return len(a.Start)+len(a.Renew) == 0
 		},
-		"an eviction is renewed": func(b *bench) bool { return len(b.turn(0, stops(true, "a")).Renew) == 1 },
-		"an unwanted attempt is not": func(b *bench) bool {
-			a := b.turn(0, stops(false, "a"))
+		"an eviction is renewed": func(b *harness) bool { return len(b.exchange(0, stopOrders(true, "a")).Renew) == 1 },
+		"an unwanted attempt is not": func(b *harness) bool {
+			a := b.exchange(0, stopOrders(false, "a"))
 			return len(a.Stop) == 1 && len(a.Renew) == 0
 		},
-		"no second attempt beside the first": func(b *bench) bool { return len(b.turn(0, starts("a", 2)).Start) == 0 },
-		"nothing starts beside an attempt of unknown size": func(b *bench) bool {
-			b.m.held[Attempt{"a", 1}].grant = nil
-			return len(b.turn(0, starts("n", 1)).Start) == 0 && b.reported("n").GetCheckpoint() == "from"
+		"no second attempt beside the first": func(b *harness) bool { return len(b.exchange(0, startOrders("a", 2)).Start) == 0 },
+		"nothing starts beside an attempt of unknown size": func(b *harness) bool {
+			b.m.attempts[Attempt{"a", 1}].grant = nil
+			return len(b.exchange(0, startOrders("n", 1)).Start) == 0 && b.reported("n").GetCheckpoint() == "from"
 		},
-		"nothing is said or done before an earlier agent's starts have passed": func(b *bench) bool {
+		"nothing is said or done before an earlier agent's starts have passed": func(b *harness) bool {
 			b.now--
-			if b.beat() != nil {
+			if b.heartbeat() != nil {
 				return false
 			}
-			b.told = 1
+			b.namedIncarnation = 1
 			b.observe()
-			b.turn(0, stops(true, "n"))
-			return len(b.turn(0, starts("n", 1)).Start) == 0 && b.reported("n") == nil
+			b.exchange(0, stopOrders(true, "n"))
+			return len(b.exchange(0, startOrders("n", 1)).Start) == 0 && b.reported("n") == nil
 		},
 		// Symptom: a task runs twice for up to two seconds. Sequence: an agent
 		// sends a start to a worker that has just restarted, and dies; its
 		// successor reports that nothing runs; the start arrives. Cause: a new
 		// incarnation that can be registered too early.
-		"a worker is not registered before an earlier agent's starts have passed": func(b *bench) bool {
-			b.told = 1
+		"a worker is not registered before an earlier agent's starts have passed": func(b *harness) bool {
+			b.namedIncarnation = 1
 			b.now--
 			b.observe()
-			early := b.beat()
+			early := b.heartbeat()
 			b.now++
-			return early != nil && early.Info == nil && b.beat().Info != nil
+			return early != nil && early.Info == nil && b.heartbeat().Info != nil
 		},
-		"a stop of the unknown is answered": func(b *bench) bool {
-			b.turn(0, stops(true, "n"))
+		"a stop of the unknown is answered": func(b *harness) bool {
+			b.exchange(0, stopOrders(true, "n"))
 			return b.reported("n").GetPhase() == stopped
 		},
-		"a start is short until it is known to run": func(b *bench) bool {
-			a := b.turn(0, starts("n", 1))
-			renew := b.m.Started(start("n", 1), StartDone, "", a.Deadline)
-			return renew && a.StartDeadline == b.now+startWindow && a.Deadline == b.now+duration
+		"a start is short until it is known to run": func(b *harness) bool {
+			a := b.exchange(0, startOrders("n", 1))
+			renew := b.m.RecordStart(startTask("n", 1), StartDone, "", a.Deadline)
+			return renew && a.StartDeadline == b.now+startWindow && a.Deadline == b.now+leaseDuration
 		},
-		"a refusal after a lost reply ends nothing": func(b *bench) bool {
+		"a refusal after a lost reply ends nothing": func(b *harness) bool {
 			b.tryStart(StartUnknown)
 			b.tryStart(StartRefused)
 			return b.reported("n") == nil
 		},
-		"a stopped attempt is not started again": func(b *bench) bool {
+		"a stopped attempt is not started again": func(b *harness) bool {
 			b.tryStart(StartUnknown)
-			b.turn(0, stops(true, "n"))
-			b.m.Stopped(Attempt{"n", 1}.proto(), "", false)
+			b.exchange(0, stopOrders(true, "n"))
+			b.m.RecordStop(Attempt{"n", 1}.proto(), "", false)
 			return len(b.tryStart(StartUnknown).Start) == 0
 		},
-		"a start under way holds back a new incarnation": func(b *bench) bool {
+		"a start under way holds back a new incarnation": func(b *harness) bool {
 			b.tryStart(StartUnknown)
 			b.instance, b.tasks = "two", nil
 			b.observe()
-			if occupied(b.m) != 1 || b.beat() != nil {
+			if occupiedAttempts(b.m) != 1 || b.heartbeat() != nil {
 				return false
 			}
 			b.now += startWindow
 			b.observe()
 			return b.reported("n").GetCheckpoint() == "from"
 		},
-		"a lost task is reported when its lease is over": func(b *bench) bool {
-			b.turn(0, &apiv1.WorkerOrders{})
+		"a lost task is reported when its lease is over": func(b *harness) bool {
+			b.exchange(0, &apiv1.WorkerOrders{})
 			b.tasks = nil
-			b.now += duration - 1
+			b.now += leaseDuration - 1
 			b.observe()
 			early := b.reported("a")
 			b.now++
 			b.observe()
 			return early == nil && b.reported("a").GetPhase() == stopped
 		},
-		"a checkpoint that the worker does not list is kept": func(b *bench) bool {
-			b.turn(0, stops(true, "a"))
-			b.m.Stopped(Attempt{"a", 1}.proto(), "newest", true)
+		"a checkpoint that the worker does not list is kept": func(b *harness) bool {
+			b.exchange(0, stopOrders(true, "a"))
+			b.m.RecordStop(Attempt{"a", 1}.proto(), "newest", true)
 			b.tasks[0].Phase = stopped
 			b.observe()
 			return b.reported("a").GetCheckpoint() == "newest"
 		},
-		"incarnation grows over restarts of the worker, whatever the clock": func(b *bench) bool {
-			first := b.beat().Incarnation
-			b.instance, b.wall = "two", 5
+		"incarnation grows over restarts of the worker, whatever the clock": func(b *harness) bool {
+			first := b.heartbeat().Incarnation
+			b.instance, b.wallClock = "two", 5
 			b.observe()
-			return b.beat().Incarnation > first
+			return b.heartbeat().Incarnation > first
 		},
-		"sequence grows over restarts of the agent": func(b *bench) bool {
-			first := b.beat().Sequence
+		"sequence grows over restarts of the agent": func(b *harness) bool {
+			first := b.heartbeat().Sequence
 			b.m = New(b.now)
 			b.now += startWindow
 			b.observe()
-			return b.beat().Sequence > first
+			return b.heartbeat().Sequence > first
 		},
-		"an incarnation that nobody renews is raised": func(b *bench) bool { return refusals(b) >= firstRaise },
-		"one that the worker names is not": func(b *bench) bool {
-			b.told = 7
+		"an incarnation that nobody renews is raised": func(b *harness) bool { return raiseAfterUnrenewed(b) >= minRaise },
+		"one that the worker names is not": func(b *harness) bool {
+			b.namedIncarnation = 7
 			b.observe()
-			return refusals(b) == 0
+			return raiseAfterUnrenewed(b) == 0
 		},
 	}
 	for name, run := range tests {
-		if !run(newBench()) {
+		if !run(newHarness()) {
 			t.Error(name)
 		}
 	}
 }
 
-// refusals returns by how much the incarnation grows when nothing is renewed. It
+// raiseAfterUnrenewed returns by how much the incarnation grows when nothing is renewed. It
 // must not grow too early.
-func refusals(b *bench) uint64 {
-	first := b.beat().Incarnation
-	for range maxRefusals {
-		hb := b.beat()
+func raiseAfterUnrenewed(b *harness) uint64 {
+	first := b.heartbeat().Incarnation
+	for range maxUnrenewed {
+		hb := b.heartbeat()
 		if hb.Incarnation != first {
 			return 0
 		}
-		b.m.Orders(b.now, &apiv1.WorkerOrders{Sequence: hb.Sequence})
+		b.m.ApplyOrders(b.now, &apiv1.WorkerOrders{Sequence: hb.Sequence})
 	}
-	return b.beat().Incarnation - first
+	return b.heartbeat().Incarnation - first
 }
 
-// occupied returns how many attempts take room on the worker.
-func occupied(m *Manager) int {
+// occupiedAttempts returns how many attempts take room on the worker.
+func occupiedAttempts(m *Manager) int {
 	n := 0
-	for _, h := range m.held {
+	for _, h := range m.attempts {
 		if !h.ended() {
 			n++
 		}
--- a/agent/runs/admission.go
+++ b/agent/runs/admission.go
@@ -9,14 +9,14 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// admissible reports whether the leader may be told of the worker: it knows the
+// admit reports whether the leader may be told of the worker: it knows the
 // incarnation, or nothing runs there.
 //
 // What goes wrong without it: the log knows the worker by another name, as the agent before
 // this one gave it, which told no start. The first report under the new name ends the old
 // one, and what runs on is started elsewhere as well. So all that runs on an incarnation
 // that the log does not know is stopped first.
-func (s *session) admissible(status Status) bool {
+func (s *session) admit(status Status) bool {
 	if s.admitted {
 		return true
 	}
@@ -29,7 +29,7 @@
 		return false
 	}
 	if !known {
-		s.stopUnknown(status.Running)
+		s.stopUnknownRuns(status.Running)
 		return false
 	}
 	s.admitted = true
@@ -38,14 +38,14 @@
 
 // knownToLeader asks whether the log knows the incarnation; one that it knows has an epoch.
 func (s *session) knownToLeader() (bool, error) {
-	resp, err := s.askLeader()
+	resp, err := s.findLeader()
 	return err == nil && resp.Epoch != 0, err
 }
 
-// askLeader looks for the leader and learns its term. Nothing else may look for it: a
+// findLeader looks for the leader and learns its term. Nothing else may look for it: a
 // session that is not admitted reports nothing, and waits for orders only where the leader
 // is known.
-func (s *session) askLeader() (*apiv1.JobsOrdersResponse, error) {
+func (s *session) findLeader() (*apiv1.JobsOrdersResponse, error) {
 	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
 	resp, err := s.d.opts.Leader.CurrentOrders(ctx, s.incarnation)
@@ -54,21 +54,21 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteTerm(resp.Term)
+	s.recordTerm(resp.Term)
 	return resp, nil
 }
 
-// stopUnknown has the worker stop runs that the log does not hold there. It is called again
+// stopUnknownRuns has the worker stop runs that the log does not hold there. It is called again
 // until none of them is listed.
-func (s *session) stopUnknown(running []*apiv1.RunObservation) {
+func (s *session) stopUnknownRuns(running []*apiv1.RunObservation) {
 	event.UnknownRunsStopped.Write(s.d.logger, event.Worker(s.incarnation), event.RunningCount(len(running)))
 	for _, r := range running {
 		if _, err := s.callStop(jobqueue.RunID{Task: jobqueue.TaskIDOf(r.Task), Number: r.Run}); err != nil {
-			s.pause(firstRetryPause)
+			s.sleep(minRetryDelay)
 		}
 	}
 }
 
-// admissionPause is the time between two looks at a worker that is not admissible: a stop
+// admissionRetryInterval is the time between two looks at a worker that is not admissible: a stop
 // takes up to some hundred milliseconds.
-const admissionPause = 100 * time.Millisecond
+const admissionRetryInterval = 100 * time.Millisecond
--- a/agent/runs/backoff.go
+++ b/agent/runs/backoff.go
@@ -3,12 +3,12 @@
 import "time"
 
 // backoff doubles the pauses between the tries of a call.
-type backoff struct{ pause time.Duration }
+type backoff struct{ delay time.Duration }
 
-func newBackoff() *backoff { return &backoff{pause: firstRetryPause} }
+func newBackoff() *backoff { return &backoff{delay: minRetryDelay} }
 
 func (b *backoff) next() time.Duration {
-	pause := b.pause
-	b.pause = min(2*b.pause, maxRetryPause)
+	pause := b.delay
+	b.delay = min(2*b.delay, maxRetryDelay)
 	return pause
 }
--- a/agent/runs/driver.go
+++ b/agent/runs/driver.go
@@ -26,16 +26,16 @@
 	// reportTimeout bounds the delivery of one report, tries at several control
 	// hosts included.
 	reportTimeout = 1500 * time.Millisecond
-	retryPause    = 50 * time.Millisecond
-	// firstRetryPause and maxRetryPause bound the pause before a call of the worker is
+	retryInterval = 50 * time.Millisecond
+	// minRetryDelay and maxRetryDelay bound the pause before a call of the worker is
 	// repeated. The first is short, since a call whose answer was lost is often the
 	// only one. Without a pause, the calls of a few runs to a worker that is down fill
 	// the queue of its new connections, and it answers nobody for seconds after it is
 	// back.
-	firstRetryPause = 20 * time.Millisecond
-	maxRetryPause   = 400 * time.Millisecond
-	// startsAtOnce bounds the calls that wait for the worker together.
-	startsAtOnce = 24
+	minRetryDelay = 20 * time.Millisecond
+	maxRetryDelay = 400 * time.Millisecond
+	// maxConcurrentStarts bounds the calls that wait for the worker together.
+	maxConcurrentStarts = 24
 	// clockRateErrorPPM bounds how much slower the worker's clock may run than this
 	// host's, parts per million.
 	clockRateErrorPPM = 20_000
@@ -62,11 +62,11 @@
 
 // Driver is the agent's part in submitted jobs, for the one worker of its host.
 type Driver struct {
-	opts   Options
-	logger *zap.Logger
-	meters meters
-	news   chan struct{}
-	worker *dependency.Watch
+	opts            Options
+	logger          *zap.Logger
+	metrics         metricSet
+	workerAnnounced chan struct{}
+	workerWatch     *dependency.Watch
 	// term is the newest that a leader told. It holds for all sessions: a worker that was
 	// asked under it refuses calls under an older one.
 	term  highest.Number
@@ -74,11 +74,11 @@
 
 	mu      sync.Mutex
 	session *session
-	// served are the lives that sessions were of, the newest last.
-	served []string
-	// left holds incarnations that are gone: a late announcement of one must not
+	// servedIncarnations are the lives that sessions were of, the newest last.
+	servedIncarnations []string
+	// departed holds incarnations that are gone: a late announcement of one must not
 	// bring it back.
-	left map[string]bool
+	departed map[string]bool
 }
 
 // New returns a driver; Run makes it work.
@@ -94,12 +94,12 @@
 	}
 	o.MaxLease = cmp.Or(o.MaxLease, defaultMaxLease)
 	d := &Driver{
-		opts: o, logger: event.Runs.Named(o.Logger), meters: newMeters(o.Metrics),
-		worker: dependency.New("worker", o.Logger, o.Now),
-		news:   make(chan struct{}, 1), left: map[string]bool{},
+		opts: o, logger: event.Runs.Named(o.Logger), metrics: newMetricSet(o.Metrics),
+		workerWatch:     dependency.New("worker", o.Logger, o.Now),
+		workerAnnounced: make(chan struct{}, 1), departed: map[string]bool{},
 	}
 	// The agent before this one may have renewed the worker's lease until now.
-	d.lease.extend(o.Now().Add(longestGrant(o.MaxLease)))
+	d.lease.extend(o.Now().Add(maxLeaseOnHostClock(o.MaxLease)))
 	return d
 }
 
@@ -115,21 +115,21 @@
 	defer d.mu.Unlock()
 	s := d.session
 	switch {
-	case d.left[id]:
+	case d.departed[id]:
 		return nil
 	case s != nil && s.incarnation == id:
-		return s.announce(a)
+		return s.updateAnnouncement(a)
 	default:
 		event.WorkerFound.Write(d.logger, event.Worker(id), event.Before(incarnationOf(s)))
 		d.session = d.newSession(a)
-		d.session.follows = d.noteServed(id)
+		d.session.previousIncarnations = d.recordServed(id)
 		if s != nil {
-			d.noteLeft(s.incarnation)
+			d.recordDeparted(s.incarnation)
 			s.cancel()
-			d.session.former = s.endReport()
+			d.session.previousEndReport = s.departureReport()
 		}
 	}
-	d.wake()
+	d.signalAnnounced()
 	return nil
 }
 
@@ -140,7 +140,7 @@
 // one is never taken again. No lock is held while it is asked.
 func (d *Driver) confirm(incarnation string) bool {
 	s := d.current()
-	return s == nil || s.incarnation == incarnation || d.answers(incarnation)
+	return s == nil || s.incarnation == incarnation || d.workerConfirms(incarnation)
 }
 
 // Depart takes in that an incarnation says that it ends. An error means that it does not
@@ -153,49 +153,49 @@
 	s := d.session
 	switch {
 	case s != nil && s.incarnation == incarnation:
-		s.noteDeparture()
-	case s != nil && s.isUndated(incarnation):
+		s.recordDeparture()
+	case s != nil && s.matchesWithoutStartTime(incarnation):
 		return errors.Newf("worker %.60q ends, and does not say which life of it", incarnation)
 	}
-	d.noteLeft(incarnation)
+	d.recordDeparted(incarnation)
 	return nil
 }
 
-// maxServed bounds the lives that are remembered as served.
-const maxServed = 16
+// maxServedIncarnations bounds the lives that are remembered as served.
+const maxServedIncarnations = 16
 
-// noteServed notes that a life is served from now on, and returns those before it; d.mu is held.
-func (d *Driver) noteServed(incarnation string) []string {
-	before := slices.DeleteFunc(d.served, func(id string) bool { return id == incarnation })
-	before = before[max(0, len(before)-maxServed):]
-	d.served = append(slices.Clone(before), incarnation)
+// recordServed notes that a life is served from now on, and returns those before it; d.mu is held.
+func (d *Driver) recordServed(incarnation string) []string {
+	before := slices.DeleteFunc(d.servedIncarnations, func(id string) bool { return id == incarnation })
+	before = before[max(0, len(before)-maxServedIncarnations):]
+	d.servedIncarnations = append(slices.Clone(before), incarnation)
 	return before
 }
 
-// maxLeft bounds the incarnations that are remembered as gone. One that is forgotten
+// maxDeparted bounds the incarnations that are remembered as gone. One that is forgotten
 // comes back only if the worker says that it is the one.
-const maxLeft = 256
+const maxDeparted = 256
 
-// noteLeft remembers that an incarnation is gone; d.mu is held.
-func (d *Driver) noteLeft(incarnation string) {
-	if len(d.left) >= maxLeft {
-		clear(d.left)
+// recordDeparted remembers that an incarnation is gone; d.mu is held.
+func (d *Driver) recordDeparted(incarnation string) {
+	if len(d.departed) >= maxDeparted {
+		clear(d.departed)
 	}
-	d.left[incarnation] = true
+	d.departed[incarnation] = true
 }
 
-// answers asks the worker whether it is the named incarnation. A refusal for an old term is
+// workerConfirms asks the worker whether it is the named incarnation. A refusal for an old term is
 // no yes: a worker may refuse before it looks whom a call is for.
-func (d *Driver) answers(incarnation string) bool {
+func (d *Driver) workerConfirms(incarnation string) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	_, answer, err := d.opts.Worker.Renew(ctx, Order{Incarnation: incarnation, Term: d.term.Load()}, Renewal{})
 	return err == nil && answer == AnswerDone
 }
 
-func (d *Driver) wake() {
+func (d *Driver) signalAnnounced() {
 	select {
-	case d.news <- struct{}{}:
+	case d.workerAnnounced <- struct{}{}:
 	default:
 	}
 }
@@ -211,18 +211,18 @@
 		stop := context.AfterFunc(ctx, s.cancel)
 		s.run()
 		stop()
-		d.end(s)
+		d.removeSession(s)
 	}
 }
 
-// absenceTold is how long no worker is known when the first line says so; each further line
+// firstAbsenceLogDelay is how long no worker is known when the first line says so; each further line
 // comes after twice the time.
-const absenceTold = 3 * time.Second
+const firstAbsenceLogDelay = 3 * time.Second
 
 // awaitWorker returns once a worker was announced, or when ctx ends.
 func (d *Driver) awaitWorker(ctx context.Context) {
 	since := d.opts.Now()
-	tellAbsence := absenceTold
+	tellAbsence := firstAbsenceLogDelay
 	for ctx.Err() == nil {
 		now := d.opts.Now()
 		absent := now.Sub(since)
@@ -230,21 +230,21 @@
 			event.WorkerAbsent.Write(d.logger, event.Silent(absent))
 			tellAbsence *= 2
 		}
-		wait := min(tellAbsence-absent, d.lease.untilDue(now))
-		if d.awaitNews(ctx, wait) {
+		wait := min(tellAbsence-absent, d.lease.untilCheck(now))
+		if d.awaitAnnouncement(ctx, wait) {
 			return
 		}
-		d.tellLapse(ctx)
+		d.reportExpiry(ctx)
 	}
 }
 
-// awaitNews reports whether a worker was announced within a time.
-func (d *Driver) awaitNews(ctx context.Context, wait time.Duration) bool {
+// awaitAnnouncement reports whether a worker was announced within a time.
+func (d *Driver) awaitAnnouncement(ctx context.Context, wait time.Duration) bool {
 	t := time.NewTimer(wait)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
-	case <-d.news:
+	case <-d.workerAnnounced:
 		return true
 	case <-t.C:
 	}
@@ -257,8 +257,8 @@
 	return d.session
 }
 
-// end forgets a session that is over, unless another one has followed it.
-func (d *Driver) end(s *session) {
+// removeSession forgets a session that is over, unless another one has followed it.
+func (d *Driver) removeSession(s *session) {
 	s.cancel()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/agent/runs/driver_test.go
+++ b/agent/runs/driver_test.go
@@ -20,12 +20,12 @@
 // Cause: the retry of the start meets the end of its session and begins anew at once,
 // without end.
 func TestEndedSessionStartsNothing(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(d *runs.Driver, w *countingWorker) {
-		w.silent.Store("start")
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
+		w.lostCall.Store("start")
 		time.Sleep(2 * time.Second)
 		w.Crash()
-		l.set(func() { l.orders = &apiv1.JobsOrdersResponse{Term: term, Sequence: 2, Epoch: 1} })
+		l.update(func() { l.orders = &apiv1.JobsOrdersResponse{Term: term, Sequence: 2, Epoch: 1} })
 		time.Sleep(time.Second)
 		before := w.startCalls.Load()
 		if before == 0 {
@@ -41,10 +41,10 @@
 // Symptom: the calls to a worker that does not answer fill its queue of connections.
 // Sequence: for ten seconds nobody listens where the worker should be.
 // Cause: a call is repeated without a pause.
-func TestUnansweredStartsAreSpaced(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
-		w.refusing.Store(true)
+func TestUnansweredStartsAreRetriedWithBackoff(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
+		w.unreachable.Store(true)
 		time.Sleep(10 * time.Second)
 		if n := w.startCalls.Load(); n < 5 || n > 60 {
 			t.Fatalf("%d calls in ten seconds", n)
@@ -57,9 +57,9 @@
 // Sequence: the worker has seen a higher term than the agent knows, and reports fail
 // at once.
 // Cause: a fenced call is repeated without a pause.
-func TestFencedAgentWithoutLeaderWaits(t *testing.T) {
-	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, away: true}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+func TestFencedAgentWithoutLeaderBacksOff(t *testing.T) {
+	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		_, _, err := w.RunWorker.Renew(t.Context(), runs.Order{Incarnation: "w1", Term: term}, runs.Renewal{})
 		if err != nil {
 			t.Fatal(err)
@@ -75,14 +75,14 @@
 // Sequence: a start is ordered and not yet made when the leader gives the worker's
 // runs up; the agent gets a new lease before it gets new orders.
 // Cause: the old start is made under the new lease.
-func TestStartOfAnEarlierEpochIsVoid(t *testing.T) {
-	l := &leader{epoch: 2, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+func TestStartOfPreviousEpochIsNotSent(t *testing.T) {
+	l := &leader{epoch: 2, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(5 * time.Second)
 		if n := w.startCalls.Load(); n != 0 {
 			t.Fatalf("%d starts of an earlier epoch", n)
 		}
-		l.set(func() { l.orders = starts(2, 2) })
+		l.update(func() { l.orders = startOrders(2, 2) })
 		time.Sleep(5 * time.Second)
 		if n := w.startCalls.Load(); n != 1 {
 			t.Fatalf("%d starts of the present epoch", n)
@@ -95,17 +95,17 @@
 // Sequence: the worker gives no answer any more; its agent lives.
 // Cause: nobody tells the leader that the worker's own lease has run out. Telling it
 // too early would let a task run in two places.
-func TestAgentTellsOfALapseOnceItIsSure(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+func TestLeaseExpiryIsReportedOnceCertain(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
-		w.silent.Store(all)
+		w.lostCall.Store(allCalls)
 		time.Sleep(5500 * time.Millisecond)
-		if l.lapsedReports() != 0 {
+		if l.expiryReports() != 0 {
 			t.Fatal("a lapse is told of while the worker may still run")
 		}
 		time.Sleep(3 * time.Second)
-		if n := l.lapsedReports(); n != 1 {
+		if n := l.expiryReports(); n != 1 {
 			t.Fatalf("%d reports of a lapse", n)
 		}
 	})
@@ -115,16 +115,16 @@
 // Sequence: an agent starts a run and is restarted; its worker begins to drain before
 // the leader has heard of the run, and the new agent gets the order once more.
 // Cause: the new agent gives the start back as never made, since it did not make it.
-func TestRunOfAnEarlierAgentIsNotGivenBack(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(d *runs.Driver, w *countingWorker) {
-		id := jobqueue.RunID{Task: first, Number: 1}
+func TestRunOfPreviousAgentIsNotRefused(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
+		id := jobqueue.RunID{Task: firstTask, Number: 1}
 		order := runs.Order{Incarnation: "w1", Term: term}
 		answer, err := w.RunWorker.Start(t.Context(), order, runs.Start{Run: id, DeadlineMs: 1_000_000 + leaseMs})
 		if err != nil || answer != runs.AnswerDone {
 			t.Fatalf("%v, %v", answer, err)
 		}
-		draining := spec("w1")
+		draining := workerSpec("w1")
 		draining.Draining = true
 		announce(t, d, runs.Announcement{Worker: draining, Sequence: 2})
 		time.Sleep(3 * time.Second)
@@ -147,15 +147,15 @@
 // and the worker answers that the run is over.
 // Cause: the new agent takes the answer for a run whose end is listed. The run never
 // began, so no end comes, and the leader waits under a lease that is renewed.
-func TestRunThatIsOverWithoutAnEndIsGivenBack(t *testing.T) {
+func TestRunStoppedBeforeStartIsRefused(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
-		id := jobqueue.RunID{Task: first, Number: 1}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
+		id := jobqueue.RunID{Task: firstTask, Number: 1}
 		answer, err := w.RunWorker.Stop(t.Context(), runs.Order{Incarnation: "w1", Term: term}, id)
 		if err != nil || answer != runs.AnswerDone {
 			t.Fatalf("%v, %v", answer, err)
 		}
-		l.set(func() { l.orders = starts(2, 1) })
+		l.update(func() { l.orders = startOrders(2, 1) })
 		time.Sleep(3 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -170,13 +170,13 @@
 
 // Symptom: the leader takes an old report for a new one. Sequence: an agent reports, and is
 // restarted. Cause: reports without a number, or numbers that a new session goes on from.
-func TestReportsAreNumberedInTheirSession(t *testing.T) {
+func TestReportsAreNumberedPerSession(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
 		restarted := runs.New(runs.Options{Worker: w, Leader: l})
-		defer run(restarted)()
-		announce(t, restarted, runs.Announcement{Worker: spec("w1"), Sequence: 2})
+		defer runDriver(restarted)()
+		announce(t, restarted, runs.Announcement{Worker: workerSpec("w1"), Sequence: 2})
 		time.Sleep(2 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -196,10 +196,10 @@
 // Symptom: a task waits until its worker has left.
 // Sequence: its start is ordered while the worker drains, and was never made.
 // Cause: the agent neither makes the start nor gives it back.
-func TestStartOnADrainingWorkerIsGivenBack(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(d *runs.Driver, w *countingWorker) {
-		draining := spec("w1")
+func TestStartOnDrainingWorkerIsRefused(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
+		draining := workerSpec("w1")
 		draining.Draining = true
 		announce(t, d, runs.Announcement{Worker: draining, Sequence: 2})
 		time.Sleep(3 * time.Second)
@@ -219,13 +219,13 @@
 // is shorter than the leader's lease.
 // Sequence: the agent is cut off for nine seconds.
 // Cause: the worker's lease is renewed only when the leader's is.
-func TestWorkerRunsOnThroughACut(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+func TestWorkerKeepsRunningDuringPartition(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
-		l.set(func() { l.away = true })
+		l.update(func() { l.unavailable = true })
 		time.Sleep(9 * time.Second)
-		l.set(func() { l.away = false })
+		l.update(func() { l.unavailable = false })
 		time.Sleep(time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -256,23 +256,23 @@
 // meanwhile.
 // Cause: a run that is not among the rows that could be read is given back as one that
 // never began, though it is still being stopped.
-func TestUnreadableRunIsNotGivenBack(t *testing.T) {
+func TestUnreadableRunIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &leader{epoch: 1, orders: starts(1, 1)}
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-		w := &partialWorker{countingWorker: &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}}
+		l := &leader{epoch: 1, orders: startOrders(1, 1)}
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		w := &partialWorker{countingWorker: &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
-		defer run(d)()
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		defer runDriver(d)()
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
 		if w.startCalls.Load() == 0 {
 			t.Fatal("nothing was started")
 		}
 		w.unreadable.Store(true)
-		l.set(func() {
+		l.update(func() {
 			l.orders = &apiv1.JobsOrdersResponse{
-				Term: term, Sequence: 2, Epoch: 1, Stops: []*apiv1.StopOrder{{Task: first.Ref(), Run: 1}},
+				Term: term, Sequence: 2, Epoch: 1, Stops: []*apiv1.StopOrder{{Task: firstTask.Ref(), Run: 1}},
 			}
 		})
 		time.Sleep(3 * time.Second)
@@ -304,21 +304,21 @@
 // Cause: the lease was counted from a reading of the worker's clock that nobody had made,
 // zero; so its end seemed long past, and the agent told the leader that the worker had
 // stopped everything, which still ran under the lease of the agent before it.
-func TestLeaseIsNotCountedWithoutTheWorkersClock(t *testing.T) {
-	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, away: true, noOrders: true}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+func TestLeaseIsNotCountedWithoutWorkerClock(t *testing.T) {
+	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true, ordersFail: true}
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		order := runs.Order{Incarnation: "w1", Term: term}
 		if _, answer, err := w.RunWorker.Renew(t.Context(), order, runs.Renewal{DeadlineMs: 1_000_000 + 6000}); err != nil || answer != runs.AnswerDone {
 			t.Fatal(answer, err)
 		}
 		time.Sleep(200 * time.Millisecond)
-		l.set(func() { l.away, l.awayAfter = false, 1 })
+		l.update(func() { l.unavailable, l.reportsUntilUnavailable = false, 1 })
 		time.Sleep(time.Second)
-		w.silent.Store(all)
+		w.lostCall.Store(allCalls)
 		time.Sleep(time.Second)
-		l.set(func() { l.away = false })
+		l.update(func() { l.unavailable = false })
 		time.Sleep(time.Second)
-		if n := l.lapsedReports(); n != 0 {
+		if n := l.expiryReports(); n != 0 {
 			t.Errorf("a lapse is told of %d times while the worker may still run", n)
 		}
 	})
--- a/agent/runs/earlierleader_test.go
+++ b/agent/runs/earlierleader_test.go
@@ -10,64 +10,64 @@
 	"github.com/cairnlift/cairnlift/fakes"
 )
 
-// earlierLeader is a leader of the release before, which tells of no lease of a host.
-type earlierLeader struct{ *leader }
+// previousReleaseLeader is a leader of the release before, which tells of no lease of a host.
+type previousReleaseLeader struct{ *leader }
 
-func (l earlierLeader) HostLease(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
+func (l previousReleaseLeader) HostLease(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	return &apiv1.JobsOrdersResponse{Term: term}, nil
 }
 
 // Guards against a lapse that nobody tells of while agents are of a newer release than the leader.
-func TestAgentTellsALeaderOfTheReleaseBeforeOfALapse(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
+func TestLeaseExpiryIsReportedToLeaderOfPreviousRelease(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
-		other := &leader{epoch: 1, orders: starts(1, 1)}
-		d := runs.New(runs.Options{Worker: w, Leader: earlierLeader{other}})
-		defer run(d)()
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		other := &leader{epoch: 1, orders: startOrders(1, 1)}
+		d := runs.New(runs.Options{Worker: w, Leader: previousReleaseLeader{other}})
+		defer runDriver(d)()
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
-		w.silent.Store(all)
+		w.lostCall.Store(allCalls)
 		time.Sleep(10 * time.Second)
-		if other.lapsedReports() == 0 {
+		if other.expiryReports() == 0 {
 			t.Error("10 s after its worker went silent the agent has told nobody")
 		}
 	})
 }
 
-// emptyAtFirst is a leader that knows of no worker of the host when it is asked first.
-type emptyAtFirst struct {
+// firstLookupEmpty is a leader that knows of no worker of the host when it is asked first.
+type firstLookupEmpty struct {
 	*leader
-	asked *int
+	lookups *int
 }
 
-func (l emptyAtFirst) HostLease(ctx context.Context, host string) (*apiv1.JobsOrdersResponse, error) {
-	*l.asked++
-	if *l.asked == 1 {
+func (l firstLookupEmpty) HostLease(ctx context.Context, host string) (*apiv1.JobsOrdersResponse, error) {
+	*l.lookups++
+	if *l.lookups == 1 {
 		return &apiv1.JobsOrdersResponse{Term: term, HostTold: true}, nil
 	}
 	return l.leader.HostLease(ctx, host)
 }
 
 // Guards against an agent that asks one replica, which is behind, and never again.
-func TestAgentAsksAgainWhetherALeaseIsHeld(t *testing.T) {
-	l := &leader{epoch: 1, orders: starts(1, 1)}
-	with(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
+func TestHostLeaseIsCheckedAgain(t *testing.T) {
+	l := &leader{epoch: 1, orders: startOrders(1, 1)}
+	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
-		other := &leader{epoch: 1, orders: starts(1, 1)}
-		d := runs.New(runs.Options{Worker: w, Leader: emptyAtFirst{other, new(int)}})
-		defer run(d)()
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		other := &leader{epoch: 1, orders: startOrders(1, 1)}
+		d := runs.New(runs.Options{Worker: w, Leader: firstLookupEmpty{other, new(int)}})
+		defer runDriver(d)()
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
-		w.silent.Store(all)
+		w.lostCall.Store(allCalls)
 		time.Sleep(10 * time.Second)
-		if other.lapsedReports() == 0 {
+		if other.expiryReports() == 0 {
 			t.Error("10 s after its worker went silent the agent has told nobody")
 		}
 	})
--- a/agent/runs/fencedstop_test.go
+++ b/agent/runs/fencedstop_test.go
@@ -19,11 +19,11 @@
 	stops atomic.Int64
 }
 
-const fencedAfter = 200 * time.Millisecond
+const fencedAnswerDelay = 200 * time.Millisecond
 
 func (w *fencingWorker) Stop(ctx context.Context, o runs.Order, id jobqueue.RunID) (runs.Answer, error) {
 	if w.stops.Add(1) == 1 {
-		time.Sleep(fencedAfter)
+		time.Sleep(fencedAnswerDelay)
 		return runs.AnswerFenced, nil
 	}
 	return w.RunWorker.Stop(ctx, o, id)
@@ -46,29 +46,29 @@
 }
 
 // Guards against a run that is never stopped since the worker's refusal of the stop came after the next leader's orders.
-func TestFencedStopIsRepeatedUnderTheNextTerm(t *testing.T) {
+func TestFencedStopIsRetriedUnderNextTerm(t *testing.T) {
 	for name, nextLeaderAfter := range map[string]time.Duration{
-		"next leader before the answer": fencedAfter / 2, "next leader after the answer": 2 * fencedAfter,
+		"next leader before the answer": fencedAnswerDelay / 2, "next leader after the answer": 2 * fencedAnswerDelay,
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				orders := func(term, sequence uint64) *apiv1.JobsOrdersResponse {
 					return &apiv1.JobsOrdersResponse{
-						Term: term, Sequence: sequence, Epoch: 1, Stops: []*apiv1.StopOrder{{Task: first.Ref(), Run: 1}},
+						Term: term, Sequence: sequence, Epoch: 1, Stops: []*apiv1.StopOrder{{Task: firstTask.Ref(), Run: 1}},
 					}
 				}
 				l := &leader{epoch: 1, orders: orders(term, 1)}
-				watch := fakes.NewRunWatch()
-				watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-				w := &fencingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
+				watch := fakes.NewRunChecker()
+				watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+				w := &fencingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 				d := runs.New(runs.Options{Worker: w, Leader: promptLeader{l}})
-				defer run(d)()
-				announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+				defer runDriver(d)()
+				announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 				for w.stops.Load() == 0 {
 					time.Sleep(time.Millisecond)
 				}
 				time.Sleep(nextLeaderAfter)
-				l.set(func() { l.orders = orders(term+1, 1) })
+				l.update(func() { l.orders = orders(term+1, 1) })
 				time.Sleep(30 * time.Second)
 				if n := w.stops.Load(); n < 2 {
 					t.Errorf("%d stop in 30 s, and the worker refused it", n)
--- a/agent/runs/incarnation_test.go
+++ b/agent/runs/incarnation_test.go
@@ -16,14 +16,14 @@
 // Sequence: an agent that has not reached the leader yet gets an announcement of an
 // incarnation that another program made up, then one of the worker.
 // Cause: the made-up one ends the session with the worker, which counts as gone for good.
-func TestMadeUpIncarnationDoesNotEndTheWorker(t *testing.T) {
-	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, away: true}
-	with(t, l, func(d *runs.Driver, _ *countingWorker) {
+func TestForgedIncarnationDoesNotEndSession(t *testing.T) {
+	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}, unavailable: true}
+	withDriver(t, l, func(d *runs.Driver, _ *countingWorker) {
 		time.Sleep(time.Second)
-		announce(t, d, runs.Announcement{Worker: spec("w9"), Sequence: 1})
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 2})
+		announce(t, d, runs.Announcement{Worker: workerSpec("w9"), Sequence: 1})
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 2})
 		time.Sleep(time.Second)
-		l.set(func() { l.away = false })
+		l.update(func() { l.unavailable = false })
 		time.Sleep(3 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -41,11 +41,11 @@
 // Symptom: a worker that is well is not used any more.
 // Sequence: an announcement under its name tells of another pool.
 // Cause: an announcement is believed as a whole, though an incarnation stays in its pool.
-func TestIncarnationStaysInItsPool(t *testing.T) {
+func TestAnnouncementDoesNotChangePool(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term}}
-	with(t, l, func(d *runs.Driver, _ *countingWorker) {
+	withDriver(t, l, func(d *runs.Driver, _ *countingWorker) {
 		time.Sleep(time.Second)
-		other := spec("w1")
+		other := workerSpec("w1")
 		other.Pool, other.Draining = "elsewhere", true
 		if err := d.Announce(runs.Announcement{Worker: other, Sequence: 9}); err == nil {
 			t.Error("another pool is taken over")
@@ -59,23 +59,23 @@
 	})
 }
 
-// fencedFirst is a worker that refuses a call under an old term before it looks whom the call
+// fencesBeforeIncarnation is a worker that refuses a call under an old term before it looks whom the call
 // is for.
-type fencedFirst struct{ *countingWorker }
+type fencesBeforeIncarnation struct{ *countingWorker }
 
-func (w fencedFirst) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
+func (w fencesBeforeIncarnation) Renew(ctx context.Context, o runs.Order, r runs.Renewal) (runs.Status, runs.Answer, error) {
 	if o.Term < term {
 		return runs.Status{}, runs.AnswerFenced, nil
 	}
 	return w.countingWorker.Renew(ctx, o, r)
 }
 
-// withFencedFirst runs a driver on such a worker, the second life of w1, in virtual time.
-func withFencedFirst(t *testing.T, l *leader, f func(*runs.Driver)) {
+// withFencingWorker runs a driver on such a worker, the second life of w1, in virtual time.
+func withFencingWorker(t *testing.T, l *leader, f func(*runs.Driver)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := fencedFirst{&countingWorker{RunWorker: fakes.NewRunWorker(spec("w1@2"), fakes.NewRunWatch())}}
+		w := fencesBeforeIncarnation{&countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1@2"), fakes.NewRunChecker())}}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
-		defer run(d)()
+		defer runDriver(d)()
 		f(d)
 	})
 }
@@ -85,14 +85,14 @@
 // then, late, of an earlier life of it.
 // Cause: the worker refuses the question which life it is, for the old term, and the refusal
 // counts as a yes. The present life counts as gone from then on.
-func TestFencedAnswerConfirmsNoLife(t *testing.T) {
-	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, away: true}
-	withFencedFirst(t, l, func(d *runs.Driver) {
-		announce(t, d, runs.Announcement{Worker: spec("w1@2"), Sequence: 1})
-		announce(t, d, runs.Announcement{Worker: spec("w1@1"), Sequence: 9})
-		l.set(func() { l.away = false })
+func TestFencedAnswerConfirmsNoIncarnation(t *testing.T) {
+	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, unavailable: true}
+	withFencingWorker(t, l, func(d *runs.Driver) {
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1@2"), Sequence: 1})
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1@1"), Sequence: 9})
+		l.update(func() { l.unavailable = false })
 		time.Sleep(time.Second)
-		announce(t, d, runs.Announcement{Worker: spec("w1@2"), Sequence: 2})
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1@2"), Sequence: 2})
 		time.Sleep(2 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -112,10 +112,10 @@
 // Its worker refuses its calls, since the agent does not know the term yet.
 // Cause: the agent asks the leader for the term with a report about that life, and the
 // leader takes it for the one that is there now.
-func TestFencedAgentReportsNoUnconfirmedLife(t *testing.T) {
+func TestFencedAgentReportsNoUnconfirmedIncarnation(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	withFencedFirst(t, l, func(d *runs.Driver) {
-		announce(t, d, runs.Announcement{Worker: spec("w1@1"), Sequence: 9})
+	withFencingWorker(t, l, func(d *runs.Driver) {
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1@1"), Sequence: 9})
 		time.Sleep(2 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -132,10 +132,10 @@
 // Sequence: all agents are restarted, while their workers run on; another leader is elected.
 // Cause: the workers refuse the agents' calls, for the old term; each agent waits for orders
 // to tell it the term, and nobody looks for the leader that gives orders.
-func TestFencedAgentFindsTheLeader(t *testing.T) {
-	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, lookedFor: true}
-	withFencedFirst(t, l, func(d *runs.Driver) {
-		announce(t, d, runs.Announcement{Worker: spec("w1@2"), Sequence: 1})
+func TestFencedAgentFindsLeader(t *testing.T) {
+	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, ordersNeedFound: true}
+	withFencingWorker(t, l, func(d *runs.Driver) {
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1@2"), Sequence: 1})
 		time.Sleep(3 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -148,20 +148,20 @@
 // Symptom: the same, after an upgrade of the agents. Sequence: a restarted agent finds its
 // worker at work, and knows no leader. Cause: it asks whether the leader knows the worker,
 // and does not look for the leader.
-func TestAgentOfAWorkerAtWorkFindsTheLeader(t *testing.T) {
+func TestAgentOfRunningWorkerFindsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, lookedFor: true}
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-		w := fakes.NewRunWorker(spec("w1"), watch)
-		id := jobqueue.RunID{Task: first, Number: 1}
+		l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, ordersNeedFound: true}
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		w := fakes.NewRunWorker(workerSpec("w1"), watch)
+		id := jobqueue.RunID{Task: firstTask, Number: 1}
 		answer, err := w.Start(t.Context(), runs.Order{Incarnation: "w1"}, runs.Start{Run: id, DeadlineMs: 1_000_000 + leaseMs})
 		if err != nil || answer != runs.AnswerDone {
 			t.Fatal(answer, err)
 		}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
-		defer run(d)()
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		defer runDriver(d)()
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(3 * time.Second)
 		l.mu.Lock()
 		defer l.mu.Unlock()
--- a/agent/runs/lapse.go
+++ b/agent/runs/lapse.go
@@ -19,23 +19,23 @@
 // worker was down, leaves nobody who could tell that the runs of the life before have ended,
 // and they stand in the log for the leader's own, longer lease.
 type hostLease struct {
-	mu  sync.Mutex
-	end time.Time
-	// askAt is when the leader is asked next whether it holds a lease of the host, after end:
+	mu        sync.Mutex
+	expiresAt time.Time
+	// nextCheck is when the leader is asked next whether it holds a lease of the host, after end:
 	// a report that the network held up may have renewed one since.
-	askAt time.Time
+	nextCheck time.Time
 }
 
 const (
-	// lapseRetry is the time between two tries to tell the leader of a lapse.
-	lapseRetry = 100 * time.Millisecond
-	// lapseRecheck is the time after which the leader is asked again whether it holds a lease.
-	lapseRecheck = time.Second
+	// expiryRetryInterval is the time between two tries to tell the leader of a lapse.
+	expiryRetryInterval = 100 * time.Millisecond
+	// leaseRecheckInterval is the time after which the leader is asked again whether it holds a lease.
+	leaseRecheckInterval = time.Second
 )
 
-// longestGrant is how long a worker may run on after a call that renews its lease: its clock
+// maxLeaseOnHostClock is how long a worker may run on after a call that renews its lease: its clock
 // may run slower than this host's by the bound.
-func longestGrant(lease time.Duration) time.Duration {
+func maxLeaseOnHostClock(lease time.Duration) time.Duration {
 	return lease * ppm / (ppm - clockRateErrorPPM)
 }
 
@@ -43,38 +43,38 @@
 func (l *hostLease) extend(end time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if end.After(l.end) {
-		l.end = end
+	if end.After(l.expiresAt) {
+		l.expiresAt = end
 	}
 }
 
-// askAgain notes when the leader is to be asked next.
-func (l *hostLease) askAgain(at time.Time) {
+// setNextCheck notes when the leader is to be asked next.
+func (l *hostLease) setNextCheck(at time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.askAt = at
+	l.nextCheck = at
 }
 
-// untilDue is how long it is until the leader is to be asked for a lease that has run out.
-func (l *hostLease) untilDue(now time.Time) time.Duration {
+// untilCheck is how long it is until the leader is to be asked for a lease that has run out.
+func (l *hostLease) untilCheck(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.end.Sub(now), l.askAt.Sub(now))
+	return max(0, l.expiresAt.Sub(now), l.nextCheck.Sub(now))
 }
 
 // errLeaseRenewed says that the leader counts another lease of the host by now.
 var errLeaseRenewed = errors.New("the lease was renewed since, or is being given up")
 
-// tellLapse tells the leader that nothing runs on the host any more, if that is sure by now and
+// reportExpiry tells the leader that nothing runs on the host any more, if that is sure by now and
 // the leader holds otherwise. It is called while the worker gives no answer, or none is known.
-func (d *Driver) tellLapse(ctx context.Context) {
+func (d *Driver) reportExpiry(ctx context.Context) {
 	now := d.opts.Now()
-	if d.lease.untilDue(now) > 0 {
+	if d.lease.untilCheck(now) > 0 {
 		return
 	}
-	d.lease.askAgain(now.Add(lapseRetry))
+	d.lease.setNextCheck(now.Add(expiryRetryInterval))
 	if s := d.current(); s != nil {
-		s.giveUpLease()
+		s.dropLease()
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
@@ -83,27 +83,27 @@
 		return
 	}
 	if !held.HostTold {
-		held = d.leaseOfSession()
+		held = d.sessionLease()
 	}
-	if held.LeaseWorker == "" || d.reportLapse(ctx, held) == nil {
-		d.lease.askAgain(d.opts.Now().Add(lapseRecheck))
+	if held.LeaseWorker == "" || d.sendExpiryReport(ctx, held) == nil {
+		d.lease.setNextCheck(d.opts.Now().Add(leaseRecheckInterval))
 	}
 }
 
-// leaseOfSession is what an agent tells a leader of the release before, which can't say what it
+// sessionLease is what an agent tells a leader of the release before, which can't say what it
 // holds: the worker of its session, and no number of a lease.
-func (d *Driver) leaseOfSession() *apiv1.JobsOrdersResponse {
+func (d *Driver) sessionLease() *apiv1.JobsOrdersResponse {
 	if s := d.current(); s != nil {
 		return &apiv1.JobsOrdersResponse{LeaseWorker: s.incarnation}
 	}
 	return &apiv1.JobsOrdersResponse{}
 }
 
-// reportLapse tells of the lease that the leader holds.
-func (d *Driver) reportLapse(ctx context.Context, held *apiv1.JobsOrdersResponse) error {
+// sendExpiryReport tells of the lease that the leader holds.
+func (d *Driver) sendExpiryReport(ctx context.Context, held *apiv1.JobsOrdersResponse) error {
 	if s := d.current(); s != nil {
 		// The leader takes what was sent before the lapse for outdated.
-		s.renumber()
+		s.resetID()
 	}
 	resp, err := d.opts.Leader.Report(ctx, &apiv1.JobsReportRequest{
 		Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: d.opts.Host}, Lapsed: true,
@@ -112,15 +112,15 @@
 	if err == nil && resp.Outcome != apiv1.JobOutcome_JOB_OUTCOME_OK {
 		err = errLeaseRenewed
 	}
-	silent, orders := d.unansweredOf(held.LeaseWorker)
+	silent, orders := d.unconfirmedStarts(held.LeaseWorker)
 	event.WorkersLeaseRanOut.Write(d.logger, event.Worker(held.LeaseWorker), event.Silent(silent), event.OrderCount(orders),
 		event.Err(err))
 	return err
 }
 
-// unansweredOf returns how long ago a worker last answered, and how many starts are ordered that
+// unconfirmedStarts returns how long ago a worker last answered, and how many starts are ordered that
 // are not known to have begun; 0 where the agent has no session with it.
-func (d *Driver) unansweredOf(worker string) (silent time.Duration, orders int) {
+func (d *Driver) unconfirmedStarts(worker string) (silent time.Duration, orders int) {
 	s := d.current()
 	if s == nil || s.incarnation != worker {
 		return 0, 0
@@ -128,7 +128,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, o := range s.orders {
-		if o.start != nil && !o.begun {
+		if o.start != nil && !o.startConfirmed {
 			orders++
 		}
 	}
--- a/agent/runs/lapse_test.go
+++ b/agent/runs/lapse_test.go
@@ -8,31 +8,31 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// lapseWithOpenStart has a worker fall silent until its lapse was told, with a start ordered meanwhile.
-func lapseWithOpenStart(t *testing.T, l *leader, w *countingWorker) {
+// expireWithPendingStart has a worker fall silent until its lapse was told, with a start ordered meanwhile.
+func expireWithPendingStart(t *testing.T, l *leader, w *countingWorker) {
 	t.Helper()
 	time.Sleep(2 * time.Second)
-	w.silent.Store(all)
+	w.lostCall.Store(allCalls)
 	time.Sleep(time.Second)
-	l.set(func() { l.orders = starts(2, 1) })
+	l.update(func() { l.orders = startOrders(2, 1) })
 	time.Sleep(6 * time.Second)
-	if l.lapsedReports() == 0 {
+	if l.expiryReports() == 0 {
 		t.Fatal("no lapse is told")
 	}
 }
 
 // Guards against a task on two workers: a start that is made under a lease that the agent gave up.
-func TestStartOfALeaseThatRanOutIsNotMade(t *testing.T) {
+func TestStartUnderExpiredLeaseIsNotSent(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
-		lapseWithOpenStart(t, l, w)
-		l.set(func() { l.away = true })
-		w.silent.Store("")
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
+		expireWithPendingStart(t, l, w)
+		l.update(func() { l.unavailable = true })
+		w.lostCall.Store("")
 		time.Sleep(2 * time.Second)
 		if n := len(w.Running()); n != 0 {
 			t.Errorf("%d runs began under a lease that was given up", n)
 		}
-		l.set(func() { l.away, l.epoch, l.orders = false, 2, starts(3, 2) })
+		l.update(func() { l.unavailable, l.epoch, l.orders = false, 2, startOrders(3, 2) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
 			t.Errorf("%d runs are at work under the next lease, want 1", n)
@@ -41,19 +41,19 @@
 }
 
 // Guards against a start on a worker that has said that it ends, and whose runs the leader gives up.
-func TestNothingStartsOnAWorkerThatSaidThatItEnds(t *testing.T) {
+func TestNothingStartsOnDepartingWorker(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(d *runs.Driver, w *countingWorker) {
+	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
-		w.silent.Store("start")
-		l.set(func() { l.orders = starts(2, 1) })
+		w.lostCall.Store("start")
+		l.update(func() { l.orders = startOrders(2, 1) })
 		time.Sleep(time.Second)
-		l.set(func() { l.away = true })
+		l.update(func() { l.unavailable = true })
 		if err := d.Depart("w1"); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(time.Second) // the call for an end that waits is over
-		w.silent.Store("")
+		w.lostCall.Store("")
 		time.Sleep(4 * time.Second)
 		if n := len(w.Running()); n != 0 {
 			t.Errorf("%d runs began after the worker said that it ends", n)
@@ -63,11 +63,11 @@
 
 // Guards against a task on two workers: one that said that it ends, and was not heard to be
 // acknowledged, is there for seconds more.
-func TestWorkerThatSaidThatItEndsHasItsTasksUntilItDoes(t *testing.T) {
+func TestDepartingWorkerKeepsTasksUntilItEnds(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(d *runs.Driver, w *countingWorker) {
+	withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
-		l.set(func() { l.orders = starts(2, 1) })
+		l.update(func() { l.orders = startOrders(2, 1) })
 		time.Sleep(2 * time.Second)
 		if err := d.Depart("w1"); err != nil {
 			t.Fatal(err)
@@ -98,24 +98,24 @@
 
 // Guards against a task on two workers: a start that goes on being tried when the leader has given
 // the run up.
-func TestStartThatTheLeaderNoLongerOrdersIsNotMade(t *testing.T) {
+func TestWithdrawnStartIsNotSent(t *testing.T) {
 	l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-	with(t, l, func(_ *runs.Driver, w *countingWorker) {
+	withDriver(t, l, func(_ *runs.Driver, w *countingWorker) {
 		time.Sleep(2 * time.Second)
-		w.silent.Store("start")
-		l.set(func() { l.orders = starts(2, 1) })
+		w.lostCall.Store("start")
+		l.update(func() { l.orders = startOrders(2, 1) })
 		time.Sleep(3 * time.Second)
 		if w.startCalls.Load() == 0 {
 			t.Fatal("nothing was tried")
 		}
-		l.set(func() { l.orders = &apiv1.JobsOrdersResponse{Term: term, Sequence: 3, Epoch: 1} })
+		l.update(func() { l.orders = &apiv1.JobsOrdersResponse{Term: term, Sequence: 3, Epoch: 1} })
 		time.Sleep(3 * time.Second)
-		w.silent.Store("")
+		w.lostCall.Store("")
 		time.Sleep(2 * time.Second)
 		if n := len(w.Running()); n != 0 {
 			t.Errorf("%d runs began that the leader no longer orders", n)
 		}
-		l.set(func() { l.orders = starts(4, 1) })
+		l.update(func() { l.orders = startOrders(4, 1) })
 		time.Sleep(3 * time.Second)
 		if n := len(w.Running()); n != 1 {
 			t.Errorf("%d runs are at work once they are ordered again, want 1", n)
--- a/agent/runs/lastcalls_test.go
+++ b/agent/runs/lastcalls_test.go
@@ -9,23 +9,23 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-var errNobodyListens = fmt.Errorf("connection refused: %w", runs.ErrNotSent)
+var errNotListening = fmt.Errorf("connection refused: %w", runs.ErrNotSent)
 
 // Guards against a job that is given up for crashes of workers that never heard of its task.
-func TestStartThatNeverReachedItsWorkerIsTold(t *testing.T) {
+func TestNeverSentStartIsReported(t *testing.T) {
 	for name, lostBefore := range map[string]bool{"never sent": false, "lost once": true} {
 		t.Run(name, func(t *testing.T) {
 			l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}}
-			with(t, l, func(d *runs.Driver, w *countingWorker) {
+			withDriver(t, l, func(d *runs.Driver, w *countingWorker) {
 				time.Sleep(2 * time.Second)
 				if lostBefore {
-					w.silent.Store("start")
+					w.lostCall.Store("start")
 				} else {
-					w.refusal.Store(&errNobodyListens)
+					w.startError.Store(&errNotListening)
 				}
-				l.set(func() { l.orders = starts(2, 1) })
+				l.update(func() { l.orders = startOrders(2, 1) })
 				time.Sleep(2 * time.Second)
-				w.refusal.Store(&errNobodyListens)
+				w.startError.Store(&errNotListening)
 				time.Sleep(time.Second)
 				w.Crash()
 				time.Sleep(2 * time.Second)
--- a/agent/runs/lease.go
+++ b/agent/runs/lease.go
@@ -12,14 +12,14 @@
 	received time.Time
 }
 
-// latest is when the clock shows a reading at the latest: it may run slower by the bound.
-func (c clockReading) latest(ms int64) time.Time {
+// latestTimeOf is when the clock shows a reading at the latest: it may run slower by the bound.
+func (c clockReading) latestTimeOf(ms int64) time.Time {
 	left := time.Duration(ms-c.ms) * time.Millisecond
 	return c.received.Add(left * ppm / (ppm - clockRateErrorPPM))
 }
 
-// heard notes an answer of the worker.
-func (s *session) heard(status Status, received time.Time) {
+// recordStatus notes an answer of the worker.
+func (s *session) recordStatus(status Status, received time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if before := s.clock.ms; status.ClockMs < before {
@@ -38,33 +38,33 @@
 // worker gives none, or nobody could ever tell when the worker has stopped. s.mu is
 // held; 0 when there is no lease.
 func (s *session) nextDeadline() int64 {
-	if s.deadlineMs == 0 || s.clock.received.IsZero() {
+	if s.leaseDeadlineMs == 0 || s.clock.received.IsZero() {
 		return 0
 	}
 	longest := s.clock.ms + s.d.opts.MaxLease.Milliseconds()
-	deadline := min(s.deadlineMs, longest)
-	s.d.lease.extend(s.clock.latest(deadline))
+	deadline := min(s.leaseDeadlineMs, longest)
+	s.d.lease.extend(s.clock.latestTimeOf(deadline))
 	return deadline
 }
 
-// giveUpLease has the session make no start until the leader grants another lease. It is called
+// dropLease has the session make no start until the leader grants another lease. It is called
 // before the leader is told that nothing runs any more: the leader's lease outlasts the worker's, and
 // a start under the rest of it would run beside the one that the leader orders elsewhere.
-func (s *session) giveUpLease() {
+func (s *session) dropLease() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.deadlineMs = 0
+	s.leaseDeadlineMs = 0
 }
 
-// boundLease gives up what the agent holds of its lease beyond the time that the
+// capLease gives up what the agent holds of its lease beyond the time that the
 // worker may run on by itself, given the worker's newest clock, and returns what is
 // left at most, in milliseconds. What goes wrong without it: a host that announced
 // that it leaves is gone with its agent, and the leader waits for the whole lease,
 // which is meant for agents that come back.
-func (s *session) boundLease(clockMs int64) int64 {
+func (s *session) capLease(clockMs int64) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	longest := s.d.opts.MaxLease.Milliseconds()
-	s.deadlineMs = min(s.deadlineMs, clockMs+longest)
+	s.leaseDeadlineMs = min(s.leaseDeadlineMs, clockMs+longest)
 	return longest * ppm / (ppm - clockRateErrorPPM)
 }
--- a/agent/runs/lines_test.go
+++ b/agent/runs/lines_test.go
@@ -18,23 +18,23 @@
 // Symptom: an agent's log does not say from when to when its worker hung.
 // Sequence: the worker gives no answer for some seconds, then it does.
 // Cause: only calls have lines.
-func TestLostWorkerIsTold(t *testing.T) {
+func TestUnreachableWorkerIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch())}
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker())}
 		w.Fault = w.fault
-		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
+		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { d.Run(ctx) })
-		d.Announce(runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		d.Announce(runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
-		w.silent.Store(all)
+		w.lostCall.Store(allCalls)
 		time.Sleep(4 * time.Second)
 		if lost, back := lines.FilterMessage("dependency lost").Len(), lines.FilterMessage("dependency is back").Len(); lost != 1 || back != 0 {
 			t.Errorf("lost is told %d times, back %d times", lost, back)
 		}
-		w.silent.Store("")
+		w.lostCall.Store("")
 		time.Sleep(2 * time.Second)
 		back := lines.FilterMessage("dependency is back").All()
 		if len(back) != 1 || back[0].ContextMap()["dependency"] != "worker" {
@@ -48,18 +48,18 @@
 // Symptom: after a worker came back under its name, no log says so.
 // Sequence: the worker ends and another one answers at its address, whose clock begins anew.
 // Cause: only calls without an answer have lines, and these are answered.
-func TestAClockThatGoesBackIsTold(t *testing.T) {
+func TestBackwardWorkerClockIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
 		w := &replaceableWorker{}
-		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch()))
-		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
+		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker()))
+		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { d.Run(ctx) })
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(3 * time.Second)
-		w.replace(fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch()))
+		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker()))
 		time.Sleep(3 * time.Second)
 		if n := lines.FilterMessage("worker's clock went back").Len(); n != 1 {
 			t.Errorf("told %d times", n)
@@ -70,13 +70,13 @@
 }
 
 // Guards against a line that says that the worker left where it is the agent that stops.
-func TestAgentThatStopsTellsOfNoWorkerThatLeft(t *testing.T) {
+func TestStoppingAgentLogsNoWorkerDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := fakes.NewRunWorker(spec("w1"), fakes.NewRunWatch())
-		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: starts(0, 1)}, Logger: zap.New(core)})
-		stop := run(d)
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		w := fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker())
+		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
+		stop := runDriver(d)
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(2 * time.Second)
 		stop()
 		if n := lines.FilterMessage("worker left").Len(); n != 0 {
--- a/agent/runs/meters.go
+++ b/agent/runs/meters.go
@@ -15,19 +15,19 @@
 	metrics.GetOrRegisterCounter("runs.calls."+call+"."+outcome, d.opts.Metrics).Inc(1)
 }
 
-// meters are the driver's metrics.
-type meters struct {
-	reportsLost metrics.Counter
-	starts      metrics.Counter
-	unanswered  metrics.Counter
-	refused     metrics.Counter
+// metricSet are the driver's metrics.
+type metricSet struct {
+	reportsLost     metrics.Counter
+	starts          metrics.Counter
+	callsUnanswered metrics.Counter
+	startsRefused   metrics.Counter
 }
 
-func newMeters(r metrics.Registry) meters {
-	return meters{
-		reportsLost: metrics.GetOrRegisterCounter("runs.reports_lost", r),
-		starts:      metrics.GetOrRegisterCounter("runs.starts", r),
-		unanswered:  metrics.GetOrRegisterCounter("runs.calls_unanswered", r),
-		refused:     metrics.GetOrRegisterCounter("runs.starts_refused", r),
+func newMetricSet(r metrics.Registry) metricSet {
+	return metricSet{
+		reportsLost:     metrics.GetOrRegisterCounter("runs.reports_lost", r),
+		starts:          metrics.GetOrRegisterCounter("runs.starts", r),
+		callsUnanswered: metrics.GetOrRegisterCounter("runs.calls_unanswered", r),
+		startsRefused:   metrics.GetOrRegisterCounter("runs.starts_refused", r),
 	}
 }
--- a/agent/runs/orders.go
+++ b/agent/runs/orders.go
@@ -20,92 +20,92 @@
 	// capacity is what the leader knew the worker to have when it first gave the order; nil from
 	// one that does not say.
 	capacity *apiv1.WorkerCapacity
-	// first: no agent before this one can have had the order.
-	first bool
-	// ended: the leader no longer has the order.
-	ended bool
-	// begun is set once the worker said that the run is there or over.
-	begun bool
-	// asked is set once the worker may have got the start.
-	asked    bool
-	starting bool
+	// notOrderedBefore: no agent before this one can have had the order.
+	notOrderedBefore bool
+	// withdrawn: the leader no longer has the order.
+	withdrawn bool
+	// startConfirmed is set once the worker said that the run is there or over.
+	startConfirmed bool
+	// maybeSent is set once the worker may have got the start.
+	maybeSent bool
+	starting  bool
 	// stop: the run has to end. stoppedAt is when the worker confirmed that it has stopped
 	// it, or said that it is over.
 	stop      bool
 	stopping  bool
 	stoppedAt time.Time
-	// refuse is why the run is given back once it is surely not there.
-	refuse string
-	pace   uint32
-	paced  uint32
-	pacing bool
+	// refusalReason is why the run is given back once it is surely not there.
+	refusalReason string
+	pace          uint32
+	confirmedPace uint32
+	pacing        bool
 }
 
-// follow takes the leader's orders and has them carried out.
-func (s *session) follow() {
+// ordersLoop takes the leader's orders and has them carried out.
+func (s *session) ordersLoop() {
 	var term, sequence uint64
 	for s.ctx.Err() == nil {
 		resp, err := s.d.opts.Leader.Orders(s.ctx, &apiv1.JobsOrdersRequest{
 			Worker: s.incarnation, Term: term, Sequence: sequence,
 		})
 		if err != nil {
-			s.pause(retryPause)
+			s.sleep(retryInterval)
 			continue
 		}
 		if resp.Term < term {
 			// An answer of a leader that another one has followed.
-			s.pause(retryPause)
+			s.sleep(retryInterval)
 			continue
 		}
 		news := resp.Term != term || resp.Sequence != sequence
 		term, sequence = resp.Term, resp.Sequence
 		if news {
-			s.take(resp)
+			s.applyOrders(resp)
 		}
 	}
 }
 
-// take compares the leader's open orders with those known, and starts the work
+// applyOrders compares the leader's open orders with those known, and starts the work
 // that is new. An order that the leader no longer has is done with.
-func (s *session) take(resp *apiv1.JobsOrdersResponse) {
+func (s *session) applyOrders(resp *apiv1.JobsOrdersResponse) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteTerm(resp.Term)
+	s.recordTerm(resp.Term)
 	open := map[jobqueue.RunID]bool{}
 	for _, o := range resp.Starts {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
 		open[id] = true
-		known := s.order(id)
+		known := s.orderFor(id)
 		if known.start == nil {
-			known.capacity, known.first = resp.Capacity, s.ordered
+			known.capacity, known.notOrderedBefore = resp.Capacity, s.ordersReceived
 		}
-		known.start, known.epoch, known.ended = o, resp.Epoch, false
+		known.start, known.epoch, known.withdrawn = o, resp.Epoch, false
 	}
 	for _, o := range resp.Stops {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
 		open[id] = true
-		s.order(id).stop = true
+		s.orderFor(id).stop = true
 	}
 	for _, o := range resp.Paces {
 		id := jobqueue.RunID{Task: jobqueue.TaskIDOf(o.Task), Number: o.Run}
 		open[id] = true
-		s.order(id).pace = o.Percent
+		s.orderFor(id).pace = o.Percent
 	}
 	for id, o := range s.orders {
 		if !open[id] && !o.starting && !o.stopping && !o.pacing {
 			delete(s.orders, id)
 			continue
 		}
-		o.ended = !open[id]
+		o.withdrawn = !open[id]
 		s.advance(id, o)
 	}
-	s.ordered = true
+	s.ordersReceived = true
 }
 
-func (s *session) order(id jobqueue.RunID) *order {
+func (s *session) orderFor(id jobqueue.RunID) *order {
 	o := s.orders[id]
 	if o == nil {
-		o = &order{pace: fullPace, paced: fullPace}
+		o = &order{pace: fullPace, confirmedPace: fullPace}
 		s.orders[id] = o
 	}
 	return o
@@ -117,42 +117,42 @@
 // session is over.
 func (s *session) advance(id jobqueue.RunID, o *order) {
 	switch {
-	case s.over || s.alive.Err() != nil:
+	case s.finished || s.alive.Err() != nil:
 	case o.stop && !o.stopping && o.stoppedAt.IsZero():
 		o.stopping = true
-		s.calls.Go(func() { s.carryOutStop(id, o) })
+		s.calls.Go(func() { s.stopRun(id, o) })
 	case s.mayStart(o):
 		o.starting = true
-		s.calls.Go(func() { s.carryOutStart(id, o) })
-	case o.pace != o.paced && !o.stop && !o.starting && !o.pacing:
+		s.calls.Go(func() { s.startRun(id, o) })
+	case o.pace != o.confirmedPace && !o.stop && !o.starting && !o.pacing:
 		o.pacing = true
-		s.calls.Go(func() { s.carryOutPace(id, o) })
+		s.calls.Go(func() { s.setPace(id, o) })
 	}
 }
 
 // mayStart reports whether a start is still to be made; s.mu is held.
 func (s *session) mayStart(o *order) bool {
-	return o.start != nil && !o.stop && !o.begun && !o.starting && o.refuse == "" && !s.isVoid(o)
+	return o.start != nil && !o.stop && !o.startConfirmed && !o.starting && o.refusalReason == "" && !s.isVoid(o)
 }
 
 // isVoid reports whether a start must not be made any more: the leader has given the run up; s.mu is
 // held.
-func (s *session) isVoid(o *order) bool { return o.ended || o.epoch < s.epoch }
+func (s *session) isVoid(o *order) bool { return o.withdrawn || o.epoch < s.epoch }
 
-// carryOutStart has the worker start a run. A call without an answer is repeated:
+// startRun has the worker start a run. A call without an answer is repeated:
 // the same run starts once, however often it is ordered.
-func (s *session) carryOutStart(id jobqueue.RunID, o *order) {
+func (s *session) startRun(id jobqueue.RunID, o *order) {
 	retry := newBackoff()
 	for s.alive.Err() == nil {
-		call, ok := s.nextStart(id, o)
+		call, ok := s.nextStartCall(id, o)
 		if !ok {
 			break
 		}
 		answer, err := s.callStart(call)
-		if s.startAnswered(id, o, answer, err) {
+		if s.handleStartAnswer(id, o, answer, err) {
 			break
 		}
-		s.pause(retry.next())
+		s.sleep(retry.next())
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -165,18 +165,18 @@
 	start Start
 }
 
-// nextStart returns the call to make, once the worker's lease allows it; false
+// nextStartCall returns the call to make, once the worker's lease allows it; false
 // when the run is not to be started any more.
-func (s *session) nextStart(id jobqueue.RunID, o *order) (startCall, bool) {
+func (s *session) nextStartCall(id jobqueue.RunID, o *order) (startCall, bool) {
 	for s.alive.Err() == nil {
 		s.mu.Lock()
-		stop, leased := o.stop || s.isVoid(o), s.deadlineMs > 0 && !s.clock.received.IsZero() && o.epoch == s.epoch
-		if s.announced.Worker.Draining && !o.asked && leased && !stop {
-			s.giveBack(id, o, "worker drains")
+		stop, leased := o.stop || s.isVoid(o), s.leaseDeadlineMs > 0 && !s.clock.received.IsZero() && o.epoch == s.epoch
+		if s.announced.Worker.Draining && !o.maybeSent && leased && !stop {
+			s.refuseUnlessListed(id, o, "worker drains")
 			stop = true
 		}
-		if leased && !stop && s.hasShrunk(o) {
-			s.giveBack(id, o, "worker shrank")
+		if leased && !stop && s.hasLessCapacity(o) {
+			s.refuseUnlessListed(id, o, "worker shrank")
 			stop = true
 		}
 		call := startCall{
@@ -187,8 +187,8 @@
 			},
 		}
 		if leased && !stop {
-			o.asked = true
-			s.lastCalls.ask(id, s.d.opts.Now())
+			o.maybeSent = true
+			s.callHistory.recordStartRequest(id, s.d.opts.Now())
 		}
 		s.mu.Unlock()
 		if stop {
@@ -197,106 +197,106 @@
 		if leased {
 			return call, true
 		}
-		s.pause(retryPause)
+		s.sleep(retryInterval)
 	}
 	return startCall{}, false
 }
 
 func (s *session) callStart(c startCall) (Answer, error) {
-	s.slots <- struct{}{}
-	defer func() { <-s.slots }()
+	s.startSlots <- struct{}{}
+	defer func() { <-s.startSlots }()
 	ctx, cancel := context.WithTimeout(s.alive, callTimeout)
 	defer cancel()
 	answer, err := s.d.opts.Worker.Start(ctx, c.order, c.start)
-	s.noteCall("start", answer, err)
+	s.recordCall("start", answer, err)
 	return answer, err
 }
 
-// startAnswered takes in the answer to a start; true ends the attempts.
-func (s *session) startAnswered(id jobqueue.RunID, o *order, answer Answer, err error) bool {
+// handleStartAnswer takes in the answer to a start; true ends the attempts.
+func (s *session) handleStartAnswer(id jobqueue.RunID, o *order, answer Answer, err error) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.first {
-		s.lastCalls.asked(id, err)
+	if o.notOrderedBefore {
+		s.callHistory.recordStartResult(id, err)
 	}
 	if err != nil {
-		s.d.meters.unanswered.Inc(1)
+		s.d.metrics.callsUnanswered.Inc(1)
 		event.StartUnanswered.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Err(err))
 		return false
 	}
 	event.StartAnswered.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Epoch(o.epoch), event.Answer(answer))
 	switch answer {
 	case AnswerDone:
-		s.d.meters.starts.Inc(1)
-		o.begun = true
-		s.lastCalls.begun(id, s.d.opts.Now())
+		s.d.metrics.starts.Inc(1)
+		o.startConfirmed = true
+		s.callHistory.recordConfirmed(id, s.d.opts.Now())
 		return true
-	case AnswerOver:
+	case AnswerEnded:
 		// Its end is listed until it is recorded. Without one the run never began: an agent
 		// before this one had it stopped, and did not get to say so.
-		o.begun = true
+		o.startConfirmed = true
 		o.stoppedAt = s.d.opts.Now()
 		return true
-	case AnswerLate, AnswerFenced:
+	case AnswerDeadlinePassed, AnswerFenced:
 		// The next try carries a later deadline, or the term of the newer leader, which
 		// gives its own orders too.
 		return false
-	case AnswerOther:
-		s.noteOther()
+	case AnswerOtherIncarnation:
+		s.endAlive()
 		return true
 	}
-	s.refuse(id, o, answer.String())
+	s.refuseRun(id, o, answer.String())
 	return true
 }
 
-// hasShrunk reports whether the worker has less than the leader knew when it gave the order; s.mu
+// hasLessCapacity reports whether the worker has less than the leader knew when it gave the order; s.mu
 // is held.
-func (s *session) hasShrunk(o *order) bool {
+func (s *session) hasLessCapacity(o *order) bool {
 	now := s.announced.Worker
 	return now.CpuMilli < o.capacity.GetCpuMilli() || now.MemoryMb < o.capacity.GetMemoryMb() ||
 		now.Accelerators < o.capacity.GetAccelerators()
 }
 
-// giveBack gives back a start that the worker should not get any more, unless
+// refuseUnlessListed gives back a start that the worker should not get any more, unless
 // the run is there already. What goes wrong without the look: an agent that was
 // restarted did not make the start, but the one before it did; the run goes on here
 // and starts elsewhere as well. s.mu is held.
-func (s *session) giveBack(id jobqueue.RunID, o *order, reason string) {
-	if listed(s.status, id) {
-		o.begun = true
+func (s *session) refuseUnlessListed(id jobqueue.RunID, o *order, reason string) {
+	if isListed(s.status, id) {
+		o.startConfirmed = true
 		return
 	}
-	s.refuse(id, o, reason)
+	s.refuseRun(id, o, reason)
 }
 
-// refuse gives a run back. It may have been ordered before without an answer, by
+// refuseRun gives a run back. It may have been ordered before without an answer, by
 // this agent or one before it, and come about later: so the worker is told to stop
 // it first, which makes it refuse the run for good. s.mu is held.
-func (s *session) refuse(id jobqueue.RunID, o *order, reason string) {
-	s.d.meters.refused.Inc(1)
-	o.refuse = reason
+func (s *session) refuseRun(id jobqueue.RunID, o *order, reason string) {
+	s.d.metrics.startsRefused.Inc(1)
+	o.refusalReason = reason
 	o.stop = true
 }
 
-// carryOutStop has the worker stop a run, until it confirms. A stop that is refused for an old
+// stopRun has the worker stop a run, until it confirms. A stop that is refused for an old
 // term is repeated.
-func (s *session) carryOutStop(id jobqueue.RunID, o *order) {
+func (s *session) stopRun(id jobqueue.RunID, o *order) {
 	retry := newBackoff()
 	for s.alive.Err() == nil {
 		answer, err := s.callStop(id)
 		if err != nil {
-			s.d.meters.unanswered.Inc(1)
-			s.pause(retry.next())
+			s.d.metrics.callsUnanswered.Inc(1)
+			s.sleep(retry.next())
 			continue
 		}
 		event.StopAnswered.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Answer(answer))
-		if answer == AnswerOther {
-			s.noteOther()
+		if answer == AnswerOtherIncarnation {
+			s.endAlive()
 		}
 		if answer == AnswerFenced {
 			// The next try carries the term of the newer leader, which may have given its
 			// orders already and does not repeat them.
-			s.pause(retry.next())
+			s.sleep(retry.next())
 			continue
 		}
 		s.mu.Lock()
@@ -314,12 +314,12 @@
 	ctx, cancel := context.WithTimeout(s.alive, callTimeout)
 	defer cancel()
 	answer, err := s.d.opts.Worker.Stop(ctx, o, id)
-	s.noteCall("stop", answer, err)
+	s.recordCall("stop", answer, err)
 	return answer, err
 }
 
-// carryOutPace has the worker slow a run down or let it up.
-func (s *session) carryOutPace(id jobqueue.RunID, o *order) {
+// setPace has the worker slow a run down or let it up.
+func (s *session) setPace(id jobqueue.RunID, o *order) {
 	s.mu.Lock()
 	percent := o.pace
 	call := Order{Incarnation: s.incarnation, Term: s.term}
@@ -327,24 +327,24 @@
 	ctx, cancel := context.WithTimeout(s.alive, callTimeout)
 	answer, err := s.d.opts.Worker.Pace(ctx, call, id, percent)
 	cancel()
-	s.noteCall("pace", answer, err)
+	s.recordCall("pace", answer, err)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	o.pacing = false
 	if err != nil {
-		s.d.meters.unanswered.Inc(1)
+		s.d.metrics.callsUnanswered.Inc(1)
 		event.PaceUnanswered.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Err(err))
-		time.AfterFunc(maxRetryPause, func() { s.repeat(id) })
+		time.AfterFunc(maxRetryDelay, func() { s.retryOrder(id) })
 		return
 	}
 	event.PaceAnswered.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Percent(percent),
 		event.Answer(answer))
-	o.paced = percent
+	o.confirmedPace = percent
 	s.advance(id, o)
 }
 
-// repeat takes up what is left to do about a run.
-func (s *session) repeat(id jobqueue.RunID) {
+// retryOrder takes up what is left to do about a run.
+func (s *session) retryOrder(id jobqueue.RunID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if o := s.orders[id]; o != nil && s.alive.Err() == nil {
@@ -352,21 +352,21 @@
 	}
 }
 
-// settleStops gives back the runs that were stopped before they began: the worker
+// refuseStoppedRuns gives back the runs that were stopped before they began: the worker
 // confirmed the stop, and a status asked for after that shows the run neither
 // among those that run nor among the ended. A status of which a part could not be read
 // shows nothing of the kind: the run may be in that part.
-func (s *session) settleStops(status Status, asked time.Time) {
+func (s *session) refuseStoppedRuns(status Status, asked time.Time) {
 	if status.Partial {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, o := range s.orders {
-		if o.stoppedAt.IsZero() || !asked.After(o.stoppedAt) || listed(status, id) {
+		if o.stoppedAt.IsZero() || !asked.After(o.stoppedAt) || isListed(status, id) {
 			continue
 		}
-		reason := o.refuse
+		reason := o.refusalReason
 		if reason == "" {
 			reason = "stopped before it began"
 		}
@@ -378,7 +378,7 @@
 	}
 }
 
-func listed(status Status, id jobqueue.RunID) bool {
+func isListed(status Status, id jobqueue.RunID) bool {
 	for _, r := range status.Running {
 		if r.Run == id.Number && jobqueue.TaskIDOf(r.Task) == id.Task {
 			return true
--- a/agent/runs/report.go
+++ b/agent/runs/report.go
@@ -11,18 +11,18 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// depart tells the leader that the incarnation is gone.
-func (s *session) depart(replaced bool) {
+// reportDeparture tells the leader that the incarnation is gone.
+func (s *session) reportDeparture(replaced bool) {
 	s.d.mu.Lock()
-	s.d.noteLeft(s.incarnation)
+	s.d.recordDeparted(s.incarnation)
 	s.d.mu.Unlock()
 	event.WorkerLeft.Write(s.d.logger, event.Worker(s.incarnation), event.Replaced(replaced))
-	s.giveUpLease()
+	s.dropLease()
 	if !replaced {
-		s.awaitEnd()
+		s.awaitWorkerEnd()
 	}
 	s.endCalls()
-	end := s.endReport()
+	end := s.departureReport()
 	for s.ctx.Err() == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 		_, err := s.send(ctx, end)
@@ -30,58 +30,58 @@
 		if err == nil {
 			return
 		}
-		s.pause(retryPause)
+		s.sleep(retryInterval)
 	}
 }
 
-// awaitEnd returns once the worker, which has said that it ends, runs nothing any more: it gives no
+// awaitWorkerEnd returns once the worker, which has said that it ends, runs nothing any more: it gives no
 // answer, lists nothing, or its lease has run out. One that was not acknowledged goes on for seconds,
 // and tasks that the leader gave up meanwhile would run elsewhere as well.
-func (s *session) awaitEnd() {
-	for s.ctx.Err() == nil && s.d.lease.untilDue(s.d.opts.Now()) > 0 {
+func (s *session) awaitWorkerEnd() {
+	for s.ctx.Err() == nil && s.d.lease.untilCheck(s.d.opts.Now()) > 0 {
 		status, answer, err := s.renew(0)
 		if err != nil || answer != AnswerDone || len(status.Running) == 0 && !status.Partial {
 			return
 		}
-		s.pause(retryPause)
+		s.sleep(retryInterval)
 	}
 }
 
-// tellOfFormer tells the leader that the life before this one has ended. The first report of
+// reportPreviousEnd tells the leader that the life before this one has ended. The first report of
 // this one would say so too, but it may end before that.
-func (s *session) tellOfFormer() {
-	if s.former == nil {
+func (s *session) reportPreviousEnd() {
+	if s.previousEndReport == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
-	if _, err := s.send(ctx, s.former); err == nil {
-		s.former = nil
+	if _, err := s.send(ctx, s.previousEndReport); err == nil {
+		s.previousEndReport = nil
 	}
 }
 
-// renumber has the session go on as another one in the leader's eyes; watch calls it.
-func (s *session) renumber() {
-	s.number, s.reports, s.beganMs = rand.Uint64(), 0, 0
+// resetID has the session go on as another one in the leader's eyes; watch calls it.
+func (s *session) resetID() {
+	s.id, s.reportCount, s.startedMs = rand.Uint64(), 0, 0
 }
 
-// resolveOrder ends the life that the leader takes for the newer one. The worker has confirmed
+// resolveIncarnationOrder ends the life that the leader takes for the newer one. The worker has confirmed
 // the life of this session, and there is but one: so what the leader holds came before it.
-func (s *session) resolveOrder(ctx context.Context) {
+func (s *session) resolveIncarnationOrder(ctx context.Context) {
 	held, err := s.d.opts.Leader.HostLease(ctx, s.d.opts.Host)
 	if err != nil || held.LastLife == "" || held.LastLife == s.incarnation {
 		return
 	}
-	s.noteFollows(held.LastLife)
+	s.addPreviousIncarnation(held.LastLife)
 	if held.LeaseWorker != "" && held.LeaseWorker != s.incarnation {
-		s.noteFollows(held.LeaseWorker)
-		s.former = &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: s.d.opts.Host}, Departed: true, Crashed: true}
+		s.addPreviousIncarnation(held.LeaseWorker)
+		s.previousEndReport = &apiv1.JobsReportRequest{Worker: &apiv1.JobWorker{Id: held.LeaseWorker, Host: s.d.opts.Host}, Departed: true, Crashed: true}
 	}
 }
 
-func (s *session) noteFollows(incarnation string) {
-	if !slices.Contains(s.follows, incarnation) {
-		s.follows = append(s.follows, incarnation)
+func (s *session) addPreviousIncarnation(incarnation string) {
+	if !slices.Contains(s.previousIncarnations, incarnation) {
+		s.previousIncarnations = append(s.previousIncarnations, incarnation)
 	}
 }
 
@@ -91,28 +91,28 @@
 	a := s.announcement()
 	r := &apiv1.JobsReportRequest{
 		Worker: a.Worker, Ends: status.Ended, Running: status.Running,
-		RemainingMs: a.Remaining.Milliseconds(), Refusals: s.openRefusals(),
+		RemainingMs: a.Remaining.Milliseconds(), Refusals: s.pendingRefusals(),
 		Partial: status.Partial,
 	}
 	ctx, cancel := context.WithTimeout(s.ctx, reportTimeout)
 	defer cancel()
 	sent := s.d.opts.Now()
 	if a.Worker.Draining && status.ClockMs > 0 {
-		r.LeaseBoundMs = s.boundLease(status.ClockMs)
+		r.LeaseBoundMs = s.capLease(status.ClockMs)
 	}
 	resp, err := s.send(ctx, r)
 	if err != nil {
-		s.d.meters.reportsLost.Inc(1)
+		s.d.metrics.reportsLost.Inc(1)
 		event.ReportLost.Write(s.d.logger, event.Worker(s.incarnation), event.EndCount(len(r.Ends)),
 			event.RunningCount(len(r.Running)), event.Err(err))
 		return false
 	}
 	if resp.Outcome == apiv1.JobOutcome_JOB_OUTCOME_STALE {
 		event.WorkerTakenForOther.Write(s.d.logger, event.Worker(s.incarnation))
-		s.resolveOrder(ctx)
+		s.resolveIncarnationOrder(ctx)
 		return false
 	}
-	s.granted(resp, status.ClockMs, received, sent)
+	s.applyLease(resp, status.ClockMs, received, sent)
 	s.dropRefusals(r.Refusals)
 	return true
 }
@@ -121,30 +121,30 @@
 // network delivers a report that was given up seconds ago, and the leader believes what it
 // says of a worker that has gone silent since, or gives up runs that began since.
 func (s *session) send(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
-	s.reports++
-	r.Session, r.Sequence, r.SessionBeganMs = s.number, s.reports, s.beganMs
-	r.Follows = s.follows
+	s.reportCount++
+	r.Session, r.Sequence, r.SessionBeganMs = s.id, s.reportCount, s.startedMs
+	r.Follows = s.previousIncarnations
 	return s.d.opts.Leader.Report(ctx, r)
 }
 
-// granted takes a lease over. It counts from the sending of the report and is
+// applyLease takes a lease over. It counts from the sending of the report and is
 // turned into a reading of the worker's clock: that clock showed clockMs no later
 // than at received, and may run slower than ours by the bound on its rate error. Without
 // a reading, 0, there is no lease to count: the next report brings one.
-func (s *session) granted(resp *apiv1.JobsReportResponse, clockMs int64, received, sent time.Time) {
+func (s *session) applyLease(resp *apiv1.JobsReportResponse, clockMs int64, received, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.noteTerm(resp.Term)
+	s.recordTerm(resp.Term)
 	s.acknowledged = max(s.acknowledged, resp.Acknowledged)
 	if resp.LeaseMs == 0 || clockMs == 0 {
 		return
 	}
 	left := sent.Sub(received).Milliseconds() + resp.LeaseMs
-	s.deadlineMs = max(s.deadlineMs, clockMs+left*(ppm-clockRateErrorPPM)/ppm)
+	s.leaseDeadlineMs = max(s.leaseDeadlineMs, clockMs+left*(ppm-clockRateErrorPPM)/ppm)
 	s.epoch = max(s.epoch, resp.Epoch)
 }
 
-func (s *session) openRefusals() []*apiv1.RunRefusal {
+func (s *session) pendingRefusals() []*apiv1.RunRefusal {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var list []*apiv1.RunRefusal
--- a/agent/runs/rig_test.go
+++ b/agent/runs/rig_test.go
@@ -22,33 +22,33 @@
 
 // leader answers as the test says and notes what it is told.
 type leader struct {
-	mu     sync.Mutex
-	orders *apiv1.JobsOrdersResponse
-	epoch  uint64
-	away   bool
-	// awayAfter is after how many more reports it is away; 0 is never.
-	awayAfter int
-	// noOrders fails the calls for orders only.
-	noOrders bool
-	// lookedFor: calls for orders fail until a report or a question has found the leader, as
+	mu          sync.Mutex
+	orders      *apiv1.JobsOrdersResponse
+	epoch       uint64
+	unavailable bool
+	// reportsUntilUnavailable is after how many more reports it is away; 0 is never.
+	reportsUntilUnavailable int
+	// ordersFail fails the calls for orders only.
+	ordersFail bool
+	// ordersNeedFound: calls for orders fail until a report or a question has found the leader, as
 	// from a process that knows none.
-	lookedFor, found bool
-	reports          []*apiv1.JobsReportRequest
+	ordersNeedFound, found bool
+	reports                []*apiv1.JobsReportRequest
 }
 
-var errAway = errors.New("no leader")
+var errUnavailable = errors.New("no leader")
 
 func (l *leader) Report(_ context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return nil, errAway
+	if l.unavailable {
+		return nil, errUnavailable
 	}
 	l.found = true
 	l.reports = append(l.reports, r)
-	if l.awayAfter > 0 {
-		l.awayAfter--
-		l.away = l.awayAfter == 0
+	if l.reportsUntilUnavailable > 0 {
+		l.reportsUntilUnavailable--
+		l.unavailable = l.reportsUntilUnavailable == 0
 	}
 	resp := &apiv1.JobsReportResponse{Term: term, LeaseMs: leaseMs, Epoch: l.epoch, Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}
 	for _, e := range r.Ends {
@@ -59,10 +59,10 @@
 
 func (l *leader) Orders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
-	orders, away := l.orders, l.away || l.noOrders || l.lookedFor && !l.found
+	orders, away := l.orders, l.unavailable || l.ordersFail || l.ordersNeedFound && !l.found
 	l.mu.Unlock()
 	if away {
-		return nil, errAway
+		return nil, errUnavailable
 	}
 	if r.Term == orders.Term && r.Sequence == orders.Sequence {
 		select {
@@ -78,8 +78,8 @@
 func (l *leader) CurrentOrders(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return nil, errAway
+	if l.unavailable {
+		return nil, errUnavailable
 	}
 	l.found = true
 	return l.orders, nil
@@ -89,8 +89,8 @@
 func (l *leader) HostLease(context.Context, string) (*apiv1.JobsOrdersResponse, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.away {
-		return nil, errAway
+	if l.unavailable {
+		return nil, errUnavailable
 	}
 	held := &apiv1.JobsOrdersResponse{Term: term, HostTold: true, LeaseNumber: uint64(len(l.reports))}
 	if n := len(l.reports); n == 0 || !l.reports[n-1].Lapsed {
@@ -99,13 +99,13 @@
 	return held, nil
 }
 
-func (l *leader) set(f func()) {
+func (l *leader) update(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f()
 }
 
-func (l *leader) lapsedReports() int {
+func (l *leader) expiryReports() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
@@ -117,12 +117,12 @@
 	return n
 }
 
-var first = jobqueue.TaskID{Job: "j", Index: 1}
+var firstTask = jobqueue.TaskID{Job: "j", Index: 1}
 
-func starts(sequence, epoch uint64) *apiv1.JobsOrdersResponse {
+func startOrders(sequence, epoch uint64) *apiv1.JobsOrdersResponse {
 	return &apiv1.JobsOrdersResponse{
 		Term: term, Sequence: sequence, Epoch: epoch,
-		Starts: []*apiv1.StartOrder{{Task: first.Ref(), Run: 1}},
+		Starts: []*apiv1.StartOrder{{Task: firstTask.Ref(), Run: 1}},
 	}
 }
 
@@ -130,27 +130,27 @@
 type countingWorker struct {
 	*fakes.RunWorker
 	startCalls, renewals atomic.Int64
-	// refusing fails every start at once, as a host does where nobody listens, and refusal with what.
-	refusing atomic.Bool
-	refusal  atomic.Pointer[error]
-	// silent is the one call that gets no answer: its name, or all for every one.
-	silent atomic.Value
+	// unreachable fails every start at once, as a host does where nobody listens, and refusal with what.
+	unreachable atomic.Bool
+	startError  atomic.Pointer[error]
+	// lostCall is the one call that gets no answer: its name, or all for every one.
+	lostCall atomic.Value
 }
 
-const all = "all"
+const allCalls = "all"
 
 // fault loses the calls that get no answer.
 func (w *countingWorker) fault(call string) fakes.OrderFault {
-	silent, _ := w.silent.Load().(string)
-	return fakes.OrderFault{Lost: silent == all || silent == call}
+	silent, _ := w.lostCall.Load().(string)
+	return fakes.OrderFault{Lost: silent == allCalls || silent == call}
 }
 
 func (w *countingWorker) Start(ctx context.Context, o runs.Order, s runs.Start) (runs.Answer, error) {
 	w.startCalls.Add(1)
-	if w.refusing.Load() {
-		return 0, errAway
+	if w.unreachable.Load() {
+		return 0, errUnavailable
 	}
-	if err := w.refusal.Load(); err != nil {
+	if err := w.startError.Load(); err != nil {
 		return 0, *err
 	}
 	return w.RunWorker.Start(ctx, o, s)
@@ -161,7 +161,7 @@
 	return w.RunWorker.Renew(ctx, o, r)
 }
 
-func spec(id string) *apiv1.JobWorker {
+func workerSpec(id string) *apiv1.JobWorker {
 	return &apiv1.JobWorker{Id: id, Host: "h", Pool: "p", CpuMilli: 1000, MemoryMb: 1000}
 }
 
@@ -172,9 +172,9 @@
 	}
 }
 
-// run has a driver serve its worker until the returned function is called. A test that fails
+// runDriver has a driver serve its worker until the returned function is called. A test that fails
 // must end its driver too: virtual time would go on for ever.
-func run(d *runs.Driver) (stop func()) {
+func runDriver(d *runs.Driver) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	running.Go(func() { d.Run(ctx) })
@@ -184,16 +184,16 @@
 	}
 }
 
-// with runs a driver on a stand-in worker in virtual time.
-func with(t *testing.T, l *leader, f func(d *runs.Driver, w *countingWorker)) {
+// withDriver runs a driver on a stand-in worker in virtual time.
+func withDriver(t *testing.T, l *leader, f func(d *runs.Driver, w *countingWorker)) {
 	synctest.Test(t, func(t *testing.T) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(spec("w1"), watch)}
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
 		d := runs.New(runs.Options{Worker: w, Leader: l})
-		defer run(d)()
-		announce(t, d, runs.Announcement{Worker: spec("w1"), Sequence: 1})
+		defer runDriver(d)()
+		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		f(d, w)
 	})
 }
--- a/agent/runs/runstest/link.go
+++ b/agent/runs/runstest/link.go
@@ -12,8 +12,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// ErrCut is what an agent gets from a link that is cut, or from a host that does not lead.
-var ErrCut = errors.New("cut off")
+// ErrUnreachable is what an agent gets from a link that is cut, or from a host that does not lead.
+var ErrUnreachable = errors.New("cut off")
 
 // Leader is the leader's side of a link; *dispatch.Dispatcher implements it.
 type Leader interface {
@@ -34,93 +34,93 @@
 	Context func() context.Context
 	Go      func(func())
 	Sleep   func(time.Duration)
-	// HeldUp says whether the network holds a report up; cut says that the link is cut.
+	// DelaysReport says whether the network holds a report up; cut says that the link is cut.
 	// Late is how long after the cut it arrives.
-	HeldUp func(r *apiv1.JobsReportRequest, cut bool) bool
-	Late   func() time.Duration
+	DelaysReport  func(r *apiv1.JobsReportRequest, cut bool) bool
+	DeliveryDelay func() time.Duration
 	// OrdersWait is how long a call for orders is held.
 	OrdersWait time.Duration
 	// OnReport is told of each report that goes over the link; may be nil.
 	OnReport func(*apiv1.JobsReportRequest)
 
 	mu sync.Mutex
-	// cut holds what the agent reports; oneWay lets it ask for orders meanwhile.
-	cut, oneWay bool
-	// found: the agent has found the leader; calls for orders don't look for it.
-	found bool
+	// partitioned holds what the agent reports; reportsOnly lets it ask for orders meanwhile.
+	partitioned, reportsOnly bool
+	// leaderFound: the agent has found the leader; calls for orders don't look for it.
+	leaderFound bool
 }
 
-// SetCut cuts the link or mends it.
-func (l *Link) SetCut(cut bool) {
+// SetPartitioned cuts the link or mends it.
+func (l *Link) SetPartitioned(cut bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = cut
+	l.partitioned = cut
 }
 
-// SetOneWay says whether a cut holds reports only.
-func (l *Link) SetOneWay(oneWay bool) {
+// SetReportsOnly says whether a cut holds reports only.
+func (l *Link) SetReportsOnly(oneWay bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.oneWay = oneWay
+	l.reportsOnly = oneWay
 }
 
-// IsCut reports whether reports are held.
-func (l *Link) IsCut() bool {
+// IsPartitioned reports whether reports are held.
+func (l *Link) IsPartitioned() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.partitioned
 }
 
-func (l *Link) ordersCut() bool {
+func (l *Link) ordersBlocked() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut && !l.oneWay
+	return l.partitioned && !l.reportsOnly
 }
 
-// Forget makes the agent one that was just started: it has yet to find the leader.
-func (l *Link) Forget() { l.setFound(false) }
+// ForgetLeader makes the agent one that was just started: it has yet to find the leader.
+func (l *Link) ForgetLeader() { l.setLeaderFound(false) }
 
-func (l *Link) setFound(found bool) {
+func (l *Link) setLeaderFound(found bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.found = found
+	l.leaderFound = found
 }
 
-func (l *Link) hasFound() bool {
+func (l *Link) hasFoundLeader() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.found
+	return l.leaderFound
 }
 
 // Report implements runs.Leader.
 func (l *Link) Report(ctx context.Context, r *apiv1.JobsReportRequest) (*apiv1.JobsReportResponse, error) {
-	cut := l.IsCut()
-	held := l.HeldUp(r, cut)
+	cut := l.IsPartitioned()
+	held := l.DelaysReport(r, cut)
 	if held {
-		l.holdUp(proto.CloneOf(r))
+		l.delayReport(proto.CloneOf(r))
 	}
 	if cut || held {
 		<-ctx.Done()
-		return nil, ErrCut
+		return nil, ErrUnreachable
 	}
 	if l.OnReport != nil {
 		l.OnReport(proto.CloneOf(r))
 	}
 	resp, err := l.Leader().Report(ctx, r)
-	if err != nil || resp.NotLeader || l.IsCut() {
-		return nil, ErrCut
+	if err != nil || resp.NotLeader || l.IsPartitioned() {
+		return nil, ErrUnreachable
 	}
-	l.setFound(true)
+	l.setLeaderFound(true)
 	return resp, nil
 }
 
-// holdUp delivers a report once the cut is over, as a network does with what it was sent
+// delayReport delivers a report once the cut is over, as a network does with what it was sent
 // before; its sender has given it up by then.
-func (l *Link) holdUp(r *apiv1.JobsReportRequest) {
-	late := l.Late()
+func (l *Link) delayReport(r *apiv1.JobsReportRequest) {
+	late := l.DeliveryDelay()
 	ctx := l.Context()
 	l.Go(func() {
-		for l.IsCut() && ctx.Err() == nil {
+		for l.IsPartitioned() && ctx.Err() == nil {
 			l.Sleep(pollInterval)
 		}
 		l.Sleep(late)
@@ -132,41 +132,41 @@
 
 // CurrentOrders implements runs.Leader.
 func (l *Link) CurrentOrders(ctx context.Context, worker string) (*apiv1.JobsOrdersResponse, error) {
-	if l.ordersCut() {
-		return nil, ErrCut
+	if l.ordersBlocked() {
+		return nil, ErrUnreachable
 	}
-	resp, err := l.askForOrders(ctx, &apiv1.JobsOrdersRequest{Worker: worker})
+	resp, err := l.requestOrders(ctx, &apiv1.JobsOrdersRequest{Worker: worker})
 	if err == nil {
-		l.setFound(true)
+		l.setLeaderFound(true)
 	}
 	return resp, err
 }
 
 // HostLease implements runs.Leader.
 func (l *Link) HostLease(ctx context.Context, host string) (*apiv1.JobsOrdersResponse, error) {
-	if l.ordersCut() {
-		return nil, ErrCut
+	if l.ordersBlocked() {
+		return nil, ErrUnreachable
 	}
-	return l.askForOrders(ctx, &apiv1.JobsOrdersRequest{Host: host})
+	return l.requestOrders(ctx, &apiv1.JobsOrdersRequest{Host: host})
 }
 
 // Orders implements runs.Leader.
 func (l *Link) Orders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
-	if l.ordersCut() || !l.hasFound() {
-		return nil, ErrCut
+	if l.ordersBlocked() || !l.hasFoundLeader() {
+		return nil, ErrUnreachable
 	}
 	r.WaitMs = l.OrdersWait.Milliseconds()
-	resp, err := l.askForOrders(ctx, r)
+	resp, err := l.requestOrders(ctx, r)
 	if err != nil {
-		l.setFound(false)
+		l.setLeaderFound(false)
 	}
 	return resp, err
 }
 
-func (l *Link) askForOrders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
+func (l *Link) requestOrders(ctx context.Context, r *apiv1.JobsOrdersRequest) (*apiv1.JobsOrdersResponse, error) {
 	resp, err := l.Leader().Orders(ctx, r)
-	if err != nil || resp.NotLeader || l.ordersCut() {
-		return nil, ErrCut
+	if err != nil || resp.NotLeader || l.ordersBlocked() {
+		return nil, ErrUnreachable
 	}
 	return resp, nil
 }
--- a/agent/runs/worker.go
+++ b/agent/runs/worker.go
@@ -74,20 +74,20 @@
 	AnswerDone Answer = iota + 1
 	// AnswerFenced: the worker has seen a higher term.
 	AnswerFenced
-	// AnswerOver: that run, or a later one, was stopped or ended there.
-	AnswerOver
-	// AnswerLate: the deadline has passed on the worker's clock.
-	AnswerLate
-	// AnswerNoRoom: the worker guards its capacity and has too little left.
-	AnswerNoRoom
-	// AnswerUnwilling: the worker is unhealthy and did nothing.
-	AnswerUnwilling
+	// AnswerEnded: that run, or a later one, was stopped or ended there.
+	AnswerEnded
+	// AnswerDeadlinePassed: the deadline has passed on the worker's clock.
+	AnswerDeadlinePassed
+	// AnswerNoCapacity: the worker guards its capacity and has too little left.
+	AnswerNoCapacity
+	// AnswerUnhealthy: the worker is unhealthy and did nothing.
+	AnswerUnhealthy
 	// AnswerInvalid: the worker can't read the order.
 	AnswerInvalid
 	// AnswerNoTicket: the start needs a ticket of the placement advisor that is valid.
 	AnswerNoTicket
-	// AnswerOther: another incarnation is there now.
-	AnswerOther
+	// AnswerOtherIncarnation: another incarnation is there now.
+	AnswerOtherIncarnation
 )
 
 // String returns the answer's name in logs.
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -31,7 +31,7 @@
 		h.worker.Drain()
 		h.mu.Unlock()
 		s.sleep(2 * time.Second)
-		h.SetCut(true)
+		h.SetPartitioned(true)
 		h.mu.Lock()
 		h.stop()
 		h.worker.Crash()
@@ -44,7 +44,7 @@
 		if outage > 7*time.Second {
 			t.Errorf("the task started elsewhere after %v, want at most 7 s", outage)
 		}
-		for _, violation := range s.watch.Broken() {
+		for _, violation := range s.watch.Violations() {
 			t.Error(violation)
 		}
 	})
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -40,7 +40,7 @@
 	replica *control.Replica
 	// dispatcher is replaced when the leader changes.
 	dispatcher *dispatch.Dispatcher
-	watch      *fakes.RunWatch
+	watch      *fakes.RunChecker
 	advisor    *fakes.Advisor
 	// hostFleet takes hosts down for their maintenance in tests with waves.
 	hostFleet atomic.Pointer[fakes.Hosts]
@@ -86,9 +86,9 @@
 		Leader:  func() runstest.Leader { return s.dispatcher },
 		Context: func() context.Context { return s.ctx },
 		Go:      func(f func()) { s.loops.Go(f) }, Sleep: s.sleep, OrdersWait: 500 * time.Millisecond,
-		HeldUp:   func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
-		Late:     func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
-		OnReport: h.recordReport,
+		DelaysReport:  func(_ *apiv1.JobsReportRequest, cut bool) bool { return cut && s.intN(4) == 0 },
+		DeliveryDelay: func() time.Duration { return time.Duration(s.intN(1500)) * time.Millisecond },
+		OnReport:      h.recordReport,
 	}
 	return h
 }
@@ -136,7 +136,7 @@
 	h.mu.Lock()
 	h.driver, h.stop = driver, cancel
 	h.mu.Unlock()
-	h.Forget()
+	h.ForgetLeader()
 	h.s.loops.Go(func() { driver.Run(ctx) })
 }
 
@@ -173,7 +173,7 @@
 	if poweredOff {
 		return
 	}
-	if err := driver.Announce(runs.Announcement{Worker: worker.Announced(), Sequence: sequence}); err != nil {
+	if err := driver.Announce(runs.Announcement{Worker: worker.Description(), Sequence: sequence}); err != nil {
 		h.s.t.Error(err)
 	}
 }
@@ -209,8 +209,8 @@
 }
 
 func newSim(ctx context.Context, t *testing.T, seed uint64, workers int) *sim {
-	s := &sim{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, watch: fakes.NewRunWatch()}
-	s.advisor = &fakes.Advisor{Decide: 20 * time.Millisecond, PerWorker: 5 * time.Millisecond, ValidFor: 2 * time.Second}
+	s := &sim{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, watch: fakes.NewRunChecker()}
+	s.advisor = &fakes.Advisor{BaseLatency: 20 * time.Millisecond, LatencyPerWorker: 5 * time.Millisecond, ValidFor: 2 * time.Second}
 	s.logBuffer = &bytes.Buffer{}
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	s.logger = zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(s.logBuffer)), zap.InfoLevel))
@@ -280,7 +280,7 @@
 // submitJob registers a job with the checker of runs and submits it.
 func (s *sim) submitJob(spec *apiv1.JobSpec) {
 	s.t.Helper()
-	s.watch.Submitted(spec)
+	s.watch.AddJob(spec)
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Submit{Submit: &apiv1.SubmitJob{Spec: spec}}})
 }
 
@@ -300,8 +300,8 @@
 	duration := time.Duration(500+s.intN(8000)) * time.Millisecond
 	switch s.intN(4) {
 	case 0:
-		h.SetCut(true)
-		time.AfterFunc(duration, func() { h.SetCut(false) })
+		h.SetPartitioned(true)
+		time.AfterFunc(duration, func() { h.SetPartitioned(false) })
 	case 1:
 		h.mu.Lock()
 		worker := h.worker
@@ -314,7 +314,7 @@
 		h.mu.Unlock()
 		h.startAgent()
 	case 3:
-		s.loops.Go(func() { s.log.Lose(duration / 4) })
+		s.loops.Go(func() { s.log.LoseLeadership(duration / 4) })
 	}
 }
 
@@ -361,7 +361,7 @@
 	for i := 0; i < 600 && !s.finished(); i++ {
 		s.sleep(100 * time.Millisecond)
 	}
-	for _, violation := range s.watch.Broken() {
+	for _, violation := range s.watch.Violations() {
 		t.Errorf("seed %d: %s", seed, violation)
 	}
 	if !s.finished() {
--- a/internal/slopes/probe_agent.go
+++ b/internal/slopes/probe_agent.go
@@ -25,7 +25,7 @@
 			hb := m.Heartbeat(now)
 			_, err := proto.Marshal(&apiv1.HeartbeatRequest{Worker: hb})
 			must(err)
-			m.Orders(now, &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence, Renewed: true, LeaseMs: 6000})
+			m.ApplyOrders(now, &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence, Renewed: true, LeaseMs: 6000})
 		})
 	})
 	r.measure("gateRecord", "agent: attempts remembered for two minutes", "B", "attempt", taskSizes, func(n int) float64 {
@@ -74,7 +74,7 @@
 	key := gate.Key{RequestID: fmt.Sprintf("entry-01-%016d", i), Attempt: 1}
 	a := g.Admit(g.now, gate.Dispatch{
 		Key: key, Service: serviceName(0), Target: target(0).Name, Incarnation: gateIncarnation,
-		Remaining: time.Second, Version: 1, ConfirmedAge: time.Millisecond,
+		Remaining: time.Second, ConfigurationVersion: 1, ConfirmedAge: time.Millisecond,
 	})
 	if !a.Run {
 		panic("an idle target takes an attempt: " + a.Verdict.Message)
--- a/place/bench_test.go
+++ b/place/bench_test.go
@@ -61,7 +61,7 @@
 
 // BenchmarkObserve times one heartbeat of a worker with 12 tasks and two reports.
 func BenchmarkObserve(b *testing.B) {
-	s := newSite(1, "bookings", "certificates")
+	s := newHarness(1, "bookings", "certificates")
 	for i := range 12 {
 		s.run("w0", s.queue(fmt.Sprint("t", i), fmt.Sprint("k", i), "j"), Resources{})
 	}
@@ -71,6 +71,6 @@
 		s.now = s.now.Add(10 * time.Second)
 		hb := latency("w0", "bookings", 60, time.Second)
 		hb.Latency = append(hb.Latency, latency("w0", "certificates", 60, time.Second).Latency...)
-		s.beat("w0", hb)
+		s.heartbeat("w0", hb)
 	}
 }
--- a/place/config.go
+++ b/place/config.go
@@ -16,12 +16,12 @@
 	BatchFloor int
 	// StarveAfter is how long a batch task waits before it goes ahead of fair shares.
 	StarveAfter time.Duration
-	// Drift is the time constant with which learnt interference is forgotten.
-	Drift time.Duration
-	// LeastProcessors is the smallest part of its declared processors that a task
+	// DecayTime is the time constant with which learnt interference is forgotten.
+	DecayTime time.Duration
+	// MinProcessorFraction is the smallest part of its declared processors that a task
 	// is granted when its kind was seen to use less. 1, the default, grants at
 	// least what was declared.
-	LeastProcessors float64
+	MinProcessorFraction float64
 }
 
 // Defaults of Config.
@@ -31,7 +31,7 @@
 	DefaultMaxRejections = 5
 	DefaultBatchFloor    = 10
 	DefaultStarveAfter   = 10 * time.Minute
-	DefaultDrift         = 6 * time.Hour
+	DefaultDecayTime     = 6 * time.Hour
 )
 
 // withDefaults fills in zero fields.
@@ -41,8 +41,8 @@
 	setDefault(&c.MaxRejections, DefaultMaxRejections)
 	setDefault(&c.BatchFloor, DefaultBatchFloor)
 	setDefault(&c.StarveAfter, DefaultStarveAfter)
-	setDefault(&c.Drift, DefaultDrift)
-	setDefault(&c.LeastProcessors, 1)
+	setDefault(&c.DecayTime, DefaultDecayTime)
+	setDefault(&c.MinProcessorFraction, 1)
 	return c
 }
 
--- a/place/decide.go
+++ b/place/decide.go
@@ -5,18 +5,18 @@
 // decide takes one queued task through the stages feasible, filter, score and
 // reserve.
 func (r *round) decide(t *Task) Decision {
-	c, d := r.consider(t)
+	c, d := r.newCandidate(t)
 	if c == nil {
 		return d
 	}
-	key := class{t.Kind, t.Team, t.Priority, c.size, r.starved(t)}
-	if known := r.refused[key]; known != nil && r.p.holds[t.ID] == nil {
+	key := taskClass{t.Kind, t.Team, t.Priority, c.size, r.starved(t)}
+	if known := r.refusedClasses[key]; known != nil && r.p.holds[t.ID] == nil {
 		d.Reason, d.Rejections, d.Refused = known.Reason, known.Rejections, known.Refused
 		return d
 	}
-	h := r.pick(c, &d)
+	h := r.pickHost(c, &d)
 	if h == nil {
-		r.refuse(c, key, &d)
+		r.keepQueued(c, key, &d)
 		return d
 	}
 	r.reserve(c, h)
@@ -25,31 +25,31 @@
 	return d
 }
 
-// consider takes a task through the task filters; nil when one refuses it.
-func (r *round) consider(t *Task) (*candidate, Decision) {
+// newCandidate takes a task through the task filters; nil when one refuses it.
+func (r *round) newCandidate(t *Task) (*candidate, Decision) {
 	d := Decision{Task: t.ID, Attempt: t.Attempt + 1}
 	c := &candidate{Task: t, size: r.grantSize(t)}
-	if st := r.precheck(c); !st.Passed() {
+	if st := r.checkTask(c); !st.Passed() {
 		d.Reason = st.Filter + ": " + st.Reason
 		return nil, d
 	}
-	c.elsewhere = len(t.FailedWorkers) > 0 && r.otherWorker(c)
+	c.hasOtherWorker = len(t.FailedWorkers) > 0 && r.hasOtherWorker(c)
 	return c, d
 }
 
-// refuse keeps a task queued, and tries to get room for it.
-func (r *round) refuse(c *candidate, key class, d *Decision) {
-	d.Reason = r.refusal()
-	if reason := r.makeRoom(c); reason != "" {
+// keepQueued keeps a task queued, and tries to get room for it.
+func (r *round) keepQueued(c *candidate, key taskClass, d *Decision) {
+	d.Reason = r.refusalReason()
+	if reason := r.reclaimCapacity(c); reason != "" {
 		d.Reason = reason
 		return
 	}
 	if len(c.FailedWorkers) == 0 && r.p.holds[c.ID] == nil {
-		r.refused[key] = d
+		r.refusedClasses[key] = d
 	}
 }
 
-func (r *round) refusal() string {
+func (r *round) refusalReason() string {
 	return fmt.Sprintf("no worker of %d can take it now", len(r.hosts))
 }
 
@@ -60,46 +60,46 @@
 	if want == t.Size {
 		return want
 	}
-	halfway := t.Size.halfway(want)
+	halfway := t.Size.midpoint(want)
 	// Memory that is short kills the task, processors only slow it down: when
 	// both can't grow, memory does.
 	memory, halfMemory := t.Size, t.Size
 	memory.MemoryBytes, halfMemory.MemoryBytes = want.MemoryBytes, halfway.MemoryBytes
 	for _, size := range [...]Resources{want, halfway, memory, halfMemory} {
-		team := r.snap.Teams[t.Team]
-		if r.holdable(size) && (team == nil || size.within(team.Quota)) {
+		team := r.snapshot.Teams[t.Team]
+		if r.fitsSomeWorker(size) && (team == nil || size.withinLimit(team.Quota)) {
 			return size
 		}
 	}
 	return t.Size
 }
 
-// pick returns the best worker for a task, nil when every one is refused. It
+// pickHost returns the best worker for a task, nil when every one is refused. It
 // starts at a random worker and stops after SampleSize candidates.
-func (r *round) pick(c *candidate, d *Decision) *host {
+func (r *round) pickHost(c *candidate, d *Decision) *host {
 	n, start := len(r.hosts), 0
-	if !r.dry {
+	if !r.dryRun {
 		start = r.p.rand.Intn(n)
 	}
 	var best *host
 	for i := range n {
 		h := r.hosts[(start+i)%n]
-		if f := r.judge(c, h); f != nil {
-			r.reject(c, d, h, f)
+		if f := r.refusingFilter(c, h); f != nil {
+			r.recordRejection(c, d, h, f)
 			continue
 		}
 		d.Candidates++
 		if score := r.score(c, h); best == nil || score > d.Score {
 			best, d.Score = h, score
 		}
-		if d.Candidates >= r.p.cfg.SampleSize && !r.dry {
+		if d.Candidates >= r.p.cfg.SampleSize && !r.dryRun {
 			break
 		}
 	}
 	return best
 }
 
-func (r *round) reject(c *candidate, d *Decision, h *host, f hostFilter) {
+func (r *round) recordRejection(c *candidate, d *Decision, h *host, f hostFilter) {
 	if d.Refused == nil {
 		d.Refused = make(map[string]int)
 	}
--- a/place/ease.go
+++ b/place/ease.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// ease gives held-down tasks more processors where no service is over its
+// relaxThrottles gives held-down tasks more processors where no service is over its
 // objective: at once to those that turned out to be harmless, and one step to one
 // other after the hold time, if its services are expected to bear it.
-func (r *round) ease(h *host) {
-	g := h.state.guard
-	if len(g.shares) == 0 || !r.measuredSince(h) {
+func (r *round) relaxThrottles(h *host) {
+	g := h.state.protection
+	if len(g.shares) == 0 || !r.measuredSinceAction(h) {
 		return
 	}
 	var next *Task
@@ -20,23 +20,23 @@
 		if g.shareOf(attemptID{t.ID, t.Attempt}) == fullShare || !r.evictable(t) {
 			continue
 		}
-		if r.harmlessAt(h, t) {
+		if r.harmlessOn(h, t) {
 			r.throttle(h, t, fullShare, "it turned out to be harmless")
 			continue
 		}
-		if b := r.easedBlame(h, t); b < least {
+		if b := r.fullShareSlowdown(h, t); b < least {
 			next, least = t, b
 		}
 	}
-	if next == nil || r.now.Sub(g.actedAt) < g.hold {
+	if next == nil || r.now.Sub(g.actedAt) < g.relaxDelay {
 		return
 	}
 	share := nextShare(g.shareOf(attemptID{next.ID, next.Attempt}))
-	if !r.bearable(h, next, share) {
+	if !r.tolerated(h, next, share) {
 		return
 	}
 	r.throttle(h, next, share, "the services beside it are expected to bear it")
-	g.actedAt, g.easedAt = r.now, r.now
+	g.actedAt, g.relaxedAt = r.now, r.now
 }
 
 // shareSteps are the shares that tasks are held down to and eased through.
@@ -50,21 +50,21 @@
 	return shareSteps[i]
 }
 
-// measuredSince reports whether every watched service was measured wholly after
+// measuredSinceAction reports whether every watched service was measured wholly after
 // the last action.
-func (r *round) measuredSince(h *host) bool {
-	for _, w := range h.state.guard.watches {
-		if w.recent(r.now) && !h.state.guard.settled(w) {
+func (r *round) measuredSinceAction(h *host) bool {
+	for _, w := range h.state.protection.latencies {
+		if w.recent(r.now) && !h.state.protection.settled(w) {
 			return false
 		}
 	}
 	return true
 }
 
-// harmlessAt reports whether a kind is known to disturb none of the services
+// harmlessOn reports whether a kind is known to disturb none of the services
 // that are measured on a host.
-func (r *round) harmlessAt(h *host, t *Task) bool {
-	for _, w := range h.state.guard.watches {
+func (r *round) harmlessOn(h *host, t *Task) bool {
+	for _, w := range h.state.protection.latencies {
 		if !r.slowdown(w.service, t.Kind, w.bucket).harmless() {
 			return false
 		}
@@ -72,34 +72,34 @@
 	return true
 }
 
-// easedBlame is the largest slowdown that a task at full share is believed to bring.
-func (r *round) easedBlame(h *host, t *Task) float64 {
+// fullShareSlowdown is the largest slowdown that a task at full share is believed to bring.
+func (r *round) fullShareSlowdown(h *host, t *Task) float64 {
 	worst := 0.0
-	for _, w := range h.state.guard.watches {
-		worst = max(worst, r.blame(w.service, t.Kind, fullShare, w.bucket))
+	for _, w := range h.state.protection.latencies {
+		worst = max(worst, r.attributedSlowdown(w.service, t.Kind, fullShare, w.bucket))
 	}
 	return worst
 }
 
-// bearable reports whether every tail is expected to stay under its level if a
+// tolerated reports whether every tail is expected to stay under its level if a
 // task goes from its share to a larger one.
-func (r *round) bearable(h *host, t *Task, share int32) bool {
-	now := h.state.guard.shareOf(attemptID{t.ID, t.Attempt})
-	for _, w := range h.state.guard.watches {
-		if !w.recent(r.now) || w.level <= 0 {
+func (r *round) tolerated(h *host, t *Task, share int32) bool {
+	now := h.state.protection.shareOf(attemptID{t.ID, t.Attempt})
+	for _, w := range h.state.protection.latencies {
+		if !w.recent(r.now) || w.threshold <= 0 {
 			continue
 		}
-		more := r.blame(w.service, t.Kind, share, w.bucket) - r.blame(w.service, t.Kind, now, w.bucket)
-		if w.smoothed+max(more, 0) > math.Log(w.level) {
+		more := r.attributedSlowdown(w.service, t.Kind, share, w.bucket) - r.attributedSlowdown(w.service, t.Kind, now, w.bucket)
+		if w.smoothed+max(more, 0) > math.Log(w.threshold) {
 			return false
 		}
 	}
 	return true
 }
 
-// heldFor is how long a task has been held down, 0 when it is not.
-func (r *round) heldFor(h *host, t *Task) time.Duration {
-	since, held := h.state.guard.heldSince[attemptID{t.ID, t.Attempt}]
+// throttledFor is how long a task has been held down, 0 when it is not.
+func (r *round) throttledFor(h *host, t *Task) time.Duration {
+	since, held := h.state.protection.throttledSince[attemptID{t.ID, t.Attempt}]
 	if !held {
 		return 0
 	}
--- a/place/excess.go
+++ b/place/excess.go
@@ -8,21 +8,21 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// relieve evicts from workers that hold more than they have: because they
+// reduceOvercommit evicts from workers that hold more than they have: because they
 // announced less than was granted, or because tasks use more than their grants.
-func (r *round) relieve() {
+func (r *round) reduceOvercommit() {
 	for _, h := range r.hosts {
-		if h.over {
-			r.shed(h)
+		if h.overcommitted {
+			r.evictOvercommitted(h)
 			continue
 		}
-		r.regrow(h)
+		r.evictMemoryOverrun(h)
 	}
 }
 
-// shed evicts the least costly tasks until the rest fits. It is not bound by the
+// evictOvercommitted evicts the least costly tasks until the rest fits. It is not bound by the
 // budget: no worker may be left with more than it has.
-func (r *round) shed(h *host) {
+func (r *round) evictOvercommitted(h *host) {
 	var tasks []*Task
 	used := h.Reserved
 	for _, t := range h.Running {
@@ -51,14 +51,14 @@
 	})
 }
 
-// regrowWait keeps a worker's usage reports, which lag, from being answered twice.
-const regrowWait = 60 * time.Second
+// overrunEvictionInterval keeps a worker's usage reports, which lag, from being answered twice.
+const overrunEvictionInterval = 60 * time.Second
 
-// regrow evicts one task that uses more memory than its grant when the worker's
+// evictMemoryOverrun evicts one task that uses more memory than its grant when the worker's
 // memory runs out. It comes back with a grant of the learnt size: growing in
 // place would give away memory that others were granted.
-func (r *round) regrow(h *host) {
-	if h.state == nil || r.now.Sub(h.state.regrownAt) < regrowWait {
+func (r *round) evictMemoryOverrun(h *host) {
+	if h.state == nil || r.now.Sub(h.state.overrunEvictedAt) < overrunEvictionInterval {
 		return
 	}
 	used := h.Reserved.MemoryBytes
@@ -79,5 +79,5 @@
 	}
 	r.cheapestFirst(beyond)
 	r.evict(beyond[0], h, "uses more memory than its grant and the worker has no more")
-	h.state.regrownAt = r.now
+	h.state.overrunEvictedAt = r.now
 }
--- a/place/feasible.go
+++ b/place/feasible.go
@@ -20,7 +20,7 @@
 	if len(r.hosts) == 0 {
 		return pipeline.Rejected("no worker is known")
 	}
-	if r.holdable(c.Task.Size) {
+	if r.fitsSomeWorker(c.Task.Size) {
 		return r.withinQuotaAlone(c)
 	}
 	return r.unplaceable(c, fmt.Sprintf("no worker could hold %v even when empty", c.Task.Size))
@@ -28,8 +28,8 @@
 
 // withinQuotaAlone rejects a task that is larger than its team's whole quota.
 func (r *round) withinQuotaAlone(c *candidate) pipeline.Status {
-	team := r.snap.Teams[c.Team]
-	if team == nil || c.Task.Size.within(team.Quota) {
+	team := r.snapshot.Teams[c.Team]
+	if team == nil || c.Task.Size.withinLimit(team.Quota) {
 		return pipeline.Status{}
 	}
 	return r.unplaceable(c, fmt.Sprintf("one task is larger than the quota %v of team %s", team.Quota, c.Team))
@@ -43,18 +43,18 @@
 	return pipeline.Rejected(reason)
 }
 
-// holdable reports whether some known worker could hold the size when empty.
-func (r *round) holdable(size Resources) bool {
-	if known, ok := r.holds[size]; ok {
+// fitsSomeWorker reports whether some known worker could hold the size when empty.
+func (r *round) fitsSomeWorker(size Resources) bool {
+	if known, ok := r.fitCache[size]; ok {
 		return known
 	}
 	fits := false
 	for _, h := range r.hosts {
-		if size.Fits(h.empty) {
+		if size.Fits(h.allocatable) {
 			fits = true
 			break
 		}
 	}
-	r.holds[size] = fits
+	r.fitCache[size] = fits
 	return fits
 }
--- a/place/filter.go
+++ b/place/filter.go
@@ -7,8 +7,8 @@
 	*Task
 	// size is what the task is to be granted.
 	size Resources
-	// elsewhere: a worker that the task did not fail on could hold it.
-	elsewhere bool
+	// hasOtherWorker: a worker that the task did not fail on could hold it.
+	hasOtherWorker bool
 }
 
 // hostFilter judges one worker for one task. Explain is only called after a
@@ -26,13 +26,13 @@
 	Check(r *round, c *candidate) pipeline.Status
 }
 
-// judge runs a worker through the filters and returns the one that refused it.
-func (r *round) judge(c *candidate, h *host) hostFilter {
-	return r.judgeBut(c, h, nil)
+// refusingFilter runs a worker through the filters and returns the one that refused it.
+func (r *round) refusingFilter(c *candidate, h *host) hostFilter {
+	return r.refusingFilterExcept(c, h, nil)
 }
 
-// judgeBut leaves one filter out.
-func (r *round) judgeBut(c *candidate, h *host, but hostFilter) hostFilter {
+// refusingFilterExcept leaves one filter out.
+func (r *round) refusingFilterExcept(c *candidate, h *host, but hostFilter) hostFilter {
 	for _, f := range r.p.hostFilters {
 		if f != but && !f.Allows(r, c, h) {
 			return f
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// precheck runs a task through the task filters.
-func (r *round) precheck(c *candidate) pipeline.Status {
+// checkTask runs a task through the task filters.
+func (r *round) checkTask(c *candidate) pipeline.Status {
 	for _, f := range r.p.taskFilters {
 		st := f.Check(r, c)
 		if !st.Passed() {
--- a/place/filter_backoff.go
+++ b/place/filter_backoff.go
@@ -19,15 +19,15 @@
 		return pipeline.Rejected(fmt.Sprintf("retries in %v after %d failures", wait, c.Failures))
 	}
 	j := r.p.health.jobs[c.Job]
-	if j == nil || !j.poisonous() {
+	if j == nil || !j.isPoison() {
 		return pipeline.Status{}
 	}
 	if r.now.Before(j.notBefore) {
 		wait := j.notBefore.Sub(r.now).Round(time.Second)
-		return pipeline.Rejected(fmt.Sprintf("its job failed on %d workers; tried again in %v", distinct(j.failures), wait))
+		return pipeline.Rejected(fmt.Sprintf("its job failed on %d workers; tried again in %v", distinctCounterparts(j.failures), wait))
 	}
 	// After the wait one task of the job is tried, not all of them.
-	if r.trials[c.Job] > 0 {
+	if r.jobRetries[c.Job] > 0 {
 		return pipeline.Rejected("its job failed on several workers; one task is tried first")
 	}
 	return pipeline.Status{}
--- a/place/filter_interference.go
+++ b/place/filter_interference.go
@@ -7,48 +7,48 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// guardFilter gives no new neighbour to a service that is over its objective.
-type guardFilter struct{}
+// protectionFilter gives no new neighbour to a service that is over its objective.
+type protectionFilter struct{}
 
-func (guardFilter) Name() string { return "guard" }
+func (protectionFilter) Name() string { return "guard" }
 
-func (guardFilter) Allows(r *round, c *candidate, h *host) bool {
-	if r.pressing(c.Task) {
+func (protectionFilter) Allows(r *round, c *candidate, h *host) bool {
+	if r.urgentOverdue(c.Task) {
 		return true
 	}
-	for _, t := range r.tails(h) {
-		if t.over {
+	for _, t := range r.predictedTails(h) {
+		if t.exceeded {
 			return false
 		}
 	}
 	return true
 }
 
-func (guardFilter) Explain(r *round, _ *candidate, h *host) string {
-	for _, t := range r.tails(h) {
-		if t.over {
+func (protectionFilter) Explain(r *round, _ *candidate, h *host) string {
+	for _, t := range r.predictedTails(h) {
+		if t.exceeded {
 			return "the p99 of " + t.service + " is over its objective there"
 		}
 	}
 	return ""
 }
 
-// pressing reports whether an urgent task has waited so long that it is started
+// urgentOverdue reports whether an urgent task has waited so long that it is started
 // wherever it disturbs least.
-func (r *round) pressing(t *Task) bool {
-	return t.Priority == apiv1.Priority_PRIORITY_URGENT && r.now.Sub(t.QueuedAt) >= urgentPatience
+func (r *round) urgentOverdue(t *Task) bool {
+	return t.Priority == apiv1.Priority_PRIORITY_URGENT && r.now.Sub(t.QueuedAt) >= urgentMaxWait
 }
 
 // Patience with the perfect neighbour.
 const (
-	urgentPatience = 3 * time.Second
-	// batchPatience is how many times StarveAfter a batch task waits before it
+	urgentMaxWait = 3 * time.Second
+	// batchMaxWaitFactor is how many times StarveAfter a batch task waits before it
 	// goes beside a service that it disturbs, one such task to a worker.
-	batchPatience = 3
+	batchMaxWaitFactor = 3
 )
 
 // interferenceFilter refuses a worker where the task is expected to push a
-// service's tail over what the policy allows. After batchPatience it passes where
+// service's tail over what the policy allows. After batchMaxWaitFactor it passes where
 // no other task is held down: waiting for a harmless place that never comes
 // would be starvation under another name.
 type interferenceFilter struct{}
@@ -57,21 +57,21 @@
 
 func (f interferenceFilter) Allows(r *round, c *candidate, h *host) bool {
 	t := f.worst(r, c, h)
-	if t == nil || r.pressing(c.Task) {
+	if t == nil || r.urgentOverdue(c.Task) {
 		return true
 	}
-	patient := r.now.Sub(c.QueuedAt) < batchPatience*r.p.cfg.StarveAfter
-	return !patient && t.neighbours < minBlame
+	patient := r.now.Sub(c.QueuedAt) < batchMaxWaitFactor*r.p.cfg.StarveAfter
+	return !patient && t.neighbourSlowdown < significantSlowdown
 }
 
 // worst returns the first service that would be pushed over.
-func (interferenceFilter) worst(r *round, c *candidate, h *host) *tail {
-	for _, t := range r.tails(h) {
-		if t.objective == 0 || !t.known {
+func (interferenceFilter) worst(r *round, c *candidate, h *host) *predictedTail {
+	for _, t := range r.predictedTails(h) {
+		if t.objective == 0 || !t.measured {
 			continue
 		}
-		ms, _ := r.predict(t, c.Kind)
-		if !r.slowdown(t.service, c.Kind, t.bucket).likelyHarmless() && ms > t.objective*placeLevel {
+		ms, _ := r.predictWithTask(t, c.Kind)
+		if !r.slowdown(t.service, c.Kind, t.bucket).likelyHarmless() && ms > t.objective*placementThreshold {
 			return t
 		}
 	}
@@ -83,6 +83,6 @@
 	if t == nil {
 		return ""
 	}
-	ms, _ := r.predict(t, c.Kind)
+	ms, _ := r.predictWithTask(t, c.Kind)
 	return fmt.Sprintf("kind %s may bring the p99 of %s to %.0f ms of %.0f ms", c.Kind, t.service, ms, t.objective)
 }
--- a/place/filter_probing.go
+++ b/place/filter_probing.go
@@ -7,12 +7,12 @@
 
 // Bounds of probing.
 const (
-	// probeTime is how long a probe keeps others of its pair away when no report
+	// probeDuration is how long a probe keeps others of its pair away when no report
 	// settles the pair; a service without requests would block it for ever. Who
 	// ran that long beside a service that is not over its objective has passed.
-	probeTime = 60 * time.Second
-	// probeHosts is the number of workers per probe of one pair at a time.
-	probeHosts = 100
+	probeDuration = 60 * time.Second
+	// workersPerProbe is the number of workers per probe of one pair at a time.
+	workersPerProbe = 100
 )
 
 // probe is where a pair that is not known yet is being tried.
@@ -20,7 +20,7 @@
 	running int
 	// passed counts the tasks that were tried without harm. Each lets one more be
 	// tried at a time: where no reports come, a kind would else start one task in
-	// each probeTime for ever.
+	// each probeDuration for ever.
 	passed int
 	racks  map[string]bool
 }
@@ -33,17 +33,17 @@
 func (probingFilter) Name() string { return "probing" }
 
 func (f probingFilter) Allows(r *round, c *candidate, h *host) bool {
-	return r.pressing(c.Task) || f.blocked(r, c, h) == ""
+	return r.urgentOverdue(c.Task) || f.blockedService(r, c, h) == ""
 }
 
-// blocked returns the service whose pair with the task is being tried elsewhere.
-func (probingFilter) blocked(r *round, c *candidate, h *host) string {
-	for _, t := range r.tails(h) {
-		if t.objective == 0 || !unknown(r.slowdown(t.service, c.Kind, t.bucket).variance) {
+// blockedService returns the service whose pair with the task is being tried elsewhere.
+func (probingFilter) blockedService(r *round, c *candidate, h *host) string {
+	for _, t := range r.predictedTails(h) {
+		if t.objective == 0 || !uncertain(r.slowdown(t.service, c.Kind, t.bucket).variance) {
 			continue
 		}
-		pr := r.probeOf(t.service, c.Kind)
-		if pr.running > len(r.hosts)/probeHosts+pr.passed || pr.racks[h.Rack] {
+		pr := r.probeFor(t.service, c.Kind)
+		if pr.running > len(r.hosts)/workersPerProbe+pr.passed || pr.racks[h.Rack] {
 			return t.service
 		}
 	}
@@ -51,18 +51,18 @@
 }
 
 func (f probingFilter) Explain(r *round, c *candidate, h *host) string {
-	return fmt.Sprintf("kind %s beside %s is being tried on another worker first", c.Kind, f.blocked(r, c, h))
+	return fmt.Sprintf("kind %s beside %s is being tried on another worker first", c.Kind, f.blockedService(r, c, h))
 }
 
-// probeOf counts, when first asked for a pair, the tasks that try it.
-func (r *round) probeOf(service, kind string) *probe {
-	key := pair{service: service, kind: kind}
+// probeFor counts, when first asked for a pair, the tasks that try it.
+func (r *round) probeFor(service, kind string) *probe {
+	key := interferenceKey{service: service, kind: kind}
 	if pr := r.probes[key]; pr != nil {
 		return pr
 	}
 	pr := &probe{racks: make(map[string]bool)}
 	r.probes[key] = pr
-	for _, h := range r.kindHosts[kind] {
+	for _, h := range r.hostsByKind[kind] {
 		if !h.serves(service) {
 			continue
 		}
@@ -70,12 +70,12 @@
 			if t.Kind != kind {
 				continue
 			}
-			if r.now.Sub(t.GrantedAt) < probeTime {
+			if r.now.Sub(t.GrantedAt) < probeDuration {
 				pr.running++
 				pr.racks[h.Rack] = true
 				continue
 			}
-			if !r.isOver(h, service) {
+			if !r.objectiveExceeded(h, service) {
 				pr.passed++
 			}
 		}
@@ -83,17 +83,17 @@
 	return pr
 }
 
-// isOver reports whether a service is over its objective on a host.
-func (r *round) isOver(h *host, service string) bool {
-	w := r.latestWatch(h, service)
-	return w != nil && w.over()
+// objectiveExceeded reports whether a service is over its objective on a host.
+func (r *round) objectiveExceeded(h *host, service string) bool {
+	w := r.worstLatency(h, service)
+	return w != nil && w.exceeded()
 }
 
-// startProbe notes a task placed beside services that it is not known with.
-func (r *round) startProbe(c *candidate, h *host) {
-	for _, t := range r.tails(h) {
-		if unknown(r.slowdown(t.service, c.Kind, t.bucket).variance) {
-			pr := r.probeOf(t.service, c.Kind)
+// recordProbe notes a task placed beside services that it is not known with.
+func (r *round) recordProbe(c *candidate, h *host) {
+	for _, t := range r.predictedTails(h) {
+		if uncertain(r.slowdown(t.service, c.Kind, t.bucket).variance) {
+			pr := r.probeFor(t.service, c.Kind)
 			pr.running++
 			pr.racks[h.Rack] = true
 		}
--- a/place/filter_quarantine.go
+++ b/place/filter_quarantine.go
@@ -13,16 +13,16 @@
 	if h.health.condition == quarantined {
 		return false
 	}
-	return h.placedOnProbation() == 0
+	return h.grantedOnProbation() == 0
 }
 
 func (quarantineFilter) Explain(r *round, _ *candidate, h *host) string {
 	return h.health.describe(r.now)
 }
 
-// placedOnProbation counts the tasks granted since the quarantine ended. Those
+// grantedOnProbation counts the tasks granted since the quarantine ended. Those
 // from before it are long running; they do not hold the trial up.
-func (h *host) placedOnProbation() int {
+func (h *host) grantedOnProbation() int {
 	n := h.granted
 	for _, t := range h.Running {
 		if !t.GrantedAt.Before(h.health.until) {
--- a/place/filter_retry.go
+++ b/place/filter_retry.go
@@ -13,17 +13,17 @@
 	if !slices.Contains(c.FailedWorkers, h.Name) {
 		return true
 	}
-	return !c.elsewhere
+	return !c.hasOtherWorker
 }
 
 func (retryFilter) Explain(*round, *candidate, *host) string {
 	return "an attempt of the task failed on it"
 }
 
-// otherWorker reports whether a worker could take the task that it did not fail on.
-func (r *round) otherWorker(c *candidate) bool {
+// hasOtherWorker reports whether a worker could take the task that it did not fail on.
+func (r *round) hasOtherWorker(c *candidate) bool {
 	for _, h := range r.hosts {
-		usable := h.Alive && !h.Draining && c.size.Fits(h.empty)
+		usable := h.Alive && !h.Draining && c.size.Fits(h.allocatable)
 		if usable && !slices.Contains(c.FailedWorkers, h.Name) {
 			return true
 		}
--- a/place/filter_room.go
+++ b/place/filter_room.go
@@ -2,19 +2,19 @@
 
 import "fmt"
 
-// roomFilter refuses workers without room for the grant, the reservations of
+// capacityFilter refuses workers without room for the grant, the reservations of
 // this round included.
-type roomFilter struct{}
+type capacityFilter struct{}
 
-func (roomFilter) Name() string { return "room" }
+func (capacityFilter) Name() string { return "room" }
 
-func (roomFilter) Allows(r *round, c *candidate, h *host) bool {
-	return !h.over && c.size.Fits(r.room(c, h))
+func (capacityFilter) Allows(r *round, c *candidate, h *host) bool {
+	return !h.overcommitted && c.size.Fits(r.freeCapacity(c, h))
 }
 
-func (roomFilter) Explain(r *round, c *candidate, h *host) string {
-	if h.over {
+func (capacityFilter) Explain(r *round, c *candidate, h *host) string {
+	if h.overcommitted {
 		return "its grants exceed what it has"
 	}
-	return fmt.Sprintf("needs %v, has %v free", c.size, r.room(c, h))
+	return fmt.Sprintf("needs %v, has %v free", c.size, r.freeCapacity(c, h))
 }
--- a/place/health.go
+++ b/place/health.go
@@ -13,18 +13,18 @@
 	// quarantineJobs is how many distinct jobs fail on a worker, with no success
 	// between, before it is quarantined.
 	quarantineJobs     = 3
-	quarantineFirst    = 2 * time.Minute
-	quarantineLongest  = 10 * time.Minute
+	minQuarantine      = 2 * time.Minute
+	maxQuarantine      = 10 * time.Minute
 	probationSuccesses = 2
-	// probationRun is how long a task on probation runs before that counts as a
+	// probationRunTime is how long a task on probation runs before that counts as a
 	// success: long-running watchers would keep a worker on probation for ever.
-	probationRun = 2 * time.Minute
+	probationRunTime = 2 * time.Minute
 	// poisonWorkers is how many distinct workers fail a job, with no success
 	// between, before the job is backed off.
-	poisonWorkers  = 3
-	backoffFirst   = 30 * time.Second
-	backoffLongest = 30 * time.Minute
-	failureLimit   = 64
+	poisonWorkers = 3
+	minBackoff    = 30 * time.Second
+	maxBackoff    = 30 * time.Minute
+	maxFailures   = 64
 )
 
 type condition int
@@ -48,29 +48,29 @@
 
 // failure is one failed attempt, seen from the worker or from the job.
 type failure struct {
-	other string
-	at    time.Time
+	counterpart string
+	at          time.Time
 }
 
 // workerHealth is what failures say about one worker.
 type workerHealth struct {
-	condition condition
-	failures  []failure // by job
-	until     time.Time
-	length    time.Duration
-	successes int
+	condition        condition
+	failures         []failure // by job
+	until            time.Time
+	quarantineLength time.Duration
+	successes        int
 }
 
-// allows reports whether nothing is held against a worker, nil being one of which
+// isHealthy reports whether nothing is held against a worker, nil being one of which
 // nothing is known.
-func (w *workerHealth) allows() bool { return w == nil || w.condition == healthy }
+func (w *workerHealth) isHealthy() bool { return w == nil || w.condition == healthy }
 
 // jobHealth is what failures say about one job.
 type jobHealth struct {
-	failures  []failure // by worker
-	notBefore time.Time
-	length    time.Duration
-	succeeded bool
+	failures      []failure // by worker
+	notBefore     time.Time
+	backoffLength time.Duration
+	succeeded     bool
 }
 
 // health tells a worker that fails everything from a job that fails everywhere.
@@ -104,38 +104,38 @@
 	return j
 }
 
-// inherit takes in the failures that the replicated state remembers. Without it
+// loadFailures takes in the failures that the replicated state remembers. Without it
 // each new leader would pay for a worker that fails everything afresh.
-func (h *health) inherit(now time.Time, s *Snapshot) {
+func (h *health) loadFailures(now time.Time, s *Snapshot) {
 	for _, t := range s.Queued {
 		for _, w := range t.FailedWorkers {
-			h.failed(now, w, t.Job)
+			h.recordFailure(now, w, t.Job)
 		}
 	}
 }
 
-// failed takes in a failed attempt.
-func (h *health) failed(now time.Time, worker, job string) {
+// recordFailure takes in a failed attempt.
+func (h *health) recordFailure(now time.Time, worker, job string) {
 	w, j := h.worker(worker), h.job(job)
 	if w.condition == healthy {
-		j.note(now, worker)
+		j.recordFailure(now, worker)
 	}
-	if j.poisonous() {
-		h.clear(job)
+	if j.isPoison() {
+		h.clearJobFailures(job)
 		return
 	}
-	w.note(now, job)
+	w.recordFailure(now, job)
 }
 
-// clear takes the failures of a poisonous job off its workers' records.
-func (h *health) clear(job string) {
+// clearJobFailures takes the failures of a poisonous job off its workers' records.
+func (h *health) clearJobFailures(job string) {
 	for _, w := range h.workers {
-		w.failures = slices.DeleteFunc(w.failures, func(f failure) bool { return f.other == job })
+		w.failures = slices.DeleteFunc(w.failures, func(f failure) bool { return f.counterpart == job })
 	}
 }
 
-// succeeded takes in an attempt that ended well, or ran long on probation.
-func (h *health) succeeded(worker, job string) {
+// recordSuccess takes in an attempt that ended well, or ran long on probation.
+func (h *health) recordSuccess(worker, job string) {
 	w := h.worker(worker)
 	w.failures = w.failures[:0]
 	if w.condition == probation {
@@ -149,21 +149,21 @@
 	}
 }
 
-// ranOn takes in that an attempt has run since a time. A long run on probation
+// recordLongRun takes in that an attempt has run since a time. A long run on probation
 // counts as a success; one from before the probation proves nothing.
-func (h *health) ranOn(now time.Time, worker, job string, since time.Time) {
+func (h *health) recordLongRun(now time.Time, worker, job string, since time.Time) {
 	w := h.workers[worker]
 	if w == nil || w.condition != probation || since.Before(w.until) {
 		return
 	}
-	if now.Sub(since) >= probationRun {
-		h.succeeded(worker, job)
+	if now.Sub(since) >= probationRunTime {
+		h.recordSuccess(worker, job)
 	}
 }
 
-func (w *workerHealth) note(now time.Time, job string) {
-	w.failures = noteFailure(w.failures, now, job)
-	if w.condition == probation || distinct(w.failures) >= quarantineJobs {
+func (w *workerHealth) recordFailure(now time.Time, job string) {
+	w.failures = appendFailure(w.failures, now, job)
+	if w.condition == probation || distinctCounterparts(w.failures) >= quarantineJobs {
 		w.quarantine(now)
 	}
 }
@@ -172,9 +172,9 @@
 	if w.condition == quarantined {
 		return
 	}
-	w.length = min(max(2*w.length, quarantineFirst), quarantineLongest)
+	w.quarantineLength = min(max(2*w.quarantineLength, minQuarantine), maxQuarantine)
 	w.condition = quarantined
-	w.until = now.Add(w.length)
+	w.until = now.Add(w.quarantineLength)
 	w.successes = 0
 }
 
@@ -187,29 +187,29 @@
 	w.failures = w.failures[:0]
 }
 
-func (j *jobHealth) note(now time.Time, worker string) {
-	j.failures = noteFailure(j.failures, now, worker)
-	if !j.poisonous() || now.Before(j.notBefore) {
+func (j *jobHealth) recordFailure(now time.Time, worker string) {
+	j.failures = appendFailure(j.failures, now, worker)
+	if !j.isPoison() || now.Before(j.notBefore) {
 		return
 	}
-	j.length = min(max(2*j.length, backoffFirst), backoffLongest)
-	j.notBefore = now.Add(j.length)
+	j.backoffLength = min(max(2*j.backoffLength, minBackoff), maxBackoff)
+	j.notBefore = now.Add(j.backoffLength)
 }
 
-func (j *jobHealth) poisonous() bool { return distinct(j.failures) >= poisonWorkers }
+func (j *jobHealth) isPoison() bool { return distinctCounterparts(j.failures) >= poisonWorkers }
 
-func noteFailure(list []failure, now time.Time, other string) []failure {
+func appendFailure(list []failure, now time.Time, other string) []failure {
 	list = slices.DeleteFunc(list, func(f failure) bool { return now.Sub(f.at) > failureWindow })
-	if len(list) >= failureLimit {
+	if len(list) >= maxFailures {
 		list = slices.Delete(list, 0, 1)
 	}
 	return append(list, failure{other, now})
 }
 
-func distinct(list []failure) int {
+func distinctCounterparts(list []failure) int {
 	n := 0
 	for i, f := range list {
-		repeated := slices.ContainsFunc(list[:i], func(g failure) bool { return g.other == f.other })
+		repeated := slices.ContainsFunc(list[:i], func(g failure) bool { return g.counterpart == f.counterpart })
 		if !repeated {
 			n++
 		}
@@ -231,7 +231,7 @@
 func (w *workerHealth) describe(now time.Time) string {
 	if w.condition == quarantined {
 		return fmt.Sprintf("quarantined for %v more after failures of %d jobs",
-			w.until.Sub(now).Round(time.Second), distinct(w.failures))
+			w.until.Sub(now).Round(time.Second), distinctCounterparts(w.failures))
 	}
 	return fmt.Sprintf("on probation: one task at a time, %d of %d ended well", w.successes, probationSuccesses)
 }
--- a/place/hold.go
+++ b/place/hold.go
@@ -29,11 +29,11 @@
 
 // Bounds of holds.
 const (
-	starveHold = 10 * time.Minute
-	// holdHosts is the number of workers per starving task that one is held for.
-	holdHosts = 10
-	// urgentHoldHosts is the same for urgent tasks.
-	urgentHoldHosts = 2
+	starvedHoldDuration = 10 * time.Minute
+	// workersPerHold is the number of workers per starving task that one is held for.
+	workersPerHold = 10
+	// workersPerUrgentHold is the same for urgent tasks.
+	workersPerUrgentHold = 2
 )
 
 // applyHolds books the standing holds against their workers' room and drops
@@ -43,34 +43,34 @@
 		return
 	}
 	queued := make(map[string]bool, len(r.p.holds))
-	for _, t := range r.snap.Queued {
+	for _, t := range r.snapshot.Queued {
 		if r.p.holds[t.ID] != nil {
 			queued[t.ID] = true
 		}
 	}
 	for _, id := range sortedKeys(r.p.holds) {
 		hd := r.p.holds[id]
-		h := r.byName[hd.worker]
-		usable := h != nil && h.Alive && !h.Draining && h.health.allows()
+		h := r.hostsByName[hd.worker]
+		usable := h != nil && h.Alive && !h.Draining && h.health.isHealthy()
 		if !queued[id] || !usable || !r.now.Before(hd.until) {
 			delete(r.p.holds, id)
 			continue
 		}
-		h.hold(hd.size)
+		h.holdCapacity(hd.size)
 	}
 }
 
-func (h *host) hold(size Resources) {
+func (h *host) holdCapacity(size Resources) {
 	if sum, ok := h.held.Add(size); ok {
 		h.held = sum
 	}
 }
 
-// room is what a task may take on a host: what is free and not held for others.
+// freeCapacity is what a task may take on a host: what is free and not held for others.
 // A task with a hold there leaves only the holds before its own alone. If it left
 // all of them, two tasks that wait for one worker would each keep the other out
 // of room that is enough for one, until a hold runs out.
-func (r *round) room(c *candidate, h *host) Resources {
+func (r *round) freeCapacity(c *candidate, h *host) Resources {
 	if h.held.IsZero() {
 		return h.free
 	}
@@ -87,10 +87,10 @@
 	return room
 }
 
-// makeRoom is tried when no worker has room: an urgent task may have batch
+// reclaimCapacity is tried when no worker has room: an urgent task may have batch
 // evicted, and a starved one has the room held that opens soonest.
-func (r *round) makeRoom(c *candidate) string {
-	if r.dry || r.p.holds[c.ID] != nil {
+func (r *round) reclaimCapacity(c *candidate) string {
+	if r.dryRun || r.p.holds[c.ID] != nil {
 		return ""
 	}
 	urgent := c.Priority == apiv1.Priority_PRIORITY_URGENT
@@ -100,16 +100,16 @@
 		}
 	}
 	if urgent || r.starved(c.Task) {
-		return r.holdSoonest(c)
+		return r.holdEarliest(c)
 	}
 	return ""
 }
 
-// holdSoonest holds room on the worker where it is expected to open first.
-func (r *round) holdSoonest(c *candidate) string {
-	per := holdHosts
+// holdEarliest holds room on the worker where it is expected to open first.
+func (r *round) holdEarliest(c *candidate) string {
+	per := workersPerHold
 	if c.Priority == apiv1.Priority_PRIORITY_URGENT {
-		per = urgentHoldHosts
+		per = workersPerUrgentHold
 	}
 	if len(r.p.holds) > len(r.hosts)/per {
 		return ""
@@ -117,22 +117,22 @@
 	var best *host
 	soonest := time.Duration(math.MaxInt64)
 	for _, h := range r.hosts {
-		if h.over || !c.size.Fits(h.empty.Sub(h.held)) || r.judgeBut(c, h, roomFilter{}) != nil {
+		if h.overcommitted || !c.size.Fits(h.allocatable.Sub(h.held)) || r.refusingFilterExcept(c, h, capacityFilter{}) != nil {
 			continue
 		}
-		if d, ok := r.opensIn(c, h); ok && d < soonest {
+		if d, ok := r.timeUntilFit(c, h); ok && d < soonest {
 			best, soonest = h, d
 		}
 	}
 	if best == nil {
 		return ""
 	}
-	r.addHold(c, best, starveHold)
+	r.addHold(c, best, starvedHoldDuration)
 	return fmt.Sprintf("room is held on %s, expected in %v", best.Name, soonest.Round(time.Second))
 }
 
-// opensIn is when enough tasks on a host are expected to have ended.
-func (r *round) opensIn(c *candidate, h *host) (time.Duration, bool) {
+// timeUntilFit is when enough tasks on a host are expected to have ended.
+func (r *round) timeUntilFit(c *candidate, h *host) (time.Duration, bool) {
 	type end struct {
 		in   time.Duration
 		size Resources
@@ -142,7 +142,7 @@
 		ends = append(ends, end{r.remaining(t), t.Size})
 	}
 	slices.SortStableFunc(ends, func(a, b end) int { return int(a.in/time.Millisecond - b.in/time.Millisecond) })
-	room := r.room(c, h)
+	room := r.freeCapacity(c, h)
 	in := time.Duration(0)
 	for _, e := range ends {
 		if c.size.Fits(room) {
@@ -168,5 +168,5 @@
 		worker: h.Name, size: c.size, since: r.now, until: r.now.Add(length),
 		urgent: c.Priority == apiv1.Priority_PRIORITY_URGENT,
 	}
-	h.hold(c.size)
+	h.holdCapacity(c.size)
 }
