--- a/place/interference.go
+++ b/place/interference.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// pair is what a slowdown is learnt for. An empty kind stands for the service's
+// interferenceKey is what a slowdown is learnt for. An empty kind stands for the service's
 // own latency without neighbours.
-type pair struct {
+type interferenceKey struct {
 	service, kind string
 	// share is the task's throttle share in thousandths.
 	share  int32
@@ -37,35 +37,35 @@
 // drift, and its variance grows at a steady rate up to the prior's, since
 // interference shifts over time.
 type interference struct {
-	drift   time.Duration
-	beliefs map[pair]*belief
+	decayTime time.Duration
+	beliefs   map[interferenceKey]*belief
 }
 
 // Priors, on the log scale.
 const (
 	priorSlowdown         = 0.03
 	priorSlowdownVariance = 0.30 * 0.30
-	priorOwnVariance      = 1.0
+	priorBaselineVariance = 1.0
 	slowdownGrowth        = 0.12 * 0.12
-	// ownGrowth is small: a service alone changes slowly, and a baseline that
+	// baselineGrowth is small: a service alone changes slowly, and a baseline that
 	// follows fast takes the blame for neighbours that are always there.
-	ownGrowth = 0.03 * 0.03
+	baselineGrowth = 0.03 * 0.03
 	// bucketVariance is added to what is taken over from a neighbouring bucket.
 	bucketVariance = 0.08 * 0.08
 	// throttleVariance is added to what is taken over for a throttled task.
 	throttleVariance = 0.10 * 0.10
-	// unknownDeviation is the standard deviation above which a pair is unknown.
-	unknownDeviation = 0.22
+	// uncertainDeviation is the standard deviation above which a pair is unknown.
+	uncertainDeviation = 0.22
 	// noiseVariance of a report's log p99, besides what few requests add.
 	noiseVariance = 0.12 * 0.12
-	// surpriseLimit bounds a report's pull, in standard deviations.
-	surpriseLimit = 3.0
-	// bucketReach is how far an unknown bucket looks for a known one.
-	bucketReach = 6
+	// innovationLimit bounds a report's pull, in standard deviations.
+	innovationLimit = 3.0
+	// maxBucketDistance is how far an unknown bucket looks for a known one.
+	maxBucketDistance = 6
 )
 
 func newInterference(drift time.Duration) *interference {
-	return &interference{drift: drift, beliefs: make(map[pair]*belief)}
+	return &interference{decayTime: drift, beliefs: make(map[interferenceKey]*belief)}
 }
 
 // loadBucket maps a request rate to a bucket; each is a factor of sqrt(2) wide.
@@ -92,38 +92,38 @@
 
 // lookup returns what is believed about a pair: its own belief, or one taken
 // over from the nearest bucket, or the prior.
-func (m *interference) lookup(now time.Time, p pair) (mean, variance float64) {
+func (m *interference) lookup(now time.Time, p interferenceKey) (mean, variance float64) {
 	if b := m.beliefs[p]; b != nil {
-		return b.atTime(now, m.drift)
+		return b.atTime(now, m.decayTime)
 	}
-	return m.inherited(now, p)
+	return m.nearestBelief(now, p)
 }
 
-func (m *interference) inherited(now time.Time, p pair) (mean, variance float64) {
-	for d := 1; d <= bucketReach; d++ {
+func (m *interference) nearestBelief(now time.Time, p interferenceKey) (mean, variance float64) {
+	for d := 1; d <= maxBucketDistance; d++ {
 		for _, bucket := range [2]int{p.bucket - d, p.bucket + d} {
 			q := p
 			q.bucket = bucket
 			if b := m.beliefs[q]; b != nil {
-				mean, variance = b.atTime(now, m.drift)
+				mean, variance = b.atTime(now, m.decayTime)
 				return mean, variance + float64(d)*bucketVariance
 			}
 		}
 	}
 	if p.kind == "" {
-		return 0, priorOwnVariance
+		return 0, priorBaselineVariance
 	}
 	return priorSlowdown, priorSlowdownVariance
 }
 
 // slowdown returns the belief about a task of a kind at a throttle share.
 func (m *interference) slowdown(now time.Time, service, kind string, share int32, bucket int) (mean, variance float64) {
-	p := pair{service: service, kind: kind, share: share, bucket: bucket}
+	p := interferenceKey{service: service, kind: kind, share: share, bucket: bucket}
 	if share == fullShare {
 		return m.lookup(now, p)
 	}
 	if b := m.beliefs[p]; b != nil {
-		return b.atTime(now, m.drift)
+		return b.atTime(now, m.decayTime)
 	}
 	p.share = fullShare
 	mean, variance = m.lookup(now, p)
@@ -131,15 +131,15 @@
 	return mean * part, variance*part*part + throttleVariance
 }
 
-// observe takes in one report about a service: its log latency, who was there
+// update takes in one report about a service: its log latency, who was there
 // when it was measured, and the variance of the measurement.
-func (m *interference) observe(at time.Time, service string, bucket int, present []presence, logLatency, noise float64) {
+func (m *interference) update(at time.Time, service string, bucket int, present []presence, logLatency, noise float64) {
 	parts := make([]*belief, 0, len(present)+1)
 	amounts := make([]float64, 0, len(present)+1)
-	parts = append(parts, m.own(at, service, bucket, logLatency))
+	parts = append(parts, m.baselineBelief(at, service, bucket, logLatency))
 	amounts = append(amounts, 1)
 	for _, n := range present {
-		parts = append(parts, m.neighbour(at, service, bucket, n))
+		parts = append(parts, m.neighbourBelief(at, service, bucket, n))
 		amounts = append(amounts, n.amount)
 	}
 	predicted, spread := 0.0, noise+noiseVariance
@@ -147,7 +147,7 @@
 		predicted += amounts[i] * b.mean
 		spread += amounts[i] * amounts[i] * b.variance
 	}
-	limit := surpriseLimit * math.Sqrt(spread)
+	limit := innovationLimit * math.Sqrt(spread)
 	surprise := min(max(logLatency-predicted, -limit), limit)
 	for i, b := range parts {
 		gain := amounts[i] * b.variance / spread
@@ -162,27 +162,27 @@
 	}
 }
 
-// own returns the stored belief about a service alone, brought up to a time.
+// baselineBelief returns the stored belief about a service alone, brought up to a time.
 // The very first one starts from the report itself.
-func (m *interference) own(at time.Time, service string, bucket int, logLatency float64) *belief {
-	p := pair{service: service, bucket: bucket}
+func (m *interference) baselineBelief(at time.Time, service string, bucket int, logLatency float64) *belief {
+	p := interferenceKey{service: service, bucket: bucket}
 	b := m.beliefs[p]
 	if b == nil {
-		mean, variance := m.inherited(at, p)
-		if variance == priorOwnVariance {
+		mean, variance := m.nearestBelief(at, p)
+		if variance == priorBaselineVariance {
 			mean = logLatency
 		}
-		b = &belief{mean: mean, variance: variance, prior: mean, priorVariance: variance, growth: ownGrowth, at: at}
+		b = &belief{mean: mean, variance: variance, prior: mean, priorVariance: variance, growth: baselineGrowth, at: at}
 		m.beliefs[p] = b
 	}
 	// Its own latency drifts in place: there is no prior to fall back to.
 	b.prior = b.mean
-	b.advance(at, m.drift)
+	b.advance(at, m.decayTime)
 	return b
 }
 
-func (m *interference) neighbour(at time.Time, service string, bucket int, n presence) *belief {
-	p := pair{service: service, kind: n.kind, share: n.share, bucket: bucket}
+func (m *interference) neighbourBelief(at time.Time, service string, bucket int, n presence) *belief {
+	p := interferenceKey{service: service, kind: n.kind, share: n.share, bucket: bucket}
 	b := m.beliefs[p]
 	if b == nil {
 		mean, variance := m.slowdown(at, service, n.kind, n.share, bucket)
@@ -194,7 +194,7 @@
 		}
 		m.beliefs[p] = b
 	}
-	b.advance(at, m.drift)
+	b.advance(at, m.decayTime)
 	return b
 }
 
@@ -210,17 +210,17 @@
 func (m *interference) prune(now time.Time) {
 	const drifts = 4
 	for p, b := range m.beliefs {
-		if now.Sub(b.at) > drifts*m.drift {
+		if now.Sub(b.at) > drifts*m.decayTime {
 			delete(m.beliefs, p)
 		}
 	}
 }
 
-// expect returns the log tail of a service with its neighbours, by what is
+// expectedLogTail returns the log tail of a service with its neighbours, by what is
 // believed, and false when nothing is known about the service.
-func (m *interference) expect(at time.Time, service string, bucket int, present []presence) (float64, bool) {
-	sum, variance := m.lookup(at, pair{service: service, bucket: bucket})
-	if variance >= priorOwnVariance {
+func (m *interference) expectedLogTail(at time.Time, service string, bucket int, present []presence) (float64, bool) {
+	sum, variance := m.lookup(at, interferenceKey{service: service, bucket: bucket})
+	if variance >= priorBaselineVariance {
 		return 0, false
 	}
 	for _, n := range present {
@@ -230,8 +230,8 @@
 	return sum, true
 }
 
-// upper is the upper confidence bound of a belief, z standard deviations up.
-func upper(mean, variance, z float64) float64 { return mean + z*math.Sqrt(variance) }
+// upperBound is the upper confidence bound of a belief, z standard deviations up.
+func upperBound(mean, variance, z float64) float64 { return mean + z*math.Sqrt(variance) }
 
-// unknown reports whether too little is known to place a kind freely.
-func unknown(variance float64) bool { return variance > unknownDeviation*unknownDeviation }
+// uncertain reports whether too little is known to place a kind freely.
+func uncertain(variance float64) bool { return variance > uncertainDeviation*uncertainDeviation }
--- a/place/learn_test.go
+++ b/place/learn_test.go
@@ -9,21 +9,21 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// site drives a Placer over workers w0, w1, ... that carry out its plans at once.
-type site struct {
+// harness drives a Placer over workers w0, w1, ... that carry out its plans at once.
+type harness struct {
 	*Placer
-	now   time.Time
-	snap  *Snapshot
-	beats uint64
+	now      time.Time
+	snapshot *Snapshot
+	sequence uint64
 }
 
-func newSite(workers int, services ...string) *site {
-	s := &site{Placer: New(Config{}), now: epoch, snap: &Snapshot{Services: map[string]*apiv1.Service{}}}
+func newHarness(workers int, services ...string) *harness {
+	s := &harness{Placer: New(Config{}), now: epoch, snapshot: &Snapshot{Services: map[string]*apiv1.Service{}}}
 	for _, name := range services {
-		s.snap.Services[name] = &apiv1.Service{Name: name, ObjectiveMs: 100}
+		s.snapshot.Services[name] = &apiv1.Service{Name: name, ObjectiveMs: 100}
 	}
 	for i := range workers {
-		s.snap.Workers = append(s.snap.Workers, &Worker{
+		s.snapshot.Workers = append(s.snapshot.Workers, &Worker{
 			Name: fmt.Sprint("w", i), Rack: fmt.Sprint("r", i), AvailabilityZone: "z", Alive: true,
 			Capacity: Resources{MilliProcessors: 8000, MemoryBytes: 64 << 30}, Services: services,
 		})
@@ -32,16 +32,16 @@
 }
 
 // queue adds a task of one processor with its own job, or the named one.
-func (s *site) queue(id, kind, job string) *Task {
+func (s *harness) queue(id, kind, job string) *Task {
 	t := &Task{ID: id, Kind: kind, Job: job, Size: Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30}, QueuedAt: s.now,
 		Priority: apiv1.Priority_PRIORITY_BATCH, State: apiv1.TaskState_TASK_STATE_QUEUED, ExpectedRun: time.Hour}
-	s.snap.Queued = append(s.snap.Queued, t)
+	s.snapshot.Queued = append(s.snapshot.Queued, t)
 	return t
 }
 
 // plan carries out a plan's grants and evictions.
-func (s *site) plan() Plan {
-	plan := s.Plan(s.now, s.snap)
+func (s *harness) plan() Plan {
+	plan := s.Plan(s.now, s.snapshot)
 	for _, g := range plan.Grants {
 		s.run(g.Worker, g.Task, g.Resources)
 	}
@@ -51,8 +51,8 @@
 	return plan
 }
 
-func (s *site) worker(name string) *Worker {
-	for _, w := range s.snap.Workers {
+func (s *harness) worker(name string) *Worker {
+	for _, w := range s.snapshot.Workers {
 		if w.Name == name {
 			return w
 		}
@@ -60,20 +60,20 @@
 	return nil
 }
 
-func (s *site) run(worker string, t *Task, size Resources) {
+func (s *harness) run(worker string, t *Task, size Resources) {
 	w := s.worker(worker)
 	t.State, t.Worker, t.GrantedAt, t.Size = apiv1.TaskState_TASK_STATE_GRANTED, worker, s.now, size
 	t.Attempt++
 	w.Running = append(w.Running, t)
-	s.snap.Queued = without(s.snap.Queued, t.ID)
+	s.snapshot.Queued = withoutTask(s.snapshot.Queued, t.ID)
 }
 
-func (s *site) end(worker, task string) {
+func (s *harness) end(worker, task string) {
 	w := s.worker(worker)
-	w.Running = without(w.Running, task)
+	w.Running = withoutTask(w.Running, task)
 }
 
-func without(list []*Task, id string) []*Task {
+func withoutTask(list []*Task, id string) []*Task {
 	var out []*Task
 	for _, t := range list {
 		if t.ID != id {
@@ -83,10 +83,10 @@
 	return out
 }
 
-// beat sends the heartbeat of a worker with extra parts.
-func (s *site) beat(worker string, extra *apiv1.WorkerHeartbeat) {
-	s.beats++
-	hb := &apiv1.WorkerHeartbeat{Worker: worker, Incarnation: 1, Sequence: s.beats,
+// heartbeat sends the heartbeat of a worker with extra parts.
+func (s *harness) heartbeat(worker string, extra *apiv1.WorkerHeartbeat) {
+	s.sequence++
+	hb := &apiv1.WorkerHeartbeat{Worker: worker, Incarnation: 1, Sequence: s.sequence,
 		Tasks: extra.GetTasks(), Latency: extra.GetLatency(), Usage: extra.GetUsage()}
 	for _, t := range s.worker(worker).Running {
 		hb.Tasks = append(hb.Tasks, status(t.ID, t.Attempt, apiv1.TaskPhase_TASK_PHASE_RUNNING))
@@ -94,10 +94,10 @@
 	s.Observe(s.now, hb)
 }
 
-// pass lets time pass with a heartbeat of w0 every 5 s, the first at once.
-func (s *site) pass(d time.Duration) {
+// advance lets time pass with a heartbeat of w0 every 5 s, the first at once.
+func (s *harness) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); s.now = s.now.Add(5 * time.Second) {
-		s.beat("w0", nil)
+		s.heartbeat("w0", nil)
 	}
 }
 
@@ -113,9 +113,9 @@
 	}}}
 }
 
-func (s *site) slowdown(kind string) float64 {
+func (s *harness) learnedSlowdown(kind string) float64 {
 	worst := 1.0
-	for _, p := range s.Learnt(s.now).Pairs {
+	for _, p := range s.Learned(s.now).Pairs {
 		if p.Kind == kind {
 			worst = max(worst, p.Slowdown)
 		}
@@ -127,23 +127,23 @@
 // Sequence: a task disturbs a service and leaves; another comes; then the report
 // about the first one's time arrives. Cause: the report is matched with who is
 // there on its arrival.
-func TestLateReportBlamesWhoWasThere(t *testing.T) {
-	s := newSite(1, "bookings")
+func TestLateReportIsAttributedToTasksInItsWindow(t *testing.T) {
+	s := newHarness(1, "bookings")
 	s.plan()
-	s.beat("w0", nil)
+	s.heartbeat("w0", nil)
 	for range 6 {
 		s.now = s.now.Add(10 * time.Second)
-		s.beat("w0", latency("w0", "bookings", 50, 0))
+		s.heartbeat("w0", latency("w0", "bookings", 50, 0))
 	}
 	s.run("w0", s.queue("first", "noisy", "a"), Resources{MilliProcessors: 1000})
 	s.plan()
-	s.pass(20 * time.Second)
+	s.advance(20 * time.Second)
 	s.end("w0", "first")
 	s.run("w0", s.queue("second", "quiet", "b"), Resources{MilliProcessors: 1000})
 	s.plan()
-	s.pass(20 * time.Second)
-	s.beat("w0", latency("w0", "bookings", 95, 24*time.Second))
-	if noisy, quiet := s.slowdown("noisy"), s.slowdown("quiet"); noisy < 1.3 || quiet > 1.01 {
+	s.advance(20 * time.Second)
+	s.heartbeat("w0", latency("w0", "bookings", 95, 24*time.Second))
+	if noisy, quiet := s.learnedSlowdown("noisy"), s.learnedSlowdown("quiet"); noisy < 1.3 || quiet > 1.01 {
 		t.Fatalf("noisy is believed to slow by %.2f, quiet by %.2f", noisy, quiet)
 	}
 }
@@ -151,26 +151,26 @@
 // Symptom: one slow spell costs a task per report. Sequence: the tail crosses the
 // objective, the guard acts, and reports about the time before the action keep
 // arriving for 30 s. Cause: each of them is answered with another action.
-func TestReportsFromBeforeAnActionCauseNoOther(t *testing.T) {
+func TestReportsFromBeforeAnActionCauseNoFurtherAction(t *testing.T) {
 	const lag = 30 * time.Second
-	s := newSite(1, "bookings")
+	s := newHarness(1, "bookings")
 	s.plan()
-	s.beat("w0", nil)
+	s.heartbeat("w0", nil)
 	for range 6 {
 		s.now = s.now.Add(10 * time.Second)
-		s.beat("w0", latency("w0", "bookings", 50, 0))
+		s.heartbeat("w0", latency("w0", "bookings", 50, 0))
 	}
 	s.run("w0", s.queue("t", "noisy", "j"), Resources{MilliProcessors: 1000})
 	s.plan()
-	s.beat("w0", nil)
+	s.heartbeat("w0", nil)
 	started, acted := s.now, time.Time{}
 	for range 150 {
 		s.now = s.now.Add(time.Second)
 		if s.now.Sub(started) > lag+10*time.Second && s.now.Sub(started)%(5*time.Second) == 0 {
-			s.beat("w0", latency("w0", "bookings", 130, lag))
+			s.heartbeat("w0", latency("w0", "bookings", 130, lag))
 		}
 		plan := s.plan()
-		if len(plan.Evictions) == 0 && !slices.ContainsFunc(plan.Throttles, func(th Throttle) bool { return th.Reason != ReasonStillInForce }) {
+		if len(plan.Evictions) == 0 && !slices.ContainsFunc(plan.Throttles, func(th Throttle) bool { return th.Reason != ReasonStillInEffect }) {
 			continue
 		}
 		if wait := s.now.Sub(acted); !acted.IsZero() && wait < lag+10*time.Second {
@@ -186,11 +186,11 @@
 // Symptom: a service suffers although its neighbour is held down. Sequence: the
 // neighbour is throttled to the least share, the tail stays. Cause: its harm does
 // not come from processors, so it has to go; a harmless one must not go instead.
-func TestGuardThrottlesThenEvictsTheCulprit(t *testing.T) {
-	s := newSite(2, "bookings")
+func TestHarmfulTaskIsThrottledThenEvicted(t *testing.T) {
+	s := newHarness(2, "bookings")
 	s.plan()
-	s.beat("w0", nil)
-	s.beat("w1", nil)
+	s.heartbeat("w0", nil)
+	s.heartbeat("w1", nil)
 	s.run("w0", s.queue("bad", "noisy", "a"), Resources{MilliProcessors: 1000})
 	for _, w := range []string{"w0", "w1"} {
 		s.run(w, s.queue("good-"+w, "quiet", "b"), Resources{MilliProcessors: 1000})
@@ -198,12 +198,12 @@
 	throttled := false
 	for range 60 {
 		s.now = s.now.Add(10 * time.Second)
-		s.beat("w1", latency("w1", "bookings", 50, 0))
+		s.heartbeat("w1", latency("w1", "bookings", 50, 0))
 		ms := int64(50)
 		if len(s.worker("w0").Running) > 1 {
 			ms = 180
 		}
-		s.beat("w0", latency("w0", "bookings", ms, 0))
+		s.heartbeat("w0", latency("w0", "bookings", ms, 0))
 		plan := s.plan()
 		for _, th := range plan.Throttles {
 			throttled = throttled || th.Task == "bad" && th.ShareMilli == minShare
@@ -221,8 +221,8 @@
 // Symptom: grants are far too small, or larger than any worker. Sequence: tasks
 // of a kind use three times what they declare. Cause: declared sizes are believed;
 // or the learnt size is granted without looking at what workers have.
-func TestLearntSizesGrowWithinCapacity(t *testing.T) {
-	s := newSite(2)
+func TestLearnedSizesGrowWithinCapacity(t *testing.T) {
+	s := newHarness(2)
 	for i := range minSamples {
 		task := s.queue(fmt.Sprint("t", i), "greedy", "j")
 		s.run("w0", task, task.Size)
@@ -237,7 +237,7 @@
 				Used: &apiv1.Resources{MilliProcessors: 3000, MemoryBytes: 3 << 30},
 			})
 		}
-		s.beat("w0", usage)
+		s.heartbeat("w0", usage)
 	}
 	s.worker("w0").Running = nil
 	small, large := s.queue("small", "greedy", "j"), s.queue("large", "greedy", "k")
@@ -264,9 +264,9 @@
 func TestReclaimTakesProcessorsOnly(t *testing.T) {
 	declared := Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30}
 	for least, want := range map[float64]int64{0: 1000, 0.5: 500} {
-		u := New(Config{LeastProcessors: least}).usage
+		u := New(Config{MinProcessorFraction: least}).usage
 		for range minSamples {
-			u.count(&attemptUsage{peak: Resources{MilliProcessors: 100, MemoryBytes: 1 << 20}}, &taskInfo{kind: "k", declared: declared})
+			u.addSamples(&attemptUsage{peak: Resources{MilliProcessors: 100, MemoryBytes: 1 << 20}}, &taskInfo{kind: "k", declared: declared})
 		}
 		if got := u.size("k", declared); got != (Resources{want, 1 << 30, 0}) {
 			t.Fatalf("least %v: %v", least, got)
@@ -274,8 +274,8 @@
 	}
 }
 
-// samples counts what reports have taught about interference.
-func (s *site) samples() int {
+// interferenceSamples counts what reports have taught about interference.
+func (s *harness) interferenceSamples() int {
 	n := 0
 	for _, b := range s.interference.beliefs {
 		n += b.samples
@@ -287,27 +287,27 @@
 // blamed for a time it was not seen in. Sequence: the leader is replaced for a
 // while and comes back, with its memory of before; its last orders are lost.
 // Cause: orders are given once; the history bridges the silence.
-func TestLeaderThatComesBack(t *testing.T) {
-	s := newSite(1, "bookings")
+func TestReturningLeaderRepeatsThrottles(t *testing.T) {
+	s := newHarness(1, "bookings")
 	s.run("w0", s.queue("t", "noisy", "j"), Resources{MilliProcessors: 1000})
 	s.plan()
-	s.beat("w0", nil)
+	s.heartbeat("w0", nil)
 	for range 3 {
 		s.now = s.now.Add(10 * time.Second)
-		s.beat("w0", latency("w0", "bookings", 300, 0))
+		s.heartbeat("w0", latency("w0", "bookings", 300, 0))
 		s.plan()
 	}
-	held := s.Learnt(s.now).Held
+	held := s.Learned(s.now).Throttled
 	if len(held) != 1 {
 		t.Fatalf("held down: %v", held)
 	}
-	before := s.samples()
+	before := s.interferenceSamples()
 	s.now = s.now.Add(2 * time.Minute)
-	s.beat("w0", latency("w0", "bookings", 50, 30*time.Second))
-	if s.samples() != before {
+	s.heartbeat("w0", latency("w0", "bookings", 50, 30*time.Second))
+	if s.interferenceSamples() != before {
 		t.Fatal("learnt from a window that nobody watched")
 	}
-	plan := s.Plan(s.now, s.snap)
+	plan := s.Plan(s.now, s.snapshot)
 	if len(plan.Throttles) != 1 || plan.Throttles[0].ShareMilli != held[0].ShareMilli {
 		t.Fatalf("throttles after the return: %v", plan.Throttles)
 	}
--- a/place/learnt.go
+++ b/place/learnt.go
@@ -17,8 +17,8 @@
 	Bucket int
 	// Slowdown is the factor on the service's p99 per task, Upper its bound at
 	// one standard deviation.
-	Slowdown, Upper float64
-	Samples         int
+	Slowdown, UpperBound float64
+	Samples              int
 }
 
 // KindEstimate is what tasks of a kind were seen to need, as factors of what
@@ -36,51 +36,51 @@
 
 // JobCondition is a job that failures speak against.
 type JobCondition struct {
-	Job       string
-	Workers   int
-	NotBefore time.Time
+	Job           string
+	FailedWorkers int
+	NotBefore     time.Time
 }
 
-// HeldTask is a task whose processors are held down.
-type HeldTask struct {
+// ThrottledTask is a task whose processors are held down.
+type ThrottledTask struct {
 	Worker, Task string
 	Attempt      uint64
 	ShareMilli   int32
 }
 
-// Learnt is a copy of what a Placer has learnt, in a fixed order.
-type Learnt struct {
-	Pairs   []PairEstimate
-	Kinds   []KindEstimate
-	Workers []WorkerCondition
-	Jobs    []JobCondition
-	Held    []HeldTask
+// Learned is a copy of what a Placer has learnt, in a fixed order.
+type Learned struct {
+	Pairs     []PairEstimate
+	Kinds     []KindEstimate
+	Workers   []WorkerCondition
+	Jobs      []JobCondition
+	Throttled []ThrottledTask
 	// EvictionBudget is the number of evictions that may be ordered at once.
 	EvictionBudget float64
 }
 
-// Learnt returns what was learnt, as it stands at now.
-func (p *Placer) Learnt(now time.Time) Learnt {
-	return Learnt{
-		Pairs:          p.learntPairs(now),
-		Kinds:          p.learntKinds(),
-		Workers:        p.learntWorkers(now),
-		Jobs:           p.learntJobs(now),
-		Held:           p.heldTasks(),
+// Learned returns what was learnt, as it stands at now.
+func (p *Placer) Learned(now time.Time) Learned {
+	return Learned{
+		Pairs:          p.learnedPairs(now),
+		Kinds:          p.learnedKinds(),
+		Workers:        p.learnedWorkers(now),
+		Jobs:           p.learnedJobs(now),
+		Throttled:      p.throttledTasks(),
 		EvictionBudget: p.budget.tokens,
 	}
 }
 
-func (p *Placer) learntPairs(now time.Time) []PairEstimate {
+func (p *Placer) learnedPairs(now time.Time) []PairEstimate {
 	var out []PairEstimate
 	for key, b := range p.interference.beliefs {
 		if key.kind == "" {
 			continue
 		}
-		mean, variance := b.atTime(now, p.interference.drift)
+		mean, variance := b.atTime(now, p.interference.decayTime)
 		out = append(out, PairEstimate{
 			Service: key.service, Kind: key.kind, ShareMilli: key.share, Bucket: key.bucket,
-			Slowdown: math.Exp(mean), Upper: math.Exp(upper(mean, variance, 1)), Samples: b.samples,
+			Slowdown: math.Exp(mean), UpperBound: math.Exp(upperBound(mean, variance, 1)), Samples: b.samples,
 		})
 	}
 	slices.SortFunc(out, func(a, b PairEstimate) int {
@@ -90,7 +90,7 @@
 	return out
 }
 
-func (p *Placer) learntKinds() []KindEstimate {
+func (p *Placer) learnedKinds() []KindEstimate {
 	var out []KindEstimate
 	for _, name := range sortedKeys(p.usage.kinds) {
 		k := p.usage.kinds[name]
@@ -100,7 +100,7 @@
 	return out
 }
 
-func (p *Placer) learntWorkers(now time.Time) []WorkerCondition {
+func (p *Placer) learnedWorkers(now time.Time) []WorkerCondition {
 	var out []WorkerCondition
 	for _, name := range sortedKeys(p.health.workers) {
 		w := p.health.workers[name]
@@ -111,25 +111,25 @@
 	return out
 }
 
-func (p *Placer) learntJobs(now time.Time) []JobCondition {
+func (p *Placer) learnedJobs(now time.Time) []JobCondition {
 	var out []JobCondition
 	for _, name := range sortedKeys(p.health.jobs) {
 		j := p.health.jobs[name]
-		if j.poisonous() {
-			out = append(out, JobCondition{name, distinct(j.failures), j.notBefore})
+		if j.isPoison() {
+			out = append(out, JobCondition{name, distinctCounterparts(j.failures), j.notBefore})
 		}
 	}
 	return out
 }
 
-func (p *Placer) heldTasks() []HeldTask {
-	var out []HeldTask
+func (p *Placer) throttledTasks() []ThrottledTask {
+	var out []ThrottledTask
 	for _, name := range sortedKeys(p.workers) {
-		for id, share := range p.workers[name].guard.shares {
-			out = append(out, HeldTask{name, id.task, id.attempt, share})
+		for id, share := range p.workers[name].protection.shares {
+			out = append(out, ThrottledTask{name, id.task, id.attempt, share})
 		}
 	}
-	slices.SortFunc(out, func(a, b HeldTask) int {
+	slices.SortFunc(out, func(a, b ThrottledTask) int {
 		return cmp.Or(cmp.Compare(a.Worker, b.Worker), cmp.Compare(a.Task, b.Task))
 	})
 	return out
@@ -144,20 +144,20 @@
 		return Decision{}, false
 	}
 	r := p.gather(now, s)
-	r.dry = true
+	r.dryRun = true
 	for _, hd := range p.holds {
-		if h := r.byName[hd.worker]; h != nil {
-			h.hold(hd.size)
+		if h := r.hostsByName[hd.worker]; h != nil {
+			h.holdCapacity(hd.size)
 		}
 	}
-	c, d := r.consider(s.Queued[i])
+	c, d := r.newCandidate(s.Queued[i])
 	if c == nil {
 		return d, true
 	}
-	if h := r.pick(c, &d); h != nil {
+	if h := r.pickHost(c, &d); h != nil {
 		d.Worker = h.Name
 	} else {
-		d.Reason = r.refusal()
+		d.Reason = r.refusalReason()
 	}
 	return d, true
 }
--- a/place/observe.go
+++ b/place/observe.go
@@ -11,12 +11,12 @@
 
 // workerState is what a Placer remembers about one worker.
 type workerState struct {
-	incarnation uint64
-	sequence    uint64
-	occupancy   *occupancy
-	guard       *guardState
-	regrownAt   time.Time
-	heardAt     time.Time
+	incarnation      uint64
+	sequence         uint64
+	occupancy        *occupancy
+	protection       *protectionState
+	overrunEvictedAt time.Time
+	heartbeatAt      time.Time
 	// ended holds attempts whose end was taken in: ends are repeated until
 	// they are acknowledged.
 	ended map[attemptID]time.Time
@@ -30,17 +30,17 @@
 	expectedRun time.Duration
 	grantedAt   time.Time
 	// resumed: it started from a checkpoint, so its run time is not a whole run.
-	resumed bool
-	seen    time.Time
+	resumed  bool
+	lastSeen time.Time
 }
 
 const (
 	historyLength = 3 * time.Minute
 	historyLimit  = 512
-	// heartbeatGap is the longest silence over which the history goes on. What
+	// maxHeartbeatGap is the longest silence over which the history goes on. What
 	// came and went in a longer one, such as under another leader, is not known.
-	heartbeatGap = 10 * time.Second
-	endedMemory  = 10 * time.Minute
+	maxHeartbeatGap = 10 * time.Second
+	endRetention    = 10 * time.Minute
 	// minRequests is how many requests a p99 needs to say anything.
 	minRequests = 20
 	microsecond = 1000.0
@@ -53,24 +53,24 @@
 	if w == nil {
 		return
 	}
-	if now.Sub(w.heardAt) > heartbeatGap {
+	if now.Sub(w.heartbeatAt) > maxHeartbeatGap {
 		w.occupancy = newOccupancy(now)
 	}
-	w.heardAt = now
+	w.heartbeatAt = now
 	running := make(map[attemptID]bool, len(hb.GetTasks()))
 	for _, t := range hb.GetTasks() {
 		id := idOf(t.GetTask())
 		if t.GetPhase() == apiv1.TaskPhase_TASK_PHASE_RUNNING {
 			running[id] = true
-			p.sawRunning(now, hb.GetWorker(), w, id)
+			p.recordRunning(now, hb.GetWorker(), w, id)
 			continue
 		}
-		p.sawEnd(now, hb.GetWorker(), w, id, t.GetPhase())
+		p.recordEnd(now, hb.GetWorker(), w, id, t.GetPhase())
 	}
-	w.occupancy.keep(now, running)
-	for id := range w.guard.shares {
+	w.occupancy.closeAbsent(now, running)
+	for id := range w.protection.shares {
 		if !running[id] {
-			w.guard.drop(id)
+			w.protection.drop(id)
 		}
 	}
 	for _, u := range hb.GetUsage() {
@@ -99,15 +99,15 @@
 		incarnation: hb.GetIncarnation(),
 		sequence:    hb.GetSequence(),
 		occupancy:   newOccupancy(now),
-		heardAt:     now,
-		guard:       newGuardState(),
+		heartbeatAt: now,
+		protection:  newProtectionState(),
 		ended:       make(map[attemptID]time.Time),
 	}
 	p.workers[hb.GetWorker()] = w
 	return w
 }
 
-func (p *Placer) sawRunning(now time.Time, worker string, w *workerState, id attemptID) {
+func (p *Placer) recordRunning(now time.Time, worker string, w *workerState, id attemptID) {
 	info := p.tasks[id]
 	kind := ""
 	if info != nil {
@@ -118,39 +118,39 @@
 			s.kind = kind
 		}
 		if info != nil {
-			p.health.ranOn(now, worker, info.job, s.from)
+			p.health.recordLongRun(now, worker, info.job, s.from)
 		}
 		return
 	}
-	w.occupancy.enter(now, id, kind, w.guard.shareOf(id))
+	w.occupancy.enter(now, id, kind, w.protection.shareOf(id))
 }
 
-func (p *Placer) sawEnd(now time.Time, worker string, w *workerState, id attemptID, phase apiv1.TaskPhase) {
+func (p *Placer) recordEnd(now time.Time, worker string, w *workerState, id attemptID, phase apiv1.TaskPhase) {
 	if _, known := w.ended[id]; known {
 		return
 	}
 	w.ended[id] = now
 	info := p.tasks[id]
-	p.usage.ended(id, info)
+	p.usage.recordEnd(id, info)
 	if info == nil {
 		return
 	}
 	switch phase {
 	case apiv1.TaskPhase_TASK_PHASE_FAILED:
-		p.health.failed(now, worker, info.job)
+		p.health.recordFailure(now, worker, info.job)
 	case apiv1.TaskPhase_TASK_PHASE_SUCCEEDED:
-		p.health.succeeded(worker, info.job)
+		p.health.recordSuccess(worker, info.job)
 		s := w.occupancy.open[id]
 		throttled := s != nil && s.share < fullShare
 		if !info.resumed && !throttled {
-			p.usage.ran(info, now.Sub(info.grantedAt))
+			p.usage.recordRunTime(info, now.Sub(info.grantedAt))
 		}
 	}
 }
 
 func (p *Placer) observeUsage(now time.Time, id attemptID, u *apiv1.UsageReport) {
 	if info := p.tasks[id]; info != nil {
-		p.usage.report(now, id, info, FromProto(u.GetUsed()))
+		p.usage.recordUsage(now, id, info, FromProto(u.GetUsed()))
 	}
 }
 
@@ -159,7 +159,7 @@
 	to := now.Add(-time.Duration(max(l.GetAgeMs(), 0)) * time.Millisecond)
 	window := time.Duration(max(l.GetWindowMs(), 1)) * time.Millisecond
 	from := to.Add(-window)
-	known := w.guard.watches[l.GetTarget()]
+	known := w.protection.latencies[l.GetTarget()]
 	if known != nil && to.Before(known.to.Add(window/2)) {
 		return // the same window again, or an older one
 	}
@@ -167,43 +167,43 @@
 		return
 	}
 	if known == nil {
-		known = &watch{target: l.GetTarget()}
-		w.guard.watches[l.GetTarget()] = known
+		known = &targetLatency{target: l.GetTarget()}
+		w.protection.latencies[l.GetTarget()] = known
 	}
 	known.service = l.GetService()
 	known.p99 = float64(l.GetP99Us()) / microsecond
 	known.bucket = loadBucket(float64(l.GetRequests()) / window.Seconds())
 	previous := known.from
 	known.from, known.to = from, to
-	known.judge(p.guardLevel(l.GetService()))
-	known.smooth(w.guard.settled(known) && !w.guard.settledBefore(previous))
+	known.compare(p.protectionThreshold(l.GetService()))
+	known.updateMean(w.protection.settled(known) && !w.protection.settledBefore(previous))
 	p.buckets[known.service] = known.bucket
 	present, covered := w.occupancy.during(from, to)
 	if !covered {
 		return
 	}
-	if expected, ok := p.interference.expect(to, known.service, known.bucket, present); ok {
+	if expected, ok := p.interference.expectedLogTail(to, known.service, known.bucket, present); ok {
 		known.residual += smoothing * (math.Log(known.p99) - expected - known.residual)
 	}
 	noise := 1 / float64(l.GetRequests())
-	p.interference.observe(to, known.service, known.bucket, present, math.Log(known.p99), noise)
+	p.interference.update(to, known.service, known.bucket, present, math.Log(known.p99), noise)
 }
 
-// guardLevel is the tail in milliseconds above which the guard acts, 0 for none.
-func (p *Placer) guardLevel(service string) float64 {
-	return float64(p.objectives[service]) * guardLevel
+// protectionThreshold is the tail in milliseconds above which the guard acts, 0 for none.
+func (p *Placer) protectionThreshold(service string) float64 {
+	return float64(p.objectives[service]) * protectionThreshold
 }
 
 func (w *workerState) prune(now time.Time) {
 	w.occupancy.prune(now.Add(-historyLength), historyLimit)
 	for id, at := range w.ended {
-		if now.Sub(at) > endedMemory {
+		if now.Sub(at) > endRetention {
 			delete(w.ended, id)
 		}
 	}
-	for name, v := range w.guard.watches {
+	for name, v := range w.protection.latencies {
 		if now.Sub(v.to) > 2*reportMaxAge {
-			delete(w.guard.watches, name)
+			delete(w.protection.latencies, name)
 		}
 	}
 }
--- a/place/occupancy.go
+++ b/place/occupancy.go
@@ -19,8 +19,8 @@
 
 func idOf(a *apiv1.TaskAttempt) attemptID { return attemptID{a.GetTask(), a.GetAttempt()} }
 
-// stay is one attempt's time on a worker at one throttle share.
-type stay struct {
+// occupancyInterval is one attempt's time on a worker at one throttle share.
+type occupancyInterval struct {
 	id    attemptID
 	kind  string
 	share int32
@@ -34,24 +34,24 @@
 // the measurement, and clear the one that has left.
 type occupancy struct {
 	// since is the first moment the history covers.
-	since time.Time
-	open  map[attemptID]*stay
-	past  []stay
+	since  time.Time
+	open   map[attemptID]*occupancyInterval
+	closed []occupancyInterval
 }
 
 func newOccupancy(now time.Time) *occupancy {
-	return &occupancy{since: now, open: make(map[attemptID]*stay)}
+	return &occupancy{since: now, open: make(map[attemptID]*occupancyInterval)}
 }
 
 // enter notes that an attempt is on the worker from now on.
 func (o *occupancy) enter(now time.Time, id attemptID, kind string, share int32) {
 	if o.open[id] == nil {
-		o.open[id] = &stay{id: id, kind: kind, share: share, from: now}
+		o.open[id] = &occupancyInterval{id: id, kind: kind, share: share, from: now}
 	}
 }
 
-// keep ends the stays of attempts that are not among those running.
-func (o *occupancy) keep(now time.Time, running map[attemptID]bool) {
+// closeAbsent ends the stays of attempts that are not among those running.
+func (o *occupancy) closeAbsent(now time.Time, running map[attemptID]bool) {
 	for id, s := range o.open {
 		if !running[id] {
 			o.close(now, s)
@@ -66,21 +66,21 @@
 		return
 	}
 	o.close(now, s)
-	o.open[id] = &stay{id: id, kind: s.kind, share: share, from: now}
+	o.open[id] = &occupancyInterval{id: id, kind: s.kind, share: share, from: now}
 }
 
-func (o *occupancy) close(now time.Time, s *stay) {
+func (o *occupancy) close(now time.Time, s *occupancyInterval) {
 	s.to = now
-	o.past = append(o.past, *s)
+	o.closed = append(o.closed, *s)
 	delete(o.open, s.id)
 }
 
 // prune forgets stays that ended before a time, and the oldest above a limit.
 func (o *occupancy) prune(before time.Time, limit int) {
-	o.past = slices.DeleteFunc(o.past, func(s stay) bool { return s.to.Before(before) })
-	if extra := len(o.past) - limit; extra > 0 {
-		o.since = o.past[extra-1].to
-		o.past = slices.Delete(o.past, 0, extra)
+	o.closed = slices.DeleteFunc(o.closed, func(s occupancyInterval) bool { return s.to.Before(before) })
+	if extra := len(o.closed) - limit; extra > 0 {
+		o.since = o.closed[extra-1].to
+		o.closed = slices.Delete(o.closed, 0, extra)
 	}
 	if o.since.Before(before) {
 		o.since = before
@@ -105,13 +105,13 @@
 		return nil, false
 	}
 	var parts []presence
-	add := func(s *stay) {
+	add := func(s *occupancyInterval) {
 		if part := s.overlap(from, to); part >= minOverlap {
 			parts = append(parts, presence{kind: s.kind, share: s.share, amount: part})
 		}
 	}
-	for i := range o.past {
-		add(&o.past[i])
+	for i := range o.closed {
+		add(&o.closed[i])
 	}
 	for _, s := range o.open {
 		add(s)
@@ -132,7 +132,7 @@
 }
 
 // overlap is the part of a window that the stay covers, 0 to 1.
-func (s *stay) overlap(from, to time.Time) float64 {
+func (s *occupancyInterval) overlap(from, to time.Time) float64 {
 	start, end := s.from, s.to
 	if start.Before(from) {
 		start = from
@@ -147,16 +147,16 @@
 	return float64(end.Sub(start)) / float64(window)
 }
 
-// wasThere reports whether an attempt covered at least half of a window.
-func (o *occupancy) wasThere(id attemptID, from, to time.Time) bool {
+// presentInWindow reports whether an attempt covered at least half of a window.
+func (o *occupancy) presentInWindow(id attemptID, from, to time.Time) bool {
 	const half = 0.5
 	covered := 0.0
 	if s := o.open[id]; s != nil {
 		covered += s.overlap(from, to)
 	}
-	for i := range o.past {
-		if o.past[i].id == id {
-			covered += o.past[i].overlap(from, to)
+	for i := range o.closed {
+		if o.closed[i].id == id {
+			covered += o.closed[i].overlap(from, to)
 		}
 	}
 	return covered >= half
--- a/place/placebench/deployment.go
+++ b/place/placebench/deployment.go
@@ -21,17 +21,17 @@
 // serviceModel is a service with a target on every worker from first on.
 type serviceModel struct {
 	name string
-	// mean service time without neighbours, milliseconds.
-	mean    float64
-	workers int
+	// meanServiceTime service time without neighbours, milliseconds.
+	meanServiceTime float64
+	workers         int
 }
 
 const (
-	workersPerSite = 11
-	rackSize       = 3
-	slots          = 8
-	gibibyte       = 1 << 30
-	milli          = 1000
+	workersPerDeployment = 11
+	rackSize             = 3
+	slots                = 8
+	gibibyte             = 1 << 30
+	milli                = 1000
 )
 
 var deployments = []deployment{
@@ -44,15 +44,15 @@
 	name     string
 	declared place.Resources
 	// sizeFactor is what tasks use in terms of what they declare.
-	sizeFactor float64
-	run        time.Duration // declared
-	runFactor  float64
-	checkpoint time.Duration
-	cost       int32
+	sizeFactor   float64
+	run          time.Duration // declared
+	runFactor    float64
+	checkpoint   time.Duration
+	evictionCost int32
 	// harm per service, and the load above which it shows, 0 for always.
-	harm      map[string]float64
-	threshold map[string]float64
-	phase     float64
+	harm          map[string]float64
+	loadThreshold map[string]float64
+	driftPhase    float64
 }
 
 const kindCount = 12
@@ -67,19 +67,19 @@
 		}
 		k := &kindModel{
 			name: fmt.Sprintf("kind-%02d", i), declared: declared,
-			sizeFactor: math.Exp(rng.Float64()*math.Log(4/0.3) + math.Log(0.3)),
-			run:        time.Duration(2+rng.Intn(14)) * time.Minute,
-			runFactor:  math.Exp(rng.Float64()*math.Log(8) - math.Log(2)),
-			checkpoint: time.Duration(60+rng.Intn(180)) * time.Second,
-			cost:       1, harm: map[string]float64{}, threshold: map[string]float64{},
-			phase: rng.Float64() * 2 * math.Pi,
+			sizeFactor:   math.Exp(rng.Float64()*math.Log(4/0.3) + math.Log(0.3)),
+			run:          time.Duration(2+rng.Intn(14)) * time.Minute,
+			runFactor:    math.Exp(rng.Float64()*math.Log(8) - math.Log(2)),
+			checkpoint:   time.Duration(60+rng.Intn(180)) * time.Second,
+			evictionCost: 1, harm: map[string]float64{}, loadThreshold: map[string]float64{},
+			driftPhase: rng.Float64() * 2 * math.Pi,
 		}
 		if i%4 == 0 { // checks and watchers: dear to evict
-			k.cost = 5
+			k.evictionCost = 5
 			k.checkpoint = 10 * time.Minute
 		}
 		for _, s := range d.services {
-			k.harm[s.name], k.threshold[s.name] = drawHarm(harmful, rng)
+			k.harm[s.name], k.loadThreshold[s.name] = drawHarm(harmful, rng)
 		}
 		kinds[i] = k
 	}
@@ -103,19 +103,19 @@
 // slowdown is what one task of the kind adds to a service's time.
 func (k *kindModel) slowdown(service string, load, share float64, t time.Duration) float64 {
 	harm := k.harm[service]
-	if th := k.threshold[service]; th > 0 {
+	if th := k.loadThreshold[service]; th > 0 {
 		harm /= 1 + math.Exp(-(load-th)/0.05)
 	}
 	// A quarter of the harm (memory, caches) stays when processors are held down.
 	harm *= 0.25 + 0.75*share
-	drift := 1 + 0.3*math.Sin(2*math.Pi*t.Minutes()/90+k.phase)
+	drift := 1 + 0.3*math.Sin(2*math.Pi*t.Minutes()/90+k.driftPhase)
 	size := float64(k.declared.MilliProcessors) / (4 * milli)
 	return harm * drift * math.Sqrt(size)
 }
 
-// rate is the service's request rate over the run as a part of the peak: quiet,
+// trafficRate is the service's request rate over the run as a part of the peak: quiet,
 // then the morning rush from a third to two thirds of the run, with short bursts.
-func rate(t, length time.Duration, rng *rand.Rand) float64 {
+func trafficRate(t, length time.Duration, rng *rand.Rand) float64 {
 	const quiet, width = 0.4, 0.04
 	x := float64(t) / float64(length)
 	rise := 1 / (1 + math.Exp(-(x-0.33)/width))
--- a/place/placebench/fleet.go
+++ b/place/placebench/fleet.go
@@ -14,13 +14,13 @@
 // task is a task of the stand-in with its hidden truth.
 type task struct {
 	place.Task
-	kind   *kindModel
-	factor float64 // use of processors and memory over the declared size
-	needs  time.Duration
-	done   time.Duration
-	saved  time.Duration
-	share  float64
-	poison bool
+	kind         *kindModel
+	usageFactor  float64 // use of processors and memory over the declared size
+	runTime      time.Duration
+	progress     time.Duration
+	checkpointed time.Duration
+	share        float64
+	poison       bool
 	// stopAt is when an ordered stop is confirmed, zero when none is.
 	stopAt   time.Time
 	canceled bool
@@ -28,16 +28,16 @@
 }
 
 func (t *task) used() place.Resources {
-	f := t.factor
+	f := t.usageFactor
 	return place.Resources{
 		MilliProcessors: int64(float64(t.kind.declared.MilliProcessors) * f * t.share),
 		MemoryBytes:     int64(float64(t.kind.declared.MemoryBytes) * f),
 	}
 }
 
-// work is the task's whole work in processor-seconds.
-func (t *task) work(d time.Duration) float64 {
-	return d.Seconds() * float64(t.kind.declared.MilliProcessors) / milli * t.factor
+// processorSeconds is the task's whole work in processor-seconds.
+func (t *task) processorSeconds(d time.Duration) float64 {
+	return d.Seconds() * float64(t.kind.declared.MilliProcessors) / milli * t.usageFactor
 }
 
 // worker is a stand-in for a platform worker with its targets.
@@ -50,19 +50,19 @@
 	down     bool
 	sequence uint64
 	// pending reports wait for their lag to pass.
-	pending []delayed
+	pending []delayedReport
 }
 
-type delayed struct {
-	at      time.Time
-	latency *apiv1.LatencyReport
-	usage   *apiv1.UsageReport
-	made    time.Time
+type delayedReport struct {
+	arrivesAt  time.Time
+	latency    *apiv1.LatencyReport
+	usage      *apiv1.UsageReport
+	measuredAt time.Time
 }
 
 func newWorkers(d deployment) []*worker {
 	var out []*worker
-	for i := range workersPerSite {
+	for i := range workersPerDeployment {
 		w := &worker{Worker: place.Worker{
 			Name: fmt.Sprintf("w%02d", i), Incarnation: 1, Alive: true,
 			AvailabilityZone: fmt.Sprint("zone-", (i/rackSize)%d.zones),
@@ -83,8 +83,8 @@
 	return out
 }
 
-// pressure is by how much tasks want more processors than there are, at least 1.
-func (w *worker) pressure() float64 {
+// processorContention is by how much tasks want more processors than there are, at least 1.
+func (w *worker) processorContention() float64 {
 	used := w.Reserved.MilliProcessors
 	for _, t := range w.tasks {
 		used += t.used().MilliProcessors
@@ -92,8 +92,8 @@
 	return max(1, float64(used)/float64(w.Capacity.MilliProcessors))
 }
 
-// kill ends the task furthest over its grant while memory is short, as a kernel does.
-func (w *worker) kill() *task {
+// memoryKillVictim ends the task furthest over its grant while memory is short, as a kernel does.
+func (w *worker) memoryKillVictim() *task {
 	used := w.Reserved.MemoryBytes
 	var worst *task
 	excess := int64(math.MinInt64)
@@ -125,11 +125,11 @@
 			Phase: apiv1.TaskPhase_TASK_PHASE_RUNNING,
 		})
 	}
-	w.pending = slices.DeleteFunc(w.pending, func(d delayed) bool {
-		if d.at.After(now) {
+	w.pending = slices.DeleteFunc(w.pending, func(d delayedReport) bool {
+		if d.arrivesAt.After(now) {
 			return false
 		}
-		age := now.Sub(d.made).Milliseconds()
+		age := now.Sub(d.measuredAt).Milliseconds()
 		if d.latency != nil {
 			d.latency.AgeMs = age
 			hb.Latency = append(hb.Latency, d.latency)
@@ -142,8 +142,8 @@
 	return hb
 }
 
-// lag is how late a report arrives.
-func lag(rng *rand.Rand) time.Duration {
+// reportLag is how late a report arrives.
+func reportLag(rng *rand.Rand) time.Duration {
 	return 5*time.Second + time.Duration(rng.Int63n(int64(25*time.Second)))
 }
 
@@ -151,12 +151,12 @@
 func (w *worker) report(now time.Time, window time.Duration, rng *rand.Rand) {
 	for _, t := range w.targets {
 		if r := t.report(window); r != nil {
-			w.pending = append(w.pending, delayed{at: now.Add(lag(rng)), made: now, latency: r})
+			w.pending = append(w.pending, delayedReport{arrivesAt: now.Add(reportLag(rng)), measuredAt: now, latency: r})
 		}
 	}
 	for _, t := range w.tasks {
 		u := t.used()
-		w.pending = append(w.pending, delayed{at: now.Add(lag(rng)), made: now, usage: &apiv1.UsageReport{
+		w.pending = append(w.pending, delayedReport{arrivesAt: now.Add(reportLag(rng)), measuredAt: now, usage: &apiv1.UsageReport{
 			Task: &apiv1.TaskAttempt{Task: t.ID, Attempt: t.Attempt},
 			Used: &apiv1.Resources{MilliProcessors: u.MilliProcessors, MemoryBytes: u.MemoryBytes},
 		}})
--- a/place/placebench/latency.go
+++ b/place/placebench/latency.go
@@ -24,19 +24,19 @@
 
 const (
 	// samplesPerTick is how many requests of a second are drawn.
-	samplesPerTick = 24
-	spread         = 0.35
-	// busiest is the load above which requests are refused at once.
-	busiest = 0.95
+	samplesPerTick       = 24
+	serviceTimeDeviation = 0.35
+	// maxUtilization is the load above which requests are refused at once.
+	maxUtilization = 0.95
 )
 
 // outcome sums up what callers of one service saw.
 type outcome struct {
-	histogram *hdrhistogram.Histogram
-	objective float64
-	served    float64
-	refused   float64
-	late      float64
+	histogram    *hdrhistogram.Histogram
+	objective    float64
+	served       float64
+	refused      float64
+	lateRequests float64
 }
 
 func newOutcome(objective float64) *outcome {
@@ -46,28 +46,28 @@
 
 // serve draws a second of requests at a rate and a slowdown.
 func (t *target) serve(perSecond, slowdown float64, out *outcome, rng *rand.Rand) {
-	capacity := slots * milli / (t.service.mean * slowdown)
-	served := min(perSecond, capacity*busiest)
+	capacity := slots * milli / (t.service.meanServiceTime * slowdown)
+	served := min(perSecond, capacity*maxUtilization)
 	out.refused += perSecond - served
-	t.load = served * t.service.mean / (slots * milli * sizedBusy)
+	t.load = served * t.service.meanServiceTime / (slots * milli * peakUtilization)
 	out.served += served
 	if served <= 0 {
 		return
 	}
 	rho := served / capacity
 	waits := erlangC(slots, rho)
-	wait := t.service.mean * slowdown / (slots * (1 - rho))
+	wait := t.service.meanServiceTime * slowdown / (slots * (1 - rho))
 	t.requests += served
 	weight := served / samplesPerTick
 	for range samplesPerTick {
-		ms := t.service.mean * slowdown * math.Exp(spread*rng.NormFloat64()-spread*spread/2)
+		ms := t.service.meanServiceTime * slowdown * math.Exp(serviceTimeDeviation*rng.NormFloat64()-serviceTimeDeviation*serviceTimeDeviation/2)
 		if rng.Float64() < waits {
 			ms += wait * rng.ExpFloat64()
 		}
 		t.window = append(t.window, ms)
 		_ = out.histogram.RecordValues(int64(ms*milli), int64(math.Round(weight*100)))
 		if ms > out.objective {
-			out.late += weight
+			out.lateRequests += weight
 		}
 	}
 }
@@ -101,13 +101,13 @@
 	return r
 }
 
-// idleTail is the p99 without neighbours at a load, from which objectives are set.
-func idleTail(s serviceModel, load float64) float64 {
+// baselineP99 is the p99 without neighbours at a load, from which objectives are set.
+func baselineP99(s serviceModel, load float64) float64 {
 	rng := rand.New(rand.NewSource(1))
 	t := &target{service: s}
 	out := newOutcome(math.Inf(1))
 	for range 2000 {
-		t.serve(load*slots*milli/s.mean, 1, out, rng)
+		t.serve(load*slots*milli/s.meanServiceTime, 1, out, rng)
 	}
 	const us = 1000
 	return float64(out.histogram.ValueAtQuantile(99)) / us
--- a/place/placebench/main.go
+++ b/place/placebench/main.go
@@ -36,14 +36,14 @@
 	parallel := app.Flag("parallel", "Runs at a time.").Default("4").Int()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
-	var cells []*cell
+	var cells []*tableRow
 	for _, d := range deployments {
 		for _, load := range strings.Split(*loads, ",") {
 			value, err := strconv.ParseFloat(load, 64)
 			app.FatalIfError(err, "load %q", load)
 			for _, name := range policyNames {
 				if strings.Contains(name, *only) {
-					cells = append(cells, &cell{d: d, load: value, policy: name, results: make([]*result, len(seedSets[*set]))})
+					cells = append(cells, &tableRow{deployment: d, load: value, policy: name, results: make([]*result, len(seedSets[*set]))})
 				}
 			}
 		}
@@ -52,22 +52,22 @@
 	runs := pool.New().WithMaxGoroutines(*parallel)
 	for _, c := range cells {
 		for i, seed := range seedSets[*set] {
-			runs.Go(func() { c.results[i] = newRun(c.d, c.policy, c.load, *harmful, length, seed).do() })
+			runs.Go(func() { c.results[i] = newRun(c.deployment, c.policy, c.load, *harmful, length, seed).simulate() })
 		}
 	}
 	runs.Wait()
 	printTable(cells)
 }
 
-// cell is one line of the table: the runs of all seeds.
-type cell struct {
-	d       deployment
-	load    float64
-	policy  string
-	results []*result
+// tableRow is one line of the table: the runs of all seeds.
+type tableRow struct {
+	deployment deployment
+	load       float64
+	policy     string
+	results    []*result
 }
 
-func printTable(cells []*cell) {
+func printTable(cells []*tableRow) {
 	fmt.Println("| deployment | load | policy | p50 ms | p99 ms | p99.9 ms | late % | refused % | batch cpu-h/h | tasks/h | evictions/h | lost cpu-h/h | kills/h | throttles/h | starved | urgent p99 s |")
 	fmt.Println("|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|")
 	for _, c := range cells {
@@ -76,7 +76,7 @@
 }
 
 // line sums the seeds up: the first service's histogram merged, counts per hour.
-func (c *cell) line() string {
+func (c *tableRow) line() string {
 	h := hdrhistogram.New(1, 120_000_000, 3)
 	var late, served, refused, finished, hours, lost float64
 	var tasks, evictions, kills, throttles, starved int
@@ -84,16 +84,16 @@
 	for _, r := range c.results {
 		h.Merge(r.outcomes[0].histogram)
 		for _, o := range r.outcomes {
-			late += o.late
+			late += o.lateRequests
 			served += o.served
 			refused += o.refused
 		}
-		finished += r.finished
+		finished += r.finishedWork
 		hours += r.hours
-		lost += r.lost
+		lost += r.lostWork
 		tasks += r.tasks
 		evictions += r.evictions
-		kills += r.kills
+		kills += r.memoryKills
 		throttles += r.throttles
 		starved += r.starved
 		urgent = append(urgent, r.urgent...)
@@ -105,7 +105,7 @@
 		wait = fmt.Sprintf("%.0f", urgent[n*99/100].Seconds())
 	}
 	return fmt.Sprintf("| %s | %.1f | %s | %.0f | %.0f | %.0f | %.2f | %.2f | %.1f | %.0f | %.1f | %.2f | %.1f | %.1f | %d | %s |",
-		c.d.name, c.load, c.policy, ms(50), ms(99), ms(99.9), 100*late/served, 100*refused/(served+refused),
+		c.deployment.name, c.load, c.policy, ms(50), ms(99), ms(99.9), 100*late/served, 100*refused/(served+refused),
 		finished/hours, float64(tasks)/hours, float64(evictions)/hours, lost/hours, float64(kills)/hours,
 		float64(throttles)/hours, starved, wait)
 }
--- a/place/placebench/policies.go
+++ b/place/placebench/policies.go
@@ -23,17 +23,17 @@
 	case "cairnlift":
 		return place.New(place.Config{Seed: seed})
 	case "cairnlift, reclaiming":
-		return place.New(place.Config{Seed: seed, LeastProcessors: 0.3})
+		return place.New(place.Config{Seed: seed, MinProcessorFraction: 0.3})
 	case "first fit":
 		return &baseline{}
 	case "best fit":
-		return &baseline{best: true}
+		return &baseline{bestFit: true}
 	case "best fit, eager guard":
-		return &baseline{best: true, eager: true, over: map[string]time.Time{}}
+		return &baseline{bestFit: true, eager: true, exceededAt: map[string]time.Time{}}
 	case "no batch":
 		return noBatch{}
 	case "services ignored":
-		return ignoring{place.New(place.Config{Seed: seed})}
+		return serviceBlind{place.New(place.Config{Seed: seed})}
 	}
 	panic("no such policy: " + name)
 }
@@ -44,10 +44,10 @@
 func (noBatch) Observe(time.Time, *apiv1.WorkerHeartbeat)         {}
 func (noBatch) Plan(time.Time, *place.Snapshot) (none place.Plan) { return none }
 
-// ignoring is the Placer blind to services: the limit for batch.
-type ignoring struct{ *place.Placer }
+// serviceBlind is the Placer blind to services: the limit for batch.
+type serviceBlind struct{ *place.Placer }
 
-func (p ignoring) Plan(now time.Time, s *place.Snapshot) place.Plan {
+func (p serviceBlind) Plan(now time.Time, s *place.Snapshot) place.Plan {
 	blind := *s
 	blind.Services = nil
 	blind.Workers = make([]*place.Worker, len(s.Workers))
@@ -61,19 +61,19 @@
 
 // baseline places urgent tasks first, then the oldest, by declared size.
 type baseline struct {
-	// best takes the fullest worker with room instead of the first.
-	best bool
+	// bestFit takes the fullest worker with room instead of the first.
+	bestFit bool
 	// eager evicts the newest batch task of a worker for each late report of a
 	// tail over its objective.
 	eager      bool
 	objectives map[string]int64
-	over       map[string]time.Time
+	exceededAt map[string]time.Time
 }
 
 func (b *baseline) Observe(now time.Time, hb *apiv1.WorkerHeartbeat) {
 	for _, l := range hb.GetLatency() {
 		if limit := b.objectives[l.GetService()]; b.eager && limit > 0 && l.GetP99Us() > limit*milli {
-			b.over[hb.GetWorker()] = now
+			b.exceededAt[hb.GetWorker()] = now
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		for _, t := range w.Running {
 			free[i] = free[i].Sub(t.Size)
 		}
-		if b.over[w.Name].Equal(now) {
+		if b.exceededAt[w.Name].Equal(now) {
 			b.evictNewest(w, &plan)
 		}
 	}
@@ -119,7 +119,7 @@
 		if !w.Alive || w.Draining || !t.Size.Fits(free[i]) {
 			continue
 		}
-		if !b.best {
+		if !b.bestFit {
 			return i
 		}
 		if found < 0 || free[i].MilliProcessors < free[found].MilliProcessors {
--- a/place/placebench/workload.go
+++ b/place/placebench/workload.go
@@ -11,21 +11,21 @@
 )
 
 const (
-	urgentPart  = 0.03
-	urgentRun   = 20 * time.Second
-	maxJobTasks = 8
-	poisonPart  = 0.01
-	waveTasks   = 40
-	// hugeJobs can never run.
-	hugeJobs = 3
+	urgentFraction = 0.03
+	urgentRun      = 20 * time.Second
+	maxJobTasks    = 8
+	poisonFraction = 0.01
+	burstTasks     = 40
+	// unplaceableJobs can never run.
+	unplaceableJobs = 3
 )
 
 // workload makes jobs whose true demand is a part of what tasks can have.
 type workload struct {
-	rng    *rand.Rand
-	kinds  []*kindModel
-	rate   float64 // jobs a second
-	number int
+	rng           *rand.Rand
+	kinds         []*kindModel
+	jobsPerSecond float64 // jobs a second
+	lastJob       int
 }
 
 func newWorkload(load float64, kinds []*kindModel, workers []*worker, rng *rand.Rand) *workload {
@@ -43,13 +43,13 @@
 	}
 	const meanTasks = (1.0 + maxJobTasks) / 2
 	tasks := load * min(processors/perTaskProcessors, memory/perTaskMemory)
-	return &workload{rng: rng, kinds: kinds, rate: tasks / meanTasks}
+	return &workload{rng: rng, kinds: kinds, jobsPerSecond: tasks / meanTasks}
 }
 
 // arrivals returns the tasks that are submitted in one second.
 func (l *workload) arrivals(now time.Time) []*task {
 	var out []*task
-	for range poisson(l.rate, l.rng) {
+	for range poisson(l.jobsPerSecond, l.rng) {
 		kind := l.kinds[l.rng.Intn(len(l.kinds))]
 		out = append(out, l.job(now, kind, 1+l.rng.Intn(maxJobTasks))...)
 	}
@@ -57,25 +57,25 @@
 }
 
 func (l *workload) job(now time.Time, k *kindModel, tasks int) []*task {
-	l.number++
-	job := fmt.Sprint("job-", l.number)
-	urgent := l.rng.Float64() < urgentPart
-	poison := l.rng.Float64() < poisonPart
+	l.lastJob++
+	job := fmt.Sprint("job-", l.lastJob)
+	urgent := l.rng.Float64() < urgentFraction
+	poison := l.rng.Float64() < poisonFraction
 	out := make([]*task, tasks)
 	for i := range out {
 		noise := func() float64 { return math.Exp(0.12 * l.rng.NormFloat64()) }
 		t := &task{
-			kind: k, factor: k.sizeFactor * noise(), share: 1, poison: poison,
-			needs: time.Duration(float64(k.run) * k.runFactor * noise()),
+			kind: k, usageFactor: k.sizeFactor * noise(), share: 1, poison: poison,
+			runTime: time.Duration(float64(k.run) * k.runFactor * noise()),
 			Task: place.Task{
-				ID: fmt.Sprint(job, "/", i), Job: job, Kind: k.name, Team: fmt.Sprint("team-", l.number%3),
+				ID: fmt.Sprint(job, "/", i), Job: job, Kind: k.name, Team: fmt.Sprint("team-", l.lastJob%3),
 				Priority: apiv1.Priority_PRIORITY_BATCH, State: apiv1.TaskState_TASK_STATE_QUEUED,
-				Size: k.declared, EvictionCost: k.cost, ExpectedRun: k.run, QueuedAt: now,
+				Size: k.declared, EvictionCost: k.evictionCost, ExpectedRun: k.run, QueuedAt: now,
 			},
 		}
 		if urgent {
 			t.Priority = apiv1.Priority_PRIORITY_URGENT
-			t.ExpectedRun, t.needs = urgentRun, urgentRun
+			t.ExpectedRun, t.runTime = urgentRun, urgentRun
 			t.Kind = "urgent-" + k.name
 		}
 		out[i] = t
@@ -83,8 +83,8 @@
 	return out
 }
 
-// wave is a burst of the noisiest kind.
-func (l *workload) wave(now time.Time, service string) []*task {
+// burst is a burst of the noisiest kind.
+func (l *workload) burst(now time.Time, service string) []*task {
 	noisiest := l.kinds[0]
 	for _, k := range l.kinds {
 		if k.harm[service] > noisiest.harm[service] {
@@ -92,16 +92,16 @@
 		}
 	}
 	var out []*task
-	for len(out) < waveTasks {
+	for len(out) < burstTasks {
 		out = append(out, l.job(now, noisiest, maxJobTasks)...)
 	}
 	return out
 }
 
-// huge are jobs that no worker could hold.
-func (l *workload) huge(now time.Time) []*task {
+// unplaceable are jobs that no worker could hold.
+func (l *workload) unplaceable(now time.Time) []*task {
 	var out []*task
-	for range hugeJobs {
+	for range unplaceableJobs {
 		ts := l.job(now, l.kinds[0], 1)
 		ts[0].Size.MemoryBytes = 1 << 40
 		ts[0].Priority = apiv1.Priority_PRIORITY_URGENT
--- a/place/placer.go
+++ b/place/placer.go
@@ -31,8 +31,8 @@
 	// buckets is the load bucket last reported for each service.
 	buckets  map[string]int
 	syncedAt time.Time
-	// restatedAt is when the throttles in force were last ordered again.
-	restatedAt time.Time
+	// throttlesRepeatedAt is when the throttles in force were last ordered again.
+	throttlesRepeatedAt time.Time
 }
 
 // New returns a Placer that has learnt nothing yet.
@@ -43,12 +43,12 @@
 		rand:        rand.New(rand.NewSource(cfg.Seed)),
 		taskFilters: []taskFilter{feasibleFilter{}, backoffFilter{}, quotaFilter{}},
 		hostFilters: []hostFilter{
-			roomFilter{}, aliveFilter{}, drainingFilter{}, quarantineFilter{}, retryFilter{},
-			guardFilter{}, interferenceFilter{}, probingFilter{},
+			capacityFilter{}, aliveFilter{}, drainingFilter{}, quarantineFilter{}, retryFilter{},
+			protectionFilter{}, interferenceFilter{}, probingFilter{},
 		},
 		scorers:      []scorer{spreadScore{}, interferenceScore{}, fitScore{}},
-		interference: newInterference(cfg.Drift),
-		usage:        newUsage(cfg.LeastProcessors),
+		interference: newInterference(cfg.DecayTime),
+		usage:        newUsage(cfg.MinProcessorFraction),
 		health:       newHealth(),
 		weights:      weightsOf(nil),
 		workers:      make(map[string]*workerState),
@@ -72,11 +72,11 @@
 	r := p.gather(now, s)
 	p.budget.refill(now, r.weights.evictionsPerMinute(r.running, len(r.hosts)))
 	p.preemption.refill(now, r.weights.preemptionsPerMinute(r.running))
-	r.relieve()
-	r.guard()
+	r.reduceOvercommit()
+	r.protectServices()
 	r.applyHolds()
 	r.placeQueued()
-	p.remember(now, &r.plan)
+	p.recordPlan(now, &r.plan)
 	return r.plan
 }
 
@@ -89,7 +89,7 @@
 		}
 		d := r.decide(t)
 		if d.Worker != "" {
-			q.granted(t)
+			q.recordGrant(t)
 		}
 		r.plan.Decisions = append(r.plan.Decisions, d)
 	}
@@ -110,18 +110,18 @@
 		return
 	}
 	if p.syncedAt.IsZero() {
-		p.health.inherit(now, s)
+		p.health.loadFailures(now, s)
 	}
 	p.syncedAt = now
 	for _, w := range s.Workers {
 		for _, t := range w.Running {
-			p.learnOf(now, attemptID{t.ID, t.Attempt}, t, t.GrantedAt)
+			p.recordTask(now, attemptID{t.ID, t.Attempt}, t, t.GrantedAt)
 		}
 	}
 	p.prune(now)
 }
 
-func (p *Placer) learnOf(now time.Time, id attemptID, t *Task, granted time.Time) {
+func (p *Placer) recordTask(now time.Time, id attemptID, t *Task, granted time.Time) {
 	info := p.tasks[id]
 	if info == nil {
 		info = &taskInfo{
@@ -133,13 +133,13 @@
 		}
 		p.tasks[id] = info
 	}
-	info.seen = now
+	info.lastSeen = now
 }
 
-// remember keeps what the plan does until the snapshot shows it.
-func (p *Placer) remember(now time.Time, plan *Plan) {
+// recordPlan keeps what the plan does until the snapshot shows it.
+func (p *Placer) recordPlan(now time.Time, plan *Plan) {
 	for _, g := range plan.Grants {
-		p.learnOf(now, attemptID{g.Task.ID, g.Task.Attempt + 1}, g.Task, now)
+		p.recordTask(now, attemptID{g.Task.ID, g.Task.Attempt + 1}, g.Task, now)
 	}
 	for _, e := range plan.Evictions {
 		p.evicting[attemptID{e.Task, e.Attempt}] = now
@@ -148,26 +148,26 @@
 
 // Memory of what is on its way or gone.
 const (
-	evictMemory = 30 * time.Second
-	taskMemory  = 5 * time.Minute
+	evictionRetention = 30 * time.Second
+	taskRetention     = 5 * time.Minute
 )
 
-// evictedLately reports whether an eviction of the attempt is on its way. It is
+// evictionPending reports whether an eviction of the attempt is on its way. It is
 // not ordered again until that had time to show.
-func (p *Placer) evictedLately(now time.Time, t *Task) bool {
+func (p *Placer) evictionPending(now time.Time, t *Task) bool {
 	at, ok := p.evicting[attemptID{t.ID, t.Attempt}]
-	return ok && now.Sub(at) < evictMemory
+	return ok && now.Sub(at) < evictionRetention
 }
 
 func (p *Placer) prune(now time.Time) {
 	for id, info := range p.tasks {
-		if now.Sub(info.seen) > taskMemory {
+		if now.Sub(info.lastSeen) > taskRetention {
 			delete(p.tasks, id)
 			delete(p.usage.attempts, id)
 		}
 	}
 	for id, at := range p.evicting {
-		if now.Sub(at) > evictMemory {
+		if now.Sub(at) > evictionRetention {
 			delete(p.evicting, id)
 		}
 	}
--- a/place/plan_test.go
+++ b/place/plan_test.go
@@ -53,25 +53,25 @@
 	return s
 }
 
-// sum adds up in floating point, where nothing wraps around.
-type sum struct{ processors, memory, accelerators float64 }
+// floatSum adds up in floating point, where nothing wraps around.
+type floatSum struct{ processors, memory, accelerators float64 }
 
-func (s *sum) add(r Resources) {
+func (s *floatSum) add(r Resources) {
 	s.processors += float64(r.MilliProcessors)
 	s.memory += float64(r.MemoryBytes)
 	s.accelerators += float64(r.Accelerators)
 }
 
-func (s *sum) exceeds(r Resources) bool {
+func (s *floatSum) exceeds(r Resources) bool {
 	return s.processors > float64(r.MilliProcessors) || s.memory > float64(r.MemoryBytes) || s.accelerators > float64(r.Accelerators)
 }
 
 // checkCapacity fails when running tasks and grants exceed a worker or a quota.
 func checkCapacity(t *testing.T, s *Snapshot, plan Plan) {
 	t.Helper()
-	held, workers, teams := map[string]*sum{}, map[string]*Worker{}, map[string]float64{}
+	held, workers, teams := map[string]*floatSum{}, map[string]*Worker{}, map[string]float64{}
 	for _, w := range s.Workers {
-		held[w.Name], workers[w.Name] = &sum{}, w
+		held[w.Name], workers[w.Name] = &floatSum{}, w
 		held[w.Name].add(w.Reserved)
 		for _, task := range w.Running {
 			held[w.Name].add(task.Size)
--- a/place/policy.go
+++ b/place/policy.go
@@ -35,31 +35,31 @@
 	return weights{tail / sum, evictions / sum, batch / sum}
 }
 
-// caution is how many standard deviations an interference bound lies above the mean.
-func (w weights) caution() float64 { return 0.4 + w.tail }
+// boundDeviations is how many standard deviations an interference bound lies above the mean.
+func (w weights) boundDeviations() float64 { return 0.4 + w.tail }
 
 // Levels, as parts of an objective. The weights act through the caution of the
 // bounds, the suspicion, the patience and the budgets, not through these.
 const (
-	// placeLevel is what a predicted tail may reach before a worker is refused
+	// placementThreshold is what a predicted tail may reach before a worker is refused
 	// to a new neighbour.
-	placeLevel = 0.85
-	// guardLevel is where the guard acts. It lies above 1: a service that is at
+	placementThreshold = 0.85
+	// protectionThreshold is where the guard acts. It lies above 1: a service that is at
 	// its objective by the rush alone would have harmless neighbours held down.
-	guardLevel = 1.12
+	protectionThreshold = 1.12
 )
 
-// suspicion is the least believed slowdown (log) that makes a suspect of a neighbour.
-func (w weights) suspicion() float64 { return 0.12 - 0.1*w.tail }
+// suspectSlowdown is the least believed slowdown (log) that makes a suspect of a neighbour.
+func (w weights) suspectSlowdown() float64 { return 0.12 - 0.1*w.tail }
 
-// patience is how long a task is held down before it is evicted instead.
-func (w weights) patience() time.Duration {
+// maxThrottleTime is how long a task is held down before it is evicted instead.
+func (w weights) maxThrottleTime() time.Duration {
 	return time.Duration((0.4 + 3.2*w.evictions) * float64(time.Minute))
 }
 
-// releaseLoss is the longest time since its checkpoint that a task held down may
+// maxWorkLoss is the longest time since its checkpoint that a task held down may
 // lose when it is evicted.
-func (w weights) releaseLoss() time.Duration {
+func (w weights) maxWorkLoss() time.Duration {
 	return time.Duration((1 - w.evictions) * float64(10*time.Minute))
 }
 
--- a/place/preempt.go
+++ b/place/preempt.go
@@ -9,8 +9,8 @@
 
 // Bounds of preemption.
 const (
-	// preemptHold covers the stop of the victims: throttle, checkpoint, confirm.
-	preemptHold = 30 * time.Second
+	// preemptionHoldDuration covers the stop of the victims: throttle, checkpoint, confirm.
+	preemptionHoldDuration = 30 * time.Second
 	// maxVictims bounds the evictions for one urgent task.
 	maxVictims = 8
 	// preemptSample bounds the workers looked at for one urgent task.
@@ -36,7 +36,7 @@
 	seen := 0
 	for i := 0; i < n && seen < preemptSample; i++ {
 		h := r.hosts[(start+i)%n]
-		if h.over || !c.size.Fits(h.empty) || r.judgeBut(c, h, roomFilter{}) != nil {
+		if h.overcommitted || !c.size.Fits(h.allocatable) || r.refusingFilterExcept(c, h, capacityFilter{}) != nil {
 			continue
 		}
 		seen++
@@ -52,7 +52,7 @@
 		r.p.preemption.take()
 		r.evict(t, best.host, "makes room for urgent task "+c.ID)
 	}
-	r.addHold(c, best.host, preemptHold)
+	r.addHold(c, best.host, preemptionHoldDuration)
 	return fmt.Sprintf("waits for room on %s, %d tasks are evicted", best.host.Name, len(best.tasks))
 }
 
@@ -71,7 +71,7 @@
 	}
 	slices.SortStableFunc(tasks, func(a, b *Task) int { return cmp.Compare(costs[a], costs[b]) })
 	v := &victims{host: h}
-	room := r.room(c, h)
+	room := r.freeCapacity(c, h)
 	for _, t := range tasks {
 		if c.size.Fits(room) || len(v.tasks) == maxVictims {
 			break
--- a/place/probe_test.go
+++ b/place/probe_test.go
@@ -9,8 +9,8 @@
 // Symptom: all workers' services are slow at once. Sequence: twenty tasks of a
 // new kind are queued and all start before the first late report. Cause: an
 // unknown pair is placed as freely as a known one.
-func TestUnknownPairIsTriedOnceThenSpread(t *testing.T) {
-	s := newSite(6, "bookings")
+func TestUnknownPairIsProbedBeforeSpreading(t *testing.T) {
+	s := newHarness(6, "bookings")
 	for i := range 20 {
 		s.queue(fmt.Sprint("t", i), "new", "j")
 	}
@@ -19,12 +19,12 @@
 	}
 	for range 12 {
 		s.now = s.now.Add(10 * time.Second)
-		for _, w := range s.snap.Workers {
-			s.beat(w.Name, latency(w.Name, "bookings", 40, 0))
+		for _, w := range s.snapshot.Workers {
+			s.heartbeat(w.Name, latency(w.Name, "bookings", 40, 0))
 		}
 		s.plan()
 	}
-	if n := len(s.snap.Queued); n > 0 {
+	if n := len(s.snapshot.Queued); n > 0 {
 		t.Fatalf("%d tasks of a harmless kind still wait", n)
 	}
 }
@@ -34,18 +34,18 @@
 // Cause: a probe that ended without harm counts for nothing, and each probe time
 // starts one task.
 func TestProbeWithoutReportsCountsAsEvidence(t *testing.T) {
-	s := newSite(6, "bookings")
+	s := newHarness(6, "bookings")
 	for i := range 20 {
 		s.queue(fmt.Sprint("t", i), "new", "j")
 	}
 	for range 7 {
 		s.plan()
-		s.now = s.now.Add(probeTime)
-		for _, w := range s.snap.Workers {
-			s.beat(w.Name, nil)
+		s.now = s.now.Add(probeDuration)
+		for _, w := range s.snapshot.Workers {
+			s.heartbeat(w.Name, nil)
 		}
 	}
-	if n := len(s.snap.Queued); n > 0 {
+	if n := len(s.snapshot.Queued); n > 0 {
 		t.Fatalf("%d tasks still wait after seven probe times", n)
 	}
 }
@@ -53,15 +53,15 @@
 // Symptom: every worker's service suffers from a new kind. Sequence: a task is
 // tried, the first report is over the objective, which alone settles nothing, and
 // the probe time ends. Cause: the probe counts as passed because it is over.
-func TestProbeBesideSufferingServiceDoesNotPass(t *testing.T) {
-	s := newSite(6, "bookings")
+func TestProbeBesideSlowServiceDoesNotPass(t *testing.T) {
+	s := newHarness(6, "bookings")
 	s.plan()
 	s.run("w0", s.queue("t", "new", "j"), Resources{MilliProcessors: 1000})
-	s.now = s.now.Add(probeTime)
-	s.beat("w0", latency("w0", "bookings", 180, 0))
-	r := s.gather(s.now, s.snap)
-	r.kindHosts["new"] = []*host{r.byName["w0"]}
-	if pr := r.probeOf("bookings", "new"); pr.passed != 0 || pr.running != 0 {
+	s.now = s.now.Add(probeDuration)
+	s.heartbeat("w0", latency("w0", "bookings", 180, 0))
+	r := s.gather(s.now, s.snapshot)
+	r.hostsByKind["new"] = []*host{r.hostsByName["w0"]}
+	if pr := r.probeFor("bookings", "new"); pr.passed != 0 || pr.running != 0 {
 		t.Fatalf("%+v", *pr)
 	}
 }
--- a/place/queue.go
+++ b/place/queue.go
@@ -10,14 +10,14 @@
 // queue hands out the queued tasks in the order in which they are placed:
 // urgent before batch, with a floor for batch; starved batch before fair shares.
 type queue struct {
-	urgent, batch []*Task
-	sinceBatch    int
-	floor         int
+	urgent, batch    []*Task
+	urgentSinceBatch int
+	batchFloor       int
 }
 
 func (r *round) newQueue() *queue {
-	q := &queue{floor: r.p.cfg.BatchFloor}
-	for _, t := range r.snap.Queued {
+	q := &queue{batchFloor: r.p.cfg.BatchFloor}
+	for _, t := range r.snapshot.Queued {
 		if t.Priority == apiv1.Priority_PRIORITY_URGENT {
 			q.urgent = append(q.urgent, t)
 			continue
@@ -38,7 +38,7 @@
 
 // next returns the next task, nil at the end.
 func (q *queue) next() *Task {
-	due := q.sinceBatch >= q.floor-1 && len(q.batch) > 0
+	due := q.urgentSinceBatch >= q.batchFloor-1 && len(q.batch) > 0
 	if len(q.urgent) > 0 && !due {
 		t := q.urgent[0]
 		q.urgent = q.urgent[1:]
@@ -52,13 +52,13 @@
 	return t
 }
 
-// granted tells the queue what was placed, for the batch floor.
-func (q *queue) granted(t *Task) {
+// recordGrant tells the queue what was placed, for the batch floor.
+func (q *queue) recordGrant(t *Task) {
 	if t.Priority == apiv1.Priority_PRIORITY_URGENT {
-		q.sinceBatch++
+		q.urgentSinceBatch++
 		return
 	}
-	q.sinceBatch = 0
+	q.urgentSinceBatch = 0
 }
 
 // sortBatch puts starved tasks first, oldest first, and the others in the order
@@ -71,12 +71,12 @@
 		starved++
 	}
 	fair := q.batch[starved:]
-	shares := make(map[string]Resources, len(r.teams))
+	shares := make(map[string]Resources, len(r.teamUsage))
 	keys := make(map[*Task]float64, len(fair))
 	for _, t := range fair {
 		held, ok := shares[t.Team]
 		if !ok {
-			held = r.teams[t.Team]
+			held = r.teamUsage[t.Team]
 		}
 		if sum, fits := held.Add(t.Size); fits {
 			held = sum
@@ -90,7 +90,7 @@
 func (r *round) starved(t *Task) bool { return r.now.Sub(t.QueuedAt) >= r.p.cfg.StarveAfter }
 
 func (r *round) weight(team string) int32 {
-	if t := r.snap.Teams[team]; t != nil && t.Weight > 0 {
+	if t := r.snapshot.Teams[team]; t != nil && t.Weight > 0 {
 		return t.Weight
 	}
 	return 1
--- a/place/queue_test.go
+++ b/place/queue_test.go
@@ -10,9 +10,9 @@
 
 // Symptom: nothing starts any more. Sequence: a job that no worker could hold is
 // at the head of the queue, urgent, before others. Cause: the queue waits for it.
-func TestJobThatCanNeverRunBlocksNothing(t *testing.T) {
-	s := newSite(1)
-	s.snap.Teams = map[string]*Team{"small": {Quota: Resources{MilliProcessors: 500}}}
+func TestUnplaceableJobBlocksNothing(t *testing.T) {
+	s := newHarness(1)
+	s.snapshot.Teams = map[string]*Team{"small": {Quota: Resources{MilliProcessors: 500}}}
 	for _, size := range []Resources{{MilliProcessors: 9000}, {MilliProcessors: 1, Accelerators: 1}, {MilliProcessors: -1}} {
 		task := s.queue(fmt.Sprint(size), "k", fmt.Sprint("never-", size))
 		task.Size, task.Priority = size, apiv1.Priority_PRIORITY_URGENT
@@ -34,7 +34,7 @@
 // and take every hole that opens. Cause: no room is held for the one that has
 // waited longest.
 func TestLargeTaskStartsWithinBound(t *testing.T) {
-	s := newSite(3)
+	s := newHarness(3)
 	const step, longest = 5 * time.Second, 3 * time.Minute
 	large := &Task{}
 	for i := range 400 {
@@ -51,7 +51,7 @@
 			return
 		}
 		s.now = s.now.Add(step)
-		for _, w := range s.snap.Workers {
+		for _, w := range s.snapshot.Workers {
 			for _, task := range w.Running {
 				if s.now.Sub(task.GrantedAt) >= task.ExpectedRun {
 					s.end(w.Name, task.ID)
@@ -66,7 +66,7 @@
 
 // Symptom: urgent tasks wait behind batch, or batch waits for ever behind urgent.
 func TestUrgentFirstWithBatchFloor(t *testing.T) {
-	s := newSite(2)
+	s := newHarness(2)
 	for i := range 40 {
 		s.queue(fmt.Sprint("b", i), "k", "b").QueuedAt = epoch.Add(-time.Hour)
 		s.queue(fmt.Sprint("u", i), "k", "u").Priority = apiv1.Priority_PRIORITY_URGENT
@@ -87,8 +87,8 @@
 
 // Symptom: one team fills the workers. Cause: the queue is served by age alone.
 func TestFairSharesByWeight(t *testing.T) {
-	s := newSite(3)
-	s.snap.Teams = map[string]*Team{"a": {Weight: 2}, "b": {Weight: 1}}
+	s := newHarness(3)
+	s.snapshot.Teams = map[string]*Team{"a": {Weight: 2}, "b": {Weight: 1}}
 	for i := range 48 {
 		task := s.queue(fmt.Sprint("t", i), "k", "j")
 		task.Team = "a"
@@ -108,8 +108,8 @@
 // Symptom: an urgent task waits although batch could give way; or several tasks
 // are evicted for it, and batch takes the room that was made. Sequence: the
 // eviction is confirmed some rounds later. Cause: the room is not held.
-func TestUrgentTaskGetsTheRoomMadeForIt(t *testing.T) {
-	s := newSite(1)
+func TestUrgentTaskGetsPreemptedCapacity(t *testing.T) {
+	s := newHarness(1)
 	for i := range 8 {
 		task := s.queue(fmt.Sprint("b", i), "k", "b")
 		s.run("w0", task, task.Size)
@@ -123,7 +123,7 @@
 	urgent.Priority, urgent.Size.MilliProcessors = apiv1.Priority_PRIORITY_URGENT, 2000
 	s.queue("rival", "k", "r").QueuedAt = epoch.Add(-time.Hour)
 	for round := range 4 {
-		plan := s.Plan(s.now, s.snap)
+		plan := s.Plan(s.now, s.snapshot)
 		if want := map[bool]int{true: 2, false: 0}[round == 0]; len(plan.Evictions) != want {
 			t.Fatalf("round %d: evicted %v", round, plan.Evictions)
 		}
@@ -150,7 +150,7 @@
 // Sequence: a starved task and two urgent ones have room held on one worker, and
 // it opens for one urgent task only. Cause: each leaves the others' holds alone.
 func TestHoldsOnOneWorkerDoNotBlockEachOther(t *testing.T) {
-	s := newSite(1)
+	s := newHarness(1)
 	for i := range 8 {
 		task := s.queue(fmt.Sprint("b", i), "k", "b")
 		s.run("w0", task, task.Size)
@@ -162,7 +162,7 @@
 		urgent := s.queue(fmt.Sprint("u", i), "k", "u")
 		urgent.Priority, urgent.Size.MilliProcessors = apiv1.Priority_PRIORITY_URGENT, 2000
 		s.now = s.now.Add(time.Second)
-		s.Plan(s.now, s.snap)
+		s.Plan(s.now, s.snapshot)
 	}
 	if len(s.Placer.holds) != 3 {
 		t.Fatalf("%d holds", len(s.Placer.holds))
@@ -179,7 +179,7 @@
 // Symptom: the eviction that loses most work is chosen. Each case makes one task
 // cheaper than the other.
 func TestEvictionCostOrders(t *testing.T) {
-	s := newSite(1)
+	s := newHarness(1)
 	base := Task{GrantedAt: epoch, CheckpointedAt: epoch.Add(5 * time.Minute), ExpectedRun: time.Hour, Size: Resources{MilliProcessors: 2000}}
 	now := epoch.Add(10 * time.Minute)
 	for name, dearer := range map[string]func(*Task){
@@ -193,7 +193,7 @@
 	} {
 		cheap, dear := base, base
 		dearer(&dear)
-		r := s.gather(now, s.snap)
+		r := s.gather(now, s.snapshot)
 		if r.evictionCost(&dear) <= r.evictionCost(&cheap) {
 			t.Errorf("%s does not cost more", name)
 		}
@@ -203,15 +203,15 @@
 // Symptom: a worker holds more than it has, or loses more tasks than it must.
 // Sequence: it comes back with less; the stops take several rounds to confirm.
 // Cause: the excess is not evicted, or again in each round until it has stopped.
-func TestShrunkenWorkerShedsOnce(t *testing.T) {
-	s := newSite(1)
+func TestShrunkenWorkerEvictsOnce(t *testing.T) {
+	s := newHarness(1)
 	for i := range 8 {
 		task := s.queue(fmt.Sprint("b", i), "k", "b")
 		s.run("w0", task, task.Size)
 	}
 	s.worker("w0").Capacity.MilliProcessors = 5500
 	for round := range 5 {
-		plan := s.Plan(s.now, s.snap)
+		plan := s.Plan(s.now, s.snapshot)
 		if want := map[bool]int{true: 3, false: 0}[round == 0]; len(plan.Evictions) != want {
 			t.Fatalf("round %d: evicted %v", round, plan.Evictions)
 		}
@@ -223,19 +223,19 @@
 func TestExplainNamesFiltersAndChangesNothing(t *testing.T) {
 	plans := [2]Plan{}
 	for i := range plans {
-		s := newSite(3)
+		s := newHarness(3)
 		s.worker("w0").Draining = true
 		s.worker("w1").Alive = false
 		s.run("w2", s.queue("b", "k", "b"), Resources{MilliProcessors: 8000})
 		urgent := s.queue("u", "k", "u")
 		urgent.Priority = apiv1.Priority_PRIORITY_URGENT
 		for range i {
-			d, ok := s.Explain(s.now, s.snap, "u")
+			d, ok := s.Explain(s.now, s.snapshot, "u")
 			if !ok || d.Worker != "" || d.Refused["draining"]+d.Refused["alive"]+d.Refused["room"] != 3 || len(d.Rejections) != 3 {
 				t.Fatalf("explained as %+v", d)
 			}
 		}
-		plans[i] = s.Plan(s.now, s.snap)
+		plans[i] = s.Plan(s.now, s.snapshot)
 	}
 	if len(plans[0].Evictions) != 1 || fmt.Sprint(plans[0]) != fmt.Sprint(plans[1]) {
 		t.Fatalf("planned %+v, after an explanation %+v", plans[0], plans[1])
--- a/place/resources.go
+++ b/place/resources.go
@@ -23,27 +23,27 @@
 		MemoryBytes:     r.MemoryBytes + o.MemoryBytes,
 		Accelerators:    r.Accelerators + o.Accelerators,
 	}
-	ok := added(r.MilliProcessors, o.MilliProcessors, sum.MilliProcessors) &&
-		added(r.MemoryBytes, o.MemoryBytes, sum.MemoryBytes) &&
-		added(r.Accelerators, o.Accelerators, sum.Accelerators)
+	ok := noOverflow(r.MilliProcessors, o.MilliProcessors, sum.MilliProcessors) &&
+		noOverflow(r.MemoryBytes, o.MemoryBytes, sum.MemoryBytes) &&
+		noOverflow(r.Accelerators, o.Accelerators, sum.Accelerators)
 	return sum, ok
 }
 
-// added reports whether a+b=sum did not wrap around.
-func added(a, b, sum int64) bool {
+// noOverflow reports whether a+b=sum did not wrap around.
+func noOverflow(a, b, sum int64) bool {
 	return (b >= 0) == (sum >= a)
 }
 
 // Sub returns the difference with negative fields set to zero.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{
-		MilliProcessors: rest(r.MilliProcessors, o.MilliProcessors),
-		MemoryBytes:     rest(r.MemoryBytes, o.MemoryBytes),
-		Accelerators:    rest(r.Accelerators, o.Accelerators),
+		MilliProcessors: saturatingSub(r.MilliProcessors, o.MilliProcessors),
+		MemoryBytes:     saturatingSub(r.MemoryBytes, o.MemoryBytes),
+		Accelerators:    saturatingSub(r.Accelerators, o.Accelerators),
 	}
 }
 
-func rest(a, b int64) int64 {
+func saturatingSub(a, b int64) int64 {
 	if b >= a {
 		return 0
 	}
@@ -75,8 +75,8 @@
 		r.MilliProcessors, r.MemoryBytes/mebibyte, r.Accelerators)
 }
 
-// within reports whether r respects a limit whose zero fields are unlimited.
-func (r Resources) within(limit Resources) bool {
+// withinLimit reports whether r respects a limit whose zero fields are unlimited.
+func (r Resources) withinLimit(limit Resources) bool {
 	return underLimit(r.MilliProcessors, limit.MilliProcessors) &&
 		underLimit(r.MemoryBytes, limit.MemoryBytes) &&
 		underLimit(r.Accelerators, limit.Accelerators)
@@ -119,8 +119,8 @@
 	return int64(f)
 }
 
-// halfway is the middle between a size and a larger one.
-func (r Resources) halfway(larger Resources) Resources {
+// midpoint is the middle between a size and a larger one.
+func (r Resources) midpoint(larger Resources) Resources {
 	r.MilliProcessors += (larger.MilliProcessors - r.MilliProcessors) / 2
 	r.MemoryBytes += (larger.MemoryBytes - r.MemoryBytes) / 2
 	return r
--- a/place/round.go
+++ b/place/round.go
@@ -11,76 +11,76 @@
 // host is a worker with what this round has already reserved on it.
 type host struct {
 	*Worker
-	// empty is what tasks could take if none ran.
-	empty Resources
-	free  Resources
+	// allocatable is what tasks could take if none ran.
+	allocatable Resources
+	free        Resources
 	// held is room kept for tasks that wait for it.
 	held Resources
-	// over: the grants exceed what the worker has, after it shrank.
-	over bool
+	// overcommitted: the grants exceed what the worker has, after it shrank.
+	overcommitted bool
 	// granted counts this round's grants.
 	granted int
 	// health is nil for a worker that never failed anything.
 	health *workerHealth
 	// state is nil until the worker's first heartbeat.
-	state *workerState
-	tails []*tail
+	state          *workerState
+	predictedTails []*predictedTail
 }
 
 func (h *host) serves(service string) bool { return slices.Contains(h.Services, service) }
 
-// level is a kind of place that a job's tasks are spread over.
-type level int
+// domainLevel is a kind of place that a job's tasks are spread over.
+type domainLevel int
 
 const (
-	onHost level = iota
-	inRack
-	inZone
+	hostDomain domainLevel = iota
+	rackDomain
+	zoneDomain
 )
 
-// spot names a place that holds tasks of a job.
-type spot struct {
+// jobDomain names a place that holds tasks of a job.
+type jobDomain struct {
 	job   string
-	level level
+	level domainLevel
 	name  string
 }
 
 // round is the working state of one planning round: indices over the snapshot
 // that make one decision cheap, and the reservations made so far.
 type round struct {
-	p       *Placer
-	now     time.Time
-	snap    *Snapshot
-	weights weights
+	p        *Placer
+	now      time.Time
+	snapshot *Snapshot
+	weights  weights
 	// scoreWeights are the scorers' weights under the round's policy.
 	scoreWeights []float64
 	hosts        []*host
-	byName       map[string]*host
+	hostsByName  map[string]*host
 	total        Resources
 	running      int
-	teams        map[string]Resources
-	// spots counts tasks of queued jobs, kindHosts lists where queued kinds run;
+	teamUsage    map[string]Resources
+	// tasksPerDomain counts tasks of queued jobs, hostsByKind lists where queued kinds run;
 	// what no queued task asks for is not indexed.
-	spots      map[spot]int
-	kindHosts  map[string][]*host
-	queuedJobs map[string]bool
-	// trials counts tasks of poisonous jobs started after their backoff.
-	trials    map[string]int
-	estimates map[pair]estimate
-	probes    map[pair]*probe
-	evicted   map[string]bool
-	// refused remembers classes of tasks that no worker has room for. Room only
+	tasksPerDomain map[jobDomain]int
+	hostsByKind    map[string][]*host
+	queuedJobs     map[string]bool
+	// jobRetries counts tasks of poisonous jobs started after their backoff.
+	jobRetries map[string]int
+	estimates  map[interferenceKey]estimate
+	probes     map[interferenceKey]*probe
+	evicted    map[string]bool
+	// refusedClasses remembers classes of tasks that no worker has room for. Room only
 	// shrinks within a round, so the verdict holds to its end.
-	refused map[class]*Decision
-	// holds caches whether some worker could hold a size when empty.
-	holds map[Resources]bool
-	// dry: the round explains and changes nothing.
-	dry  bool
-	plan Plan
+	refusedClasses map[taskClass]*Decision
+	// fitCache caches whether some worker could hold a size when empty.
+	fitCache map[Resources]bool
+	// dryRun: the round explains and changes nothing.
+	dryRun bool
+	plan   Plan
 }
 
-// class groups queued tasks that every worker judges alike.
-type class struct {
+// taskClass groups queued tasks that every worker judges alike.
+type taskClass struct {
 	kind, team string
 	priority   apiv1.Priority
 	size       Resources
@@ -90,21 +90,21 @@
 // gather builds the round's indices from the snapshot.
 func (p *Placer) gather(now time.Time, s *Snapshot) *round {
 	r := &round{
-		p: p, now: now, snap: s,
-		weights:   weightsOf(s.Policy),
-		hosts:     make([]*host, 0, len(s.Workers)),
-		byName:    make(map[string]*host, len(s.Workers)),
-		kindHosts: make(map[string][]*host),
-		teams:     make(map[string]Resources, len(s.Teams)),
-		spots:     make(map[spot]int),
-		trials:    make(map[string]int),
-		estimates: make(map[pair]estimate),
-		probes:    make(map[pair]*probe),
-		evicted:   make(map[string]bool),
-		refused:   make(map[class]*Decision),
-		holds:     make(map[Resources]bool),
+		p: p, now: now, snapshot: s,
+		weights:        weightsOf(s.Policy),
+		hosts:          make([]*host, 0, len(s.Workers)),
+		hostsByName:    make(map[string]*host, len(s.Workers)),
+		hostsByKind:    make(map[string][]*host),
+		teamUsage:      make(map[string]Resources, len(s.Teams)),
+		tasksPerDomain: make(map[jobDomain]int),
+		jobRetries:     make(map[string]int),
+		estimates:      make(map[interferenceKey]estimate),
+		probes:         make(map[interferenceKey]*probe),
+		evicted:        make(map[string]bool),
+		refusedClasses: make(map[taskClass]*Decision),
+		fitCache:       make(map[Resources]bool),
 	}
-	r.noteQueued()
+	r.indexQueued()
 	for _, sc := range p.scorers {
 		r.scoreWeights = append(r.scoreWeights, sc.Weight(r.weights))
 	}
@@ -115,21 +115,21 @@
 	return r
 }
 
-// noteQueued notes which jobs and kinds are queued.
-func (r *round) noteQueued() {
+// indexQueued notes which jobs and kinds are queued.
+func (r *round) indexQueued() {
 	r.queuedJobs = make(map[string]bool)
-	for _, t := range r.snap.Queued {
+	for _, t := range r.snapshot.Queued {
 		r.queuedJobs[t.Job] = true
-		r.kindHosts[t.Kind] = nil
+		r.hostsByKind[t.Kind] = nil
 	}
 }
 
 func (r *round) addHost(w *Worker) {
 	h := &host{
-		Worker: w,
-		empty:  w.Capacity.Sub(w.Reserved),
-		health: r.p.health.workers[w.Name],
-		state:  r.p.workers[w.Name],
+		Worker:      w,
+		allocatable: w.Capacity.Sub(w.Reserved),
+		health:      r.p.health.workers[w.Name],
+		state:       r.p.workers[w.Name],
 	}
 	if h.health != nil {
 		h.health.advance(r.now)
@@ -139,59 +139,59 @@
 		var added bool
 		used, added = used.Add(t.Size)
 		ok = ok && added && t.Size.Valid()
-		r.count(t, t.Size, t.GrantedAt, h)
-		if r.p.evictedLately(r.now, t) {
+		r.indexTask(t, t.Size, t.GrantedAt, h)
+		if r.p.evictionPending(r.now, t) {
 			r.evicted[t.ID] = true
 		}
 	}
-	h.over = !ok || !used.Fits(w.Capacity)
-	if !h.over {
+	h.overcommitted = !ok || !used.Fits(w.Capacity)
+	if !h.overcommitted {
 		h.free = w.Capacity.Sub(used)
 	}
 	r.hosts = append(r.hosts, h)
-	r.byName[w.Name] = h
+	r.hostsByName[w.Name] = h
 	r.running += len(w.Running)
 	// Totals only weigh fair shares; a sum that overflows keeps the last good value.
-	if sum, fits := r.total.Add(h.empty); fits {
+	if sum, fits := r.total.Add(h.allocatable); fits {
 		r.total = sum
 	}
 }
 
-// count books a task in the round's indices by team, place and kind.
-func (r *round) count(t *Task, size Resources, granted time.Time, h *host) {
-	if sum, ok := r.teams[t.Team].Add(size); ok {
-		r.teams[t.Team] = sum
+// indexTask books a task in the round's indices by team, place and kind.
+func (r *round) indexTask(t *Task, size Resources, granted time.Time, h *host) {
+	if sum, ok := r.teamUsage[t.Team].Add(size); ok {
+		r.teamUsage[t.Team] = sum
 	}
 	if r.queuedJobs[t.Job] {
-		r.spots[spot{t.Job, onHost, h.Name}]++
-		r.spots[spot{t.Job, inRack, h.Rack}]++
-		r.spots[spot{t.Job, inZone, h.AvailabilityZone}]++
+		r.tasksPerDomain[jobDomain{t.Job, hostDomain, h.Name}]++
+		r.tasksPerDomain[jobDomain{t.Job, rackDomain, h.Rack}]++
+		r.tasksPerDomain[jobDomain{t.Job, zoneDomain, h.AvailabilityZone}]++
 	}
-	list, queued := r.kindHosts[t.Kind]
+	list, queued := r.hostsByKind[t.Kind]
 	if queued && (len(list) == 0 || list[len(list)-1] != h) {
-		r.kindHosts[t.Kind] = append(list, h)
+		r.hostsByKind[t.Kind] = append(list, h)
 	}
 	if j := r.p.health.jobs[t.Job]; j != nil && !granted.Before(j.notBefore) {
-		r.trials[t.Job]++
+		r.jobRetries[t.Job]++
 	}
 }
 
 // reserve takes room on a host for a task and adds the grant to the plan.
 func (r *round) reserve(c *candidate, h *host) {
-	r.startProbe(c, h)
+	r.recordProbe(c, h)
 	h.free = h.free.Sub(c.size)
 	h.granted++
 	if own := r.p.holds[c.ID]; own != nil {
-		if on := r.byName[own.worker]; on != nil {
+		if on := r.hostsByName[own.worker]; on != nil {
 			on.held = on.held.Sub(own.size)
 		}
 		delete(r.p.holds, c.ID)
 	}
-	r.count(c.Task, c.size, r.now, h)
-	for _, t := range h.tails {
+	r.indexTask(c.Task, c.size, r.now, h)
+	for _, t := range h.predictedTails {
 		added := r.slowdown(t.service, c.Kind, t.bucket).mean
-		t.log += added
-		t.neighbours += added
+		t.logP99 += added
+		t.neighbourSlowdown += added
 	}
 	r.plan.Grants = append(r.plan.Grants, Grant{
 		Task: c.Task, Worker: h.Name, WorkerIncarnation: h.Incarnation, Resources: c.size,
--- a/place/score.go
+++ b/place/score.go
@@ -29,9 +29,9 @@
 
 func (spreadScore) Score(r *round, c *candidate, h *host) float64 {
 	const hostWeight, rackWeight, zoneWeight = 1.0, 0.7, 0.3
-	near := hostWeight*float64(r.spots[spot{c.Job, onHost, h.Name}]) +
-		rackWeight*float64(r.spots[spot{c.Job, inRack, h.Rack}]) +
-		zoneWeight*float64(r.spots[spot{c.Job, inZone, h.AvailabilityZone}])
+	near := hostWeight*float64(r.tasksPerDomain[jobDomain{c.Job, hostDomain, h.Name}]) +
+		rackWeight*float64(r.tasksPerDomain[jobDomain{c.Job, rackDomain, h.Rack}]) +
+		zoneWeight*float64(r.tasksPerDomain[jobDomain{c.Job, zoneDomain, h.AvailabilityZone}])
 	return 1 / (1 + near)
 }
 
@@ -45,10 +45,10 @@
 
 func (interferenceScore) Score(r *round, c *candidate, h *host) float64 {
 	worst := 1.0
-	for _, t := range r.tails(h) {
-		ms, added := r.predict(t, c.Kind)
+	for _, t := range r.predictedTails(h) {
+		ms, added := r.predictWithTask(t, c.Kind)
 		s := 1 / (1 + 4*added)
-		if t.objective > 0 && t.known {
+		if t.objective > 0 && t.measured {
 			headroom := 1 - min(ms/t.objective, 1)
 			s = 0.8*s + 0.2*headroom
 		}
@@ -67,10 +67,10 @@
 
 func (fitScore) Score(_ *round, c *candidate, h *host) float64 {
 	left := h.free.Sub(c.size)
-	full := 1 - left.dominantShare(h.empty)
-	if c.size.Accelerators > 0 || h.empty.Accelerators == 0 {
+	full := 1 - left.dominantShare(h.allocatable)
+	if c.size.Accelerators > 0 || h.allocatable.Accelerators == 0 {
 		return full
 	}
 	const spared = 0.5
-	return full * (1 - spared*ratio(left.Accelerators, h.empty.Accelerators))
+	return full * (1 - spared*ratio(left.Accelerators, h.allocatable.Accelerators))
 }
--- a/place/suspect.go
+++ b/place/suspect.go
@@ -8,37 +8,37 @@
 
 // Bounds of blame.
 const (
-	// minBlame is the least believed slowdown (log) that makes a suspect.
-	minBlame = 0.05
-	// minorBlame is the part of the first suspect's blame below which others
+	// significantSlowdown is the least believed slowdown (log) that makes a suspect.
+	significantSlowdown = 0.05
+	// minSuspectFraction is the part of the first suspect's blame below which others
 	// are left alone.
-	minorBlame = 0.5
+	minSuspectFraction = 0.5
 )
 
 // suspect is a neighbour that may be the cause.
 type suspect struct {
 	task  *Task
 	share int32
-	// blame is the believed slowdown, log scale, with some of the doubt added.
-	blame float64
+	// slowdown is the believed slowdown, log scale, with some of the doubt added.
+	slowdown float64
 }
 
 // suspects returns the neighbours that were there when the tail was measured,
 // the likeliest cause first.
-func (r *round) suspects(h *host, w *watch) []suspect {
+func (r *round) suspects(h *host, w *targetLatency) []suspect {
 	var out []suspect
 	for _, t := range h.Running {
 		id := attemptID{t.ID, t.Attempt}
-		if !r.evictable(t) || !h.state.occupancy.wasThere(id, w.from, w.to) {
+		if !r.evictable(t) || !h.state.occupancy.presentInWindow(id, w.from, w.to) {
 			continue
 		}
-		share := h.state.guard.shareOf(id)
-		if b := r.blame(w.service, t.Kind, share, w.bucket); b >= r.weights.suspicion() {
+		share := h.state.protection.shareOf(id)
+		if b := r.attributedSlowdown(w.service, t.Kind, share, w.bucket); b >= r.weights.suspectSlowdown() {
 			out = append(out, suspect{t, share, b})
 		}
 	}
 	slices.SortFunc(out, func(a, b suspect) int {
-		if c := cmp.Compare(b.blame, a.blame); c != 0 {
+		if c := cmp.Compare(b.slowdown, a.slowdown); c != 0 {
 			return c
 		}
 		return cmp.Compare(a.task.ID, b.task.ID)
@@ -46,10 +46,10 @@
 	return out
 }
 
-func (r *round) blame(service, kind string, share int32, bucket int) float64 {
+func (r *round) attributedSlowdown(service, kind string, share int32, bucket int) float64 {
 	const doubt = 0.25
 	e := r.slowdownAt(service, kind, share, bucket)
-	return upper(e.mean, e.variance, doubt)
+	return upperBound(e.mean, e.variance, doubt)
 }
 
 // cheapestSuspect returns the throttled suspect with the least cost per relief,
@@ -59,10 +59,10 @@
 	least := math.Inf(1)
 	for i := range suspects {
 		s := &suspects[i]
-		if s.share > minShare || s.blame < minorBlame*suspects[0].blame || r.evicted[s.task.ID] {
+		if s.share > minShare || s.slowdown < minSuspectFraction*suspects[0].slowdown || r.evicted[s.task.ID] {
 			continue
 		}
-		if cost := r.evictionCost(s.task) / s.blame; cost < least {
+		if cost := r.evictionCost(s.task) / s.slowdown; cost < least {
 			best, least = s, cost
 		}
 	}
--- a/place/types.go
+++ b/place/types.go
@@ -99,9 +99,9 @@
 	Reason  string
 }
 
-// ReasonStillInForce marks a throttle that is ordered again so that a worker that
+// ReasonStillInEffect marks a throttle that is ordered again so that a worker that
 // lost it takes it up; nothing new was decided.
-const ReasonStillInForce = "still in force"
+const ReasonStillInEffect = "still in force"
 
 // Throttle holds an attempt's processors down; share 1000 ends it.
 type Throttle struct {
--- a/place/usage.go
+++ b/place/usage.go
@@ -45,20 +45,20 @@
 // as factors of what was declared.
 type kindUsage struct {
 	processors, memory, runTime samples
-	// leastProcessors is the smallest factor of a grant's processors.
-	leastProcessors float64
+	// minProcessorFactor is the smallest factor of a grant's processors.
+	minProcessorFactor float64
 	// Quantiles are kept until the samples change: they are read per decision.
-	fresh                         bool
+	cached                        bool
 	processorFactor, memoryFactor float64
 	runFactor                     float64
 }
 
 func (k *kindUsage) refresh() {
-	if k.fresh {
+	if k.cached {
 		return
 	}
-	k.fresh = true
-	k.processorFactor = grantFactor(&k.processors, k.leastProcessors)
+	k.cached = true
+	k.processorFactor = grantFactor(&k.processors, k.minProcessorFactor)
 	k.memoryFactor = grantFactor(&k.memory, 1)
 	k.runFactor = 1
 	if q, ok := k.runTime.quantile(0.5); ok {
@@ -88,35 +88,35 @@
 type usage struct {
 	kinds    map[string]*kindUsage
 	attempts map[attemptID]*attemptUsage
-	// leastProcessors is below 1 when processors that a kind does not use are
+	// minProcessorFactor is below 1 when processors that a kind does not use are
 	// left to others. Memory is never granted below what was declared: a task
 	// that comes to need it would be killed.
-	leastProcessors float64
+	minProcessorFactor float64
 }
 
 func newUsage(leastProcessors float64) *usage {
 	return &usage{
-		kinds:           make(map[string]*kindUsage),
-		attempts:        make(map[attemptID]*attemptUsage),
-		leastProcessors: leastProcessors,
+		kinds:              make(map[string]*kindUsage),
+		attempts:           make(map[attemptID]*attemptUsage),
+		minProcessorFactor: leastProcessors,
 	}
 }
 
 func (u *usage) kind(name string) *kindUsage {
 	k := u.kinds[name]
 	if k == nil {
-		k = &kindUsage{leastProcessors: u.leastProcessors}
+		k = &kindUsage{minProcessorFactor: u.minProcessorFactor}
 		u.kinds[name] = k
 	}
 	return k
 }
 
-// settleAfter is how long an attempt runs before its peak counts although it
+// minObservedTime is how long an attempt runs before its peak counts although it
 // has not ended: long-running watchers would teach nothing otherwise.
-const settleAfter = 60 * time.Second
+const minObservedTime = 60 * time.Second
 
-// report takes in what an attempt was seen to use.
-func (u *usage) report(now time.Time, id attemptID, info *taskInfo, used Resources) {
+// recordUsage takes in what an attempt was seen to use.
+func (u *usage) recordUsage(now time.Time, id attemptID, info *taskInfo, used Resources) {
 	a := u.attempts[id]
 	if a == nil {
 		a = &attemptUsage{since: now}
@@ -125,24 +125,24 @@
 	a.latest = used
 	a.peak.MilliProcessors = max(a.peak.MilliProcessors, used.MilliProcessors)
 	a.peak.MemoryBytes = max(a.peak.MemoryBytes, used.MemoryBytes)
-	if !a.counted && now.Sub(a.since) >= settleAfter {
-		u.count(a, info)
+	if !a.counted && now.Sub(a.since) >= minObservedTime {
+		u.addSamples(a, info)
 	}
 }
 
-// ended closes an attempt; its peak counts if it says anything.
-func (u *usage) ended(id attemptID, info *taskInfo) {
+// recordEnd closes an attempt; its peak counts if it says anything.
+func (u *usage) recordEnd(id attemptID, info *taskInfo) {
 	a := u.attempts[id]
 	if a == nil {
 		return
 	}
 	if !a.counted && info != nil {
-		u.count(a, info)
+		u.addSamples(a, info)
 	}
 	delete(u.attempts, id)
 }
 
-func (u *usage) count(a *attemptUsage, info *taskInfo) {
+func (u *usage) addSamples(a *attemptUsage, info *taskInfo) {
 	a.counted = true
 	k := u.kind(info.kind)
 	if info.declared.MilliProcessors > 0 {
@@ -151,17 +151,17 @@
 	if info.declared.MemoryBytes > 0 {
 		k.memory.add(ratio(a.peak.MemoryBytes, info.declared.MemoryBytes))
 	}
-	k.fresh = false
+	k.cached = false
 }
 
-// ran notes how long a whole, uninterrupted run took.
-func (u *usage) ran(info *taskInfo, took time.Duration) {
+// recordRunTime notes how long a whole, uninterrupted run took.
+func (u *usage) recordRunTime(info *taskInfo, took time.Duration) {
 	if info.expectedRun <= 0 || took <= 0 {
 		return
 	}
 	k := u.kind(info.kind)
 	k.runTime.add(float64(took) / float64(info.expectedRun))
-	k.fresh = false
+	k.cached = false
 }
 
 // size returns what a task of a kind is to be granted for a declared size.
--- a/place/victim.go
+++ b/place/victim.go
@@ -10,26 +10,26 @@
 const (
 	// restartOverhead is what stopping, queueing and resuming costs any task.
 	restartOverhead = 20 * time.Second
-	// nearEnd weighs a task that is almost done: what is evicted at 95% was
+	// nearEndWeight weighs a task that is almost done: what is evicted at 95% was
 	// about to free its room anyway.
-	nearEnd = 3.0
+	nearEndWeight = 3.0
 )
 
 // evictionCost is the work lost by evicting a task: processor-seconds since its
 // last checkpoint, weighed by its kind's cost, by how near its end is, and by
 // how often it was evicted before, so that one task does not pay every time.
 func (r *round) evictionCost(t *Task) float64 {
-	lost := max(r.now.Sub(t.savedAt()), 0) + restartOverhead
+	lost := max(r.now.Sub(t.lastSavedAt()), 0) + restartOverhead
 	const processor = 1000
 	processors := max(float64(t.Size.MilliProcessors)/processor, 1)
 	cost := lost.Seconds() * processors * float64(max(t.EvictionCost, 1))
-	cost *= 1 + nearEnd*r.progress(t)*r.progress(t)
+	cost *= 1 + nearEndWeight*r.progress(t)*r.progress(t)
 	return cost * float64(1+t.Evictions)
 }
 
-// savedAt is since when work of a running attempt would be lost: its last
+// lastSavedAt is since when work of a running attempt would be lost: its last
 // checkpoint, or its grant while it has made none.
-func (t *Task) savedAt() time.Time {
+func (t *Task) lastSavedAt() time.Time {
 	if t.CheckpointedAt.Before(t.GrantedAt) {
 		return t.GrantedAt
 	}
--- a/place/watch.go
+++ b/place/watch.go
@@ -7,16 +7,16 @@
 
 // Bounds of a watch.
 const (
-	// clearlyOver is the factor over the guard level at which one report is
+	// clearExcessFactor is the factor over the guard level at which one report is
 	// enough; a smaller excess has to be seen twice.
-	clearlyOver = 1.25
+	clearExcessFactor = 1.25
 	// smoothing is the weight of a new report in a watch's running means.
 	smoothing    = 0.4
 	reportMaxAge = 2 * time.Minute
 )
 
-// watch is what is known about one target's tail.
-type watch struct {
+// targetLatency is what is known about one target's tail.
+type targetLatency struct {
 	target, service string
 	p99             float64 // milliseconds
 	bucket          int
@@ -27,39 +27,39 @@
 	// residual is the running mean of what neither the service's own latency nor
 	// its neighbours explain (log), such as a slower worker.
 	residual float64
-	// overs counts reports in a row above the guard level.
-	overs int
-	level float64 // guard level it was judged by, milliseconds
+	// consecutiveExceeded counts reports in a row above the guard level.
+	consecutiveExceeded int
+	threshold           float64 // guard level it was judged by, milliseconds
 }
 
-// over reports whether the service is over its objective.
-func (w *watch) over() bool {
-	if w.overs == 0 {
+// exceeded reports whether the service is over its objective.
+func (w *targetLatency) exceeded() bool {
+	if w.consecutiveExceeded == 0 {
 		return false
 	}
-	return w.p99 > w.level*clearlyOver || w.overs >= 2 && w.smoothed > math.Log(w.level)
+	return w.p99 > w.threshold*clearExcessFactor || w.consecutiveExceeded >= 2 && w.smoothed > math.Log(w.threshold)
 }
 
 // recent reports whether the watch still describes the worker.
-func (w *watch) recent(now time.Time) bool { return now.Sub(w.to) <= reportMaxAge }
+func (w *targetLatency) recent(now time.Time) bool { return now.Sub(w.to) <= reportMaxAge }
 
-// judge takes a new measurement against a level in milliseconds.
-func (w *watch) judge(level float64) {
-	w.level = level
+// compare takes a new measurement against a level in milliseconds.
+func (w *targetLatency) compare(level float64) {
+	w.threshold = level
 	if level <= 0 {
-		w.overs = 0
+		w.consecutiveExceeded = 0
 		return
 	}
 	if w.p99 > level {
-		w.overs++
+		w.consecutiveExceeded++
 		return
 	}
-	w.overs = 0
+	w.consecutiveExceeded = 0
 }
 
-// smooth takes a new measurement into the running mean, afresh when the window
+// updateMean takes a new measurement into the running mean, afresh when the window
 // is the first that lies after an action.
-func (w *watch) smooth(fresh bool) {
+func (w *targetLatency) updateMean(fresh bool) {
 	logP99 := math.Log(w.p99)
 	if fresh || w.reports == 0 {
 		w.smoothed, w.reports = logP99, 1
--- a/settings/load.go
+++ b/settings/load.go
@@ -38,13 +38,13 @@
 	return s, nil
 }
 
-// checked is the settings of a daemon.
-type checked interface {
+// daemonSettings is the settings of a daemon.
+type daemonSettings interface {
 	SetDefaults()
 	check(doc *tomltext.Document)
 }
 
-func load(path string, into checked) error {
+func load(path string, into daemonSettings) error {
 	info, err := os.Stat(path)
 	if err != nil {
 		return errors.Wrap(err, "settings can't be read")
@@ -63,7 +63,7 @@
 }
 
 // parse decodes a text, fills in defaults and checks the whole.
-func parse(text []byte, into checked) tomltext.Problems {
+func parse(text []byte, into daemonSettings) tomltext.Problems {
 	doc := tomltext.Parse(text)
 	if problems := doc.Problems(); len(problems) > 0 {
 		return problems
@@ -80,7 +80,7 @@
 // Check returns every mistake of settings that were made in code.
 func (s *Agent) Check() error { return checkValue(s) }
 
-func checkValue(s checked) error {
+func checkValue(s daemonSettings) error {
 	doc := tomltext.Parse(nil)
 	s.check(doc)
 	return doc.Problems().Err()
--- a/settings/rules.go
+++ b/settings/rules.go
@@ -28,19 +28,19 @@
 	minClaimWindow     = time.Second
 	// The state machine keeps no claim for longer than state.MaxClaimWindow: a
 	// longer window would promise what is not kept.
-	maxClaimWindow      = 7 * 24 * time.Hour
-	maxClockRateError   = 100_000
-	maxBodyBytes        = 64 << 20
-	electionRatio       = 3
-	leaseRatio          = 2
-	stalenessHeartbeats = 2
+	maxClaimWindow                  = 7 * 24 * time.Hour
+	maxClockRateError               = 100_000
+	maxBodyBytes                    = 64 << 20
+	minHeartbeatsPerElectionTimeout = 3
+	minElectionTimeoutsPerLease     = 2
+	minHeartbeatsPerStalenessBound  = 2
 )
 
 var hostNamePattern = regexp.MustCompile(`^[a-z0-9]([-.a-z0-9]{0,61}[a-z0-9])?$`)
 
-// sentences explain the rules of the validate tags. One that ends with a space is
+// ruleMessages explain the rules of the validate tags. One that ends with a space is
 // followed by the tag's parameter.
-var sentences = map[string]string{
+var ruleMessages = map[string]string{
 	"required":    "is required",
 	"hostport_ip": "must be an IP number and a port, such as 10.20.0.4:7400; host names are not resolved",
 	"reachable":   "must be an address that other hosts can reach, not 0.0.0.0 or [::]",
@@ -88,14 +88,14 @@
 	}
 	for _, f := range found {
 		_, path, _ := strings.Cut(f.Namespace(), ".")
-		if !doc.Faulty(path) {
-			doc.Add(path, "%s", sentence(f))
+		if !doc.HasProblem(path) {
+			doc.AddProblem(path, "%s", ruleMessage(f))
 		}
 	}
 }
 
-func sentence(f validator.FieldError) string {
-	text, known := sentences[f.Tag()]
+func ruleMessage(f validator.FieldError) string {
+	text, known := ruleMessages[f.Tag()]
 	if !known {
 		return "fails the rule " + f.Tag()
 	}
@@ -107,7 +107,7 @@
 
 // checkRange reports a value outside of its bounds.
 func checkRange[T int64 | time.Duration](doc *tomltext.Document, path string, v, low, high T) {
-	if (v < low || v > high) && !doc.Faulty(path) {
-		doc.Add(path, "%v must be between %v and %v", v, low, high)
+	if (v < low || v > high) && !doc.HasProblem(path) {
+		doc.AddProblem(path, "%v must be between %v and %v", v, low, high)
 	}
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -60,7 +60,7 @@
 
 // Each replacement in a good file is refused at the field named, and at the line
 // that holds it.
-func TestRefuses(t *testing.T) {
+func TestInvalidSettingsAreRefused(t *testing.T) {
 	const control = "data_folder = \"/var/lib/cairnlift\"\n"
 	for _, c := range []struct{ file, old, new, field, message string }{
 		{"entry", "\"10.20.1.4:8080\"", "\"civic.local:8080\"", "caller_address", "host names are not resolved"},
@@ -131,7 +131,7 @@
 }
 
 // A file with many mistakes names them all in one run, as file:line: field.
-func TestReportsAll(t *testing.T) {
+func TestAllMistakesAreReported(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "entry.toml")
 	text := "name = 3\ncaller_address = \"x\"\nadmin_adress = \"y\"\n[control]\nelection_timeout = \"1ms\"\n"
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -152,7 +152,7 @@
 }
 
 // Settings made in code are held to the same rules.
-func TestCheck(t *testing.T) {
+func TestCheckAppliesToSettingsMadeInCode(t *testing.T) {
 	s, err := LoadEntry(filepath.Join(examples, "wrekinford", "entry-civic.toml"))
 	if err != nil || s.Check() != nil {
 		t.Fatal(err, s.Check())
--- a/spec/diff.go
+++ b/spec/diff.go
@@ -12,9 +12,9 @@
 
 // What a change does.
 const (
-	Add    Action = "add"
-	Remove Action = "remove"
-	Change Action = "change"
+	ActionAdd    Action = "add"
+	ActionRemove Action = "remove"
+	ActionChange Action = "change"
 )
 
 // FieldChange is one key that differs; a value is empty where the key is not set.
@@ -38,9 +38,9 @@
 func (c ItemChange) String() string {
 	title := strings.TrimSpace(c.Table + " " + c.Name)
 	switch c.Action {
-	case Add:
+	case ActionAdd:
 		return "+ " + title
-	case Remove:
+	case ActionRemove:
 		return "- " + title
 	}
 	lines := []string{"~ " + title}
@@ -73,16 +73,16 @@
 		after[key] = true
 		was, existed := before[key]
 		if !existed {
-			changes = append(changes, ItemChange{Action: Add, Table: i.table, Name: i.name})
+			changes = append(changes, ItemChange{Action: ActionAdd, Table: i.table, Name: i.name})
 			continue
 		}
 		if fields := diffFields(was.fields, i.fields); len(fields) > 0 {
-			changes = append(changes, ItemChange{Action: Change, Table: i.table, Name: i.name, Fields: fields})
+			changes = append(changes, ItemChange{Action: ActionChange, Table: i.table, Name: i.name, Fields: fields})
 		}
 	}
 	for _, i := range items(old) {
 		if !after[itemKey{i.table, i.name}] {
-			changes = append(changes, ItemChange{Action: Remove, Table: i.table, Name: i.name})
+			changes = append(changes, ItemChange{Action: ActionRemove, Table: i.table, Name: i.name})
 		}
 	}
 	return changes
--- a/spec/format.go
+++ b/spec/format.go
@@ -33,7 +33,7 @@
 		if n > 0 {
 			b.WriteByte('\n')
 		}
-		b.WriteString(header(i.table))
+		b.WriteString(formatHeader(i.table))
 		for _, f := range i.fields {
 			b.WriteString(f.key + " = " + f.value + "\n")
 		}
@@ -41,7 +41,7 @@
 	return []byte(b.String())
 }
 
-func header(table string) string {
+func formatHeader(table string) string {
 	if table == tablePolicy {
 		return "[" + table + "]\n"
 	}
@@ -69,16 +69,16 @@
 
 func policyItem(p *apiv1.Policy) item {
 	i := item{table: tablePolicy}
-	i.add("tail_latency", number(p.TailLatency))
-	i.add("evictions", number(p.Evictions))
-	i.add("batch_throughput", number(p.BatchThroughput))
+	i.add("tail_latency", formatNumber(p.TailLatency))
+	i.add("evictions", formatNumber(p.Evictions))
+	i.add("batch_throughput", formatNumber(p.BatchThroughput))
 	return i
 }
 
 func teamItem(t *apiv1.Team) item {
 	i := item{table: "team", name: t.Name}
 	i.add("name", strconv.Quote(t.Name))
-	i.add("weight", number(t.Weight))
+	i.add("weight", formatNumber(t.Weight))
 	i.addIf(t.Quota != nil, "quota", formatSize(t.Quota))
 	return i
 }
@@ -86,13 +86,13 @@
 func serviceItem(s *apiv1.Service) item {
 	i := item{table: "service", name: s.Name}
 	i.add("name", strconv.Quote(s.Name))
-	i.add("paths", list(s.PathPrefixes))
+	i.add("paths", formatList(s.PathPrefixes))
 	i.add("objective", strconv.Quote(formatDuration(s.ObjectiveMs)))
 	i.add("timeout", strconv.Quote(formatDuration(s.TimeoutMs)))
-	i.add("slots", number(s.Slots))
-	i.add("connections", number(s.Connections))
+	i.add("slots", formatNumber(s.Slots))
+	i.add("connections", formatNumber(s.Connections))
 	i.add("size", formatSize(s.Size))
-	i.addIf(len(s.DependsOn) > 0, "depends_on", list(s.DependsOn))
+	i.addIf(len(s.DependsOn) > 0, "depends_on", formatList(s.DependsOn))
 	i.addIf(s.Team != "", "team", strconv.Quote(s.Team))
 	i.addIf(len(s.IdempotentRoutes) > 0, "idempotent", formatRoutes(s.IdempotentRoutes))
 	return i
@@ -102,14 +102,14 @@
 	i := item{table: "job", name: j.Name}
 	i.add("name", strconv.Quote(j.Name))
 	i.add("kind", strconv.Quote(j.Kind))
-	i.add("tasks", number(j.Tasks))
+	i.add("tasks", formatNumber(j.Tasks))
 	i.add("size", formatSize(j.Size))
 	i.add("expected_run", strconv.Quote(formatDuration(j.ExpectedRunMs)))
 	i.addIf(j.Team != "", "team", strconv.Quote(j.Team))
 	i.add("priority", formatPriority(j.Priority))
-	i.addIf(len(j.DependsOn) > 0, "depends_on", list(j.DependsOn))
-	i.add("max_failures", number(j.MaxFailures))
-	i.add("eviction_cost", number(j.EvictionCost))
+	i.addIf(len(j.DependsOn) > 0, "depends_on", formatList(j.DependsOn))
+	i.add("max_failures", formatNumber(j.MaxFailures))
+	i.add("eviction_cost", formatNumber(j.EvictionCost))
 	return i
 }
 
@@ -141,10 +141,10 @@
 	for i, r := range routes {
 		texts[i] = strings.TrimPrefix(r.Method+" "+r.PathPrefix, " ")
 	}
-	return list(texts)
+	return formatList(texts)
 }
 
-func list(values []string) string {
+func formatList(values []string) string {
 	quoted := make([]string, len(values))
 	for i, v := range values {
 		quoted[i] = strconv.Quote(v)
@@ -152,4 +152,4 @@
 	return "[" + strings.Join(quoted, ", ") + "]"
 }
 
-func number(n int32) string { return strconv.FormatInt(int64(n), 10) }
+func formatNumber(n int32) string { return strconv.FormatInt(int64(n), 10) }
--- a/spec/graph.go
+++ b/spec/graph.go
@@ -41,11 +41,11 @@
 	finished
 )
 
-// walk visits everything that each name depends on before the name itself. It
+// topologicalSort visits everything that each name depends on before the name itself. It
 // returns the names in that order and one cycle per edge that closes one, of
 // which there may be too many to list all. It keeps its own stack: a chain of
 // 50,000 jobs is a valid text.
-func (g *graph) walk() (order []string, cycles [][]string) {
+func (g *graph) topologicalSort() (order []string, cycles [][]string) {
 	state := map[string]visit{}
 	next := map[string]int{}
 	for _, root := range g.names {
@@ -70,7 +70,7 @@
 				path = append(path, dep)
 			case onPath:
 				if len(cycles) < tomltext.MaxProblems {
-					cycles = append(cycles, cycleOf(path, dep))
+					cycles = append(cycles, closedCycle(path, dep))
 				}
 			}
 		}
@@ -78,8 +78,8 @@
 	return order, cycles
 }
 
-// cycleOf returns the part of path from name on, closed with name.
-func cycleOf(path []string, name string) []string {
+// closedCycle returns the part of path from name on, closed with name.
+func closedCycle(path []string, name string) []string {
 	return append(slices.Clone(path[slices.Index(path, name):]), name)
 }
 
@@ -91,22 +91,22 @@
 	return strings.Join(cycle, " -> ")
 }
 
-// Order returns the names of all services and jobs so that each comes after
+// DependencyOrder returns the names of all services and jobs so that each comes after
 // everything it depends on.
-func Order(c *apiv1.Configuration) []string {
-	order, _ := newGraph(c).walk()
+func DependencyOrder(c *apiv1.Configuration) []string {
+	order, _ := newGraph(c).topologicalSort()
 	return order
 }
 
 func (p *parser) checkDependencies() {
-	for _, ref := range p.deps {
-		if _, known := p.places[ref.name]; !known {
-			p.doc.Add(ref.path, "there is no service or job with the name %q", tomltext.Shorten(ref.name))
+	for _, ref := range p.dependencyRefs {
+		if _, known := p.tablePaths[ref.name]; !known {
+			p.doc.AddProblem(ref.path, "there is no service or job with the name %q", tomltext.Shorten(ref.name))
 		}
 	}
-	_, cycles := p.knownGraph().walk()
+	_, cycles := p.knownGraph().topologicalSort()
 	for _, cycle := range cycles {
-		p.doc.Add(p.places[cycle[0]]+".depends_on", "the dependencies form a cycle: %s", formatCycle(cycle))
+		p.doc.AddProblem(p.tablePaths[cycle[0]]+".depends_on", "the dependencies form a cycle: %s", formatCycle(cycle))
 	}
 }
 
@@ -119,7 +119,7 @@
 		if name == "" {
 			continue
 		}
-		known := slices.DeleteFunc(slices.Clone(all.edges[name]), func(dep string) bool { return p.places[dep] == "" })
+		known := slices.DeleteFunc(slices.Clone(all.edges[name]), func(dep string) bool { return p.tablePaths[dep] == "" })
 		g.add(name, known)
 	}
 	return g
--- a/spec/job.go
+++ b/spec/job.go
@@ -26,7 +26,7 @@
 	j.DependsOn = p.dependsOn(t)
 	j.MaxFailures = int32(integer(t, "max_failures", 1, maxFailuresLimit, defaultMaxFailures))
 	j.EvictionCost = int32(integer(t, "eviction_cost", 1, maxWeight, defaultEvictionCost))
-	t.RefuseUnknown()
+	t.RejectUnknownKeys()
 	p.config.Jobs = append(p.config.Jobs, j)
 }
 
@@ -37,7 +37,7 @@
 		return name
 	}
 	if !validName(k) {
-		t.Add("kind", "%q %s", tomltext.Shorten(k), nameRule)
+		t.AddProblem("kind", "%q %s", tomltext.Shorten(k), nameRule)
 	}
 	return k
 }
@@ -50,7 +50,7 @@
 	case s == "urgent":
 		return apiv1.Priority_PRIORITY_URGENT
 	}
-	t.Add("priority", "%q must be \"batch\" or \"urgent\"", tomltext.Shorten(s))
+	t.AddProblem("priority", "%q must be \"batch\" or \"urgent\"", tomltext.Shorten(s))
 	return apiv1.Priority_PRIORITY_UNSPECIFIED
 }
 
@@ -62,30 +62,30 @@
 		return ""
 	}
 	if !validName(name) {
-		t.Add("name", "%q %s", tomltext.Shorten(name), nameRule)
+		t.AddProblem("name", "%q %s", tomltext.Shorten(name), nameRule)
 		return ""
 	}
-	if first, taken := p.places[name]; taken {
-		t.Add("name", "%s %q is declared twice; the first is on line %d", what, name, p.doc.Line(first))
+	if first, taken := p.tablePaths[name]; taken {
+		t.AddProblem("name", "%s %q is declared twice; the first is on line %d", what, name, p.doc.Line(first))
 		return ""
 	}
-	p.places[name] = t.Path("")
+	p.tablePaths[name] = t.Path("")
 	return name
 }
 
 func (p *parser) dependsOn(t *tomltext.Table) []string {
 	names := t.Strings("depends_on")
 	if len(names) > maxDependencies {
-		t.Add("depends_on", "there are %d names, more than the %d allowed", len(names), maxDependencies)
+		t.AddProblem("depends_on", "there are %d names, more than the %d allowed", len(names), maxDependencies)
 		return nil
 	}
 	seen := map[string]bool{}
 	for _, name := range names {
 		if seen[name] {
-			t.Add("depends_on", "%q is named twice", tomltext.Shorten(name))
+			t.AddProblem("depends_on", "%q is named twice", tomltext.Shorten(name))
 		}
 		seen[name] = true
-		p.deps = append(p.deps, reference{path: t.Path("depends_on"), name: name})
+		p.dependencyRefs = append(p.dependencyRefs, reference{path: t.Path("depends_on"), name: name})
 	}
 	return names
 }
@@ -102,31 +102,31 @@
 	require(t, "name")
 	team := &apiv1.Team{Weight: int32(integer(t, "weight", 1, maxWeight, defaultWeight))}
 	if quota, ok := t.Table("quota"); ok {
-		team.Quota = size(quota, sizeRules{partial: true, factor: maxQuotaFactor})
+		team.Quota = size(quota, sizeRules{optionalAmounts: true, limitFactor: maxQuotaFactor})
 	}
 	name, ok := t.String("name")
 	switch {
 	case ok && !validName(name):
-		t.Add("name", "%q %s", tomltext.Shorten(name), nameRule)
+		t.AddProblem("name", "%q %s", tomltext.Shorten(name), nameRule)
 	case ok && p.teams[name]:
-		t.Add("name", "team %q is declared twice", name)
+		t.AddProblem("name", "team %q is declared twice", name)
 	}
 	team.Name = name
 	p.teams[name] = true
-	t.RefuseUnknown()
+	t.RejectUnknownKeys()
 	p.config.Teams = append(p.config.Teams, team)
 }
 
 func (p *parser) checkTeams() {
 	for _, ref := range p.teamRefs {
 		if !p.teams[ref.name] {
-			p.doc.Add(ref.path, "there is no [[team]] with the name %q", tomltext.Shorten(ref.name))
+			p.doc.AddProblem(ref.path, "there is no [[team]] with the name %q", tomltext.Shorten(ref.name))
 		}
 	}
 }
 
 func (p *parser) checkTasks() {
 	if p.tasks > maxTasks {
-		p.doc.Add("job", "the jobs have %d tasks together, more than the %d allowed", p.tasks, maxTasks)
+		p.doc.AddProblem("job", "the jobs have %d tasks together, more than the %d allowed", p.tasks, maxTasks)
 	}
 }
--- a/spec/policy.go
+++ b/spec/policy.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	presetTailLatency = "tail-latency"
-	presetEvictions   = "evictions"
-	wholePercent      = 100
+	presetTailLatency  = "tail-latency"
+	presetEvictions    = "evictions"
+	totalWeightPercent = 100
 )
 
 var presetNames = []string{presetTailLatency, presetEvictions}
 
 var weightKeys = []string{"tail_latency", "evictions", "batch_throughput"}
 
-// preset returns the weights behind a preset's name in percent, nil for an
+// presetPolicy returns the weights behind a preset's name in percent, nil for an
 // unknown one.
-func preset(name string) *apiv1.Policy {
+func presetPolicy(name string) *apiv1.Policy {
 	switch name {
 	case presetTailLatency:
 		return place.TailLatencyPolicy()
@@ -31,23 +31,23 @@
 }
 
 func (p *parser) policy(root *tomltext.Table) {
-	p.config.Policy = preset(defaultPreset)
+	p.config.Policy = presetPolicy(defaultPreset)
 	t, ok := root.Table("policy")
 	if !ok {
 		return
 	}
 	name, named := t.String("preset")
 	weights := weights(t)
-	t.RefuseUnknown()
+	t.RejectUnknownKeys()
 	switch {
 	case t.Has("preset") && weights != nil:
-		t.Add("preset", "can't be combined with weights")
+		t.AddProblem("preset", "can't be combined with weights")
 	case weights != nil:
 		p.config.Policy = weights
-	case named && preset(name) == nil:
-		t.Add("preset", "%q must be one of %s", tomltext.Shorten(name), strings.Join(presetNames, ", "))
+	case named && presetPolicy(name) == nil:
+		t.AddProblem("preset", "%q must be one of %s", tomltext.Shorten(name), strings.Join(presetNames, ", "))
 	case named:
-		p.config.Policy = preset(name)
+		p.config.Policy = presetPolicy(name)
 	}
 }
 
@@ -59,14 +59,14 @@
 		if t.Has(key) {
 			set++
 		}
-		values[i] = int32(integer(t, key, 0, wholePercent, 0))
+		values[i] = int32(integer(t, key, 0, totalWeightPercent, 0))
 	}
 	if set == 0 {
 		return nil
 	}
 	w := &apiv1.Policy{TailLatency: values[0], Evictions: values[1], BatchThroughput: values[2]}
-	if sum := w.TailLatency + w.Evictions + w.BatchThroughput; sum != wholePercent {
-		t.Add("", "the weights %s make %d percent, not 100", strings.Join(weightKeys, ", "), sum)
+	if sum := w.TailLatency + w.Evictions + w.BatchThroughput; sum != totalWeightPercent {
+		t.AddProblem("", "the weights %s make %d percent, not 100", strings.Join(weightKeys, ", "), sum)
 	}
 	return w
 }
--- a/spec/service.go
+++ b/spec/service.go
@@ -29,13 +29,13 @@
 	s.Slots = int32(integer(t, "slots", 1, maxSlots, 0))
 	s.Connections = int32(integer(t, "connections", 1, maxSlots, 0))
 	if s.Slots > 0 && s.Connections > 0 && s.Connections < s.Slots {
-		t.Add("connections", "%d can't fill the %s of a target", s.Connections, plural(int(s.Slots), "slot"))
+		t.AddProblem("connections", "%d can't fill the %s of a target", s.Connections, plural(int(s.Slots), "slot"))
 	}
 	s.Size = requiredSize(t)
 	s.DependsOn = p.dependsOn(t)
 	s.Team = p.teamOf(t)
 	s.IdempotentRoutes = routes(t, s.PathPrefixes)
-	t.RefuseUnknown()
+	t.RejectUnknownKeys()
 	p.config.Services = append(p.config.Services, s)
 }
 
@@ -46,7 +46,7 @@
 	}
 	ms, ok := duration(t, "timeout", maxTimeout)
 	if ok && ms < objectiveMs {
-		t.Add("timeout", "%s is shorter than the objective, %s", formatDuration(ms), formatDuration(objectiveMs))
+		t.AddProblem("timeout", "%s is shorter than the objective, %s", formatDuration(ms), formatDuration(objectiveMs))
 	}
 	return ms
 }
@@ -56,18 +56,18 @@
 	if !ok {
 		return nil
 	}
-	return size(sub, sizeRules{factor: 1})
+	return size(sub, sizeRules{limitFactor: 1})
 }
 
 func (p *parser) pathPrefixes(t *tomltext.Table, service string) []string {
 	prefixes := t.Strings("paths")
 	if t.Has("paths") && (len(prefixes) == 0 || len(prefixes) > maxPathPrefixes) {
-		t.Add("paths", "must name between 1 and %d path prefixes", maxPathPrefixes)
+		t.AddProblem("paths", "must name between 1 and %d path prefixes", maxPathPrefixes)
 		return nil
 	}
 	for _, prefix := range prefixes {
-		if mistake := pathMistake(prefix); mistake != "" {
-			t.Add("paths", "%q %s", tomltext.Shorten(prefix), mistake)
+		if mistake := pathProblem(prefix); mistake != "" {
+			t.AddProblem("paths", "%q %s", tomltext.Shorten(prefix), mistake)
 			continue
 		}
 		p.prefixes = append(p.prefixes, prefixOwner{path: t.Path("paths"), service: service, prefix: prefix})
@@ -75,8 +75,8 @@
 	return prefixes
 }
 
-// pathMistake says what is wrong with a path prefix; empty when nothing is.
-func pathMistake(path string) string {
+// pathProblem says what is wrong with a path prefix; empty when nothing is.
+func pathProblem(path string) string {
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return "must start with a slash"
@@ -86,13 +86,13 @@
 		return "must not hold empty, . or .. segments"
 	case strings.HasSuffix(path, "/..") || strings.HasSuffix(path, "/."):
 		return "must not hold empty, . or .. segments"
-	case strings.ContainsFunc(path, notPathRune):
+	case strings.ContainsFunc(path, invalidPathRune):
 		return "may hold letters, digits and -._~!$&'()*+,;=:@%/ only"
 	}
 	return ""
 }
 
-func notPathRune(r rune) bool {
+func invalidPathRune(r rune) bool {
 	letter := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 	return !letter && !strings.ContainsRune("-._~!$&'()*+,;=:@%/", r)
 }
@@ -101,17 +101,17 @@
 func routes(t *tomltext.Table, prefixes []string) []*apiv1.Route {
 	texts := t.Strings("idempotent")
 	if len(texts) > maxRoutes {
-		t.Add("idempotent", "there are %d routes, more than the %d allowed", len(texts), maxRoutes)
+		t.AddProblem("idempotent", "there are %d routes, more than the %d allowed", len(texts), maxRoutes)
 		return nil
 	}
 	var out []*apiv1.Route
 	for _, text := range texts {
 		r, mistake := parseRoute(text)
-		if mistake == "" && !underAny(r.PathPrefix, prefixes) {
+		if mistake == "" && !matchesAnyPrefix(r.PathPrefix, prefixes) {
 			mistake = "lies under none of the service's paths"
 		}
 		if mistake != "" {
-			t.Add("idempotent", "%q %s", tomltext.Shorten(text), mistake)
+			t.AddProblem("idempotent", "%q %s", tomltext.Shorten(text), mistake)
 			continue
 		}
 		out = append(out, r)
@@ -127,16 +127,16 @@
 	if found && !slices.Contains(methods, method) {
 		return nil, "must start with a method (" + strings.Join(methods, ", ") + ") or a path"
 	}
-	return &apiv1.Route{Method: method, PathPrefix: path}, pathMistake(path)
+	return &apiv1.Route{Method: method, PathPrefix: path}, pathProblem(path)
 }
 
-func underAny(path string, prefixes []string) bool {
-	return slices.ContainsFunc(prefixes, func(prefix string) bool { return under(path, prefix) })
+func matchesAnyPrefix(path string, prefixes []string) bool {
+	return slices.ContainsFunc(prefixes, func(prefix string) bool { return matchesPrefix(path, prefix) })
 }
 
-// under reports whether the prefix of a path ends at one of its segments, which
+// matchesPrefix reports whether the prefix of a path ends at one of its segments, which
 // is how entries match requests to services.
-func under(path, prefix string) bool {
+func matchesPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimRight(prefix, "/"))
 	return ok && (rest == "" || rest[0] == '/')
 }
@@ -150,7 +150,7 @@
 		key := strings.TrimRight(o.prefix, "/")
 		first, taken := owners[key]
 		if taken {
-			p.doc.Add(o.path, "%q clashes with %q of service %q (line %d)", o.prefix, first.prefix, first.service, p.doc.Line(first.path))
+			p.doc.AddProblem(o.path, "%q clashes with %q of service %q (line %d)", o.prefix, first.prefix, first.service, p.doc.Line(first.path))
 			continue
 		}
 		owners[key] = o
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -47,14 +47,14 @@
 type parser struct {
 	doc    *tomltext.Document
 	config *apiv1.Configuration
-	// places holds the path of each service's and job's table.
-	places map[string]string
-	teams  map[string]bool
+	// tablePaths holds the path of each service's and job's table.
+	tablePaths map[string]string
+	teams      map[string]bool
 	// teamRefs, deps and prefixes hold what is checked once all tables are read.
-	teamRefs []reference
-	deps     []reference
-	prefixes []prefixOwner
-	tasks    int64
+	teamRefs       []reference
+	dependencyRefs []reference
+	prefixes       []prefixOwner
+	tasks          int64
 }
 
 // reference is a name that the key at path refers to.
@@ -64,7 +64,7 @@
 type prefixOwner struct{ path, service, prefix string }
 
 func (p *parser) parse() {
-	p.places = map[string]string{}
+	p.tablePaths = map[string]string{}
 	p.teams = map[string]bool{}
 	root := p.doc.Root()
 	services := p.tables(root, "service", maxServices)
@@ -80,7 +80,7 @@
 		p.job(t)
 	}
 	p.policy(root)
-	root.RefuseUnknown()
+	root.RejectUnknownKeys()
 	p.checkTasks()
 	p.checkTeams()
 	p.checkPrefixes()
@@ -91,7 +91,7 @@
 func (p *parser) tables(root *tomltext.Table, key string, limit int) []*tomltext.Table {
 	tables := root.Tables(key)
 	if len(tables) > limit {
-		root.Add(key, "there are %d [[%s]] tables, more than the %d allowed", len(tables), key, limit)
+		root.AddProblem(key, "there are %d [[%s]] tables, more than the %d allowed", len(tables), key, limit)
 		return nil
 	}
 	return tables
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -13,7 +13,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-const goodService = `[[service]]
+const validService = `[[service]]
 name = "bookings"
 paths = ["/b"]
 objective = "80ms"
@@ -22,13 +22,13 @@
 size = { processors = 1.5, memory = "16GB" }
 `
 
-const goodJob = `[[job]]
+const validJob = `[[job]]
 name = "renewal"
 size = { processors = 1, memory = "1GiB" }
 expected_run = "1h30m"
 `
 
-func with(text, old, new string) string {
+func replaceOnce(text, old, new string) string {
 	if !strings.Contains(text, old) {
 		panic("no such part: " + old)
 	}
@@ -36,8 +36,8 @@
 }
 
 // Each text is refused at the line and field named, and gives no configuration.
-func TestParseRefuses(t *testing.T) {
-	both := goodService + goodJob
+func TestParseRejectsInvalidText(t *testing.T) {
+	both := validService + validJob
 	for _, c := range []struct {
 		name, text, field, message string
 		line                       int
@@ -48,45 +48,45 @@
 		{"huge", strings.Repeat("#", MaxTextBytes+1), "", "more than the 4MiB", 0},
 		{"not utf-8", "a = \"\xff\"", "", "UTF-8", 1},
 		{"unknown table", "\n[[servise]]\n", "servise", "not a known key", 2},
-		{"unknown key", goodService + "timeuot = \"1s\"\n", "service[0].timeuot", "not a known key", 8},
-		{"unknown size", with(goodJob, "memory", "disk"), "job[0].size.disk", "not a known key", 3},
+		{"unknown key", validService + "timeuot = \"1s\"\n", "service[0].timeuot", "not a known key", 8},
+		{"unknown size", replaceOnce(validJob, "memory", "disk"), "job[0].size.disk", "not a known key", 3},
 		{"not a table", "service = 3\n", "service", "array of tables", 1},
-		{"no name", with(goodJob, "name", "kind"), "job[0].name", "required", 1},
-		{"bad name", with(goodJob, "renewal", "Renewal Run"), "job[0].name", "lower case", 2},
-		{"name twice", both + with(goodJob, "renewal", "bookings"), "job[1].name", "first is on line 1", 13},
+		{"no name", replaceOnce(validJob, "name", "kind"), "job[0].name", "required", 1},
+		{"bad name", replaceOnce(validJob, "renewal", "Renewal Run"), "job[0].name", "lower case", 2},
+		{"name twice", both + replaceOnce(validJob, "renewal", "bookings"), "job[1].name", "first is on line 1", 13},
 		{"team twice", "[[team]]\nname = \"a\"\n[[team]]\nname = \"a\"\n", "team[1].name", "twice", 4},
-		{"unknown team", goodJob + "team = \"x\"\n", "job[0].team", "no [[team]]", 5},
-		{"unknown dependency", goodJob + "depends_on = [\"x\"]\n", "job[0].depends_on", `no service or job with the name "x"`, 5},
-		{"depends on itself", goodJob + "depends_on = [\"renewal\"]\n", "job[0].depends_on", "cycle: renewal -> renewal", 5},
-		{"cycle", goodService + "depends_on = [\"renewal\"]\n" + goodJob + "depends_on = [\"bookings\"]\n",
+		{"unknown team", validJob + "team = \"x\"\n", "job[0].team", "no [[team]]", 5},
+		{"unknown dependency", validJob + "depends_on = [\"x\"]\n", "job[0].depends_on", `no service or job with the name "x"`, 5},
+		{"depends on itself", validJob + "depends_on = [\"renewal\"]\n", "job[0].depends_on", "cycle: renewal -> renewal", 5},
+		{"cycle", validService + "depends_on = [\"renewal\"]\n" + validJob + "depends_on = [\"bookings\"]\n",
 			"service[0].depends_on", "cycle: bookings -> renewal -> bookings", 8},
-		{"same path", goodService + with(with(goodService, "bookings", "two"), `"/b"`, `"/b/"`), "service[1].paths", `clashes with "/b" of service "bookings" (line 3)`, 10},
-		{"relative path", with(goodService, "/b", "b"), "service[0].paths", "start with a slash", 3},
-		{"dots in path", with(goodService, "/b", "/b/.."), "service[0].paths", "segments", 3},
-		{"query in path", with(goodService, "/b", "/b?x"), "service[0].paths", "only", 3},
-		{"no path", with(goodService, `"/b"`, ""), "service[0].paths", "between 1", 3},
-		{"bare memory", with(goodService, `"16GB"`, "16"), "service[0].size.memory", "must be a string, not an integer", 7},
-		{"memory overflow", with(goodService, "16GB", "9223372036854775807TB"), "service[0].size.memory", "no amount", 7},
-		{"memory beyond bound", with(goodService, "16GB", "2000TiB"), "service[0].size.memory", "at most", 7},
-		{"no memory", with(goodService, "16GB", "0GB"), "service[0].size.memory", "above 0", 7},
-		{"no processors", with(goodJob, "= 1,", "= 0,"), "job[0].size.processors", "above 0", 3},
-		{"negative processors", with(goodJob, "= 1,", "= -1,"), "job[0].size.processors", "above 0", 3},
-		{"processors not a number", with(goodJob, "= 1,", "= nan,"), "job[0].size.processors", "above 0", 3},
-		{"infinite processors", with(goodJob, "= 1,", "= inf,"), "job[0].size.processors", "above 0", 3},
-		{"processors too fine", with(goodJob, "= 1,", "= 1.0005,"), "job[0].size.processors", "steps of 0.001", 3},
-		{"negative accelerators", with(goodJob, "= 1,", "= 1, accelerators = -1,"), "job[0].size.accelerators", "between 0", 3},
-		{"no duration", with(goodJob, "1h30m", "soon"), "job[0].expected_run", "no duration", 4},
-		{"negative duration", with(goodJob, "1h30m", "-1h"), "job[0].expected_run", "between 1ms", 4},
-		{"below a millisecond", with(goodService, "80ms", "1.5ms"), "service[0].objective", "whole milliseconds", 4},
-		{"timeout below objective", goodService + "timeout = \"79ms\"\n", "service[0].timeout", "shorter than the objective", 8},
-		{"few connections", with(goodService, "64", "7"), "service[0].connections", "can't fill the 8 slots", 6},
-		{"tasks", goodJob + "tasks = 100001\n", "job[0].tasks", "between 1 and 100000", 5},
+		{"same path", validService + replaceOnce(replaceOnce(validService, "bookings", "two"), `"/b"`, `"/b/"`), "service[1].paths", `clashes with "/b" of service "bookings" (line 3)`, 10},
+		{"relative path", replaceOnce(validService, "/b", "b"), "service[0].paths", "start with a slash", 3},
+		{"dots in path", replaceOnce(validService, "/b", "/b/.."), "service[0].paths", "segments", 3},
+		{"query in path", replaceOnce(validService, "/b", "/b?x"), "service[0].paths", "only", 3},
+		{"no path", replaceOnce(validService, `"/b"`, ""), "service[0].paths", "between 1", 3},
+		{"bare memory", replaceOnce(validService, `"16GB"`, "16"), "service[0].size.memory", "must be a string, not an integer", 7},
+		{"memory overflow", replaceOnce(validService, "16GB", "9223372036854775807TB"), "service[0].size.memory", "no amount", 7},
+		{"memory beyond bound", replaceOnce(validService, "16GB", "2000TiB"), "service[0].size.memory", "at most", 7},
+		{"no memory", replaceOnce(validService, "16GB", "0GB"), "service[0].size.memory", "above 0", 7},
+		{"no processors", replaceOnce(validJob, "= 1,", "= 0,"), "job[0].size.processors", "above 0", 3},
+		{"negative processors", replaceOnce(validJob, "= 1,", "= -1,"), "job[0].size.processors", "above 0", 3},
+		{"processors not a number", replaceOnce(validJob, "= 1,", "= nan,"), "job[0].size.processors", "above 0", 3},
+		{"infinite processors", replaceOnce(validJob, "= 1,", "= inf,"), "job[0].size.processors", "above 0", 3},
+		{"processors too fine", replaceOnce(validJob, "= 1,", "= 1.0005,"), "job[0].size.processors", "steps of 0.001", 3},
+		{"negative accelerators", replaceOnce(validJob, "= 1,", "= 1, accelerators = -1,"), "job[0].size.accelerators", "between 0", 3},
+		{"no duration", replaceOnce(validJob, "1h30m", "soon"), "job[0].expected_run", "no duration", 4},
+		{"negative duration", replaceOnce(validJob, "1h30m", "-1h"), "job[0].expected_run", "between 1ms", 4},
+		{"below a millisecond", replaceOnce(validService, "80ms", "1.5ms"), "service[0].objective", "whole milliseconds", 4},
+		{"timeout below objective", validService + "timeout = \"79ms\"\n", "service[0].timeout", "shorter than the objective", 8},
+		{"few connections", replaceOnce(validService, "64", "7"), "service[0].connections", "can't fill the 8 slots", 6},
+		{"tasks", validJob + "tasks = 100001\n", "job[0].tasks", "between 1 and 100000", 5},
 		{"all tasks", manyJobs(11, "tasks = 100000\n"), "job", "1100000 tasks together", 1},
 		{"jobs", strings.Repeat("[[job]]\n", maxJobs+1), "job", "50001 [[job]] tables", 1},
-		{"priority", goodJob + "priority = \"high\"\n", "job[0].priority", "batch", 5},
-		{"route outside", goodService + "idempotent = [\"GET /a\"]\n", "service[0].idempotent", "under none", 8},
-		{"route beside", goodService + "idempotent = [\"GET /bc\"]\n", "service[0].idempotent", "under none", 8},
-		{"route method", goodService + "idempotent = [\"LOOK /b\"]\n", "service[0].idempotent", "method", 8},
+		{"priority", validJob + "priority = \"high\"\n", "job[0].priority", "batch", 5},
+		{"route outside", validService + "idempotent = [\"GET /a\"]\n", "service[0].idempotent", "under none", 8},
+		{"route beside", validService + "idempotent = [\"GET /bc\"]\n", "service[0].idempotent", "under none", 8},
+		{"route method", validService + "idempotent = [\"LOOK /b\"]\n", "service[0].idempotent", "method", 8},
 		{"preset", "[policy]\npreset = \"fast\"\n", "policy.preset", "tail-latency, evictions", 2},
 		{"preset and weights", "[policy]\npreset = \"evictions\"\nevictions = 100\n", "policy.preset", "combined", 2},
 		{"weights", "[policy]\nevictions = 90\n", "policy", "90 percent", 1},
@@ -109,14 +109,14 @@
 func manyJobs(n int, extra string) string {
 	var b strings.Builder
 	for i := range n {
-		b.WriteString(with(goodJob, "renewal", fmt.Sprintf("job-%d", i)) + extra)
+		b.WriteString(replaceOnce(validJob, "renewal", fmt.Sprintf("job-%d", i)) + extra)
 	}
 	return b.String()
 }
 
 // Every mistake is reported in one run, in the order of the lines.
-func TestParseReportsAll(t *testing.T) {
-	_, problems := Parse([]byte(with(goodService, "16GB", "x") + "team = \"x\"\n" + with(goodJob, "1h30m", "x") + "depends_on = [\"x\"]\ncost = 1\n"))
+func TestParseReportsAllMistakes(t *testing.T) {
+	_, problems := Parse([]byte(replaceOnce(validService, "16GB", "x") + "team = \"x\"\n" + replaceOnce(validJob, "1h30m", "x") + "depends_on = [\"x\"]\ncost = 1\n"))
 	var fields []string
 	for _, p := range problems {
 		fields = append(fields, p.Field)
@@ -127,8 +127,8 @@
 	}
 }
 
-// checkCompiled holds for every configuration that Parse returns.
-func checkCompiled(t *testing.T, c *apiv1.Configuration) {
+// checkRoundTrip holds for every configuration that Parse returns.
+func checkRoundTrip(t *testing.T, c *apiv1.Configuration) {
 	t.Helper()
 	again, problems := Parse(Format(c))
 	if len(problems) > 0 {
@@ -142,7 +142,7 @@
 		t.Fatalf("equal configurations differ: %v", changes)
 	}
 	position := map[string]int{}
-	order := Order(c)
+	order := DependencyOrder(c)
 	for i, name := range order {
 		position[name] = i
 	}
@@ -168,7 +168,7 @@
 		if len(problems) > 0 {
 			t.Fatalf("%s:\n%v", file, problems)
 		}
-		checkCompiled(t, config)
+		checkRoundTrip(t, config)
 		var sum int32
 		for _, j := range config.Jobs {
 			sum += j.Tasks
@@ -180,8 +180,8 @@
 }
 
 func TestDiff(t *testing.T) {
-	old, _ := Parse([]byte(goodService + goodJob))
-	changed := with(with(goodService, "80ms", "90ms"), "1.5", "2") + "team = \"a\"\n[[team]]\nname = \"a\"\n"
+	old, _ := Parse([]byte(validService + validJob))
+	changed := replaceOnce(replaceOnce(validService, "80ms", "90ms"), "1.5", "2") + "team = \"a\"\n[[team]]\nname = \"a\"\n"
 	new, problems := Parse([]byte(changed))
 	if len(problems) > 0 {
 		t.Fatal(problems)
@@ -203,7 +203,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(goodService + goodJob + "depends_on = [\"bookings\"]\n"))
+	f.Add([]byte(validService + validJob + "depends_on = [\"bookings\"]\n"))
 	f.Add([]byte("[[team]]\nname = \"a\"\nquota = {}\n[policy]\nevictions = 100\n"))
 	f.Add([]byte("a.\"b.c\" = [{ d = [1, { e = 2 }] }]\n[[x]]\n[x.y]\nz = 1979-05-27\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -212,7 +212,7 @@
 			t.Fatalf("configuration %v with problems %v", config, problems)
 		}
 		if config != nil {
-			checkCompiled(t, config)
+			checkRoundTrip(t, config)
 		}
 	})
 }
@@ -221,7 +221,7 @@
 func BenchmarkParse(b *testing.B) {
 	var text strings.Builder
 	for i := range 10_000 {
-		text.WriteString(with(goodJob, "renewal", fmt.Sprintf("job-%d", i)))
+		text.WriteString(replaceOnce(validJob, "renewal", fmt.Sprintf("job-%d", i)))
 		if i > 0 {
 			fmt.Fprintf(&text, "depends_on = [\"job-%d\"]\n", i-1)
 		}
--- a/spec/units.go
+++ b/spec/units.go
@@ -70,11 +70,11 @@
 	}
 	d, err := time.ParseDuration(s)
 	if err != nil {
-		t.Add(key, "%q is no duration; write it like \"250ms\", \"2s\" or \"1h30m\"", tomltext.Shorten(s))
+		t.AddProblem(key, "%q is no duration; write it like \"250ms\", \"2s\" or \"1h30m\"", tomltext.Shorten(s))
 		return 0, false
 	}
 	if d < time.Millisecond || d > limit || d%time.Millisecond != 0 {
-		t.Add(key, "%v must be whole milliseconds between 1ms and %v", d, limit)
+		t.AddProblem(key, "%v must be whole milliseconds between 1ms and %v", d, limit)
 		return 0, false
 	}
 	return d.Milliseconds(), true
@@ -87,7 +87,7 @@
 		return fallback
 	}
 	if n < low || n > high {
-		t.Add(key, "%d must be between %d and %d", n, low, high)
+		t.AddProblem(key, "%d must be between %d and %d", n, low, high)
 		return fallback
 	}
 	return n
@@ -95,25 +95,25 @@
 
 // sizeRules says which amounts a size table may hold.
 type sizeRules struct {
-	// partial sizes may leave out processors and memory.
-	partial bool
-	// factor multiplies the largest amounts.
-	factor int64
+	// optionalAmounts sizes may leave out processors and memory.
+	optionalAmounts bool
+	// limitFactor multiplies the largest amounts.
+	limitFactor int64
 }
 
 func size(t *tomltext.Table, rules sizeRules) *apiv1.Resources {
 	r := &apiv1.Resources{}
-	if !rules.partial {
+	if !rules.optionalAmounts {
 		require(t, "processors", "memory")
 	}
 	if v, ok := t.Float("processors"); ok {
-		r.MilliProcessors = processors(t, v, maxProcessors*rules.factor)
+		r.MilliProcessors = processors(t, v, maxProcessors*rules.limitFactor)
 	}
 	if s, ok := t.String("memory"); ok {
-		r.MemoryBytes = memory(t, s, maxMemoryBytes*rules.factor)
+		r.MemoryBytes = memory(t, s, maxMemoryBytes*rules.limitFactor)
 	}
-	r.Accelerators = integer(t, "accelerators", 0, maxAccelerators*rules.factor, 0)
-	t.RefuseUnknown()
+	r.Accelerators = integer(t, "accelerators", 0, maxAccelerators*rules.limitFactor, 0)
+	t.RejectUnknownKeys()
 	return r
 }
 
@@ -121,7 +121,7 @@
 	scaled := math.Round(v * milli)
 	// The comparison is written so that NaN fails it as well.
 	if !(v > 0 && v <= float64(limit)) || math.Abs(v*milli-scaled) > 1e-6*milli || scaled < 1 {
-		t.Add("processors", "%v must be above 0, at most %d, in steps of 0.001", v, limit)
+		t.AddProblem("processors", "%v must be above 0, at most %d, in steps of 0.001", v, limit)
 		return 0
 	}
 	return int64(scaled)
@@ -130,11 +130,11 @@
 func memory(t *tomltext.Table, s string, limit int64) int64 {
 	n, ok := parseBytes(s)
 	if !ok {
-		t.Add("memory", "%q is no amount of memory; write it like \"512MiB\" or \"16GB\"", tomltext.Shorten(s))
+		t.AddProblem("memory", "%q is no amount of memory; write it like \"512MiB\" or \"16GB\"", tomltext.Shorten(s))
 		return 0
 	}
 	if n < 1 || n > limit {
-		t.Add("memory", "%s must be above 0 and at most %s", s, formatBytes(limit))
+		t.AddProblem("memory", "%s must be above 0 and at most %s", s, formatBytes(limit))
 		return 0
 	}
 	return n
@@ -144,7 +144,7 @@
 func require(t *tomltext.Table, keys ...string) {
 	for _, key := range keys {
 		if !t.Has(key) {
-			t.Add(key, "is required")
+			t.AddProblem(key, "is required")
 		}
 	}
 }
--- a/state/bench_test.go
+++ b/state/bench_test.go
@@ -26,32 +26,32 @@
 	return jobs
 }
 
-// grown is a machine with n workers and twice the tasks that they hold, one half
+// loadedMachine is a machine with n workers and twice the tasks that they hold, one half
 // granted.
-type grown struct {
+type loadedMachine struct {
 	*Machine
 	workers int
 	jobs    []*apiv1.Job
-	// other is an equal copy of jobs, as a submission that was decoded anew brings.
-	other []*apiv1.Job
+	// nextJobs is an equal copy of jobs, as a submission that was decoded anew brings.
+	nextJobs []*apiv1.Job
 }
 
-func (g *grown) do(cmd *apiv1.Command) *apiv1.Result { return g.Apply(g.index+1, cmd) }
+func (g *loadedMachine) applyNext(cmd *apiv1.Command) *apiv1.Result { return g.Apply(g.index+1, cmd) }
 
-func (g *grown) task(i int) string {
+func (g *loadedMachine) task(i int) string {
 	return fmt.Sprintf("%s@1/%d", g.jobs[i/benchTasksPerJob%len(g.jobs)].Name, i%benchTasksPerJob)
 }
 
-func (g *grown) worker(i int) string { return fmt.Sprintf("worker-%05d", i%g.workers) }
+func (g *loadedMachine) worker(i int) string { return fmt.Sprintf("worker-%05d", i%g.workers) }
 
-func (g *grown) place(i int) *apiv1.Command {
+func (g *loadedMachine) place(i int) *apiv1.Command {
 	return &apiv1.Command{Body: &apiv1.Command_Place{Place: &apiv1.Place{Grants: []*apiv1.Grant{{
 		Task: g.task(i), Attempt: g.tasks[g.task(i)].attempt + 1, Worker: g.worker(i / benchTasksPerWorker), WorkerIncarnation: 1,
 		Resources: &apiv1.Resources{MilliProcessors: 1000, MemoryBytes: 1 << 30},
 	}}}}}
 }
 
-func (g *grown) end(i int, kind apiv1.EndKind) *apiv1.Command {
+func (g *loadedMachine) end(i int, kind apiv1.EndKind) *apiv1.Command {
 	t := g.tasks[g.task(i)]
 	return &apiv1.Command{Body: &apiv1.Command_RecordTasks{RecordTasks: &apiv1.RecordTasks{
 		Worker: t.worker.name, WorkerIncarnation: 1,
@@ -59,25 +59,25 @@
 	}}}
 }
 
-func grow(workers int) *grown {
+func newLoadedMachine(workers int) *loadedMachine {
 	jobs := 2 * workers * benchTasksPerWorker / benchTasksPerJob
-	g := &grown{Machine: New(), workers: workers, jobs: benchJobs(jobs), other: benchJobs(jobs)}
+	g := &loadedMachine{Machine: New(), workers: workers, jobs: benchJobs(jobs), nextJobs: benchJobs(jobs)}
 	g.submit(1)
 	for i := range workers {
-		g.do(&apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
+		g.applyNext(&apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
 			Worker: g.worker(i), Incarnation: 1, Region: "sto", AvailabilityZone: "sto-a", Rack: "r1",
 			Capacity: &apiv1.Resources{MilliProcessors: 64000, MemoryBytes: 250 << 30},
 		}}})
 	}
 	for i := range workers * benchTasksPerWorker {
-		g.do(g.place(i))
+		g.applyNext(g.place(i))
 	}
 	return g
 }
 
-func (g *grown) submit(n int) {
-	g.jobs, g.other = g.other, g.jobs
-	g.do(&apiv1.Command{Body: &apiv1.Command_Submit{Submit: &apiv1.Submit{
+func (g *loadedMachine) submit(n int) {
+	g.jobs, g.nextJobs = g.nextJobs, g.jobs
+	g.applyNext(&apiv1.Command{Body: &apiv1.Command_Submit{Submit: &apiv1.Submit{
 		SubmissionId: fmt.Sprint("s", n), BaseVersion: g.configuration.Version,
 		Configuration: &apiv1.Configuration{Jobs: g.jobs, TextDigest: fmt.Sprint(n)},
 	}}})
@@ -101,26 +101,26 @@
 // BenchmarkApply times one command of each kind against the number of workers.
 func BenchmarkApply(b *testing.B) {
 	for _, n := range benchSizes {
-		kinds := map[string]func(g *grown, i int){
-			"place+end": func(g *grown, i int) {
+		kinds := map[string]func(g *loadedMachine, i int){
+			"place+end": func(g *loadedMachine, i int) {
 				k := g.workers*benchTasksPerWorker + i%(g.workers*benchTasksPerWorker)
-				g.do(g.place(k))
-				g.do(g.end(k, apiv1.EndKind_END_KIND_STOPPED))
+				g.applyNext(g.place(k))
+				g.applyNext(g.end(k, apiv1.EndKind_END_KIND_STOPPED))
 			},
-			"register": func(g *grown, i int) {
-				g.do(&apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
+			"register": func(g *loadedMachine, i int) {
+				g.applyNext(&apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
 					Worker: g.worker(i), Incarnation: 1, Capacity: &apiv1.Resources{MilliProcessors: 64000, MemoryBytes: 250 << 30},
 				}}})
 			},
-			"claim+settle": func(g *grown, i int) {
-				g.do(claimCommand(i % MaxClaims))
-				g.do(settleCommand(i % MaxClaims))
+			"claim+settle": func(g *loadedMachine, i int) {
+				g.applyNext(claimCommand(i % MaxClaims))
+				g.applyNext(settleCommand(i % MaxClaims))
 			},
-			"submit": func(g *grown, i int) { g.submit(i + 2) },
+			"submit": func(g *loadedMachine, i int) { g.submit(i + 2) },
 		}
 		for _, kind := range sortedKeys(kinds) {
 			b.Run(fmt.Sprintf("%s/workers=%d", kind, n), func(b *testing.B) {
-				g := grow(n)
+				g := newLoadedMachine(n)
 				b.ReportAllocs()
 				b.ResetTimer()
 				for i := range b.N {
@@ -134,7 +134,7 @@
 // BenchmarkSnapshot times snapshot and restore, and reports the size.
 func BenchmarkSnapshot(b *testing.B) {
 	for _, n := range benchSizes {
-		g := grow(n)
+		g := newLoadedMachine(n)
 		data, err := g.Snapshot()
 		if err != nil {
 			b.Fatal(err)
@@ -159,9 +159,9 @@
 func BenchmarkHeap(b *testing.B) {
 	const count = 20000
 	for kind, f := range map[string]func(m *Machine){
-		"worker": func(m *Machine) { grow0(m, count, 0) },
-		"task":   func(m *Machine) { grow0(m, 0, count) },
-		"job":    func(m *Machine) { m.adopt(&apiv1.Configuration{Jobs: benchJobs(count)}) },
+		"worker": func(m *Machine) { registerAndQueue(m, count, 0) },
+		"task":   func(m *Machine) { registerAndQueue(m, 0, count) },
+		"job":    func(m *Machine) { m.applyConfiguration(&apiv1.Configuration{Jobs: benchJobs(count)}) },
 		"claim": func(m *Machine) {
 			for i := range count {
 				m.Apply(m.index+1, claimCommand(i))
@@ -186,7 +186,7 @@
 	}
 }
 
-func grow0(m *Machine, workers, tasks int) {
+func registerAndQueue(m *Machine, workers, tasks int) {
 	for i := range workers {
 		m.Apply(m.index+1, &apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
 			Worker: fmt.Sprintf("worker-%05d", i), Incarnation: 1, Region: "sto", AvailabilityZone: "sto-a", Rack: "r1",
@@ -194,7 +194,7 @@
 		}}})
 	}
 	if tasks > 0 {
-		m.adopt(&apiv1.Configuration{Jobs: []*apiv1.Job{{Name: "renewal-run", Tasks: int32(tasks)}}})
+		m.applyConfiguration(&apiv1.Configuration{Jobs: []*apiv1.Job{{Name: "renewal-run", Tasks: int32(tasks)}}})
 	}
 }
 
--- a/state/claims.go
+++ b/state/claims.go
@@ -40,18 +40,18 @@
 		return refuseClaim(apiv1.Reason_REASON_BAD_REQUEST, nil)
 	}
 	standing := m.claims.byKey[claimKey{c.Service, c.Key}]
-	if standing != nil && standing.forgottenAt() <= m.timeMs {
+	if standing != nil && standing.deletionTime() <= m.timeMs {
 		// Clean-up is behind; the key counts as forgotten already.
-		m.claims.forget(standing)
+		m.claims.remove(standing)
 		standing = nil
 	}
 	if standing == nil {
-		return m.firstClaim(c)
+		return m.claimNewKey(c)
 	}
-	return m.nextClaim(standing.record, c)
+	return m.claimKnownKey(standing.record, c)
 }
 
-func (m *Machine) firstClaim(c *apiv1.Claim) *apiv1.Result {
+func (m *Machine) claimNewKey(c *apiv1.Claim) *apiv1.Result {
 	window := claimWindow(c).Milliseconds()
 	switch {
 	case c.KeyTimeMs != 0 && c.KeyTimeMs <= m.timeMs-window:
@@ -86,21 +86,21 @@
 	r.Outcome = apiv1.Outcome_OUTCOME_UNSPECIFIED
 	r.Reason = apiv1.Reason_REASON_UNSPECIFIED
 	r.SettledIndex = 0
-	r.ClaimedMs = m.stampMs
+	r.ClaimedMs = m.commandTimeMs
 	r.ClaimedClockTerm = m.clockTerm
 }
 
-// standingAge returns how long ago the standing attempt was claimed, at least
+// currentAttemptAge returns how long ago the standing attempt was claimed, at least
 // one millisecond; 0 when another leader's clock was read then.
-func (m *Machine) standingAge(r *apiv1.ClaimRecord) int64 {
+func (m *Machine) currentAttemptAge(r *apiv1.ClaimRecord) int64 {
 	if r.ClaimedClockTerm == 0 || r.ClaimedClockTerm != m.clockTerm {
 		return 0
 	}
-	return max(0, m.stampMs-r.ClaimedMs) + 1
+	return max(0, m.commandTimeMs-r.ClaimedMs) + 1
 }
 
-// nextClaim judges a claim of a key that stands.
-func (m *Machine) nextClaim(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
+// claimKnownKey judges a claim of a key that stands.
+func (m *Machine) claimKnownKey(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	switch {
 	case !bytes.Equal(r.RequestDigest, c.RequestDigest):
 		// The standing answer belongs to another request and is not shown.
@@ -112,12 +112,12 @@
 	case r.Settled && r.Outcome == apiv1.Outcome_OUTCOME_NOT_RUN:
 		return m.reclaim(r, c)
 	case r.Settled:
-		return m.standingClaim(r, r.Reason)
+		return m.conflictingClaim(r, r.Reason)
 	case sameClaim(r, c):
 		// The claimant's own resend: its first answer was lost.
 		return grantClaim(apiv1.Verdict_VERDICT_REPEATED)
 	}
-	return m.standingClaim(r, apiv1.Reason_REASON_KEY_IN_PROGRESS)
+	return m.conflictingClaim(r, apiv1.Reason_REASON_KEY_IN_PROGRESS)
 }
 
 // replaceClaim opens the next attempt in place of one that was proven not run.
@@ -127,11 +127,11 @@
 func (m *Machine) replaceClaim(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	switch {
 	case r.Settled:
-		return m.standingClaim(r, r.Reason)
+		return m.conflictingClaim(r, r.Reason)
 	case sameClaim(r, c):
 		return grantClaim(apiv1.Verdict_VERDICT_REPEATED)
 	case r.RequestId != c.RequestId || r.Attempt != c.ReplacesAttempt || c.Attempt <= r.Attempt:
-		return m.standingClaim(r, apiv1.Reason_REASON_KEY_IN_PROGRESS)
+		return m.conflictingClaim(r, apiv1.Reason_REASON_KEY_IN_PROGRESS)
 	}
 	m.bindClaim(r, c)
 	return grantClaim(apiv1.Verdict_VERDICT_ACCEPTED)
@@ -141,7 +141,7 @@
 // an earlier claim is not a new request: nobody waits for its answer any more.
 func (m *Machine) reclaim(r *apiv1.ClaimRecord, c *apiv1.Claim) *apiv1.Result {
 	if r.RequestId == c.RequestId && c.Attempt <= r.Attempt {
-		return m.standingClaim(r, r.Reason)
+		return m.conflictingClaim(r, r.Reason)
 	}
 	m.bindClaim(r, c)
 	return grantClaim(apiv1.Verdict_VERDICT_ACCEPTED)
@@ -166,11 +166,11 @@
 	}
 }
 
-// standingClaim shows a copy of the record: the result outlives this Apply.
-func (m *Machine) standingClaim(r *apiv1.ClaimRecord, reason apiv1.Reason) *apiv1.Result {
+// conflictingClaim shows a copy of the record: the result outlives this Apply.
+func (m *Machine) conflictingClaim(r *apiv1.ClaimRecord, reason apiv1.Reason) *apiv1.Result {
 	return &apiv1.Result{
 		Verdict: apiv1.Verdict_VERDICT_CONFLICT,
-		Claim:   &apiv1.ClaimResult{Standing: copyClaim(r), Reason: reason, StandingAgeMs: m.standingAge(r)},
+		Claim:   &apiv1.ClaimResult{Standing: copyClaim(r), Reason: reason, StandingAgeMs: m.currentAttemptAge(r)},
 	}
 }
 
@@ -192,7 +192,7 @@
 	case r.Settled && r.Outcome == s.Outcome:
 		return repeated("")
 	case r.Settled && r.Outcome != apiv1.Outcome_OUTCOME_UNKNOWN:
-		return m.standingClaim(r, r.Reason)
+		return m.conflictingClaim(r, r.Reason)
 	}
 	r.Settled = true
 	r.Outcome = s.Outcome
--- a/state/claimtable.go
+++ b/state/claimtable.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// claimsExpiredPerApply bounds the clean-up work of one command. It is above
+	// maxCleanupsPerCommand bounds the clean-up work of one command. It is above
 	// one, so that clean-up outruns claims.
-	claimsExpiredPerApply = 8
-	// minAnsweredCompaction is the least number of dropped responses that makes
+	maxCleanupsPerCommand = 8
+	// minResponseCompaction is the least number of dropped responses that makes
 	// compacting their list worth it.
-	minAnsweredCompaction = 64
+	minResponseCompaction = 64
 )
 
 // claimKey is an idempotency key within its service.
@@ -27,31 +27,31 @@
 // remembered for two windows: in the first with its answer; in the second only
 // so that the key, used again, is refused and not run afresh.
 type claim struct {
-	record *apiv1.ClaimRecord
-	slot   int
+	record    *apiv1.ClaimRecord
+	heapIndex int
 }
 
 func (c *claim) key() claimKey { return claimKey{c.record.Service, c.record.Key} }
 
-func (c *claim) forgottenAt() int64 { return c.record.ExpiresMs + c.record.WindowMs }
+func (c *claim) deletionTime() int64 { return c.record.ExpiresMs + c.record.WindowMs }
 
-// due is when the next clean-up step is: the response goes after the first
+// cleanupTime is when the next clean-up step is: the response goes after the first
 // window, the record after the second. It follows from the record alone, so that
 // a restored machine cleans up in step with the one that made the snapshot.
-func (c *claim) due() int64 {
+func (c *claim) cleanupTime() int64 {
 	if c.record.Response != nil {
 		return c.record.ExpiresMs
 	}
-	return c.forgottenAt()
+	return c.deletionTime()
 }
 
 // claimTable holds the claims by key and by the time their clean-up is due.
 type claimTable struct {
-	byKey map[claimKey]*claim
-	due   claimHeap
-	// answered holds the claims that got a stored response, oldest settled first.
-	answered      []*claim
-	responses     int
+	byKey       map[claimKey]*claim
+	cleanupHeap claimHeap
+	// withResponse holds the claims that got a stored response, oldest settled first.
+	withResponse  []*claim
+	responseCount int
 	responseBytes int
 }
 
@@ -60,26 +60,26 @@
 func (t *claimTable) add(r *apiv1.ClaimRecord) *claim {
 	c := &claim{record: r}
 	t.byKey[c.key()] = c
-	heap.Push(&t.due, c)
+	heap.Push(&t.cleanupHeap, c)
 	return c
 }
 
-// expire does the clean-up that is due, at most limit steps of it. Judgements
+// cleanUp does the clean-up that is due, at most limit steps of it. Judgements
 // compare times themselves, so clean-up that lags behind changes no answer.
-func (t *claimTable) expire(nowMs int64, limit int) {
-	for n := 0; n < limit && len(t.due) > 0 && t.due[0].due() <= nowMs; n++ {
-		c := t.due[0]
+func (t *claimTable) cleanUp(nowMs int64, limit int) {
+	for n := 0; n < limit && len(t.cleanupHeap) > 0 && t.cleanupHeap[0].cleanupTime() <= nowMs; n++ {
+		c := t.cleanupHeap[0]
 		if c.record.Response != nil {
 			t.dropResponse(c)
 			continue
 		}
-		t.forget(c)
+		t.remove(c)
 	}
 }
 
-func (t *claimTable) forget(c *claim) {
+func (t *claimTable) remove(c *claim) {
 	t.dropResponse(c)
-	heap.Remove(&t.due, c.slot)
+	heap.Remove(&t.cleanupHeap, c.heapIndex)
 	delete(t.byKey, c.key())
 }
 
@@ -90,12 +90,12 @@
 		return
 	}
 	c.record.Response = r
-	heap.Fix(&t.due, c.slot)
-	t.answered = append(t.answered, c)
-	t.responses++
+	heap.Fix(&t.cleanupHeap, c.heapIndex)
+	t.withResponse = append(t.withResponse, c)
+	t.responseCount++
 	t.responseBytes += size
 	for t.responseBytes > MaxTotalResponseBytes {
-		t.dropResponse(t.answered[0])
+		t.dropResponse(t.withResponse[0])
 	}
 }
 
@@ -105,15 +105,15 @@
 	if c.record.Response == nil {
 		return
 	}
-	t.responses--
+	t.responseCount--
 	t.responseBytes -= responseSize(c.record.Response)
 	c.record.Response = nil
-	heap.Fix(&t.due, c.slot)
-	for len(t.answered) > 0 && t.answered[0].record.Response == nil {
-		t.answered = t.answered[1:]
+	heap.Fix(&t.cleanupHeap, c.heapIndex)
+	for len(t.withResponse) > 0 && t.withResponse[0].record.Response == nil {
+		t.withResponse = t.withResponse[1:]
 	}
-	if len(t.answered) > 2*t.responses+minAnsweredCompaction {
-		t.answered = slices.DeleteFunc(t.answered, func(c *claim) bool { return c.record.Response == nil })
+	if len(t.withResponse) > 2*t.responseCount+minResponseCompaction {
+		t.withResponse = slices.DeleteFunc(t.withResponse, func(c *claim) bool { return c.record.Response == nil })
 	}
 }
 
@@ -137,7 +137,7 @@
 func (h claimHeap) Less(i, j int) bool {
 	a, b := h[i], h[j]
 	return cmp.Or(
-		cmp.Compare(a.due(), b.due()),
+		cmp.Compare(a.cleanupTime(), b.cleanupTime()),
 		cmp.Compare(a.record.Service, b.record.Service),
 		cmp.Compare(a.record.Key, b.record.Key),
 	) < 0
@@ -145,13 +145,13 @@
 
 func (h claimHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (h *claimHeap) Push(x any) {
 	c := x.(*claim)
-	c.slot = len(*h)
+	c.heapIndex = len(*h)
 	*h = append(*h, c)
 }
 
--- a/state/ends.go
+++ b/state/ends.go
@@ -16,9 +16,9 @@
 	maxBackoff         = 5 * time.Minute
 )
 
-// end releases the attempt and moves the task on: to its final state, back to
+// endAttempt releases the attempt and moves the task on: to its final state, back to
 // the queue, or to canceled where it must not run again.
-func (m *Machine) end(t *task, next apiv1.TaskState, reason string) {
+func (m *Machine) endAttempt(t *task, next apiv1.TaskState, reason string) {
 	m.release(t)
 	if next == apiv1.TaskState_TASK_STATE_QUEUED && (t.job.canceled || t.surplus()) {
 		next = apiv1.TaskState_TASK_STATE_CANCELED
@@ -30,9 +30,9 @@
 		m.enqueue(t)
 	}
 	if next == apiv1.TaskState_TASK_STATE_SUCCEEDED && t.job.succeeded() {
-		m.jobChanged(t.job)
+		m.requeueWithDependents(t.job)
 	}
-	m.forgetEnded(t.job)
+	m.deleteEndedJob(t.job)
 }
 
 // liveAttempt returns the task when exactly this attempt of it is live. Late and
@@ -58,7 +58,7 @@
 			changed = m.recordEnd(t, e) || changed
 			continue
 		}
-		if t := m.tasks[e.GetTask().GetTask()]; t != nil && t.awaitsSuccessorOf(e.GetTask().GetAttempt(), w) {
+		if t := m.tasks[e.GetTask().GetTask()]; t != nil && t.queuedAfterAttempt(e.GetTask().GetAttempt(), w) {
 			changed = m.recordLateEnd(t, e) || changed
 		}
 	}
@@ -74,7 +74,7 @@
 	}
 	switch e.GetKind() {
 	case apiv1.EndKind_END_KIND_SUCCEEDED:
-		m.end(t, apiv1.TaskState_TASK_STATE_SUCCEEDED, e.Message)
+		m.endAttempt(t, apiv1.TaskState_TASK_STATE_SUCCEEDED, e.Message)
 	case apiv1.EndKind_END_KIND_FAILED:
 		m.recordFailure(t, e.Message)
 	case apiv1.EndKind_END_KIND_STOPPED:
@@ -85,9 +85,9 @@
 	return true
 }
 
-// awaitsSuccessorOf reports whether the attempt is the task's last, was granted
+// queuedAfterAttempt reports whether the attempt is the task's last, was granted
 // to this worker, has been counted as over, and has no successor yet.
-func (t *task) awaitsSuccessorOf(attempt uint64, w *worker) bool {
+func (t *task) queuedAfterAttempt(attempt uint64, w *worker) bool {
 	return t.state == apiv1.TaskState_TASK_STATE_QUEUED && t.attempt > 0 &&
 		t.attempt == attempt && t.lastWorker == w.name
 }
@@ -103,7 +103,7 @@
 		m.setState(t, apiv1.TaskState_TASK_STATE_SUCCEEDED)
 		t.reason = e.Message
 		if t.job.succeeded() {
-			m.jobChanged(t.job)
+			m.requeueWithDependents(t.job)
 		}
 		return true
 	case checkpoint != "" && checkpoint != t.checkpoint:
@@ -128,14 +128,14 @@
 	if t.failures >= limit {
 		next = apiv1.TaskState_TASK_STATE_FAILED
 	}
-	m.end(t, next, message)
+	m.endAttempt(t, next, message)
 }
 
 func (m *Machine) recordStop(t *task) {
 	if t.state == apiv1.TaskState_TASK_STATE_STOPPING {
 		t.evictions++
 	}
-	m.end(t, apiv1.TaskState_TASK_STATE_QUEUED, t.reason)
+	m.endAttempt(t, apiv1.TaskState_TASK_STATE_QUEUED, t.reason)
 }
 
 // backoff doubles with each failure, so that a job that fails everywhere does
@@ -154,14 +154,14 @@
 	if e.GetTerm() != m.leaderTerm {
 		return conflict(fmt.Sprintf("the leader of term %d is ready", m.leaderTerm))
 	}
-	m.keepCheckpoints(e.GetCheckpoints())
+	m.recordCheckpoints(e.GetCheckpoints())
 	changed := false
 	for _, a := range e.GetTasks() {
 		t := m.liveAttempt(a)
 		if t == nil {
 			continue
 		}
-		m.end(t, apiv1.TaskState_TASK_STATE_QUEUED, "the lease ran out")
+		m.endAttempt(t, apiv1.TaskState_TASK_STATE_QUEUED, "the lease ran out")
 		changed = true
 	}
 	if !changed {
@@ -170,9 +170,9 @@
 	return accepted("")
 }
 
-// keepCheckpoints notes the last durable checkpoints of attempts that are about
+// recordCheckpoints notes the last durable checkpoints of attempts that are about
 // to end without a report of their own.
-func (m *Machine) keepCheckpoints(list []*apiv1.TaskCheckpoint) {
+func (m *Machine) recordCheckpoints(list []*apiv1.TaskCheckpoint) {
 	for _, c := range list {
 		t := m.liveAttempt(c.GetTask())
 		if t != nil && c.GetCheckpoint() != "" {
--- a/state/grants.go
+++ b/state/grants.go
@@ -11,7 +11,7 @@
 func (m *Machine) place(p *apiv1.Place) *apiv1.Result {
 	res := accepted("")
 	for _, g := range p.GetGrants() {
-		judged := m.judgeGrant(g)
+		judged := m.validateGrant(g)
 		if judged.Verdict == apiv1.Verdict_VERDICT_ACCEPTED {
 			m.grant(m.tasks[g.Task], m.workers[g.Worker], ResourcesOf(g.Resources))
 		}
@@ -20,8 +20,8 @@
 	return res
 }
 
-// judgeGrant says whether a grant may be made, and changes nothing.
-func (m *Machine) judgeGrant(g *apiv1.Grant) *apiv1.Result {
+// validateGrant says whether a grant may be made, and changes nothing.
+func (m *Machine) validateGrant(g *apiv1.Grant) *apiv1.Result {
 	t := m.tasks[g.GetTask()]
 	w := m.workers[g.GetWorker()]
 	size := ResourcesOf(g.GetResources())
@@ -70,14 +70,14 @@
 	t.reason = ""
 	m.setState(t, apiv1.TaskState_TASK_STATE_GRANTED)
 	w.attach(t)
-	w.changed = m.index
+	w.changedIndex = m.index
 	tm := m.teamOf(t.job)
 	tm.granted = mustPlus(tm.granted, size)
 }
 
 // release stops counting a task's room: its attempt has surely ended.
 func (m *Machine) release(t *task) {
-	t.worker.changed = m.index
+	t.worker.changedIndex = m.index
 	t.worker.detach(t)
 	tm := m.teamOf(t.job)
 	tm.granted = tm.granted.Minus(t.grant)
--- a/state/history_test.go
+++ b/state/history_test.go
@@ -16,14 +16,14 @@
 // noTimeLimit lets a check take as long as it needs: with a limit the verdict depends on the load.
 const noTimeLimit time.Duration = 0
 
-// history runs clients that share a machine through a log in which commands
+// clientHistory runs clients that share a machine through a log in which commands
 // wait and come twice, and which restores the machine from a snapshot at times.
-type history struct {
-	rng  *rand.Rand
-	m    *Machine
-	ops  []porcupine.Operation
-	wait []pendingOp
-	now  int64
+type clientHistory struct {
+	rng     *rand.Rand
+	m       *Machine
+	ops     []porcupine.Operation
+	pending []pendingOp
+	now     int64
 }
 
 type pendingOp struct {
@@ -33,16 +33,16 @@
 	copies int
 }
 
-func (h *history) call(client int, input any, cmd *apiv1.Command) {
+func (h *clientHistory) call(client int, input any, cmd *apiv1.Command) {
 	h.now++
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: input, Call: h.now})
-	h.wait = append(h.wait, pendingOp{op: len(h.ops) - 1, cmd: cmd, copies: 1 + h.rng.Intn(2)})
+	h.pending = append(h.pending, pendingOp{op: len(h.ops) - 1, cmd: cmd, copies: 1 + h.rng.Intn(2)})
 }
 
-// step applies one of the waiting commands.
-func (h *history) step() {
-	i := h.rng.Intn(len(h.wait))
-	p := &h.wait[i]
+// applyPending applies one of the waiting commands.
+func (h *clientHistory) applyPending() {
+	i := h.rng.Intn(len(h.pending))
+	p := &h.pending[i]
 	h.now++
 	if h.rng.Intn(10) == 0 {
 		data, _ := h.m.Snapshot()
@@ -60,13 +60,13 @@
 	}
 	p.copies--
 	if p.copies == 0 {
-		h.wait = append(h.wait[:i], h.wait[i+1:]...)
+		h.pending = append(h.pending[:i], h.pending[i+1:]...)
 	}
 }
 
-func (h *history) check(t *testing.T, seed int64, model porcupine.Model) {
-	for len(h.wait) > 0 {
-		h.step()
+func (h *clientHistory) check(t *testing.T, seed int64, model porcupine.Model) {
+	for len(h.pending) > 0 {
+		h.applyPending()
 	}
 	if got := porcupine.CheckOperationsTimeout(model, h.ops, noTimeLimit); got != porcupine.Ok {
 		for _, op := range h.ops {
@@ -116,10 +116,10 @@
 func TestSubmissionsAreLinearizable(t *testing.T) {
 	model := porcupine.Model{Init: func() any { return configState{} }, Step: stepSubmit}
 	for seed := range int64(300) {
-		h := &history{rng: rand.New(rand.NewSource(seed)), m: New()}
+		h := &clientHistory{rng: rand.New(rand.NewSource(seed)), m: New()}
 		for range 30 {
-			if h.rng.Intn(2) == 0 && len(h.wait) > 0 {
-				h.step()
+			if h.rng.Intn(2) == 0 && len(h.pending) > 0 {
+				h.applyPending()
 				continue
 			}
 			n := h.rng.Intn(9)
@@ -187,12 +187,12 @@
 	model := porcupine.Model{Init: func() any { return claimState{} }, Step: stepClaim}
 	outcomes := []apiv1.Outcome{apiv1.Outcome_OUTCOME_ANSWERED, apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Outcome_OUTCOME_UNKNOWN}
 	for seed := range int64(300) {
-		h := &history{rng: rand.New(rand.NewSource(seed)), m: New()}
+		h := &clientHistory{rng: rand.New(rand.NewSource(seed)), m: New()}
 		for range 30 {
 			request, attempt := fmt.Sprint("r", h.rng.Intn(3)), uint32(h.rng.Intn(3)+1)
 			switch {
-			case h.rng.Intn(2) == 0 && len(h.wait) > 0:
-				h.step()
+			case h.rng.Intn(2) == 0 && len(h.pending) > 0:
+				h.applyPending()
 			case h.rng.Intn(2) == 0:
 				c := &apiv1.Claim{Key: "k", RequestId: request, Attempt: attempt, ReplacesAttempt: uint32(max(0, h.rng.Intn(4)-1))}
 				h.call(h.rng.Intn(4), c, &apiv1.Command{Body: &apiv1.Command_Claim{Claim: c}})
--- a/state/invariants.go
+++ b/state/invariants.go
@@ -32,7 +32,7 @@
 		switch {
 		case holds != t.live():
 			return errors.Newf("a task holds room exactly while it is granted or stopping: %s", id)
-		case t.live() && (t.workerSlot < 0 || t.workerSlot >= len(t.worker.tasks) || t.worker.tasks[t.workerSlot] != t):
+		case t.live() && (t.workerIndex < 0 || t.workerIndex >= len(t.worker.tasks) || t.worker.tasks[t.workerIndex] != t):
 			return errors.Newf("a live attempt is listed at its worker: %s", id)
 		case t.live() && t.attempt == 0:
 			return errors.Newf("a live attempt has a number: %s", id)
@@ -74,14 +74,14 @@
 			granted[name] = sum
 		}
 		should := t.state == apiv1.TaskState_TASK_STATE_QUEUED && !t.job.removed && m.waitsFor(t.job) == ""
-		if should != (t.queueSlot != noSlot) {
+		if should != (t.queueIndex != noIndex) {
 			return errors.Newf("a task is in its team's queue exactly while it may be placed: %s", id)
 		}
 		if !should {
 			continue
 		}
 		queued[name]++
-		if q := m.teams[name].queue; t.queueSlot >= len(q) || q[t.queueSlot] != t {
+		if q := m.teams[name].queue; t.queueIndex >= len(q) || q[t.queueIndex] != t {
 			return errors.Newf("a queued task is at its place in the queue: %s", id)
 		}
 	}
@@ -102,7 +102,7 @@
 			return err
 		}
 	}
-	for _, j := range m.ending {
+	for _, j := range m.removedJobs {
 		if !j.removed || j.live() == 0 {
 			return errors.Newf("a removed job is kept only while an attempt is live: %s", j.id)
 		}
@@ -114,15 +114,15 @@
 }
 
 func (j *job) checkCounts() error {
-	var counts [taskStates]int
+	var counts [taskStateCount]int
 	remaining := 0
 	for _, t := range j.tasks {
 		counts[t.state]++
-		if t.remains() {
+		if t.countsAsRemaining() {
 			remaining++
 		}
 	}
-	if counts != j.counts || remaining != j.remaining {
+	if counts != j.taskCounts || remaining != j.remaining {
 		return errors.Newf("a job's counts follow from its tasks: %s", j.id)
 	}
 	return nil
@@ -135,11 +135,11 @@
 			responses++
 			size += responseSize(c.record.Response)
 		}
-		if m.claims.due[c.slot] != c {
+		if m.claims.cleanupHeap[c.heapIndex] != c {
 			return errors.Newf("a claim is at its place in the clean-up order: %q", c.record.Key)
 		}
 	}
-	if size != m.claims.responseBytes || responses != m.claims.responses {
+	if size != m.claims.responseBytes || responses != m.claims.responseCount {
 		return errors.New("the stored responses' sizes add up")
 	}
 	if size > MaxTotalResponseBytes || len(m.claims.byKey) > MaxClaims {
--- a/state/jobs.go
+++ b/state/jobs.go
@@ -8,8 +8,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// taskStates is one above the largest apiv1.TaskState.
-const taskStates = int(apiv1.TaskState_TASK_STATE_CANCELED) + 1
+// taskStateCount is one above the largest apiv1.TaskState.
+const taskStateCount = int(apiv1.TaskState_TASK_STATE_CANCELED) + 1
 
 // job is one life of a job: from the configuration that brought it until the one
 // that dropped it, and on until its last attempt has ended. A name that returns
@@ -21,20 +21,20 @@
 // canceled, and queued again from their checkpoint when the number grows back.
 // A job that was canceled stays so until it leaves the configuration.
 type job struct {
-	id           string
-	definition   *apiv1.Job
-	version      uint64
-	createdMs    int64
-	canceled     bool
-	removed      bool
-	parkedReason string
-	tasks        []*task
-	counts       [taskStates]int
+	id             string
+	definition     *apiv1.Job
+	createdVersion uint64
+	createdMs      int64
+	canceled       bool
+	removed        bool
+	parkedReason   string
+	tasks          []*task
+	taskCounts     [taskStateCount]int
 	// remaining counts the tasks that the definition asks for and that have not
 	// succeeded.
 	remaining int
-	// queued: its queued tasks are in the team's queue.
-	queued bool
+	// enqueued: its queued tasks are in the team's queue.
+	enqueued bool
 }
 
 func jobID(name string, version uint64) string { return fmt.Sprintf("%s@%d", name, version) }
@@ -42,7 +42,7 @@
 func taskID(jobID string, number int) string { return fmt.Sprintf("%s/%d", jobID, number) }
 
 func (j *job) live() int {
-	return j.counts[apiv1.TaskState_TASK_STATE_GRANTED] + j.counts[apiv1.TaskState_TASK_STATE_STOPPING]
+	return j.taskCounts[apiv1.TaskState_TASK_STATE_GRANTED] + j.taskCounts[apiv1.TaskState_TASK_STATE_STOPPING]
 }
 
 // succeeded reports whether every task of the job has succeeded.
@@ -51,7 +51,7 @@
 func (j *job) countRemaining() {
 	j.remaining = 0
 	for _, t := range j.tasks {
-		if t.remains() {
+		if t.countsAsRemaining() {
 			j.remaining++
 		}
 	}
@@ -59,10 +59,10 @@
 
 func (m *Machine) addJob(d *apiv1.Job) {
 	j := &job{
-		id:         jobID(d.Name, m.configuration.Version),
-		definition: d,
-		version:    m.configuration.Version,
-		createdMs:  m.timeMs,
+		id:             jobID(d.Name, m.configuration.Version),
+		definition:     d,
+		createdVersion: m.configuration.Version,
+		createdMs:      m.timeMs,
 	}
 	m.jobs[d.Name] = j
 	m.linkDependencies(j)
@@ -72,16 +72,16 @@
 func (m *Machine) addTasks(j *job) {
 	for n := len(j.tasks); n < int(j.definition.Tasks); n++ {
 		t := &task{
-			id:         taskID(j.id, n),
-			job:        j,
-			number:     n,
-			state:      apiv1.TaskState_TASK_STATE_QUEUED,
-			queuedMs:   m.timeMs,
-			queueSlot:  noSlot,
-			workerSlot: noSlot,
+			id:          taskID(j.id, n),
+			job:         j,
+			number:      n,
+			state:       apiv1.TaskState_TASK_STATE_QUEUED,
+			queuedMs:    m.timeMs,
+			queueIndex:  noIndex,
+			workerIndex: noIndex,
 		}
 		j.tasks = append(j.tasks, t)
-		j.counts[t.state]++
+		j.taskCounts[t.state]++
 		m.tasks[t.id] = t
 	}
 	j.countRemaining()
@@ -94,7 +94,7 @@
 	}
 	m.dequeueAll(j)
 	m.unlinkDependencies(j)
-	m.moveTeam(j, d.Team)
+	m.moveGrantsToTeam(j, d.Team)
 	if ResourcesOf(j.definition.Size) != ResourcesOf(d.Size) {
 		// It was parked for what it asked for until now.
 		j.parkedReason = ""
@@ -109,10 +109,10 @@
 		case t.surplus():
 			m.cancelTask(t, "the job has fewer tasks now")
 		default:
-			m.revive(t)
+			m.requeueCanceledTask(t)
 		}
 	}
-	m.jobChanged(j)
+	m.requeueWithDependents(j)
 }
 
 // removeJob cancels a job that left the configuration and forgets it, at once
@@ -122,26 +122,26 @@
 	m.unlinkDependencies(j)
 	j.removed = true
 	delete(m.jobs, j.definition.Name)
-	m.ending[j.id] = j
-	m.endingByName[j.definition.Name]++
-	m.forgetEnded(j)
+	m.removedJobs[j.id] = j
+	m.removedCount[j.definition.Name]++
+	m.deleteEndedJob(j)
 }
 
-// forgetEnded drops a removed job once nothing of it is live.
-func (m *Machine) forgetEnded(j *job) {
+// deleteEndedJob drops a removed job once nothing of it is live.
+func (m *Machine) deleteEndedJob(j *job) {
 	if !j.removed || j.live() > 0 {
 		return
 	}
 	for _, t := range j.tasks {
 		delete(m.tasks, t.id)
 	}
-	delete(m.ending, j.id)
+	delete(m.removedJobs, j.id)
 	name := j.definition.Name
-	m.endingByName[name]--
-	if m.endingByName[name] > 0 {
+	m.removedCount[name]--
+	if m.removedCount[name] > 0 {
 		return
 	}
-	delete(m.endingByName, name)
+	delete(m.removedCount, name)
 	if next := m.jobs[name]; next != nil {
 		m.requeue(next)
 	}
--- a/state/judge_test.go
+++ b/state/judge_test.go
@@ -11,9 +11,9 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// play applies commands, one a line in protojson with an expectation after "=>",
+// applyScript applies commands, one a line in protojson with an expectation after "=>",
 // and reports each result that does not contain the expectation.
-func play(t *testing.T, m *Machine, script string) {
+func applyScript(t *testing.T, m *Machine, script string) {
 	t.Helper()
 	for _, line := range strings.Split(strings.TrimSpace(script), "\n") {
 		text, want, _ := strings.Cut(line, "=>")
@@ -36,7 +36,7 @@
 // is forgotten. Cause: a key that is no longer known passes for a new one.
 func TestKeysOutsideTheirWindowAreRefused(t *testing.T) {
 	m := New()
-	play(t, m, `
+	applyScript(t, m, `
 {"timeMs":1000,"claim":{"key":"k","requestId":"a","attempt":1,"windowMs":100,"requestDigest":"AA=="}} => granted:true
 {"timeMs":1000,"claim":{"key":"k","requestId":"b","attempt":1,"windowMs":100,"requestDigest":"AQ=="}} => REASON_KEY_REUSED
 {"timeMs":1000,"claim":{"key":"k","requestId":"b","attempt":1,"windowMs":100,"requestDigest":"AA=="}} => REASON_KEY_IN_PROGRESS
@@ -57,9 +57,9 @@
 // what it depends on. Sequence: the job leaves the text while it runs and returns.
 // Cause: the new life starts before the attempts of the old one have ended, or a
 // worker's list that is older than a grant is taken for proof that it ended.
-func TestGrantsWaitForDependenciesQuotaAndEarlierLife(t *testing.T) {
+func TestGrantsRespectDependenciesQuotaAndRemovedJobs(t *testing.T) {
 	m := New()
-	play(t, m, `
+	applyScript(t, m, `
 {"submit":{"submissionId":"1","configuration":{"textDigest":"1","teams":[{"name":"t","quota":{"milliProcessors":"5"}}],"jobs":[{"name":"a","tasks":2,"team":"t"},{"name":"b","tasks":1,"dependsOn":["a"]},{"name":"c","tasks":1,"dependsOn":["gone"]}]}}} => VERDICT_ACCEPTED
 {"registerWorker":{"worker":"w","incarnation":"1","capacity":{"milliProcessors":"9","memoryBytes":"9223372036854775807"},"reserved":{"memoryBytes":"1"}}} => VERDICT_ACCEPTED
 {"place":{"grants":[{"task":"b@1/0","attempt":"1","worker":"w","workerIncarnation":"1"}]}} => job \"a\" has not succeeded
@@ -81,8 +81,8 @@
 // Symptom: work is done again though its first run succeeded. Sequence: a worker
 // is cut off, its task succeeds, its lease runs out; the worker is back before the
 // next attempt is granted, or after. Cause: a late report that is only dropped.
-func TestLateEndsBeforeASuccessor(t *testing.T) {
-	play(t, New(), `
+func TestLateEndsBeforeNextAttempt(t *testing.T) {
+	applyScript(t, New(), `
 {"submit":{"submissionId":"1","configuration":{"textDigest":"1","jobs":[{"name":"a","tasks":2},{"name":"b","tasks":1,"dependsOn":["a"]}]}}} => VERDICT_ACCEPTED
 {"registerWorker":{"worker":"w","incarnation":"1"}} => VERDICT_ACCEPTED
 {"registerWorker":{"worker":"v","incarnation":"1"}} => VERDICT_ACCEPTED
@@ -137,7 +137,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte, seal bool) {
 		if seal {
-			data = sealSnapshot(data)
+			data = addSnapshotHeader(data)
 		}
 		m := New()
 		if m.Restore(data) != nil {
@@ -164,7 +164,7 @@
 // again. Sequence: the charge runs, the agent drops its record, leadership moves
 // to a host whose clock is behind, and the agent is told too low an age. Cause: the
 // difference of two hosts' clocks was taken for an age.
-func TestAgeOfAClaimComesFromOneClock(t *testing.T) {
+func TestClaimAgeUsesOneClock(t *testing.T) {
 	for _, c := range []struct {
 		claimed, asked         int64
 		claimedTerm, askedTerm uint64
--- a/state/machine.go
+++ b/state/machine.go
@@ -23,10 +23,10 @@
 type Machine struct {
 	index  uint64
 	timeMs int64
-	// stampMs is the time of the command being applied and clockTerm the term of
+	// commandTimeMs is the time of the command being applied and clockTerm the term of
 	// the leader that stamped it.
-	stampMs   int64
-	clockTerm uint64
+	commandTimeMs int64
+	clockTerm     uint64
 	// leaderTerm is the term of the latest leader that was ready to lead.
 	leaderTerm uint64
 
@@ -36,8 +36,8 @@
 	// jobs holds the current life of each job by name; ending holds, by identity,
 	// jobs that left the configuration while attempts of theirs were live.
 	jobs         map[string]*job
-	ending       map[string]*job
-	endingByName map[string]int
+	removedJobs  map[string]*job
+	removedCount map[string]int
 	// dependents holds, per job name, the jobs that depend on it.
 	dependents map[string]map[*job]struct{}
 	tasks      map[string]*task
@@ -58,8 +58,8 @@
 		configuration: &apiv1.Configuration{},
 		services:      map[string]*apiv1.Service{},
 		jobs:          map[string]*job{},
-		ending:        map[string]*job{},
-		endingByName:  map[string]int{},
+		removedJobs:   map[string]*job{},
+		removedCount:  map[string]int{},
 		dependents:    map[string]map[*job]struct{}{},
 		tasks:         map[string]*task{},
 		teams:         map[string]*team{},
@@ -78,9 +78,9 @@
 	}
 	m.index = index
 	m.timeMs = max(m.timeMs, cmd.GetTimeMs())
-	m.stampMs, m.clockTerm = cmd.GetTimeMs(), cmd.GetClockTerm()
-	m.claims.expire(m.timeMs, claimsExpiredPerApply)
-	res := m.dispatch(cmd)
+	m.commandTimeMs, m.clockTerm = cmd.GetTimeMs(), cmd.GetClockTerm()
+	m.claims.cleanUp(m.timeMs, maxCleanupsPerCommand)
+	res := m.applyBody(cmd)
 	res.Index = index
 	return res
 }
@@ -99,7 +99,7 @@
 	return out
 }
 
-func (m *Machine) dispatch(cmd *apiv1.Command) *apiv1.Result {
+func (m *Machine) applyBody(cmd *apiv1.Command) *apiv1.Result {
 	switch body := cmd.GetBody().(type) {
 	case *apiv1.Command_Submit:
 		return m.submit(body.Submit)
@@ -124,7 +124,7 @@
 	case *apiv1.Command_Settle:
 		return m.settle(body.Settle)
 	case *apiv1.Command_Lead:
-		return m.lead(body.Lead)
+		return m.recordLeader(body.Lead)
 	case *apiv1.Command_ForgetWorkers:
 		return m.forgetWorkers(body.ForgetWorkers)
 	case *apiv1.Command_Jobs:
@@ -149,10 +149,10 @@
 // LeaderTerm returns the term of the newest leader that was ready to lead.
 func (m *Machine) LeaderTerm() uint64 { return m.leaderTerm }
 
-// lead notes that a leader is ready. Commands carry no term of the log, and one
+// recordLeader notes that a leader is ready. Commands carry no term of the log, and one
 // that a deposed leader judged could be appended after it was elected again; by
 // then another leader may have renewed the leases that it found run out.
-func (m *Machine) lead(l *apiv1.Lead) *apiv1.Result {
+func (m *Machine) recordLeader(l *apiv1.Lead) *apiv1.Result {
 	if l.GetTerm() < m.leaderTerm {
 		return conflict(fmt.Sprintf("the leader of term %d is ready", m.leaderTerm))
 	}
--- a/state/machine_test.go
+++ b/state/machine_test.go
@@ -12,23 +12,23 @@
 	"github.com/cairnlift/cairnlift/configdelta"
 )
 
-// ledger judges the machine from outside: it follows grants and ends by the
+// commandChecker judges the machine from outside: it follows grants and ends by the
 // commands and their results, and never reads the machine's own sums.
-type ledger struct {
-	t       *rapid.T
-	term    uint64
-	last    map[string]uint64
-	live    map[string]*apiv1.Grant
-	workers map[string]*apiv1.RegisterWorker
+type commandChecker struct {
+	t           *rapid.T
+	term        uint64
+	lastAttempt map[string]uint64
+	liveGrants  map[string]*apiv1.Grant
+	workers     map[string]*apiv1.RegisterWorker
 }
 
-func (l *ledger) end(a *apiv1.TaskAttempt) {
-	if g := l.live[a.GetTask()]; g != nil && g.Attempt == a.GetAttempt() {
-		delete(l.live, a.Task)
+func (l *commandChecker) end(a *apiv1.TaskAttempt) {
+	if g := l.liveGrants[a.GetTask()]; g != nil && g.Attempt == a.GetAttempt() {
+		delete(l.liveGrants, a.Task)
 	}
 }
 
-func (l *ledger) see(cmd *apiv1.Command, res *apiv1.Result) {
+func (l *commandChecker) observe(cmd *apiv1.Command, res *apiv1.Result) {
 	switch b := cmd.Body.(type) {
 	case *apiv1.Command_Place:
 		for i, g := range b.Place.Grants {
@@ -48,7 +48,7 @@
 	case *apiv1.Command_RecordTasks:
 		w := l.workers[b.RecordTasks.Worker]
 		for _, e := range b.RecordTasks.Ends {
-			if g := l.live[e.Task.Task]; g != nil && g.Worker == b.RecordTasks.Worker && w.Incarnation == b.RecordTasks.WorkerIncarnation {
+			if g := l.liveGrants[e.Task.Task]; g != nil && g.Worker == b.RecordTasks.Worker && w.Incarnation == b.RecordTasks.WorkerIncarnation {
 				l.end(e.Task)
 			}
 		}
@@ -61,18 +61,18 @@
 	}
 }
 
-func (l *ledger) grant(g *apiv1.Grant) {
-	if l.live[g.Task] != nil {
+func (l *commandChecker) grant(g *apiv1.Grant) {
+	if l.liveGrants[g.Task] != nil {
 		l.t.Fatalf("%s has two live attempts", g.Task)
 	}
-	if g.Attempt != l.last[g.Task]+1 {
-		l.t.Fatalf("%s went from attempt %d to %d", g.Task, l.last[g.Task], g.Attempt)
+	if g.Attempt != l.lastAttempt[g.Task]+1 {
+		l.t.Fatalf("%s went from attempt %d to %d", g.Task, l.lastAttempt[g.Task], g.Attempt)
 	}
-	l.last[g.Task] = g.Attempt
-	l.live[g.Task] = g
+	l.lastAttempt[g.Task] = g.Attempt
+	l.liveGrants[g.Task] = g
 	w := l.workers[g.Worker]
 	sum := w.Reserved.GetMilliProcessors()
-	for _, o := range l.live {
+	for _, o := range l.liveGrants {
 		if o.Worker == g.Worker {
 			sum += o.Resources.MilliProcessors
 		}
@@ -82,7 +82,7 @@
 	}
 }
 
-func (l *ledger) register(r *apiv1.RegisterWorker) {
+func (l *commandChecker) register(r *apiv1.RegisterWorker) {
 	old := l.workers[r.Worker]
 	if old != nil && old.Incarnation > r.Incarnation {
 		return
@@ -95,15 +95,15 @@
 	for _, a := range r.Running {
 		runs[a.Task] = a.Attempt
 	}
-	for id, g := range l.live {
+	for id, g := range l.liveGrants {
 		if g.Worker == r.Worker && runs[id] != g.Attempt {
-			delete(l.live, id)
+			delete(l.liveGrants, id)
 		}
 	}
 }
 
-func (l *ledger) forget(worker string) {
-	for _, g := range l.live {
+func (l *commandChecker) forget(worker string) {
+	for _, g := range l.liveGrants {
 		if g.Worker == worker {
 			l.t.Fatalf("%s is forgotten while it holds %s", worker, g.Task)
 		}
@@ -118,41 +118,43 @@
 	m *Machine
 }
 
-func (g generator) n(lo, hi int, label string) int { return rapid.IntRange(lo, hi).Draw(g.t, label) }
+func (g generator) intBetween(lo, hi int, label string) int {
+	return rapid.IntRange(lo, hi).Draw(g.t, label)
+}
 
-func (g generator) worker() string { return fmt.Sprintf("w%d", g.n(0, 2, "worker")) }
+func (g generator) worker() string { return fmt.Sprintf("w%d", g.intBetween(0, 2, "worker")) }
 
-func (g generator) job() string { return fmt.Sprintf("j%d", g.n(0, 3, "job")) }
+func (g generator) job() string { return fmt.Sprintf("j%d", g.intBetween(0, 3, "job")) }
 
 func (g generator) task() *apiv1.TaskAttempt {
 	ids := sortedKeys(g.m.tasks)
 	if len(ids) == 0 {
 		return &apiv1.TaskAttempt{Task: "none", Attempt: 1}
 	}
-	t := g.m.tasks[ids[g.n(0, len(ids)-1, "task")]]
-	late := uint64(max(0, g.n(-3, 1, "late")))
+	t := g.m.tasks[ids[g.intBetween(0, len(ids)-1, "task")]]
+	late := uint64(max(0, g.intBetween(-3, 1, "late")))
 	return &apiv1.TaskAttempt{Task: t.id, Attempt: max(1, t.attempt) - min(late, max(1, t.attempt)-1)}
 }
 
 func (g generator) tasks() (list []*apiv1.TaskAttempt) {
-	for range g.n(1, 3, "tasks") {
+	for range g.intBetween(1, 3, "tasks") {
 		list = append(list, g.task())
 	}
 	return list
 }
 
 func (g generator) size(hi int) *apiv1.Resources {
-	return &apiv1.Resources{MilliProcessors: int64(g.n(0, hi, "size"))}
+	return &apiv1.Resources{MilliProcessors: int64(g.intBetween(0, hi, "size"))}
 }
 
 func (g generator) configuration(id string) *apiv1.Configuration {
-	c := &apiv1.Configuration{TextDigest: id + fmt.Sprint(max(0, g.n(-9, 1, "digest")))}
+	c := &apiv1.Configuration{TextDigest: id + fmt.Sprint(max(0, g.intBetween(-9, 1, "digest")))}
 	for i := range 4 {
-		if g.n(0, 3, "declared") == 0 {
+		if g.intBetween(0, 3, "declared") == 0 {
 			continue
 		}
-		d := &apiv1.Job{Name: fmt.Sprintf("j%d", i), Tasks: int32(g.n(0, 3, "count")), Team: fmt.Sprintf("t%d", g.n(0, 1, "team")), MaxFailures: 2}
-		if i > 0 && g.n(0, 3, "depends") == 0 {
+		d := &apiv1.Job{Name: fmt.Sprintf("j%d", i), Tasks: int32(g.intBetween(0, 3, "count")), Team: fmt.Sprintf("t%d", g.intBetween(0, 1, "team")), MaxFailures: 2}
+		if i > 0 && g.intBetween(0, 3, "depends") == 0 {
 			d.DependsOn = []string{fmt.Sprintf("j%d", i-1)}
 		}
 		c.Jobs = append(c.Jobs, d)
@@ -170,36 +172,36 @@
 
 func (g generator) claim() *apiv1.Claim {
 	return &apiv1.Claim{
-		Key: fmt.Sprint("k", g.n(0, 3, "key")), RequestDigest: []byte{byte(max(0, g.n(-4, 1, "digest")))},
-		RequestId: fmt.Sprint("r", g.n(0, 3, "request")), Attempt: uint32(g.n(1, 3, "attempt")),
-		WindowMs: int64(g.n(1, 200, "window")), KeyTimeMs: g.m.timeMs - int64(g.n(0, 200, "age")),
-		ReplacesAttempt: uint32(max(0, g.n(-2, 2, "replaces"))),
+		Key: fmt.Sprint("k", g.intBetween(0, 3, "key")), RequestDigest: []byte{byte(max(0, g.intBetween(-4, 1, "digest")))},
+		RequestId: fmt.Sprint("r", g.intBetween(0, 3, "request")), Attempt: uint32(g.intBetween(1, 3, "attempt")),
+		WindowMs: int64(g.intBetween(1, 200, "window")), KeyTimeMs: g.m.timeMs - int64(g.intBetween(0, 200, "age")),
+		ReplacesAttempt: uint32(max(0, g.intBetween(-2, 2, "replaces"))),
 	}
 }
 
 func (g generator) settle() *apiv1.Settle {
 	return &apiv1.Settle{
-		Key: fmt.Sprint("k", g.n(0, 3, "key")), RequestId: fmt.Sprint("r", g.n(0, 3, "request")),
-		Attempt: uint32(g.n(1, 3, "attempt")), Outcome: apiv1.Outcome(g.n(0, 4, "outcome")),
-		Response: &apiv1.HttpResponse{Body: make([]byte, g.n(0, 9, "body"))},
+		Key: fmt.Sprint("k", g.intBetween(0, 3, "key")), RequestId: fmt.Sprint("r", g.intBetween(0, 3, "request")),
+		Attempt: uint32(g.intBetween(1, 3, "attempt")), Outcome: apiv1.Outcome(g.intBetween(0, 4, "outcome")),
+		Response: &apiv1.HttpResponse{Body: make([]byte, g.intBetween(0, 9, "body"))},
 	}
 }
 
 func (g generator) place() *apiv1.Place {
 	p := &apiv1.Place{}
-	for range g.n(1, 3, "grants") {
+	for range g.intBetween(1, 3, "grants") {
 		a, name := g.task(), g.worker()
 		inc := uint64(0)
 		if w := g.m.workers[name]; w != nil {
-			inc = w.incarnation - uint64(max(0, g.n(-6, 1, "stale")))
+			inc = w.incarnation - uint64(max(0, g.intBetween(-6, 1, "stale")))
 		}
-		next := uint64(g.n(0, 5, "next")+4) / 5
-		p.Grants = append(p.Grants, &apiv1.Grant{Task: a.Task, Attempt: g.m.tasks[a.Task].attemptOr0() + next, Worker: name, WorkerIncarnation: inc, Resources: g.size(12)})
+		next := uint64(g.intBetween(0, 5, "next")+4) / 5
+		p.Grants = append(p.Grants, &apiv1.Grant{Task: a.Task, Attempt: g.m.tasks[a.Task].attemptOrZero() + next, Worker: name, WorkerIncarnation: inc, Resources: g.size(12)})
 	}
 	return p
 }
 
-func (t *task) attemptOr0() uint64 {
+func (t *task) attemptOrZero() uint64 {
 	if t == nil {
 		return 0
 	}
@@ -207,31 +209,31 @@
 }
 
 func (g generator) ends() *apiv1.RecordTasks {
-	r := &apiv1.RecordTasks{Worker: g.worker(), WorkerIncarnation: uint64(g.n(1, 3, "incarnation"))}
-	if w := g.m.workers[r.Worker]; w != nil && g.n(0, 3, "current") > 0 {
+	r := &apiv1.RecordTasks{Worker: g.worker(), WorkerIncarnation: uint64(g.intBetween(1, 3, "incarnation"))}
+	if w := g.m.workers[r.Worker]; w != nil && g.intBetween(0, 3, "current") > 0 {
 		r.WorkerIncarnation = w.incarnation
 	}
 	for _, a := range g.tasks() {
-		r.Ends = append(r.Ends, &apiv1.TaskEnd{Task: a, Kind: apiv1.EndKind(g.n(1, 3, "kind")), Checkpoint: fmt.Sprint("c", a.Attempt)})
+		r.Ends = append(r.Ends, &apiv1.TaskEnd{Task: a, Kind: apiv1.EndKind(g.intBetween(1, 3, "kind")), Checkpoint: fmt.Sprint("c", a.Attempt)})
 	}
 	return r
 }
 
 func (g generator) command() *apiv1.Command {
-	c := &apiv1.Command{TimeMs: g.m.timeMs + int64(g.n(-50, 100, "time"))}
-	switch g.n(0, 13, "command") {
+	c := &apiv1.Command{TimeMs: g.m.timeMs + int64(g.intBetween(-50, 100, "time"))}
+	switch g.intBetween(0, 13, "command") {
 	case 0:
-		id := fmt.Sprint("s", g.n(0, 30, "submission"))
-		base := g.m.configuration.Version - uint64(max(0, g.n(-4, 1, "base")))
+		id := fmt.Sprint("s", g.intBetween(0, 30, "submission"))
+		base := g.m.configuration.Version - uint64(max(0, g.intBetween(-4, 1, "base")))
 		s := &apiv1.Submit{SubmissionId: id, BaseVersion: base, Configuration: g.configuration(id)}
-		if g.n(0, 1, "delta") == 1 {
+		if g.intBetween(0, 1, "delta") == 1 {
 			s = asDelta(g.m.configuration, s)
-			s.Delta.Digest += uint64(max(0, g.n(-9, 1, "damaged")))
+			s.Delta.Digest += uint64(max(0, g.intBetween(-9, 1, "damaged")))
 		}
 		c.Body = &apiv1.Command_Submit{Submit: s}
 	case 1:
 		c.Body = &apiv1.Command_RegisterWorker{RegisterWorker: &apiv1.RegisterWorker{
-			Worker: g.worker(), Incarnation: uint64(g.n(1, 4, "incarnation")), Capacity: g.size(40), Reserved: g.size(5), Running: g.tasks()}}
+			Worker: g.worker(), Incarnation: uint64(g.intBetween(1, 4, "incarnation")), Capacity: g.size(40), Reserved: g.size(5), Running: g.tasks()}}
 	case 2, 3, 4, 5:
 		c.Body = &apiv1.Command_Place{Place: g.place()}
 	case 6, 7:
@@ -240,23 +242,23 @@
 		c.Body = &apiv1.Command_Evict{Evict: &apiv1.Evict{Tasks: g.tasks(), Reason: "test"}}
 	case 9:
 		a := g.tasks()
-		if g.n(0, 4, "lead") == 0 {
-			c.Body = &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: uint64(g.n(0, 9, "term"))}}
+		if g.intBetween(0, 4, "lead") == 0 {
+			c.Body = &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: uint64(g.intBetween(0, 9, "term"))}}
 			break
 		}
-		c.Body = &apiv1.Command_Expire{Expire: &apiv1.Expire{Tasks: a, Term: g.m.leaderTerm - uint64(max(0, g.n(-4, 1, "old"))), Checkpoints: []*apiv1.TaskCheckpoint{{Task: a[0], Checkpoint: "x"}}}}
+		c.Body = &apiv1.Command_Expire{Expire: &apiv1.Expire{Tasks: a, Term: g.m.leaderTerm - uint64(max(0, g.intBetween(-4, 1, "old"))), Checkpoints: []*apiv1.TaskCheckpoint{{Task: a[0], Checkpoint: "x"}}}}
 	case 10:
 		c.Body = &apiv1.Command_Cancel{Cancel: &apiv1.Cancel{Jobs: []string{g.job()}}}
-		if g.n(0, 2, "park") > 0 {
-			c.Body = &apiv1.Command_Park{Park: &apiv1.Park{Jobs: []string{g.job()}, Reason: "test", Wake: g.n(0, 1, "wake") == 1}}
+		if g.intBetween(0, 2, "park") > 0 {
+			c.Body = &apiv1.Command_Park{Park: &apiv1.Park{Jobs: []string{g.job()}, Reason: "test", Wake: g.intBetween(0, 1, "wake") == 1}}
 		}
 	case 11:
-		if g.n(0, 3, "forget") == 0 {
+		if g.intBetween(0, 3, "forget") == 0 {
 			c.Body = &apiv1.Command_ForgetWorkers{ForgetWorkers: &apiv1.ForgetWorkers{
-				Workers: []*apiv1.SilentWorker{{Worker: g.worker(), Incarnation: uint64(g.n(1, 3, "incarnation"))}}}}
+				Workers: []*apiv1.SilentWorker{{Worker: g.worker(), Incarnation: uint64(g.intBetween(1, 3, "incarnation"))}}}}
 			break
 		}
-		c.Body = &apiv1.Command_Drain{Drain: &apiv1.Drain{Worker: g.worker(), Off: g.n(0, 2, "off") > 0}}
+		c.Body = &apiv1.Command_Drain{Drain: &apiv1.Drain{Worker: g.worker(), Off: g.intBetween(0, 2, "off") > 0}}
 	case 12:
 		c.Body = &apiv1.Command_Claim{Claim: g.claim()}
 	case 13:
@@ -274,23 +276,23 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m, restored := New(), New()
 		g := generator{t: t, m: m}
-		l := &ledger{t: t, last: map[string]uint64{}, live: map[string]*apiv1.Grant{}, workers: map[string]*apiv1.RegisterWorker{}}
+		l := &commandChecker{t: t, lastAttempt: map[string]uint64{}, liveGrants: map[string]*apiv1.Grant{}, workers: map[string]*apiv1.RegisterWorker{}}
 		var log []*apiv1.Command
 		for i := range 150 {
 			cmd := g.command()
-			if len(log) > 0 && g.n(0, 9, "again") == 0 {
-				cmd = log[g.n(0, len(log)-1, "which")]
+			if len(log) > 0 && g.intBetween(0, 9, "again") == 0 {
+				cmd = log[g.intBetween(0, len(log)-1, "which")]
 			}
 			log = append(log, cmd)
 			res := m.Apply(uint64(i+1), cmd)
-			l.see(cmd, res)
+			l.observe(cmd, res)
 			if err := m.Check(); err != nil {
 				t.Fatalf("after %v: %v", cmd, err)
 			}
 			if same := restored.Apply(uint64(i+1), cmd); !proto.Equal(res, same) {
 				t.Fatalf("restored machine answers %v, not %v", same, res)
 			}
-			if g.n(0, 9, "snapshot") == 0 {
+			if g.intBetween(0, 9, "snapshot") == 0 {
 				restored = restore(t, m)
 			}
 		}
--- a/state/queue.go
+++ b/state/queue.go
@@ -27,7 +27,7 @@
 
 func (m *Machine) teamOf(j *job) *team { return m.team(j.definition.Team) }
 
-func (m *Machine) adoptTeams(teams []*apiv1.Team) {
+func (m *Machine) applyTeams(teams []*apiv1.Team) {
 	for _, t := range m.teams {
 		t.definition = nil
 		t.quota = Resources{}
@@ -44,8 +44,8 @@
 	}
 }
 
-// moveTeam charges the job's live attempts to another team.
-func (m *Machine) moveTeam(j *job, name string) {
+// moveGrantsToTeam charges the job's live attempts to another team.
+func (m *Machine) moveGrantsToTeam(j *job, name string) {
 	if j.definition.Team == name {
 		return
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// jobChanged brings the queues of a job and its dependents up to date.
-func (m *Machine) jobChanged(j *job) {
+// requeueWithDependents brings the queues of a job and its dependents up to date.
+func (m *Machine) requeueWithDependents(j *job) {
 	if j.removed {
 		return
 	}
@@ -100,18 +100,18 @@
 		return "the job is canceled"
 	case j.parkedReason != "":
 		return "the job is parked: " + j.parkedReason
-	case m.endingByName[j.definition.Name] > 0:
+	case m.removedCount[j.definition.Name] > 0:
 		return "attempts of the job's earlier life have not ended"
 	}
 	for _, name := range j.definition.DependsOn {
-		if why := m.dependencyMissing(name); why != "" {
+		if why := m.unmetDependency(name); why != "" {
 			return why
 		}
 	}
 	return ""
 }
 
-func (m *Machine) dependencyMissing(name string) string {
+func (m *Machine) unmetDependency(name string) string {
 	if d := m.jobs[name]; d != nil {
 		if d.succeeded() {
 			return ""
@@ -127,24 +127,24 @@
 // requeue puts a job's queued tasks into its team's queue or takes them out.
 func (m *Machine) requeue(j *job) {
 	ready := m.waitsFor(j) == ""
-	if ready == j.queued {
+	if ready == j.enqueued {
 		return
 	}
 	if !ready {
 		m.dequeueAll(j)
 		return
 	}
-	j.queued = true
+	j.enqueued = true
 	for _, t := range j.tasks {
 		m.enqueue(t)
 	}
 }
 
 func (m *Machine) dequeueAll(j *job) {
-	if !j.queued {
+	if !j.enqueued {
 		return
 	}
-	j.queued = false
+	j.enqueued = false
 	for _, t := range j.tasks {
 		m.dequeue(t)
 	}
