--- a/state/restore.go
+++ b/state/restore.go
@@ -21,7 +21,7 @@
 	for _, svc := range m.configuration.Services {
 		m.services[svc.GetName()] = svc
 	}
-	m.adoptTeams(m.configuration.Teams)
+	m.applyTeams(m.configuration.Teams)
 	callerJobs, err := jobqueue.Restore(s.SubmittedJobs, s.TimeMs)
 	if err != nil {
 		return err
@@ -39,7 +39,7 @@
 	for _, j := range m.jobs {
 		j.countRemaining()
 	}
-	for _, j := range m.ending {
+	for _, j := range m.removedJobs {
 		j.countRemaining()
 	}
 	for _, j := range m.jobs {
@@ -58,13 +58,13 @@
 	}
 	for _, r := range records {
 		j := &job{
-			id:           jobID(r.Name, r.CreatedVersion),
-			definition:   declared[r.Name],
-			version:      r.CreatedVersion,
-			createdMs:    r.CreatedMs,
-			canceled:     r.Canceled,
-			removed:      r.Removed,
-			parkedReason: r.ParkedReason,
+			id:             jobID(r.Name, r.CreatedVersion),
+			definition:     declared[r.Name],
+			createdVersion: r.CreatedVersion,
+			createdMs:      r.CreatedMs,
+			canceled:       r.Canceled,
+			removed:        r.Removed,
+			parkedReason:   r.ParkedReason,
 		}
 		if j.removed {
 			j.definition = r.Definition
@@ -83,14 +83,14 @@
 	switch {
 	case j.definition == nil || j.definition.Name != name:
 		return errors.Newf("job %q has no definition", name)
-	case j.removed && m.ending[j.id] != nil, !j.removed && m.jobs[name] != nil:
+	case j.removed && m.removedJobs[j.id] != nil, !j.removed && m.jobs[name] != nil:
 		return errors.Newf("job %q is there twice", j.id)
 	case j.removed && !j.canceled:
 		return errors.Newf("job %q is removed and not canceled", j.id)
 	}
 	if j.removed {
-		m.ending[j.id] = j
-		m.endingByName[name]++
+		m.removedJobs[j.id] = j
+		m.removedCount[name]++
 		return nil
 	}
 	m.jobs[name] = j
@@ -112,7 +112,7 @@
 			capacity:         ResourcesOf(r.Capacity),
 			reserved:         ResourcesOf(r.Reserved),
 			draining:         r.Draining,
-			changed:          m.index,
+			changedIndex:     m.index,
 		}
 		if w.capacity.negative() || w.reserved.negative() {
 			return errors.Newf("worker %q has a negative amount", r.Name)
@@ -123,11 +123,11 @@
 }
 
 func (m *Machine) loadTasks(records []*apiv1.TaskRecord) error {
-	byID := make(map[string]*job, len(m.jobs)+len(m.ending))
+	byID := make(map[string]*job, len(m.jobs)+len(m.removedJobs))
 	for _, j := range m.jobs {
 		byID[j.id] = j
 	}
-	for _, j := range m.ending {
+	for _, j := range m.removedJobs {
 		byID[j.id] = j
 	}
 	ordered := slices.Clone(records)
@@ -152,7 +152,7 @@
 }
 
 func (m *Machine) loadTask(j *job, r *apiv1.TaskRecord) error {
-	if r.State <= apiv1.TaskState_TASK_STATE_UNSPECIFIED || int(r.State) >= taskStates {
+	if r.State <= apiv1.TaskState_TASK_STATE_UNSPECIFIED || int(r.State) >= taskStateCount {
 		return errors.Newf("task %q is in no known state", r.Task)
 	}
 	t := &task{
@@ -170,11 +170,11 @@
 		lastWorker:    r.LastWorker,
 		reason:        r.Reason,
 		failedWorkers: r.FailedWorkers,
-		queueSlot:     noSlot,
-		workerSlot:    noSlot,
+		queueIndex:    noIndex,
+		workerIndex:   noIndex,
 	}
 	j.tasks = append(j.tasks, t)
-	j.counts[t.state]++
+	j.taskCounts[t.state]++
 	m.tasks[t.id] = t
 	if r.Worker == "" {
 		return nil
@@ -197,7 +197,7 @@
 	if _, ok := w.granted.plus(t.grant); !ok {
 		return errors.Newf("task %q: grants overflow", t.id)
 	}
-	w.count(t)
+	w.addGrant(t)
 	return nil
 }
 
@@ -218,8 +218,8 @@
 	slices.SortFunc(answered, func(a, b *claim) int {
 		return cmp.Compare(a.record.SettledIndex, b.record.SettledIndex)
 	})
-	m.claims.answered = answered
-	m.claims.responses = len(answered)
+	m.claims.withResponse = answered
+	m.claims.responseCount = len(answered)
 	for _, c := range answered {
 		m.claims.responseBytes += responseSize(c.record.Response)
 	}
--- a/state/snapshot.go
+++ b/state/snapshot.go
@@ -26,11 +26,11 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "state snapshot can't be encoded")
 	}
-	return sealSnapshot(body), nil
+	return addSnapshotHeader(body), nil
 }
 
-// sealSnapshot puts magic and checksum before an encoded message.
-func sealSnapshot(body []byte) []byte {
+// addSnapshotHeader puts magic and checksum before an encoded message.
+func addSnapshotHeader(body []byte) []byte {
 	buf := make([]byte, 0, len(snapshotMagic)+checksumBytes+len(body))
 	buf = append(buf, snapshotMagic...)
 	buf = binary.BigEndian.AppendUint64(buf, xxhash.Sum64(body))
@@ -84,8 +84,8 @@
 	for _, name := range sortedKeys(m.jobs) {
 		m.jobs[name].addTo(s)
 	}
-	for _, id := range sortedKeys(m.ending) {
-		m.ending[id].addTo(s)
+	for _, id := range sortedKeys(m.removedJobs) {
+		m.removedJobs[id].addTo(s)
 	}
 	for _, name := range sortedKeys(m.workers) {
 		s.Workers = append(s.Workers, m.workers[name].message())
@@ -113,7 +113,7 @@
 		Canceled:       j.canceled,
 		ParkedReason:   j.parkedReason,
 		CreatedMs:      j.createdMs,
-		CreatedVersion: j.version,
+		CreatedVersion: j.createdVersion,
 		Removed:        j.removed,
 	}
 	if j.removed {
--- a/state/submit.go
+++ b/state/submit.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// winner names the submission that made a version, or the newest one known when
+// winnerID names the submission that made a version, or the newest one known when
 // that is no longer retained.
-func (t *submissionTable) winner(version, newest uint64) string {
+func (t *submissionTable) winnerID(version, newest uint64) string {
 	if r := t.byVersion[version]; r != nil {
 		return r.SubmissionId
 	}
@@ -65,11 +65,11 @@
 	}
 	digest := textDigest(s)
 	if first := m.submissions.byID[s.SubmissionId]; first != nil {
-		return resubmit(first, digest)
+		return repeatSubmission(first, digest)
 	}
-	cfg, res := m.judgeSubmission(s)
+	cfg, res := m.validateSubmission(s)
 	if res.Verdict == apiv1.Verdict_VERDICT_ACCEPTED {
-		m.adopt(cfg)
+		m.applyConfiguration(cfg)
 		res.ConfigurationVersion = m.configuration.Version
 	}
 	m.submissions.add(&apiv1.SubmissionRecord{
@@ -91,7 +91,7 @@
 	return s.Delta.GetTextDigest()
 }
 
-func resubmit(first *apiv1.SubmissionRecord, digest string) *apiv1.Result {
+func repeatSubmission(first *apiv1.SubmissionRecord, digest string) *apiv1.Result {
 	if first.TextDigest != digest {
 		return refused(fmt.Sprintf("submission id %q was used with another text", first.SubmissionId))
 	}
@@ -102,19 +102,19 @@
 	return res
 }
 
-// judgeSubmission returns the configuration that a submission asks for, when its
+// validateSubmission returns the configuration that a submission asks for, when its
 // base version is the newest and it is accepted.
-func (m *Machine) judgeSubmission(s *apiv1.Submit) (*apiv1.Configuration, *apiv1.Result) {
+func (m *Machine) validateSubmission(s *apiv1.Submit) (*apiv1.Configuration, *apiv1.Result) {
 	version := m.configuration.Version
 	if s.BaseVersion != version {
 		res := conflict(fmt.Sprintf("base version %d is not the newest, %d", s.BaseVersion, version))
 		res.ConfigurationVersion = version
-		res.WinnerSubmissionId = m.submissions.winner(s.BaseVersion+1, version)
+		res.WinnerSubmissionId = m.submissions.winnerID(s.BaseVersion+1, version)
 		return nil, res
 	}
-	cfg, why := m.submitted(s)
+	cfg, why := m.resolveSubmission(s)
 	if why == "" {
-		why = invalidConfiguration(cfg)
+		why = validateConfiguration(cfg)
 	}
 	if why != "" {
 		res := refused(why)
@@ -124,11 +124,11 @@
 	return cfg, accepted("")
 }
 
-// submitted is the whole configuration of a submission against the newest version.
+// resolveSubmission is the whole configuration of a submission against the newest version.
 // A delta that does not lead to what its digest names was damaged, or made from
 // another configuration; were it applied, the text that operators read back would
 // not be the one that was submitted.
-func (m *Machine) submitted(s *apiv1.Submit) (cfg *apiv1.Configuration, why string) {
+func (m *Machine) resolveSubmission(s *apiv1.Submit) (cfg *apiv1.Configuration, why string) {
 	if s.Configuration != nil {
 		return s.Configuration, ""
 	}
@@ -139,9 +139,9 @@
 	return cfg, ""
 }
 
-// invalidConfiguration checks what the machine itself relies on; the spec
+// validateConfiguration checks what the machine itself relies on; the spec
 // package checks the text as a whole before it is submitted.
-func invalidConfiguration(cfg *apiv1.Configuration) string {
+func validateConfiguration(cfg *apiv1.Configuration) string {
 	seen := make(map[string]bool, len(cfg.Jobs))
 	for _, j := range cfg.Jobs {
 		switch {
@@ -169,9 +169,9 @@
 	return ""
 }
 
-// adopt puts a configuration in force. Its cost grows with the configuration's
+// applyConfiguration puts a configuration in force. Its cost grows with the configuration's
 // jobs, services and teams, and with the tasks of jobs that changed.
-func (m *Machine) adopt(cfg *apiv1.Configuration) {
+func (m *Machine) applyConfiguration(cfg *apiv1.Configuration) {
 	m.configuration = &apiv1.Configuration{
 		Version:    m.configuration.Version + 1,
 		Services:   cfg.Services,
@@ -185,7 +185,7 @@
 	for _, s := range cfg.Services {
 		m.services[s.GetName()] = s
 	}
-	m.adoptTeams(cfg.Teams)
+	m.applyTeams(cfg.Teams)
 	declared := make(map[string]*apiv1.Job, len(cfg.Jobs))
 	for _, d := range cfg.Jobs {
 		declared[d.Name] = d
--- a/state/tasks.go
+++ b/state/tasks.go
@@ -2,8 +2,8 @@
 
 import apiv1 "github.com/cairnlift/cairnlift/api/v1"
 
-// noSlot is the queueSlot or workerSlot of a task that is not in that list.
-const noSlot = -1
+// noIndex is the queueIndex or workerIndex of a task that is not in that list.
+const noIndex = -1
 
 // task is the record of one task. While it is granted or stopping, its grant is
 // counted against its worker and its team.
@@ -25,10 +25,10 @@
 	notBeforeMs   int64
 	reason        string
 	failedWorkers []string
-	// queueSlot and workerSlot are positions in the team's queue and in the
+	// queueIndex and workerIndex are positions in the team's queue and in the
 	// worker's list.
-	queueSlot  int
-	workerSlot int
+	queueIndex  int
+	workerIndex int
 }
 
 func (t *task) live() bool { return t.worker != nil }
@@ -36,48 +36,48 @@
 // surplus reports whether the job has shrunk below this task.
 func (t *task) surplus() bool { return t.number >= int(t.job.definition.Tasks) }
 
-// remains reports whether the task keeps its job from having succeeded.
-func (t *task) remains() bool {
+// countsAsRemaining reports whether the task keeps its job from having succeeded.
+func (t *task) countsAsRemaining() bool {
 	return !t.surplus() && t.state != apiv1.TaskState_TASK_STATE_SUCCEEDED
 }
 
 // setState moves a task to a state and keeps its job's counts in step.
 func (m *Machine) setState(t *task, s apiv1.TaskState) {
 	j := t.job
-	remained := t.remains()
-	j.counts[t.state]--
+	remained := t.countsAsRemaining()
+	j.taskCounts[t.state]--
 	t.state = s
-	j.counts[s]++
+	j.taskCounts[s]++
 	if t.live() {
-		t.worker.changed = m.index
+		t.worker.changedIndex = m.index
 	}
-	if remained && !t.remains() {
+	if remained && !t.countsAsRemaining() {
 		j.remaining--
 	}
 }
 
 // enqueue adds a queued task of a ready job to its team's queue.
 func (m *Machine) enqueue(t *task) {
-	if t.state != apiv1.TaskState_TASK_STATE_QUEUED || !t.job.queued || t.queueSlot != noSlot {
+	if t.state != apiv1.TaskState_TASK_STATE_QUEUED || !t.job.enqueued || t.queueIndex != noIndex {
 		return
 	}
 	tm := m.teamOf(t.job)
-	t.queueSlot = len(tm.queue)
+	t.queueIndex = len(tm.queue)
 	tm.queue = append(tm.queue, t)
 }
 
 func (m *Machine) dequeue(t *task) {
-	if t.queueSlot == noSlot {
+	if t.queueIndex == noIndex {
 		return
 	}
 	tm := m.teamOf(t.job)
 	last := len(tm.queue) - 1
 	moved := tm.queue[last]
-	tm.queue[t.queueSlot] = moved
-	moved.queueSlot = t.queueSlot
+	tm.queue[t.queueIndex] = moved
+	moved.queueIndex = t.queueIndex
 	tm.queue[last] = nil
 	tm.queue = tm.queue[:last]
-	t.queueSlot = noSlot
+	t.queueIndex = noIndex
 }
 
 // cancelTask keeps a task from ever being granted again; a live attempt is to be
@@ -94,8 +94,8 @@
 	}
 }
 
-// revive queues a task again that was canceled because its job had shrunk.
-func (m *Machine) revive(t *task) {
+// requeueCanceledTask queues a task again that was canceled because its job had shrunk.
+func (m *Machine) requeueCanceledTask(t *task) {
 	if t.job.canceled || t.state != apiv1.TaskState_TASK_STATE_CANCELED {
 		return
 	}
--- a/state/view.go
+++ b/state/view.go
@@ -119,7 +119,7 @@
 		Granted:          w.granted,
 		Draining:         w.draining,
 		Tasks:            len(w.tasks),
-		Changed:          w.changed,
+		Changed:          w.changedIndex,
 	}
 }
 
@@ -225,7 +225,7 @@
 		Tasks:        map[apiv1.TaskState]int{},
 		WaitsFor:     m.waitsFor(j),
 	}
-	for s, n := range j.counts {
+	for s, n := range j.taskCounts {
 		if n > 0 {
 			v.Tasks[apiv1.TaskState(s)] = n
 		}
--- a/state/workers.go
+++ b/state/workers.go
@@ -18,8 +18,8 @@
 	draining         bool
 	granted          Resources
 	tasks            []*task
-	// changed is the log index of the last change of the worker or its tasks.
-	changed uint64
+	// changedIndex is the log index of the last change of the worker or its tasks.
+	changedIndex uint64
 }
 
 // fits reports whether a grant keeps the worker within its capacity. A worker
@@ -37,26 +37,26 @@
 	if !w.fits(t.grant) {
 		panic(fmt.Sprintf("state: grants never exceed a worker's capacity: %s on %s", t.id, w.name))
 	}
-	w.count(t)
+	w.addGrant(t)
 }
 
-// count adds a task's grant without judging it; Restore uses it for a worker
+// addGrant adds a task's grant without judging it; Restore uses it for a worker
 // that may have shrunk below what it holds.
-func (w *worker) count(t *task) {
+func (w *worker) addGrant(t *task) {
 	w.granted = mustPlus(w.granted, t.grant)
 	t.worker = w
-	t.workerSlot = len(w.tasks)
+	t.workerIndex = len(w.tasks)
 	w.tasks = append(w.tasks, t)
 }
 
 func (w *worker) detach(t *task) {
 	last := len(w.tasks) - 1
 	moved := w.tasks[last]
-	w.tasks[t.workerSlot] = moved
-	moved.workerSlot = t.workerSlot
+	w.tasks[t.workerIndex] = moved
+	moved.workerIndex = t.workerIndex
 	w.tasks[last] = nil
 	w.tasks = w.tasks[:last]
-	t.workerSlot = noSlot
+	t.workerIndex = noIndex
 	t.worker = nil
 	w.granted = w.granted.Minus(t.grant)
 	if w.granted.negative() {
@@ -90,7 +90,7 @@
 	if r.Incarnation < w.incarnation {
 		return conflict(fmt.Sprintf("the worker's incarnation is %d", w.incarnation))
 	}
-	w.changed = m.index
+	w.changedIndex = m.index
 	w.region = r.Region
 	w.availabilityZone = r.AvailabilityZone
 	w.rack = r.Rack
@@ -98,7 +98,7 @@
 	w.reserved = reserved
 	if r.Incarnation > w.incarnation {
 		w.incarnation = r.Incarnation
-		m.keepCheckpoints(r.Checkpoints)
+		m.recordCheckpoints(r.Checkpoints)
 		m.endMissing(w, r.Running)
 	}
 	return accepted("")
@@ -117,7 +117,7 @@
 		}
 	}
 	for _, t := range gone {
-		m.end(t, apiv1.TaskState_TASK_STATE_QUEUED, "not found when the worker's agent started anew")
+		m.endAttempt(t, apiv1.TaskState_TASK_STATE_QUEUED, "not found when the worker's agent started anew")
 	}
 }
 
@@ -130,7 +130,7 @@
 		return repeated("")
 	}
 	w.draining = !d.Off
-	w.changed = m.index
+	w.changedIndex = m.index
 	if d.Off {
 		return accepted("")
 	}
--- a/tomltext/decode.go
+++ b/tomltext/decode.go
@@ -20,7 +20,7 @@
 			decodeField(t, key, v.Field(i))
 		}
 	}
-	t.RefuseUnknown()
+	t.RejectUnknownKeys()
 }
 
 func decodeField(t *Table, key string, v reflect.Value) {
@@ -36,7 +36,7 @@
 		s, _ := t.String(key)
 		v.SetString(s)
 	case reflect.Bool:
-		b, _ := typed[bool](t, key, "a boolean")
+		b, _ := valueOfType[bool](t, key, "a boolean")
 		v.SetBool(b)
 	case reflect.Int, reflect.Int32, reflect.Int64, reflect.Uint32, reflect.Uint64:
 		decodeInteger(t, key, v)
@@ -62,7 +62,7 @@
 		return
 	}
 	if err := u.UnmarshalText([]byte(s)); err != nil {
-		t.Add(key, "%s", err)
+		t.AddProblem(key, "%s", err)
 	}
 }
 
@@ -79,7 +79,7 @@
 		v.SetUint(uint64(n))
 		return
 	}
-	t.Add(key, "%d is out of range", n)
+	t.AddProblem(key, "%d is out of range", n)
 }
 
 func decodeSlice(t *Table, key string, v reflect.Value) {
--- a/tomltext/document.go
+++ b/tomltext/document.go
@@ -17,9 +17,9 @@
 	// positions are looked up once there is a problem to place.
 	positions *positions
 	problems  Problems
-	// dropped counts problems beyond maxKept.
-	dropped int
-	root    map[string]any
+	// droppedProblems counts problems beyond maxCollectedProblems.
+	droppedProblems int
+	root            map[string]any
 }
 
 // Parse reads the syntax of a text. A document whose syntax is broken has one
@@ -42,31 +42,31 @@
 	d.problems = append(d.problems, problem)
 }
 
-// Add records a problem with the key at path.
-func (d *Document) Add(path, format string, args ...any) {
-	if len(d.problems) == maxKept {
-		d.dropped++
+// AddProblem records a problem with the key at path.
+func (d *Document) AddProblem(path, format string, args ...any) {
+	if len(d.problems) == maxCollectedProblems {
+		d.droppedProblems++
 		return
 	}
 	d.problems = append(d.problems, Problem{Line: d.Line(path), Field: path, Message: fmt.Sprintf(format, args...)})
 }
 
-// Faulty reports whether the key at path has a problem already, so that a later
+// HasProblem reports whether the key at path has a problem already, so that a later
 // check need not complain about what the same mistake left unset.
-func (d *Document) Faulty(path string) bool {
+func (d *Document) HasProblem(path string) bool {
 	return slices.ContainsFunc(d.problems, func(p Problem) bool { return p.Field == path })
 }
 
 // Line returns the line of the key at path, or of the nearest table around it.
 func (d *Document) Line(path string) int {
 	if d.positions == nil {
-		d.positions = locate(d.text)
+		d.positions = locateKeys(d.text)
 	}
 	return d.positions.line(path)
 }
 
 // Problems returns what was found so far, by line.
-func (d *Document) Problems() Problems { return d.problems.sorted(d.dropped) }
+func (d *Document) Problems() Problems { return d.problems.sorted(d.droppedProblems) }
 
 // Root returns the table that holds all others.
 func (d *Document) Root() *Table { return newTable(d, "", d.root) }
--- a/tomltext/positions.go
+++ b/tomltext/positions.go
@@ -20,12 +20,12 @@
 type positions struct {
 	lines    map[string]int
 	newlines []int
-	// elements counts the headers seen of each array of tables.
-	elements map[string]int
+	// elementCounts counts the headers seen of each array of tables.
+	elementCounts map[string]int
 }
 
-func locate(text []byte) *positions {
-	p := &positions{lines: map[string]int{}, elements: map[string]int{}}
+func locateKeys(text []byte) *positions {
+	p := &positions{lines: map[string]int{}, elementCounts: map[string]int{}}
 	for i, c := range text {
 		if c == '\n' {
 			p.newlines = append(p.newlines, i)
@@ -53,13 +53,13 @@
 	for i, part := range parts {
 		line := p.lineAt(part.Raw.Offset)
 		path = join(path, string(part.Data))
-		p.record(path, line)
+		p.recordLine(path, line)
 		if i == len(parts)-1 && e.Kind == unstable.ArrayTable {
-			p.elements[path]++
+			p.elementCounts[path]++
 		}
-		if n := p.elements[path]; n > 0 {
+		if n := p.elementCounts[path]; n > 0 {
 			path = element(path, n-1)
-			p.record(path, line)
+			p.recordLine(path, line)
 		}
 	}
 	return path
@@ -72,7 +72,7 @@
 			return
 		}
 		path = join(path, string(part.Data))
-		p.record(path, p.lineAt(part.Raw.Offset))
+		p.recordLine(path, p.lineAt(part.Raw.Offset))
 	}
 	p.value(path, e.Value(), depth-1)
 }
@@ -95,8 +95,8 @@
 	}
 }
 
-// record keeps the first line of a path.
-func (p *positions) record(path string, line int) {
+// recordLine keeps the first line of a path.
+func (p *positions) recordLine(path string, line int) {
 	if _, known := p.lines[path]; !known && len(path) <= maxPathBytes {
 		p.lines[path] = line
 	}
--- a/tomltext/positions_test.go
+++ b/tomltext/positions_test.go
@@ -24,7 +24,7 @@
 		if problems := doc.Problems(); len(problems) > 0 {
 			t.Fatal(name, problems)
 		}
-		doc.Root().RefuseUnknown()
+		doc.Root().RejectUnknownKeys()
 		for path := range doc.positions.lines {
 			if len(path) > maxPathBytes || strings.Count(path, ".")+strings.Count(path, "[") >= 2*maxKeyParts {
 				t.Errorf("%s: a path of %d bytes is kept", name, len(path))
@@ -39,12 +39,12 @@
 // The first lines are reported and the rest is counted.
 func TestProblemsAreBounded(t *testing.T) {
 	var text strings.Builder
-	const keys = maxKept + 500
+	const keys = maxCollectedProblems + 500
 	for i := range keys {
 		fmt.Fprintf(&text, "k%06d = 1\n", i)
 	}
 	doc := Parse([]byte(text.String()))
-	doc.Root().RefuseUnknown()
+	doc.Root().RejectUnknownKeys()
 	got := doc.Problems()
 	rest := fmt.Sprintf("%d more", keys-MaxProblems)
 	if len(got) != MaxProblems+1 || got[MaxProblems-1].Line != MaxProblems || !strings.HasPrefix(got[MaxProblems].Message, rest) {
--- a/tomltext/problem.go
+++ b/tomltext/problem.go
@@ -9,9 +9,9 @@
 // MaxProblems bounds how many mistakes one run reports.
 const MaxProblems = 200
 
-// maxKept bounds how many are kept until they are sorted by line: a text that
+// maxCollectedProblems bounds how many are kept until they are sorted by line: a text that
 // is not what it should be, such as another program's, may hold a million.
-const maxKept = 10 * MaxProblems
+const maxCollectedProblems = 10 * MaxProblems
 
 // Problem is one mistake in a text.
 type Problem struct {
--- a/tomltext/table.go
+++ b/tomltext/table.go
@@ -4,8 +4,8 @@
 	"sort"
 )
 
-// maxQuoted bounds how much of a text's own words a message repeats.
-const maxQuoted = 80
+// maxQuotedBytes bounds how much of a text's own words a message repeats.
+const maxQuotedBytes = 80
 
 // Table reads the keys of one table. Each method records a problem when the key
 // holds another type of value, and returns false when there is no usable value.
@@ -28,8 +28,10 @@
 	return join(t.path, key)
 }
 
-// Add records a problem with a key of this table.
-func (t *Table) Add(key, format string, args ...any) { t.doc.Add(t.Path(key), format, args...) }
+// AddProblem records a problem with a key of this table.
+func (t *Table) AddProblem(key, format string, args ...any) {
+	t.doc.AddProblem(t.Path(key), format, args...)
+}
 
 // Has reports whether the key is set.
 func (t *Table) Has(key string) bool {
@@ -44,7 +46,7 @@
 	return v, ok
 }
 
-func typed[T any](t *Table, key, want string) (T, bool) {
+func valueOfType[T any](t *Table, key, want string) (T, bool) {
 	v, ok := t.Value(key)
 	if !ok {
 		var zero T
@@ -52,16 +54,16 @@
 	}
 	value, ok := v.(T)
 	if !ok {
-		t.Add(key, "must be %s, not %s", want, typeName(v))
+		t.AddProblem(key, "must be %s, not %s", want, typeName(v))
 	}
 	return value, ok
 }
 
 // String reads a string.
-func (t *Table) String(key string) (string, bool) { return typed[string](t, key, "a string") }
+func (t *Table) String(key string) (string, bool) { return valueOfType[string](t, key, "a string") }
 
 // Int reads an integer.
-func (t *Table) Int(key string) (int64, bool) { return typed[int64](t, key, "an integer") }
+func (t *Table) Int(key string) (int64, bool) { return valueOfType[int64](t, key, "an integer") }
 
 // Float reads a float or an integer.
 func (t *Table) Float(key string) (float64, bool) {
@@ -69,17 +71,17 @@
 		t.known[key] = true
 		return float64(v), true
 	}
-	return typed[float64](t, key, "a number")
+	return valueOfType[float64](t, key, "a number")
 }
 
 // Strings reads an array of strings.
 func (t *Table) Strings(key string) []string {
-	values, _ := typed[[]any](t, key, "an array of strings")
+	values, _ := valueOfType[[]any](t, key, "an array of strings")
 	var out []string
 	for i, v := range values {
 		s, ok := v.(string)
 		if !ok {
-			t.doc.Add(element(t.Path(key), i), "must be a string, not %s", typeName(v))
+			t.doc.AddProblem(element(t.Path(key), i), "must be a string, not %s", typeName(v))
 			continue
 		}
 		out = append(out, s)
@@ -89,19 +91,19 @@
 
 // Table reads a table.
 func (t *Table) Table(key string) (*Table, bool) {
-	values, ok := typed[map[string]any](t, key, "a table")
+	values, ok := valueOfType[map[string]any](t, key, "a table")
 	return newTable(t.doc, t.Path(key), values), ok
 }
 
 // Tables reads an array of tables.
 func (t *Table) Tables(key string) []*Table {
-	values, _ := typed[[]any](t, key, "an array of tables, written [["+key+"]]")
+	values, _ := valueOfType[[]any](t, key, "an array of tables, written [["+key+"]]")
 	var out []*Table
 	for i, v := range values {
 		path := element(t.Path(key), i)
 		m, ok := v.(map[string]any)
 		if !ok {
-			t.doc.Add(path, "must be a table, not %s", typeName(v))
+			t.doc.AddProblem(path, "must be a table, not %s", typeName(v))
 			continue
 		}
 		out = append(out, newTable(t.doc, path, m))
@@ -109,9 +111,9 @@
 	return out
 }
 
-// RefuseUnknown records a problem for each key that no method was called for. A
+// RejectUnknownKeys records a problem for each key that no method was called for. A
 // misspelt key that is passed over in silence would leave its default in force.
-func (t *Table) RefuseUnknown() {
+func (t *Table) RejectUnknownKeys() {
 	var unknown []string
 	for key := range t.values {
 		if !t.known[key] {
@@ -120,16 +122,16 @@
 	}
 	sort.Strings(unknown)
 	for _, key := range unknown {
-		t.doc.Add(t.Path(Shorten(key)), "is not a known key")
+		t.doc.AddProblem(t.Path(Shorten(key)), "is not a known key")
 	}
 }
 
 // Shorten cuts text that is repeated in a message to a bounded length.
 func Shorten(s string) string {
-	if len(s) <= maxQuoted {
+	if len(s) <= maxQuotedBytes {
 		return s
 	}
-	return s[:maxQuoted] + "..."
+	return s[:maxQuotedBytes] + "..."
 }
 
 func typeName(v any) string {
