--- /dev/null
+++ b/soak/check.go
@@ -0,0 +1,204 @@
+package soak
+
+import (
+	"cmp"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"github.com/cairnlift/cairnlift/platform/platformtest"
+)
+
+const (
+	// maxTaskGap is how long a task that lasts may be without a run when all is calm.
+	maxTaskGap = 9 * time.Second
+	// faultFreeBefore is how long nothing may have befallen a process before a moment that counts.
+	faultFreeBefore = 7 * time.Second
+	// freeCapacityBefore is how long there must have been room for the task twice over.
+	freeCapacityBefore = 3 * time.Second
+	minFreeCapacity    = 2
+	// sampleInterval is how often room is looked at.
+	sampleInterval = 50 * time.Millisecond
+	// minShownGap is the shortest gap that is shown.
+	minShownGap = 3 * time.Second
+)
+
+// checkedGap is a gap with what can be said of it.
+type checkedGap struct {
+	gap
+	// violated: it lasted too long though all was calm and there was room.
+	violated bool
+	// faultFree is the longest time within it without a fault.
+	faultFree time.Duration
+	// freeCapacity is the least room in its last seconds, in tasks of its step.
+	freeCapacity int
+}
+
+// report is what became of the tasks that last.
+type report struct {
+	rec      *record
+	tasks    int
+	gaps     []checkedGap
+	overlaps []string
+	// violations are those that callers were given and that were broken.
+	violations []string
+	steps      map[string]platformtest.Step
+	// controlLog are the lines of the control hosts.
+	controlLog []logLine
+}
+
+// Check judges the play whose records are in a folder, and writes what became of the tasks
+// that last. It returns how many findings there are.
+func Check(folder string, out io.Writer) (int, error) {
+	s, err := readSummary(folder)
+	if err != nil {
+		return 0, err
+	}
+	rep, err := check(folder, s)
+	if err != nil {
+		return 0, err
+	}
+	excerpts, err := rep.excerpts(folder)
+	if err != nil {
+		return 0, err
+	}
+	if err := os.WriteFile(filepath.Join(folder, "excerpts.txt"), []byte(excerpts), 0o600); err != nil {
+		return 0, errors.Wrap(err, "excerpts")
+	}
+	_, err = fmt.Fprintf(out, "%s, %s\n%s", s.Title, folder, rep.text())
+	return rep.findings(), errors.Wrap(err, "report")
+}
+
+func check(folder string, s summary) (*report, error) {
+	rec, err := readRecord(folder, s.End)
+	if err != nil {
+		return nil, err
+	}
+	rep := &report{rec: rec, steps: map[string]platformtest.Step{}}
+	if rep.controlLog, err = readLogs(folder, "control-*.log"); err != nil {
+		return nil, err
+	}
+	rec.faults = append(rec.faults, leadershipChanges(rep.controlLog)...)
+	slices.SortStableFunc(rec.faults, func(a, b fault) int { return cmp.Compare(a.AtMicros, b.AtMicros) })
+	for _, j := range s.Jobs {
+		rep.steps[j.ID] = j.Job.Steps[0]
+	}
+	for _, j := range s.Jobs {
+		step := j.Job.Steps[0]
+		rep.checkJob(j)
+		for i := range step.Count {
+			task := fmt.Sprintf("%s.0.0.%d", j.ID, i)
+			rep.checkOverlaps(task)
+			rep.checkDone(task)
+			if !step.LongRunning || j.Refused {
+				continue
+			}
+			rep.tasks++
+			for _, g := range rec.gapsOf(task, step, j.Accepted) {
+				if g, counts := j.wantedPart(g); counts {
+					rep.gaps = append(rep.gaps, rep.checkGap(g))
+				}
+			}
+		}
+	}
+	rep.checkConfigurations(s.Changes, s.Reads)
+	slices.SortFunc(rep.gaps, func(a, b checkedGap) int { return compareLength(a.gap, b.gap) })
+	return rep, nil
+}
+
+// checkOverlaps looks for two runs of a task at the same time.
+func (rep *report) checkOverlaps(task string) {
+	var last *run
+	for _, r := range rep.rec.runsOf(task) {
+		if last != nil && r.start.Before(last.end) {
+			rep.overlaps = append(rep.overlaps, fmt.Sprintf("%s: run %d on %s beside run %d on %s", task, r.number, r.incarnation.worker, last.number, last.incarnation.worker))
+		}
+		if last == nil || r.end.After(last.end) {
+			last = r
+		}
+	}
+}
+
+func (rep *report) checkGap(g gap) checkedGap {
+	j := checkedGap{gap: g, faultFree: rep.rec.longestFaultFree(g.from, g.to), freeCapacity: rep.leastFreeCapacity(g, g.to.Add(-freeCapacityBefore), g.to)}
+	for at := g.from.Add(maxTaskGap); !j.violated && !at.After(g.to); at = at.Add(sampleInterval) {
+		calm := rep.rec.longestFaultFree(at.Add(-faultFreeBefore), at) == faultFreeBefore
+		j.violated = calm && rep.leastFreeCapacity(g, at.Add(-freeCapacityBefore), at) >= minFreeCapacity
+	}
+	return j
+}
+
+// longestFaultFree is the longest time between two moments without a fault.
+func (rec *record) longestFaultFree(from, to time.Time) time.Duration {
+	longest, since := time.Duration(0), from
+	for _, f := range rec.faults {
+		if f.at().Before(from) || f.at().After(to) {
+			continue
+		}
+		longest, since = max(longest, f.at().Sub(since)), f.at()
+	}
+	return max(longest, to.Sub(since))
+}
+
+// leastFreeCapacity is the least room for a task's step between two moments.
+func (rep *report) leastFreeCapacity(g gap, from, to time.Time) int {
+	least := rep.freeCapacity(g, from)
+	for at := maxTime(from, g.from); at.Before(to) && least > 0; at = at.Add(sampleInterval) {
+		least = min(least, rep.freeCapacity(g, at))
+	}
+	return least
+}
+
+// freeCapacity is how many tasks of a step fit on the sound workers that are there and reachable at a moment.
+func (rep *report) freeCapacity(g gap, at time.Time) int {
+	sum := 0
+	for _, l := range rep.rec.incarnations {
+		if !l.sick && !l.start.After(at) && l.end.After(at) && rep.rec.reachable(l.worker, at) {
+			sum += rep.freeCapacityOn(l, g, at)
+		}
+	}
+	return sum
+}
+
+func (rep *report) freeCapacityOn(l *incarnation, g gap, at time.Time) int {
+	cpu, memory, beside := int64(workerCPUMilli), int64(workerMemoryMB), int64(0)
+	for _, r := range l.runs {
+		if r.start.After(at) || !r.end.After(at) {
+			continue
+		}
+		step := rep.steps[jobOf(r.task)]
+		memory -= step.MemoryMB
+		if !step.Backfill {
+			cpu -= step.CPU
+		}
+		if jobOf(r.task) == jobOf(g.task) {
+			beside++
+		}
+	}
+	fit := min(cpu/g.step.CPU, memory/g.step.MemoryMB)
+	if g.step.MaxPerWorker > 0 {
+		fit = min(fit, int64(g.step.MaxPerWorker)-beside)
+	}
+	return int(max(0, fit))
+}
+
+func jobOf(task string) string {
+	job, _, _ := strings.Cut(task, ".")
+	return job
+}
+
+func (rep *report) findings() int {
+	count := len(rep.overlaps) + len(rep.violations)
+	for _, g := range rep.gaps {
+		if g.violated {
+			count++
+		}
+	}
+	return count
+}
