--- a/soak/blackholes_test.go
+++ b/soak/blackholes_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against a task on two workers at once: links are dark until leases have run out, and no leader
-// answers when they are mended.
+// TestBlackholedLinksWithPausedControlHosts guards against a task that runs on two workers at once: links
+// are blackholed until leases have expired, and no leader answers when the links are restored.
 func TestBlackholedLinksWithPausedControlHosts(t *testing.T) {
 	plan, err := os.ReadFile("testdata/dark-links.plan")
 	if err != nil {
@@ -25,7 +25,7 @@
 		t.Fatal(err)
 	}
 	if len(rep.rec.runs) == 0 {
-		t.Error("nothing ran")
+		t.Error("no task ran")
 	}
 	for _, finding := range append(rep.overlaps, rep.violations...) {
 		t.Error(finding)
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -9,13 +9,14 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// caller is what a caller does with a job beside handing it in.
+// caller is the behavior of the caller of one job, apart from submitting it.
 type caller struct {
-	// firstEntry is the number of the entry that the first try goes to.
+	// firstEntry is the number of the entry that receives the first attempt.
 	firstEntry int
-	// maxAttempts bounds how often it is handed in; 0 for no bound.
+	// maxAttempts limits how often the job is submitted; 0 means no limit.
 	maxAttempts int
-	// resendAfter is when it is sent once more after it was accepted, cancel when it is cancelled; 0 for never.
+	// resendAfter is the time from the acceptance of the job until it is submitted once more, cancelAfter
+	// until it is canceled; 0 means never.
 	resendAfter, cancelAfter time.Duration
 }
 
@@ -31,7 +32,7 @@
 	cancelTimes = []span{{0, 300 * time.Millisecond}, {300 * time.Millisecond, 4 * time.Second}, {5 * time.Second, 30 * time.Second}}
 )
 
-// drawCaller draws what a caller does.
+// drawCaller draws the behavior of a caller.
 func (l *load) drawCaller() caller {
 	if !l.callers {
 		return caller{}
@@ -51,8 +52,8 @@
 
 func chance(r *rand.Rand, percent int) bool { return r.IntN(100) < percent }
 
-// runCaller hands a job in until it is accepted or the caller gives up. What the caller does later
-// goes on beside.
+// runCaller submits a job until it is accepted or the caller gives up. The caller's later requests run
+// in the background.
 func (l *load) runCaller(ctx context.Context, prefix, id string, j platformtest.Job, c caller) {
 	job := &submittedJob{ID: id, Path: prefix + id, Job: j}
 	if !l.submit(ctx, job, c) {
@@ -72,11 +73,11 @@
 	}
 }
 
-// submit reports whether the caller knows what became of the job.
+// submit submits a job, and reports whether the caller knows that it was accepted or refused.
 func (l *load) submit(ctx context.Context, job *submittedJob, c caller) bool {
 	refused := true
-	for try := 0; ctx.Err() == nil && (c.maxAttempts == 0 || try < c.maxAttempts); try++ {
-		status, err := l.c.client.Submit(ctx, l.entryIP(c.firstEntry+try), queueHost, job.Path, job.Job)
+	for attempt := 0; ctx.Err() == nil && (c.maxAttempts == 0 || attempt < c.maxAttempts); attempt++ {
+		status, err := l.c.client.Submit(ctx, l.entryIP(c.firstEntry+attempt), queueHost, job.Path, job.Job)
 		if err == nil && status == http.StatusOK {
 			job.Accepted = time.Now()
 			return true
@@ -90,14 +91,15 @@
 
 func (l *load) entryIP(number int) string { return l.c.entryIPs[number%len(l.c.entryIPs)] }
 
-// resubmit hands in what was accepted, as callers do whose first message comes late.
+// resubmit submits an accepted job once more, which has the effect of a first request that is delayed on
+// the network.
 func (l *load) resubmit(ctx context.Context, job *submittedJob, c caller) {
 	if sleep(ctx, c.resendAfter); ctx.Err() == nil {
-		_, _ = l.c.client.Submit(ctx, l.entryIP(c.firstEntry+1), queueHost, job.Path, job.Job) // nobody waits for it
+		_, _ = l.c.client.Submit(ctx, l.entryIP(c.firstEntry+1), queueHost, job.Path, job.Job) // no caller waits for this response
 	}
 }
 
-// cancel asks for the end of a job until that is acknowledged.
+// cancel requests the cancellation of a job until it is acknowledged.
 func (l *load) cancel(ctx context.Context, job *submittedJob, c caller) {
 	if sleep(ctx, c.cancelAfter); ctx.Err() != nil {
 		return
@@ -105,8 +107,8 @@
 	l.mu.Lock()
 	job.CancelSent = time.Now()
 	l.mu.Unlock()
-	for try := 0; ctx.Err() == nil; try++ {
-		status, err := l.c.client.Cancel(ctx, l.entryIP(c.firstEntry+try), queueHost, job.Path)
+	for attempt := 0; ctx.Err() == nil; attempt++ {
+		status, err := l.c.client.Cancel(ctx, l.entryIP(c.firstEntry+attempt), queueHost, job.Path)
 		if err == nil && status/100 == 2 {
 			l.mu.Lock()
 			job.Canceled = time.Now()
@@ -117,11 +119,11 @@
 	}
 }
 
-// queryStates asks any entry for the state of each job.
+// queryStates queries the state of each job at any entry.
 func (l *load) queryStates(ctx context.Context) {
 	for i, job := range l.jobs {
-		for try := 0; try < len(l.c.entryIPs) && job.Status == 0 && !job.Refused; try++ {
-			status, state, err := l.c.client.State(ctx, l.entryIP(i+try), queueHost, job.Path)
+		for attempt := 0; attempt < len(l.c.entryIPs) && job.Status == 0 && !job.Refused; attempt++ {
+			status, state, err := l.c.client.State(ctx, l.entryIP(i+attempt), queueHost, job.Path)
 			if err == nil {
 				job.Status, job.State = status, state
 			}
--- a/soak/check.go
+++ b/soak/check.go
@@ -16,45 +16,49 @@
 )
 
 const (
-	// maxTaskGap is how long a task that lasts may be without a run when all is calm.
+	// maxTaskGap is how long a long-running task may be without a run while no fault occurs.
 	maxTaskGap = 9 * time.Second
-	// faultFreeBefore is how long nothing may have befallen a process before a moment that counts.
+	// faultFreeBefore is how long before a moment no fault may have occurred for that moment to count as a
+	// violation.
 	faultFreeBefore = 7 * time.Second
-	// freeCapacityBefore is how long there must have been room for the task twice over.
+	// freeCapacityBefore is how long before such a moment the workers must have had free capacity for
+	// minFreeCapacity tasks of the same step.
 	freeCapacityBefore = 3 * time.Second
 	minFreeCapacity    = 2
-	// sampleInterval is how often room is looked at.
+	// sampleInterval is the interval between two samples of the free capacity.
 	sampleInterval = 50 * time.Millisecond
-	// minShownGap is the shortest gap that is shown.
+	// minShownGap is the shortest gap that the report lists.
 	minShownGap = 3 * time.Second
 )
 
-// checkedGap is a gap with what can be said of it.
+// checkedGap is a gap with the checker's findings about it.
 type checkedGap struct {
 	gap
-	// violated: it lasted too long though all was calm and there was room.
+	// violated is whether the gap was too long although no fault occurred and there was free capacity.
 	violated bool
-	// faultFree is the longest time within it without a fault.
+	// faultFree is the longest time within the gap without a fault.
 	faultFree time.Duration
-	// freeCapacity is the least room in its last seconds, in tasks of its step.
+	// freeCapacity is the least free capacity within freeCapacityBefore of its end, in tasks of its step.
 	freeCapacity int
 }
 
-// report is what became of the tasks that last.
+// report holds the findings about the tasks of a soak run.
 type report struct {
-	rec      *record
-	tasks    int
-	gaps     []checkedGap
+	rec *record
+	// tasks is the number of long-running tasks.
+	tasks int
+	gaps  []checkedGap
+	// overlaps are the runs of a task that began while another run of it had not ended.
 	overlaps []string
-	// violations are those that callers were given and that were broken.
+	// violations are the guarantees to callers that were violated.
 	violations []string
 	steps      map[string]platformtest.Step
-	// controlLog are the lines of the control hosts.
+	// controlLog are the log lines of the control hosts.
 	controlLog []logLine
 }
 
-// Check judges the play whose records are in a folder, and writes what became of the tasks
-// that last. It returns how many findings there are.
+// Check checks the soak run whose records are in a folder, and writes a report on its long-running tasks.
+// It returns the number of findings.
 func Check(folder string, out io.Writer) (int, error) {
 	s, err := readSummary(folder)
 	if err != nil {
@@ -112,12 +116,12 @@
 	return rep, nil
 }
 
-// checkOverlaps looks for two runs of a task at the same time.
+// checkOverlaps finds runs of a task that overlap in time.
 func (rep *report) checkOverlaps(task string) {
 	var last *run
 	for _, r := range rep.rec.runsOf(task) {
 		if last != nil && r.start.Before(last.end) {
-			rep.overlaps = append(rep.overlaps, fmt.Sprintf("%s: run %d on %s beside run %d on %s", task, r.number, r.incarnation.worker, last.number, last.incarnation.worker))
+			rep.overlaps = append(rep.overlaps, fmt.Sprintf("%s: run %d on %s overlaps run %d on %s", task, r.number, r.incarnation.worker, last.number, last.incarnation.worker))
 		}
 		if last == nil || r.end.After(last.end) {
 			last = r
@@ -125,16 +129,18 @@
 	}
 }
 
+// checkGap decides whether a gap is too long: maxTaskGap or more after its beginning there is a moment
+// before which no fault occurred and the workers had free capacity for long enough.
 func (rep *report) checkGap(g gap) checkedGap {
 	j := checkedGap{gap: g, faultFree: rep.rec.longestFaultFree(g.from, g.to), freeCapacity: rep.leastFreeCapacity(g, g.to.Add(-freeCapacityBefore), g.to)}
 	for at := g.from.Add(maxTaskGap); !j.violated && !at.After(g.to); at = at.Add(sampleInterval) {
-		calm := rep.rec.longestFaultFree(at.Add(-faultFreeBefore), at) == faultFreeBefore
-		j.violated = calm && rep.leastFreeCapacity(g, at.Add(-freeCapacityBefore), at) >= minFreeCapacity
+		faultFree := rep.rec.longestFaultFree(at.Add(-faultFreeBefore), at) == faultFreeBefore
+		j.violated = faultFree && rep.leastFreeCapacity(g, at.Add(-freeCapacityBefore), at) >= minFreeCapacity
 	}
 	return j
 }
 
-// longestFaultFree is the longest time between two moments without a fault.
+// longestFaultFree returns the length of the longest interval without a fault between two moments.
 func (rec *record) longestFaultFree(from, to time.Time) time.Duration {
 	longest, since := time.Duration(0), from
 	for _, f := range rec.faults {
@@ -146,7 +152,7 @@
 	return max(longest, to.Sub(since))
 }
 
-// leastFreeCapacity is the least room for a task's step between two moments.
+// leastFreeCapacity returns the least free capacity for the step of a gap's task between two moments.
 func (rep *report) leastFreeCapacity(g gap, from, to time.Time) int {
 	least := rep.freeCapacity(g, from)
 	for at := maxTime(from, g.from); at.Before(to) && least > 0; at = at.Add(sampleInterval) {
@@ -155,7 +161,8 @@
 	return least
 }
 
-// freeCapacity is how many tasks of a step fit on the sound workers that are there and reachable at a moment.
+// freeCapacity returns how many more tasks of a step fit on the workers that are running, reachable and not
+// sick at a moment.
 func (rep *report) freeCapacity(g gap, at time.Time) int {
 	sum := 0
 	for _, l := range rep.rec.incarnations {
@@ -166,8 +173,10 @@
 	return sum
 }
 
+// freeCapacityOn returns how many more tasks of a step fit on one worker at a moment. Backfill tasks count by
+// their memory only.
 func (rep *report) freeCapacityOn(l *incarnation, g gap, at time.Time) int {
-	cpu, memory, beside := int64(workerCPUMilli), int64(workerMemoryMB), int64(0)
+	cpu, memory, sameJob := int64(workerCPUMilli), int64(workerMemoryMB), int64(0)
 	for _, r := range l.runs {
 		if r.start.After(at) || !r.end.After(at) {
 			continue
@@ -178,21 +187,23 @@
 			cpu -= step.CPU
 		}
 		if jobOf(r.task) == jobOf(g.task) {
-			beside++
+			sameJob++
 		}
 	}
 	fit := min(cpu/g.step.CPU, memory/g.step.MemoryMB)
 	if g.step.MaxPerWorker > 0 {
-		fit = min(fit, int64(g.step.MaxPerWorker)-beside)
+		fit = min(fit, int64(g.step.MaxPerWorker)-sameJob)
 	}
 	return int(max(0, fit))
 }
 
+// jobOf returns the id of a task's job.
 func jobOf(task string) string {
 	job, _, _ := strings.Cut(task, ".")
 	return job
 }
 
+// findings returns the number of findings.
 func (rep *report) findings() int {
 	count := len(rep.overlaps) + len(rep.violations)
 	for _, g := range rep.gaps {
--- a/soak/check_test.go
+++ b/soak/check_test.go
@@ -7,7 +7,7 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// recordBuilder is a record made by hand, in seconds since its begin.
+// recordBuilder builds a record by hand; its times are in seconds since its start.
 type recordBuilder struct {
 	rec   *record
 	start time.Time
@@ -38,41 +38,41 @@
 	s.rec.faults = append(s.rec.faults, fault{AtMicros: s.at(at).UnixMicro(), Process: "w9", What: "killed"})
 }
 
-// linkFault disturbs the link of "w1", or mends it.
+// linkFault sets the mode of the link of "w1".
 func (s *recordBuilder) linkFault(at float64, mode linkMode) {
 	s.rec.faults = append(s.rec.faults, fault{AtMicros: s.at(at).UnixMicro(), Process: "link-1", What: string(mode)})
 }
 
 var checkedStep = platformtest.Step{Count: 1, CPU: 1000, MemoryMB: 1000, LongRunning: true}
 
-// checkedGaps judges the gaps of the one task "a" of the script.
+// checkedGaps checks the gaps of the only task of job "a".
 func (s *recordBuilder) checkedGaps() []checkedGap {
 	rep := &report{rec: s.rec, steps: map[string]platformtest.Step{"a": checkedStep, "b": {CPU: 3000, MemoryMB: 100}}}
-	var judged []checkedGap
+	var checked []checkedGap
 	for _, g := range s.rec.gapsOf("a.0.0.0", checkedStep, s.start) {
-		judged = append(judged, rep.checkGap(g))
+		checked = append(checked, rep.checkGap(g))
 	}
-	return judged
+	return checked
 }
 
-// TestTooLongGaps guards against a judge that passes what the rule forbids, or finds what it allows.
+// TestTooLongGaps guards against a checker that accepts a gap which is too long, or reports one which is not.
 func TestTooLongGaps(t *testing.T) {
 	for name, c := range map[string]struct {
-		back   float64
-		faults []float64
-		full   bool
-		apart  bool
-		want   bool
+		restart     float64
+		faults      []float64
+		full        bool
+		unreachable bool
+		want        bool
 	}{
-		"back in time":                       {back: 18.9},
-		"back too late":                      {back: 19.3, want: true},
-		"never back":                         {back: 30, want: true},
-		"a fault shortly after the death":    {back: 19.3, faults: []float64{11.5}, want: true},
-		"a fault in the calm time":           {back: 19.3, faults: []float64{13}},
-		"calm for long enough after a fault": {back: 21, faults: []float64{13}, want: true},
-		"never calm for long enough":         {back: 30, faults: []float64{13, 19, 25}},
-		"no room for the task twice over":    {back: 30, full: true},
-		"nobody reaches the other worker":    {back: 30, apart: true},
+		"restarted in time":                        {restart: 18.9},
+		"restarted too late":                       {restart: 19.3, want: true},
+		"never restarted":                          {restart: 30, want: true},
+		"a fault shortly after the worker's death": {restart: 19.3, faults: []float64{11.5}, want: true},
+		"a fault in the fault-free time":           {restart: 19.3, faults: []float64{13}},
+		"fault-free for long enough after a fault": {restart: 21, faults: []float64{13}, want: true},
+		"never fault-free for long enough":         {restart: 30, faults: []float64{13, 19, 25}},
+		"no free capacity for two such tasks":      {restart: 30, full: true},
+		"the other worker is unreachable":          {restart: 30, unreachable: true},
 	} {
 		s := newScript(30)
 		s.run("a.0.0.0", s.incarnation("w1", 0, 10), 0, 10)
@@ -80,11 +80,11 @@
 		if c.full {
 			s.run("b.0.0.0", other, 0, 30)
 		}
-		if c.apart {
+		if c.unreachable {
 			s.rec.faults = append(s.rec.faults, fault{AtMicros: s.at(1).UnixMicro(), Process: "link-2", What: string(linkBlackhole)})
 		}
-		if c.back < 30 {
-			s.run("a.0.0.0", other, c.back, 30)
+		if c.restart < 30 {
+			s.run("a.0.0.0", other, c.restart, 30)
 		}
 		for _, at := range c.faults {
 			s.fault(at)
@@ -96,7 +96,8 @@
 	}
 }
 
-// TestOverlappingRuns guards against gaps that are counted while another run of the task goes on.
+// TestOverlappingRuns guards against gaps that are counted while another run of the task continues, and
+// against overlapping runs that are not reported.
 func TestOverlappingRuns(t *testing.T) {
 	s := newScript(20)
 	w1, w2 := s.incarnation("w1", 0, 20), s.incarnation("w2", 0, 20)
@@ -109,6 +110,6 @@
 	}
 	rep := &report{rec: s.rec}
 	if rep.checkOverlaps("a.0.0.0"); len(rep.overlaps) != 1 {
-		t.Errorf("two runs at once: %v", rep.overlaps)
+		t.Errorf("overlapping runs: got %v, want one", rep.overlaps)
 	}
 }
--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -18,28 +18,27 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// Options tell what a cluster is made of.
+// Options describes the cluster of a soak run.
 type Options struct {
-	// Folder takes settings, disks, logs and records.
+	// Folder receives the settings, disks, logs and records.
 	Folder string
-	// Program begins cairnlift-platform; the role follows. Its path is absolute.
+	// Program is the command of cairnlift-platform, to which the role is appended. Its path is absolute.
 	Program []string
-	// Worker begins a worker; its settings follow.
+	// Worker is the command of a worker, to which the worker's settings are appended.
 	Worker []string
-	// Network is the second and third number of all addresses, "A.B" of 127.A.B.x.
+	// Network is the second and third number of all addresses: "A.B" in 127.A.B.x.
 	Network string
 	Workers int
-	// Controls is the number of control hosts; 3 when 0.
+	// Controls is the number of control hosts; 0 means 3.
 	Controls int
-	// Disks is the folder of the control hosts' disks; Folder when empty.
+	// Disks is the folder of the control hosts' disks; if empty, they are in Folder.
 	Disks string
 }
 
-// fleet is how many workers, control hosts and entries there are; each worker has an agent and may have a
-// link.
+// fleet is the number of workers, control hosts and entries. Each worker has an agent, and may have a link.
 type fleet struct{ workers, controls, entries int }
 
-// fleet is what the options ask for.
+// fleet returns the sizes that the options request.
 func (o Options) fleet() fleet {
 	controls := cmp.Or(o.Controls, defaultControls)
 	return fleet{workers: o.Workers, controls: controls, entries: controls + extraEntries}
@@ -61,12 +60,12 @@
 	heartbeatMs    = 1500
 )
 
-// host is a worker's host.
+// host is the host of a worker.
 type host struct {
 	agent, worker *process
-	// link carries the connections of the agent to the worker; nil where they go straight.
+	// link proxies the agent's connections to the worker; nil where the agent connects directly.
 	link *link
-	// sick: the next life of the worker fails whatever it runs.
+	// sick is whether the next incarnation of the worker fails every task that it runs.
 	sick atomic.Bool
 }
 
@@ -80,26 +79,26 @@
 	entries  []*process
 	hosts    []*host
 	client   platformtest.Client
-	// diskDirs are the folders of the control hosts.
+	// diskDirs are the data folders of the control hosts.
 	diskDirs []string
-	// machines are all hosts, as their settings have them.
+	// machines are the settings of all hosts.
 	machines []platformtest.Machine
 }
 
 func newCluster(o Options) (*cluster, error) {
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
-		return nil, errors.Wrap(err, "folder of the play")
+		return nil, errors.Wrap(err, "soak folder")
 	}
 	faults, err := newFaultLog(filepath.Join(o.Folder, faultsFile))
 	if err != nil {
 		return nil, err
 	}
 	c := &cluster{o: o, faults: faults}
-	of := o.fleet()
-	for i := range of.controls {
+	size := o.fleet()
+	for i := range size.controls {
 		c.seedIPs = append(c.seedIPs, c.ip(i+1))
 	}
-	for i := range of.entries {
+	for i := range size.entries {
 		if err := c.addFrontHost(i); err != nil {
 			return nil, err
 		}
@@ -114,7 +113,7 @@
 
 func (c *cluster) ip(last int) string { return fmt.Sprintf("127.%s.%d", c.o.Network, last) }
 
-// addFrontHost adds an entry, with a control process where it has a disk.
+// addFrontHost adds a host with an entry and, on the first hosts, a control process with a disk.
 func (c *cluster) addFrontHost(number int) error {
 	m := platformtest.Machine{Name: fmt.Sprintf("front-%d", number), IP: c.ip(number + 1), Zone: "a", SeedIPs: c.seedIPs, Bootstrap: true}
 	if number < c.o.fleet().controls {
@@ -136,7 +135,7 @@
 	return nil
 }
 
-// addHost adds a worker with its agent.
+// addHost adds a host with a worker and its agent.
 func (c *cluster) addHost(number int) error {
 	m := platformtest.Machine{
 		Name: fmt.Sprintf("host-%d", number), IP: c.ip(firstWorkerIP + number), Zone: "a", Pool: pool, SeedIPs: c.seedIPs, Bootstrap: true,
@@ -154,36 +153,38 @@
 func workerName(number int) string { return fmt.Sprintf("w%d", number) }
 
 func (c *cluster) workerCommand(number int, m platformtest.Machine, h *host) func() *exec.Cmd {
-	lives := 0
+	incarnations := 0
 	return func() *exec.Cmd {
-		lives++
+		incarnations++
 		s := platformtest.WorkerSettings{
 			ID: workerName(number), Address: platformtest.WorkerAddress(m.IP), Registry: platformtest.ControlAddress(m.IP),
 			Pool: pool, Zone: m.Zone, Labels: []string{"a"}, CPUMilli: workerCPUMilli, MemoryMB: workerMemoryMB, HeartbeatMs: heartbeatMs,
-			Sick: h.sick.Load(), ClockStartMs: clockStartMs(number, lives), ClockRatePPM: int64(number%clockRateCount) * clockRateStepPPM,
+			Sick: h.sick.Load(), ClockStartMs: clockStartMs(number, incarnations), ClockRatePPM: int64(number%clockRateCount) * clockRateStepPPM,
 		}
 		if h.link != nil {
 			s.Listen = h.link.workerAddress
 		}
 		text, err := json.Marshal(s)
 		if err != nil {
-			panic(err) // settings are made of numbers and strings
+			panic(err) // settings consist of numbers and strings, which always encode
 		}
 		return newCommand(c.o.Worker, string(text))
 	}
 }
 
 const (
-	// clockRateCount workers in a row run slower by a step each, up to the 2% that the platform allows.
+	// clockRateCount is the number of different clock rates. Consecutive workers' clocks run slower by one
+	// step each, up to the 2% that the platform allows.
 	clockRateCount   = 3
 	clockRateStepPPM = 10_000
-	// maxClockStartMs bounds what a worker's clock shows at its start, in milliseconds.
+	// maxClockStartMs is the highest initial reading of a worker's clock.
 	maxClockStartMs = 1_000_000
 )
 
-// clockStartMs is what a worker's clock shows at the start of a life: more than in the life before, or less.
-func clockStartMs(worker, lives int) int64 {
-	return 1 + int64(worker*7919+lives*611_953)%maxClockStartMs
+// clockStartMs returns the initial reading of a worker's clock in an incarnation. It may be higher or lower
+// than in the previous incarnation.
+func clockStartMs(worker, incarnation int) int64 {
+	return 1 + int64(worker*7919+incarnation*611_953)%maxClockStartMs
 }
 
 func (c *cluster) writeSettings(m platformtest.Machine) (string, error) {
@@ -196,8 +197,8 @@
 	return filepath.Join(c.o.Folder, m.Name+".toml")
 }
 
-// endBootstrap has the settings say that a process which starts now is not among the first: one with an
-// empty disk must not found another group.
+// endBootstrap turns bootstrapping off in all settings, so that a control process that restarts with an
+// empty disk does not found another group.
 func (c *cluster) endBootstrap() error {
 	for i := range c.machines {
 		c.machines[i].Bootstrap = false
@@ -212,7 +213,7 @@
 	return &process{name: name, command: command, output: filepath.Join(c.o.Folder, name+".log"), faults: c.faults}
 }
 
-// start starts everything and has the control group take a configuration.
+// start starts all processes, submits a configuration, and waits until it is accepted.
 func (c *cluster) start(ctx context.Context, configuration []byte) error {
 	for _, p := range c.processes() {
 		if err := p.start(); err != nil {
@@ -237,7 +238,7 @@
 	return all
 }
 
-// stop ends all processes.
+// stop kills all processes and closes all links.
 func (c *cluster) stop() {
 	for _, p := range c.processes() {
 		p.kill()
@@ -249,27 +250,28 @@
 	}
 }
 
-// remove ends all processes, and removes disks that are not in the play's folder.
+// remove stops the cluster, and removes the disks if they are outside the run's folder.
 func (c *cluster) remove() {
 	c.stop()
 	if c.o.Disks != "" {
-		_ = os.RemoveAll(c.o.Disks) // what is left lies in a folder for scratch
+		_ = os.RemoveAll(c.o.Disks) // leftover files are in a scratch folder
 	}
 }
 
 const (
-	// waitTimeout bounds a wait for something that comes for sure.
+	// waitTimeout limits a wait for a condition that is certain to become true.
 	waitTimeout   = 20 * time.Second
 	retryInterval = 100 * time.Millisecond
 )
 
+// waitUntil polls a condition until it is true, for at most waitTimeout.
 func (c *cluster) waitUntil(ctx context.Context, what string, holds func() bool) error {
 	for end := time.Now().Add(waitTimeout); time.Now().Before(end) && ctx.Err() == nil; sleep(ctx, retryInterval) {
 		if holds() {
 			return nil
 		}
 	}
-	return errors.Newf("%s: not within %v", what, waitTimeout)
+	return errors.Newf("%s: timed out after %v", what, waitTimeout)
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/soak/configurations.go
+++ b/soak/configurations.go
@@ -16,35 +16,35 @@
 )
 
 const (
-	// maxReadLag is how long after its acknowledgement a version may not be read back yet.
+	// maxReadLag is how long after the acknowledgement of a version a read may still return an older one.
 	maxReadLag = 3 * time.Second
-	// lastReadWithin is how long before the end of a play a read must have been answered.
+	// lastReadWithin is the time before the end of a soak run in which an answered read must have been sent.
 	lastReadWithin = 8 * time.Second
-	// maxVersionStep bounds by how much a version is higher than the one before.
+	// maxVersionStep is the largest difference between two consecutive versions.
 	maxVersionStep = 5
 )
 
-// configChange is a version that the operator sent first at a time; Acknowledged is zero while no
-// control host has.
+// configChange is a version with the time at which the operator first sent it. Acknowledged is zero until
+// a control host acknowledges the version.
 type configChange struct {
 	Version            uint64
 	Sent, Acknowledged time.Time
 }
 
-// configRead is a version that a control host gave to a read that was sent at a time.
+// configRead is the version that a control host returned, with the time at which the read was sent.
 type configRead struct {
 	Version uint64
 	Sent    time.Time
 }
 
-// operator changes the configuration and reads it, at control hosts that it picks.
+// operator changes and reads the configuration at randomly chosen control hosts.
 type operator struct {
 	c       *cluster
 	changes []configChange
 	reads   []configRead
 }
 
-// submitChanges sends one version after the other until ctx ends, each until it is acknowledged.
+// submitChanges submits increasing versions until ctx ends. It sends each until it is acknowledged.
 func (o *operator) submitChanges(ctx context.Context, r *rand.Rand) {
 	version := firstVersion
 	o.changes = append(o.changes, configChange{Version: version, Sent: time.Now(), Acknowledged: time.Now()})
@@ -63,7 +63,7 @@
 	}
 }
 
-// pollConfiguration reads the configuration until ctx ends.
+// pollConfiguration reads the configuration repeatedly until ctx ends.
 func (o *operator) pollConfiguration(ctx context.Context, r *rand.Rand) {
 	for ctx.Err() == nil {
 		sent := time.Now()
@@ -77,8 +77,8 @@
 
 func (o *operator) pickSeedIP(r *rand.Rand) string { return o.c.seedIPs[r.IntN(len(o.c.seedIPs))] }
 
-// checkConfigurations looks for reads that give a version which was never sent, or an older one than is
-// in force, and for a play that ends without an answer.
+// checkConfigurations finds reads that returned a version which was never sent or an older one than the
+// version in effect, and soak runs without an answered read at the end.
 func (rep *report) checkConfigurations(changes []configChange, reads []configRead) {
 	if len(changes) == 0 {
 		return
@@ -90,10 +90,10 @@
 	answered := false
 	for _, r := range reads {
 		if !sent[r.Version] {
-			rep.addViolation("configuration %d is read at %s and was never sent", r.Version, r.Sent.Format(clockFormat))
+			rep.addViolation("configuration %d was read at %s but never sent", r.Version, r.Sent.Format(clockFormat))
 		}
 		if newest := minVersionAt(changes, r.Sent); r.Version < newest {
-			rep.addViolation("configuration %d is read at %s, %d was acknowledged before", r.Version, r.Sent.Format(clockFormat), newest)
+			rep.addViolation("configuration %d was read at %s after %d had been acknowledged", r.Version, r.Sent.Format(clockFormat), newest)
 		}
 		answered = answered || r.Sent.After(rep.rec.end.Add(-lastReadWithin))
 	}
@@ -102,7 +102,7 @@
 	}
 }
 
-// minVersionAt is the version that a read which is sent at a moment must give at least.
+// minVersionAt returns the lowest version that a read sent at a moment may return.
 func minVersionAt(changes []configChange, at time.Time) uint64 {
 	newest := uint64(0)
 	for _, c := range changes {
@@ -113,7 +113,7 @@
 	return newest
 }
 
-// firstVersion is that of the configuration that a play begins with.
+// firstVersion is the version of the initial configuration.
 const firstVersion uint64 = 1
 
 func configuration(version uint64) []byte {
--- a/soak/configurations_test.go
+++ b/soak/configurations_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestCheckConfigurations guards against a judge that passes a version that went back, or finds one
-// that may be read.
+// TestCheckConfigurations guards against a checker that accepts a read of an outdated version, or reports
+// a read which is allowed.
 func TestCheckConfigurations(t *testing.T) {
 	s := newScript(30)
 	changes := []configChange{
@@ -13,11 +13,11 @@
 		reads  []configRead
 		broken int
 	}{
-		"not in force yet":     {[]configRead{{1, s.at(8.9)}, {4, s.at(29)}}, 0},
-		"older than in force":  {[]configRead{{1, s.at(9.1)}, {4, s.at(29)}}, 1},
+		"not in effect yet":    {[]configRead{{1, s.at(8.9)}, {4, s.at(29)}}, 0},
+		"older than in effect": {[]configRead{{1, s.at(9.1)}, {4, s.at(29)}}, 1},
 		"not acknowledged yet": {[]configRead{{9, s.at(29)}, {4, s.at(29.1)}}, 0},
 		"never sent":           {[]configRead{{5, s.at(29)}}, 1},
-		"no answer in the end": {[]configRead{{4, s.at(20)}}, 1},
+		"no answer at the end": {[]configRead{{4, s.at(20)}}, 1},
 	} {
 		rep := &report{rec: s.rec}
 		rep.checkConfigurations(changes, c.reads)
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -8,25 +8,27 @@
 )
 
 const (
-	// crashAfterMs is how long after its start the task crashes its worker.
+	// crashAfterMs is the time from the start of a run until the task crashes its worker.
 	crashAfterMs = 8
-	// maxCrashes is how many workers a task may crash: three, and two more starts.
+	// maxCrashes is the highest permitted number of runs of the task: the crash limit of three, and two
+	// further starts.
 	maxCrashes = 5
-	// restartDelay is how long a crashed worker is away.
+	// restartDelay is the time from the detection of a worker's crash until the worker is restarted.
 	restartDelay = 500 * time.Millisecond
 )
 
-// TestCrashLimitFailsJob guards against a task that ends one worker process after the other.
+// TestCrashLimitFailsJob guards against a task that crashes one worker process after another because its
+// job does not fail at the crash limit.
 func TestCrashLimitFailsJob(t *testing.T) {
 	c := newTestCluster(t, 3)
 	l := &load{c: c}
-	const lasting, crashing, tasks = "00000000000000ab", "00000000000000ac", 3
-	l.runCaller(t.Context(), servingPath, lasting, platformtest.Job{
+	const longRunning, crashing, tasks = "00000000000000ab", "00000000000000ac", 3
+	l.runCaller(t.Context(), servingPath, longRunning, platformtest.Job{
 		Spec:  platformtest.Behavior{Lasts: true}.Payload(),
 		Steps: []platformtest.Step{{Count: tasks, CPU: 500, MemoryMB: 500, LongRunning: true}},
 	}, caller{})
-	all := func() bool { return countRunning(t, c, lasting, tasks) == tasks }
-	if err := c.waitUntil(t.Context(), "the lasting tasks run", all); err != nil {
+	all := func() bool { return countRunning(t, c, longRunning, tasks) == tasks }
+	if err := c.waitUntil(t.Context(), "the long-running tasks run", all); err != nil {
 		t.Fatal(err)
 	}
 	l.runCaller(t.Context(), batchPath, crashing, platformtest.Job{
@@ -45,7 +47,7 @@
 		_, state, err := c.client.State(t.Context(), l.entryIP(0), queueHost, batchPath+crashing)
 		return err == nil && state == "failed"
 	}
-	if err := c.waitUntil(t.Context(), "the job is given up", failed); err != nil {
+	if err := c.waitUntil(t.Context(), "the job fails at the crash limit", failed); err != nil {
 		t.Fatal(err)
 	}
 	rec, err := readRecord(c.o.Folder, time.Now())
@@ -53,9 +55,9 @@
 		t.Fatal(err)
 	}
 	if n := len(rec.runsOf(crashing + ".0.0.0")); n > maxCrashes {
-		t.Errorf("the task crashed %d workers", n)
+		t.Errorf("the task ran on %d workers, more than the crash limit permits", n)
 	}
-	if err := c.waitUntil(t.Context(), "the lasting tasks run again", all); err != nil {
+	if err := c.waitUntil(t.Context(), "the long-running tasks run again", all); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,4 +1,5 @@
-// Package soak plays cairnlift's roles on the users' platform as real processes, kills and
-// pauses some of them, and judges from the workers' records whether the tasks that last came
-// back in time. Whatever is drawn comes from a seed; what the processes make of it does not.
+// Package soak runs cairnlift's roles on the users' platform as real processes, kills and pauses some
+// of them, and checks from the workers' records whether long-running tasks were restarted in time. All
+// random choices come from a seed; the timing of the processes does not, so a soak run is not
+// reproducible in full.
 package soak
--- a/soak/faultlog.go
+++ b/soak/faultlog.go
@@ -9,7 +9,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// fault is something that was done to a process, or its end.
+// fault is one entry of the fault log: an action on a process, disk or link, the end of a process, or a
+// stall of the machine.
 type fault struct {
 	AtMicros int64  `json:"at_us"`
 	Process  string `json:"process"`
@@ -19,10 +20,10 @@
 
 func (f fault) at() time.Time { return time.UnixMicro(f.AtMicros) }
 
-// faultsFile is the file with all faults of a play, one a line.
+// faultsFile is the name of the file with all faults of a soak run, one per line.
 const faultsFile = "faults.jsonl"
 
-// faultLog writes down the faults of a play.
+// faultLog writes the faults of a soak run to a file.
 type faultLog struct {
 	mu   sync.Mutex
 	file *os.File
@@ -30,18 +31,18 @@
 
 func newFaultLog(path string) (*faultLog, error) {
 	f, err := os.Create(path)
-	return &faultLog{file: f}, errors.Wrap(err, "record of faults")
+	return &faultLog{file: f}, errors.Wrap(err, "fault log")
 }
 
 func (l *faultLog) add(process, what string, pid int) {
 	f := fault{AtMicros: time.Now().UnixMicro(), Process: process, What: what, PID: pid}
 	data, err := json.Marshal(f)
 	if err != nil {
-		panic(err) // a fault is made of numbers and strings
+		panic(err) // a fault consists of numbers and strings, which always encode
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, err := l.file.Write(append(data, '\n')); err != nil {
-		panic(err) // a play without its record proves nothing
+		panic(err) // without a complete fault log the checker's findings would be wrong
 	}
 }
--- a/soak/fronts.go
+++ b/soak/fronts.go
@@ -7,42 +7,43 @@
 )
 
 var (
-	// frontDownTimes are how long a control host or entry is away: around an election, and longer.
+	// frontDownTimes are how long a control host or entry is down: about as long as an election, and longer.
 	frontDownTimes = []span{{100 * time.Millisecond, time.Second}, {time.Second, 4 * time.Second}, {5 * time.Second, 13 * time.Second}}
-	// betweenFrontFaults are the times between two of these faults.
+	// betweenFrontFaults are the times from the end of one such fault to the start of the next.
 	betweenFrontFaults = []span{{500 * time.Millisecond, 3 * time.Second}, {4 * time.Second, 12 * time.Second}}
-	// terminationTimes are how long after a termination a process is started again.
+	// terminationTimes are the times from SIGTERM until a process is started again.
 	terminationTimes = span{time.Second, 9 * time.Second}
-	// controlOutageTimes is how long all control hosts are away at once.
+	// controlOutageTimes are how long all control hosts are down at once.
 	controlOutageTimes = span{200 * time.Millisecond, 3 * time.Second}
 )
 
 const (
-	// controlOutagePercent is how many plays lose all control hosts at once.
+	// controlOutagePercent is the percentage of soak runs in which all control hosts are killed at once.
 	controlOutagePercent = 20
-	entryFaultPercent    = 40
+	// entryFaultPercent is the percentage of faults that affect an entry rather than a control host.
+	entryFaultPercent = 40
 )
 
-// drawFrontFaults draws the faults of control hosts and entries, one at a time, and of some plays the
-// death of all control hosts at once before them.
-func drawFrontFaults(r *rand.Rand, of fleet, within time.Duration, p Profile) []action {
+// drawFrontFaults draws faults of control hosts and entries, one at a time. In some soak runs all control
+// hosts are killed at once before them.
+func drawFrontFaults(r *rand.Rand, size fleet, within time.Duration, p Profile) []action {
 	if !p.Fronts {
 		return nil
 	}
 	var plan []action
 	at := span{0, 5 * time.Second}.draw(r)
 	if r.IntN(100) < controlOutagePercent {
-		back := at + controlOutageTimes.draw(r)
-		for i := range of.controls {
+		restartAt := at + controlOutageTimes.draw(r)
+		for i := range size.controls {
 			plan = append(plan, action{at: at, kind: controlKind, host: i, signal: syscall.SIGKILL},
-				action{at: back, kind: controlKind, host: i, starts: true})
+				action{at: restartAt, kind: controlKind, host: i, starts: true})
 		}
-		at = back + drawFromOne(r, betweenFrontFaults)
+		at = restartAt + drawFromOne(r, betweenFrontFaults)
 	}
 	for at < within {
-		kind, number := controlKind, r.IntN(of.controls)
+		kind, number := controlKind, r.IntN(size.controls)
 		if r.IntN(100) < entryFaultPercent {
-			kind, number = entryKind, r.IntN(of.entries)
+			kind, number = entryKind, r.IntN(size.entries)
 		}
 		actions := drawDowntime(r, action{at: at, kind: kind, host: number})
 		plan = append(plan, actions...)
@@ -51,7 +52,8 @@
 	return plan
 }
 
-// drawDowntime draws how a process goes away, and when it is back.
+// drawDowntime draws the two actions by which a process is paused, killed or terminated, and later
+// continued or started again.
 func drawDowntime(r *rand.Rand, a action) []action {
 	back := a
 	back.at += drawFromOne(r, frontDownTimes)
--- a/soak/guarantees_test.go
+++ b/soak/guarantees_test.go
@@ -8,7 +8,7 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// job is the job "a" whose caller was told something.
+// job returns the accepted job "a", with changes.
 func (s *recordBuilder) job(change func(*submittedJob)) submittedJob {
 	j := submittedJob{
 		ID: "a", Accepted: s.start, Status: http.StatusOK, State: "running",
@@ -18,6 +18,7 @@
 	return j
 }
 
+// endRun ends the last run with an outcome; the end is acknowledged if a time is given.
 func (s *recordBuilder) endRun(how string, acknowledged float64) {
 	r := s.rec.runs[len(s.rec.runs)-1]
 	r.outcome = how
@@ -26,13 +27,14 @@
 	}
 }
 
-// TestGuaranteeViolations guards against a judge that passes a broken promise, or finds one that was kept.
+// TestGuaranteeViolations guards against a checker that accepts a violated guarantee, or reports one that was
+// met.
 func TestGuaranteeViolations(t *testing.T) {
 	for name, c := range map[string]struct {
-		script func(*recordBuilder) submittedJob
-		broken int
+		build      func(*recordBuilder) submittedJob
+		violations int
 	}{
-		"unknown in the end": {func(s *recordBuilder) submittedJob {
+		"unknown at the end": {func(s *recordBuilder) submittedJob {
 			return s.job(func(j *submittedJob) { j.Status = http.StatusGone })
 		}, 1},
 		"refused, never ran": {func(s *recordBuilder) submittedJob {
@@ -56,11 +58,11 @@
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 1, 13.9)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
 		}, 0},
-		"canceled, goes on": {func(s *recordBuilder) submittedJob {
+		"canceled, keeps running": {func(s *recordBuilder) submittedJob {
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 1, 14.1)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
 		}, 1},
-		"canceled, goes on after a fault": {func(s *recordBuilder) submittedJob {
+		"canceled, keeps running after a fault": {func(s *recordBuilder) submittedJob {
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 1, 14.1)
 			s.fault(11)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
@@ -69,19 +71,19 @@
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 13.1, 14)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
 		}, 1},
-		"canceled, begins late when its link is mended": {func(s *recordBuilder) submittedJob {
+		"canceled, begins late when its link is restored": {func(s *recordBuilder) submittedJob {
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 15, 15.1)
 			s.linkFault(11, linkBlackhole)
 			s.linkFault(14.9, linkRestore)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
 		}, 0},
-		"canceled, begins late after its link was mended": {func(s *recordBuilder) submittedJob {
+		"canceled, begins late after its link was restored": {func(s *recordBuilder) submittedJob {
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 15, 15.1)
 			s.linkFault(11, linkBlackhole)
 			s.linkFault(11.9, linkRestore)
 			return s.job(func(j *submittedJob) { j.State, j.CancelSent, j.Canceled = "canceled", s.at(10), s.at(10) })
 		}, 1},
-		"canceled, runs in the end": {func(s *recordBuilder) submittedJob {
+		"canceled, running at the end": {func(s *recordBuilder) submittedJob {
 			return s.job(func(j *submittedJob) { j.CancelSent, j.Canceled = s.at(10), s.at(10) })
 		}, 1},
 		"done and acknowledged, begins again": {func(s *recordBuilder) submittedJob {
@@ -90,7 +92,7 @@
 			s.run("a.0.0.0", s.incarnation("w2", 0, 30), 4, 5)
 			return s.job(func(*submittedJob) {})
 		}, 1},
-		"done, acknowledged after the worker's lease ran out, begins again": {func(s *recordBuilder) submittedJob {
+		"done, acknowledged after the worker's lease expired, begins again": {func(s *recordBuilder) submittedJob {
 			s.run("a.0.0.0", s.incarnation("w1", 0, 30), 1, 2)
 			s.endRun("done", 5)
 			s.rec.runs[len(s.rec.runs)-1].leaseExpiredBeforeAck = true
@@ -105,17 +107,18 @@
 		}, 0},
 	} {
 		s := newScript(30)
-		j := c.script(s)
+		j := c.build(s)
 		rep := &report{rec: s.rec}
 		rep.checkJob(j)
 		rep.checkDone("a.0.0.0")
-		if len(rep.violations) != c.broken {
+		if len(rep.violations) != c.violations {
 			t.Errorf("%s: %v", name, rep.violations)
 		}
 	}
 }
 
-// Guards against a judge that misses a lease that ran out while nothing ran under it.
+// TestLeaseExpiryWithoutRuns guards against a checker that misses a lease which expires while the worker has
+// no run.
 func TestLeaseExpiryWithoutRuns(t *testing.T) {
 	s := newScript(30)
 	var lines string
@@ -131,6 +134,6 @@
 	}
 	s.rec.readWorkerEvents("w1", []byte(lines))
 	if r := s.rec.runs[0]; !r.acknowledged || !r.leaseExpiredBeforeAck {
-		t.Errorf("the run is read as %+v", r)
+		t.Errorf("lease expiry between end and acknowledgement was not read: %+v", r)
 	}
 }
--- a/soak/link.go
+++ b/soak/link.go
@@ -11,24 +11,24 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// linkMode is what becomes of the connections of a link. Bytes that are held back arrive when
-// the link is mended, as they do on a network.
+// linkMode is how a link treats its connections. Bytes that are held back are delivered when the link is
+// restored, as on a network that retransmits.
 type linkMode string
 
 const (
-	// linkRestore: all is well again.
+	// linkRestore forwards all connections again.
 	linkRestore linkMode = "mend"
-	// linkDelay: bytes come later, both ways.
+	// linkDelay delays bytes in both directions.
 	linkDelay linkMode = "delay"
-	// linkReset: present connections are reset, new ones work.
+	// linkReset resets existing connections; new ones work.
 	linkReset linkMode = "reset"
-	// linkRefuse: present connections and new ones are reset.
+	// linkRefuse resets existing and new connections.
 	linkRefuse linkMode = "refuse"
-	// linkStallExisting: present connections fall silent, new ones work.
+	// linkStallExisting blackholes existing connections; new ones work.
 	linkStallExisting linkMode = "silence"
-	// linkBlackhole: present connections and new ones are silent.
+	// linkBlackhole blackholes existing and new connections.
 	linkBlackhole linkMode = "dark"
-	// linkOneWay: the worker hears the agent, which hears nothing from it.
+	// linkOneWay forwards bytes from the agent to the worker only.
 	linkOneWay linkMode = "cut"
 )
 
@@ -36,7 +36,7 @@
 
 const (
 	linkPort = "8081"
-	// linkDelayTime is how much later bytes come on a link with delay.
+	// linkDelayTime is the delay of each chunk of bytes in mode linkDelay.
 	linkDelayTime    = 400 * time.Millisecond
 	linkPollInterval = 10 * time.Millisecond
 	linkBufferSize   = 16 << 10
@@ -46,7 +46,7 @@
 // link is a proxy between an agent and its worker.
 type link struct {
 	listener net.Listener
-	// workerAddress is where the worker listens.
+	// workerAddress is the address at which the worker listens.
 	workerAddress string
 
 	mu    sync.Mutex
@@ -54,23 +54,24 @@
 	conns map[*proxiedConn]struct{}
 }
 
-// proxiedConn is a connection of the agent and the one that carries it on.
+// proxiedConn is a connection from the agent and the corresponding one to the worker.
 type proxiedConn struct {
 	agent, worker *net.TCPConn
-	stalled       bool
+	// stalled is whether the connection existed when the link was set to linkStallExisting.
+	stalled bool
 }
 
 func newLink(address, worker string) (*link, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "link")
+		return nil, errors.Wrap(err, "link listener")
 	}
 	l := &link{listener: listener, workerAddress: worker, mode: linkRestore, conns: map[*proxiedConn]struct{}{}}
 	go l.accept()
 	return l, nil
 }
 
-// addLinks puts links before the workers whose connections a plan disturbs.
+// addLinks puts links in front of the workers whose connections a plan disturbs.
 func (c *cluster) addLinks(plan []action) error {
 	for _, a := range plan {
 		if a.kind != linkKind || c.hosts[a.host].link != nil {
@@ -96,7 +97,7 @@
 	}
 }
 
-// forward connects to the worker and passes bytes on until either side ends.
+// forward connects to the worker and forwards bytes until either side closes its connection.
 func (l *link) forward(agent *net.TCPConn) {
 	conn, err := net.DialTimeout("tcp", l.workerAddress, linkDialTimeout)
 	if err != nil {
@@ -120,21 +121,22 @@
 	delete(l.conns, p)
 }
 
-// copyBytes passes bytes on in one direction; an end, too, is held back while the link is silent.
+// copyBytes forwards bytes in one direction. While the link is blackholed, it holds back the end of a
+// connection as well.
 func (l *link) copyBytes(p *proxiedConn, from, to *net.TCPConn) {
 	buffer := make([]byte, linkBufferSize)
 	for {
 		n, readErr := from.Read(buffer)
 		l.waitUntilOpen(p, to)
 		if _, err := to.Write(buffer[:n]); err != nil || readErr != nil {
-			_ = to.Close() // the other direction ends by it, too
+			_ = to.Close() // this ends the other direction as well
 			_ = from.Close()
 			return
 		}
 	}
 }
 
-// waitUntilOpen waits until bytes may pass.
+// waitUntilOpen waits until the link forwards bytes to one side of a connection.
 func (l *link) waitUntilOpen(p *proxiedConn, to *net.TCPConn) {
 	if l.currentMode() == linkDelay {
 		time.Sleep(linkDelayTime)
@@ -150,13 +152,14 @@
 	return l.mode
 }
 
+// blocked reports whether the link holds back bytes to one side of a connection.
 func (l *link) blocked(p *proxiedConn, to *net.TCPConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return p.stalled || l.mode == linkBlackhole || (l.mode == linkOneWay && to == p.agent)
 }
 
-// setMode changes what becomes of the connections.
+// setMode changes the mode of the link, and resets existing connections where the mode requires it.
 func (l *link) setMode(m linkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -169,9 +172,9 @@
 	}
 }
 
-// close ends the link with all of its connections.
+// close closes the link and resets all of its connections.
 func (l *link) close() {
-	_ = l.listener.Close() // nothing is left to be lost
+	_ = l.listener.Close() // a listener holds no data that an error could lose
 	l.setMode(linkRefuse)
 	l.setMode(linkRestore)
 }
@@ -182,16 +185,18 @@
 }
 
 func resetConn(c *net.TCPConn) {
-	_ = c.SetLinger(0) // it may be closed already
+	_ = c.SetLinger(0) // the connection may be closed already
 	_ = c.Close()
 }
 
 var (
+	// linkFaultTimes are how long a link fault lasts, betweenLinkFaults the times from the end of one to the
+	// start of the next.
 	linkFaultTimes    = []span{{100 * time.Millisecond, 2 * time.Second}, {5 * time.Second, 7 * time.Second}, {8 * time.Second, 14 * time.Second}}
 	betweenLinkFaults = span{2 * time.Second, 12 * time.Second}
 )
 
-// drawLinkFaults draws the disturbances of links, one at a time.
+// drawLinkFaults draws link faults, one at a time, each followed by the restoration of the link.
 func drawLinkFaults(r *rand.Rand, workers int, within time.Duration, p Profile) []action {
 	if !p.Links {
 		return nil
--- a/soak/link_test.go
+++ b/soak/link_test.go
@@ -11,7 +11,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// startEchoServer serves connections that send back what they get.
+// startEchoServer starts a server that echoes what it receives, and returns its address.
 func startEchoServer(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -51,23 +51,23 @@
 	answerTimeout  = 10 * time.Second
 )
 
-// receivesByte sends a byte if told so, and reports whether one comes back within a time.
+// receivesByte sends a byte if requested, and reports whether a byte is received within a time.
 func receivesByte(conn net.Conn, send bool, within time.Duration) (bool, error) {
 	if send {
 		if _, err := conn.Write([]byte{1}); err != nil {
 			return false, err
 		}
 	}
-	_ = conn.SetReadDeadline(time.Now().Add(within)) // a read tells if it failed
+	_ = conn.SetReadDeadline(time.Now().Add(within)) // if this fails, the read reports it
 	n, err := conn.Read(make([]byte, 1))
 	return n == 1, err
 }
 
-// TestLinkModes guards against plays whose faults of the network do not happen.
+// TestLinkModes guards against soak runs whose network faults have no effect.
 func TestLinkModes(t *testing.T) {
 	for _, c := range []struct {
-		mode             linkMode
-		present, further string
+		mode          linkMode
+		existing, new string
 	}{
 		{linkRestore, "works", "works"}, {linkDelay, "works", "works"}, {linkReset, "ends", "works"}, {linkRefuse, "ends", "ends"},
 		{linkStallExisting, "silent", "works"}, {linkBlackhole, "silent", "silent"}, {linkOneWay, "silent", "silent"},
@@ -77,17 +77,17 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(l.close)
-		present := dial(t, l)
-		if ok, err := receivesByte(present, true, answerTimeout); !ok {
+		existing := dial(t, l)
+		if ok, err := receivesByte(existing, true, answerTimeout); !ok {
 			t.Fatal(err)
 		}
 		l.setMode(c.mode)
-		conns := map[net.Conn]string{present: c.present}
-		further, err := tryDial(t, l)
+		conns := map[net.Conn]string{existing: c.existing}
+		added, err := tryDial(t, l)
 		switch {
 		case err == nil:
-			conns[further] = c.further
-		case c.further != "ends" || !errors.Is(err, syscall.ECONNRESET): // a reset may reach the dial
+			conns[added] = c.new
+		case c.new != "ends" || !errors.Is(err, syscall.ECONNRESET): // the reset may already fail the dial
 			t.Fatal(err)
 		}
 		for conn, want := range conns {
@@ -99,7 +99,7 @@
 				continue
 			}
 			if ok, err := receivesByte(conn, false, answerTimeout); !ok {
-				t.Errorf("%s: what was held back is lost: %v", c.mode, err)
+				t.Errorf("%s: bytes that were held back are lost: %v", c.mode, err)
 			}
 		}
 	}
@@ -112,13 +112,13 @@
 		within = silenceTimeout
 	}
 	ok, err := receivesByte(conn, true, within)
-	is := "ends"
+	got := "ends"
 	if ok {
-		is = "works"
+		got = "works"
 	} else if errors.Is(err, os.ErrDeadlineExceeded) {
-		is = "silent"
+		got = "silent"
 	}
-	if is != want {
-		t.Errorf("%s: a connection %s (%v), want %s", mode, is, err, want)
+	if got != want {
+		t.Errorf("%s: a connection %s (%v), want %s", mode, got, err, want)
 	}
 }
--- a/soak/load.go
+++ b/soak/load.go
@@ -16,39 +16,39 @@
 	queueHost   = "queues.example"
 	servingPath = "/serving/"
 	batchPath   = "/batch/"
-	// batchAttempts is how often a task of the batch queue fails until its job has failed.
+	// batchAttempts is the number of failed runs of one task after which a job of the batch queue fails.
 	batchAttempts = 4
 )
 
-// submittedJob is a job with what its caller was told.
+// submittedJob is a job with the responses that its caller received. It is stored in the summary.
 type submittedJob struct {
 	ID       string
 	Path     string
 	Job      platformtest.Job
 	Accepted time.Time
-	// Refused: each try was refused, and the caller gave up.
+	// Refused is whether every attempt was refused and the caller gave up.
 	Refused bool
-	// CancelSent is when the caller first asked for the end, Canceled when that was acknowledged.
+	// CancelSent is when the caller first requested the cancellation, Canceled when it was acknowledged.
 	CancelSent, Canceled time.Time
-	// State is what an entry said last, Status the code of that answer.
+	// State is the state in the last response of an entry, Status the status code of that response.
 	State  string
 	Status int
 }
 
-// load hands jobs in.
+// load submits the jobs of a soak run.
 type load struct {
 	c    *cluster
 	seed uint64
-	// batchShare is how much batch work comes, against what the lasting tasks leave.
+	// batchShare is the batch work as a fraction of the capacity that the long-running tasks leave.
 	batchShare float64
-	// failPercent is how many runs of a failing job fail.
+	// failPercent is the percentage of a failing job's runs that fail.
 	failPercent uint32
-	// callers: some callers do more than to hand a job in.
+	// callers is whether some callers cancel, give up or resend.
 	callers bool
-	// allFail: all batch jobs are failing ones.
+	// allFail is whether all batch jobs are failing jobs.
 	allFail bool
 
-	// followUps is what callers do with jobs that were accepted.
+	// followUps are the callers' later requests about accepted jobs.
 	followUps conc.WaitGroup
 
 	mu   sync.Mutex
@@ -56,10 +56,10 @@
 	jobs []*submittedJob
 }
 
-// longRunningShare is how much of the fleet the lasting tasks take.
+// longRunningShare is the fraction of the fleet's processors that the long-running tasks use.
 const longRunningShare = 0.5
 
-// drawLongRunning draws jobs whose tasks last.
+// drawLongRunning draws the jobs with long-running tasks.
 func drawLongRunning(r *rand.Rand, workers int) []platformtest.Job {
 	var jobs []platformtest.Job
 	left := int64(longRunningShare * float64(workers*workerCPUMilli))
@@ -81,7 +81,7 @@
 	return jobs
 }
 
-// drawBatch draws a job whose tasks end.
+// drawBatch draws a job with batch tasks, which end by themselves.
 func (l *load) drawBatch() platformtest.Job {
 	behavior := platformtest.Behavior{WorkMs: int64(200 + l.rand.IntN(2000)), SpreadMs: 1000}
 	if l.rand.IntN(3) == 0 || l.allFail {
@@ -96,9 +96,9 @@
 
 func (l *load) newID() string { return fmt.Sprintf("%016x", l.rand.Uint64()) }
 
-// submitBatch hands batch jobs in until ctx ends, at the rate that fills its share.
+// submitBatch submits batch jobs until ctx ends, at the rate that uses batchShare of the capacity.
 func (l *load) submitBatch(ctx context.Context) {
-	room := l.batchShare * (1 - longRunningShare) * float64(l.c.o.Workers*workerCPUMilli)
+	capacity := l.batchShare * (1 - longRunningShare) * float64(l.c.o.Workers*workerCPUMilli)
 	for ctx.Err() == nil {
 		l.mu.Lock()
 		id, j := l.newID(), l.drawBatch()
@@ -107,11 +107,11 @@
 		l.runCaller(ctx, batchPath, id, j, caller)
 		s := j.Steps[0]
 		work := float64(s.CPU) * float64(s.Count) * float64(s.EstimatedMs)
-		sleep(ctx, time.Duration(work/room*float64(time.Millisecond)))
+		sleep(ctx, time.Duration(work/capacity*float64(time.Millisecond)))
 	}
 }
 
-// answeredJobs returns the jobs that callers got an answer about.
+// answeredJobs returns the jobs that were accepted or refused.
 func (l *load) answeredJobs() []submittedJob {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/soak/logs.go
+++ b/soak/logs.go
@@ -13,7 +13,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// logLine is a line that a process of cairnlift wrote, with what is read of it here.
+// logLine holds the fields of a log line of a cairnlift process that the checker reads.
 type logLine struct {
 	At      time.Time           `json:"ts"`
 	Message string              `json:"msg"`
@@ -25,14 +25,14 @@
 	Waits   map[string][]string `json:"waits"`
 }
 
-// The messages that are read.
+// The log messages that the checker reads.
 const (
 	messageLost  = "runs are lost"
 	messageWaits = "tasks wait"
 	messageLeads = "Leadership changed."
 )
 
-// readLogs reads the lines of the processes whose outputs match a pattern, in order of time.
+// readLogs reads the log lines in the files that match a pattern, in order of time.
 func readLogs(folder, pattern string) ([]logLine, error) {
 	paths, err := filepath.Glob(filepath.Join(folder, pattern))
 	if err != nil {
@@ -55,7 +55,7 @@
 	return lines, nil
 }
 
-// leadershipChanges are the changes of leader, which nothing in a play is meant to cause.
+// leadershipChanges returns the changes of leadership as faults, since no plan causes them directly.
 func leadershipChanges(leader []logLine) []fault {
 	var changes []fault
 	for _, l := range leader {
@@ -66,10 +66,10 @@
 	return changes
 }
 
-// maxLogDelay is how much later the lines about a moment may come: waits are gathered.
+// maxLogDelay is how long after an event its log line may be written, because waits are logged in batches.
 const maxLogDelay = 1200 * time.Millisecond
 
-// linesBetween returns the lines of a time.
+// linesBetween returns the lines between two moments.
 func linesBetween(lines []logLine, from, to time.Time) []logLine {
 	var list []logLine
 	for _, l := range lines {
@@ -80,31 +80,31 @@
 	return list
 }
 
-// logTaskName is a task's name in logs.
+// logTaskName returns a task's name as it appears in logs.
 func logTaskName(task string) string { return strings.ReplaceAll(task, ".", "/") }
 
-// leaderEvents tells from the leader's lines when a task counted as lost and what it waited for.
+// leaderEvents describes, from the leader's log lines, when a gap's task was declared lost and why it waited.
 func leaderEvents(leader []logLine, g gap) string {
 	name := logTaskName(g.task)
 	step := name[:strings.LastIndexByte(name, '/')]
-	var told []string
+	var events []string
 	for _, l := range linesBetween(leader, g.from, g.to.Add(maxLogDelay)) {
 		since := l.At.Sub(g.from).Seconds()
 		switch l.Message {
 		case messageLost:
 			if keyOfEntry(l.Lost, name) != "" {
-				told = append(told, fmt.Sprintf("%+.2f lost (%s)", since, l.Reason))
+				events = append(events, fmt.Sprintf("%+.2f lost (%s)", since, l.Reason))
 			}
 		case messageWaits:
 			if reason := keyOfEntry(l.Waits, step); reason != "" {
-				told = append(told, fmt.Sprintf("%+.2f waits (%s)", since, reason))
+				events = append(events, fmt.Sprintf("%+.2f waits (%s)", since, reason))
 			}
 		}
 	}
-	return strings.Join(told, ", ")
+	return strings.Join(events, ", ")
 }
 
-// keyOfEntry is the key whose list has an entry that begins with a name.
+// keyOfEntry returns a key whose list has an entry for a name, or "" if there is none.
 func keyOfEntry(lists map[string][]string, name string) string {
 	for key, list := range lists {
 		for _, entry := range list {
@@ -116,7 +116,7 @@
 	return ""
 }
 
-// agentLines tells what the agent of a gap's worker wrote, without repetitions.
+// agentLines formats the log lines of an agent around a gap, without consecutive repetitions.
 func agentLines(agent []logLine, g gap) string {
 	var b strings.Builder
 	last := ""
--- a/soak/pauses.go
+++ b/soak/pauses.go
@@ -9,13 +9,13 @@
 )
 
 var (
-	// processPauses are short pauses such as those of a process that shares its processor.
+	// processPauses are as long as the pauses of a process that shares its processor with others.
 	processPauses        = span{20 * time.Millisecond, 300 * time.Millisecond}
 	betweenProcessPauses = span{0, 300 * time.Millisecond}
 )
 
-// pauseProcesses pauses cairnlift's processes for moments until ctx ends, one at a time. These count as no
-// faults: every machine has them.
+// pauseProcesses pauses cairnlift's processes briefly, one at a time, until ctx ends. These pauses do not
+// count as faults, because they occur on every machine.
 func (c *cluster) pauseProcesses(ctx context.Context, r *rand.Rand) {
 	processes := slices.Concat(c.controls, c.entries)
 	for _, h := range c.hosts {
@@ -27,14 +27,14 @@
 	}
 }
 
-// pauseFor pauses the process for a moment, unless it is paused already.
+// pauseFor pauses the process for a duration, unless it is paused already.
 func (p *process) pauseFor(ctx context.Context, d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if !p.running() || p.paused {
 		return
 	}
-	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // it may have ended just now
+	_ = p.cmd.Process.Signal(syscall.SIGSTOP) // the process may have just ended
 	sleep(ctx, d)
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
--- a/soak/plan.go
+++ b/soak/plan.go
@@ -12,31 +12,32 @@
 	"github.com/cockroachdb/errors"
 )
 
-// action is something that is done to a process or a link at a time of the play.
+// action is an action on a process, disk or link at a time of the soak run.
 type action struct {
 	at time.Duration
-	// kind tells what it is done to, host the number of that.
+	// kind is the kind of process or link, host its number.
 	kind   string
 	host   int
 	signal syscall.Signal
-	// link is what becomes of a link between an agent and its worker.
+	// link is the new mode of a link between an agent and its worker.
 	link linkMode
-	// starts: it is started, and no signal is sent.
+	// starts is whether the process is started; if so, no signal is sent.
 	starts bool
-	// sick: the worker that starts fails whatever it runs.
+	// sick is whether the worker that is started fails every task that it runs.
 	sick bool
-	// wipes: the disk of a control host is emptied while its process is down.
+	// wipes is whether the disk of a control host is emptied while its process is down.
 	wipes bool
 }
 
-// actionWords are what can be done to a process.
+// actionWords are the words of the actions on a process or its disk in plan files.
 var actionWords = map[string]action{
 	"kill": {signal: syscall.SIGKILL}, "stop": {signal: syscall.SIGSTOP}, "continue": {signal: syscall.SIGCONT},
 	"terminate": {signal: syscall.SIGTERM}, "start": {starts: true}, "start-sick": {starts: true, sick: true},
 	"wipe": {wipes: true},
 }
 
-// String is a line of a plan: seconds, the kind of process, the number of its host, and a word.
+// String returns the action as a line of a plan file: the time in seconds, the kind of process, the number
+// of its host, and a word.
 func (a action) String() string {
 	if a.kind == linkKind {
 		return fmt.Sprintf("%8.3f %s %d %s", a.at.Seconds(), a.kind, a.host, a.link)
@@ -46,10 +47,10 @@
 			return fmt.Sprintf("%8.3f %s %d %s", a.at.Seconds(), a.kind, a.host, word)
 		}
 	}
-	panic("an action without a word")
+	panic("action has no word in plan files")
 }
 
-// The kinds of what a plan names.
+// The kinds of processes and links in plan files.
 const (
 	workerKind  = "worker"
 	agentKind   = "agent"
@@ -58,14 +59,14 @@
 	linkKind    = "link"
 )
 
-// countOf is how many of a kind there are.
+// countOf returns the number of processes or links of a kind.
 func (f fleet) countOf(kind string) int {
 	return map[string]int{
 		workerKind: f.workers, agentKind: f.workers, linkKind: f.workers, controlKind: f.controls, entryKind: f.entries,
 	}[kind]
 }
 
-// parseWord reads what is done to a process or a link.
+// parseWord parses the action on a process or link.
 func parseWord(kind, word string) (action, bool) {
 	if kind == linkKind {
 		return action{kind: kind, link: linkMode(word)}, slices.Contains(linkModes, linkMode(word))
@@ -75,19 +76,19 @@
 	return a, known && (!a.wipes || kind == controlKind)
 }
 
-// parsePlan reads the lines of a plan, in the order of their times.
-func parsePlan(text string, of fleet) ([]action, error) {
+// parsePlan parses the text of a plan, and returns its actions in order of time.
+func parsePlan(text string, size fleet) ([]action, error) {
 	var plan []action
 	for line := range strings.Lines(text) {
 		var seconds float64
 		var kind, word string
 		var host int
 		if _, err := fmt.Sscan(line, &seconds, &kind, &host, &word); err != nil {
-			return nil, errors.Wrapf(err, "plan, %q", line)
+			return nil, errors.Wrapf(err, "plan line %q", line)
 		}
 		a, known := parseWord(kind, word)
-		if !known || host < 0 || host >= of.countOf(kind) {
-			return nil, errors.Newf("plan, %q: no such process or nothing that can be done to it", line)
+		if !known || host < 0 || host >= size.countOf(kind) {
+			return nil, errors.Newf("plan line %q: unknown process, link or action", line)
 		}
 		a.host = host
 		a.at = time.Duration(seconds * float64(time.Second)).Round(time.Millisecond)
@@ -97,29 +98,31 @@
 	return plan, nil
 }
 
-// span is a range that a time is drawn from.
+// span is a range from which a duration is drawn.
 type span struct{ from, to time.Duration }
 
 func (s span) draw(r *rand.Rand) time.Duration {
 	return s.from + time.Duration(r.Int64N(int64(s.to-s.from)+1))
 }
 
-func drawFromOne(r *rand.Rand, of []span) time.Duration { return of[r.IntN(len(of))].draw(r) }
+// drawFromOne chooses one of several ranges, and draws a duration from it.
+func drawFromOne(r *rand.Rand, spans []span) time.Duration { return spans[r.IntN(len(spans))].draw(r) }
 
 var (
-	// workerDownTimes are how long a worker is away. Reports go every 0.5 s, the agent's lease is 6 s, the
-	// leader's 12 s.
+	// workerDownTimes are how long a killed worker is down. Workers report every 0.5 s, the agent's lease lasts
+	// 6 s and the leader's 12 s.
 	workerDownTimes = []span{
 		{0, 0}, {20 * time.Millisecond, 600 * time.Millisecond}, {400 * time.Millisecond, 600 * time.Millisecond},
 		{300 * time.Millisecond, 3 * time.Second}, {time.Second, 8 * time.Second}, {5800 * time.Millisecond, 6400 * time.Millisecond},
 		{11800 * time.Millisecond, 12400 * time.Millisecond}, {15 * time.Second, 15 * time.Second},
 	}
-	// workerUpTimes are how long a worker is back before it is killed again.
+	// workerUpTimes are the times from the start of a worker until it is killed again.
 	workerUpTimes = []span{
 		{20 * time.Millisecond, 600 * time.Millisecond}, {400 * time.Millisecond, 700 * time.Millisecond}, {600 * time.Millisecond, 3 * time.Second},
 		{time.Second, 5 * time.Second}, {5800 * time.Millisecond, 6400 * time.Millisecond}, {11800 * time.Millisecond, 12400 * time.Millisecond},
 	}
-	// betweenFaultRounds are the times between two rounds of faults; the long ones have room for the judge.
+	// betweenFaultRounds are the times from the end of one round of faults to the start of the next. The long
+	// ones leave enough fault-free time for the checker to find violations.
 	betweenFaultRounds = []span{
 		{0, time.Second}, {2 * time.Second, 6 * time.Second}, {10 * time.Second, 12 * time.Second}, {10 * time.Second, 14 * time.Second},
 	}
@@ -129,8 +132,9 @@
 )
 
 const (
+	// maxKills is the largest number of kills of one worker in a round.
 	maxKills = 3
-	// maxWorkersHit is how many workers one round hits at most.
+	// maxWorkersHit is the largest number of workers that one round affects.
 	maxWorkersHit         = 3
 	severalWorkersPercent = 30
 	agentPausePercent     = 20
@@ -139,8 +143,8 @@
 	sickPercent           = 25
 )
 
-// drawPlan draws the faults of workers' lives that begin within a time.
-func drawPlan(r *rand.Rand, of fleet, within time.Duration, p Profile) []action {
+// drawPlan draws the faults of a soak run that begin within a time.
+func drawPlan(r *rand.Rand, size fleet, within time.Duration, p Profile) []action {
 	var plan []action
 	for at := time.Duration(0); at < within; {
 		hit := 1
@@ -148,7 +152,7 @@
 			hit = 2 + r.IntN(maxWorkersHit-1)
 		}
 		end := at
-		for _, host := range r.Perm(of.workers)[:hit] {
+		for _, host := range r.Perm(size.workers)[:hit] {
 			actions := drawWorkerFaults(r, host, at+span{0, time.Second}.draw(r), p)
 			plan = append(plan, actions...)
 			for _, a := range actions {
@@ -157,14 +161,14 @@
 		}
 		at = end + drawFromOne(r, betweenFaultRounds)
 	}
-	plan = append(plan, drawFrontFaults(r, of, within, p)...)
-	plan = append(plan, drawLinkFaults(r, of.workers, within, p)...)
-	plan = append(plan, drawOutages(r, of, within, p)...)
+	plan = append(plan, drawFrontFaults(r, size, within, p)...)
+	plan = append(plan, drawLinkFaults(r, size.workers, within, p)...)
+	plan = append(plan, drawOutages(r, size, within, p)...)
 	slices.SortStableFunc(plan, func(a, b action) int { return cmp.Compare(a.at, b.at) })
 	return plan
 }
 
-// drawWorkerFaults draws what becomes of one worker: up to three deaths in a row.
+// drawWorkerFaults draws the faults of one worker in a round: up to maxKills kills, each followed by a start.
 func drawWorkerFaults(r *rand.Rand, host int, at time.Duration, p Profile) []action {
 	var plan []action
 	for range 1 + r.IntN(maxKills) {
@@ -179,7 +183,7 @@
 	return plan
 }
 
-// drawAgentFault draws what befalls the worker's agent beside a death, if anything.
+// drawAgentFault draws the fault of the worker's agent around a kill of the worker, if any.
 func drawAgentFault(r *rand.Rand, host int, at time.Duration) []action {
 	switch p := r.IntN(100); {
 	case p < agentPausePercent:
--- a/soak/plan_test.go
+++ b/soak/plan_test.go
@@ -11,7 +11,8 @@
 
 var eightWorkers = Options{Workers: 8}.fleet()
 
-// TestPlanRoundTrip guards against a plan that is played again as another one.
+// TestPlanRoundTrip guards against a plan that differs when its plan file is read back, and against plan lines
+// that are accepted although they name no known process or action.
 func TestPlanRoundTrip(t *testing.T) {
 	for seed := range uint64(50) {
 		plan := drawPlan(rand.New(rand.NewPCG(seed, 1)), eightWorkers, faultPhase, Profile{Agents: true, Sick: true, Fronts: true, Links: true, Outages: true})
@@ -27,7 +28,7 @@
 	}
 	for _, text := range []string{"1 worker 8 kill", "1 worker 0 dance", "1 leader 0 kill", "1 control 3 kill", "1 entry 4 stop", "1 link 0 kill", "1 worker 0 cut", "1 worker 0 wipe", "soon worker 0 kill", "1 worker 0"} {
 		if plan, err := parsePlan(text, eightWorkers); err == nil {
-			t.Errorf("%q is read as %v", text, plan)
+			t.Errorf("%q was parsed as %v, want an error", text, plan)
 		}
 	}
 }
--- a/soak/process.go
+++ b/soak/process.go
@@ -12,34 +12,34 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// process is a process of the cluster that may be ended and started again.
+// process is a process of the cluster that can be killed and started again.
 type process struct {
 	name string
-	// command returns what is started.
+	// command returns the command for the next start.
 	command func() *exec.Cmd
-	// output is where its standard output and error go, across its starts.
+	// output is the file to which the standard output and standard error of all starts are appended.
 	output string
 	faults *faultLog
 
 	mu    sync.Mutex
 	cmd   *exec.Cmd
 	ended chan struct{}
-	// paused: the plan stopped it, and has not let it go on.
+	// paused is whether the plan stopped the process and has not continued it.
 	paused bool
 }
 
-// start starts it; it must not be running.
+// start starts the process, which must not be running.
 func (p *process) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.running() {
-		return errors.Newf("%s runs already", p.name)
+		return errors.Newf("%s is already running", p.name)
 	}
 	out, err := os.OpenFile(p.output, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrap(err, "output")
+		return errors.Wrap(err, "output file")
 	}
-	defer func() { _ = out.Close() }() // the process has its own
+	defer func() { _ = out.Close() }() // the process has its own descriptor
 	cmd := p.command()
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
@@ -49,14 +49,14 @@
 	ended := make(chan struct{})
 	p.cmd, p.ended, p.paused = cmd, ended, false
 	go func() {
-		_ = cmd.Wait() // how it ended is in its own output
+		_ = cmd.Wait() // the output of the process shows how it ended
 		p.faults.add(p.name, "ended", cmd.Process.Pid)
 		close(ended)
 	}()
 	return nil
 }
 
-// running reports whether it has been started and has not ended; p.mu is held.
+// running reports whether the process has been started and has not ended. The caller must hold p.mu.
 func (p *process) running() bool {
 	if p.cmd == nil {
 		return false
@@ -69,7 +69,7 @@
 	}
 }
 
-// signal sends a signal, and waits for the end where the signal ends it for sure.
+// signal sends a signal if the process is running, and after SIGKILL waits until it has ended.
 func (p *process) signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +77,7 @@
 		return
 	}
 	p.faults.add(p.name, s.String(), p.cmd.Process.Pid)
-	_ = p.cmd.Process.Signal(s) // it may have ended just now
+	_ = p.cmd.Process.Signal(s) // the process may have just ended
 	p.paused = s == syscall.SIGSTOP
 	if s == syscall.SIGKILL {
 		<-p.ended
@@ -86,7 +86,7 @@
 
 func (p *process) kill() { p.signal(syscall.SIGKILL) }
 
-// roleCommand returns the command of a process that reads a settings file.
+// roleCommand returns the command that starts a role of cairnlift with a settings file.
 func roleCommand(words []string, role, metricsPort, settings string) func() *exec.Cmd {
 	return func() *exec.Cmd {
 		cmd := newCommand(words, role, "--metrics-port", metricsPort)
@@ -96,7 +96,7 @@
 	}
 }
 
-// newCommand returns a command of some words and arguments, on one processor at a time.
+// newCommand returns a command whose process uses one processor at a time.
 func newCommand(words []string, arguments ...string) *exec.Cmd {
 	cmd := exec.Command(words[0], append(append([]string{}, words[1:]...), arguments...)...)
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=1")
--- a/soak/reachability.go
+++ b/soak/reachability.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// reachable reports whether a worker's agent was at work at a moment and could talk to it.
+// reachable reports whether, at a moment, a worker's agent was running and its link forwarded new
+// connections.
 func (rec *record) reachable(worker string, at time.Time) bool {
 	number := strings.TrimPrefix(worker, "w")
 	agent := rec.lastFault("agent-"+number, at)
@@ -22,7 +23,7 @@
 	return false
 }
 
-// lastFault is what was done last to a process or link before a moment.
+// lastFault returns the last action on a process or link at or before a moment, or "" if there was none.
 func (rec *record) lastFault(name string, at time.Time) string {
 	last := ""
 	for _, f := range rec.faultsOf(name) {
@@ -34,8 +35,8 @@
 	return last
 }
 
-// faultsOf are the faults of a process or link, in order. A judge asks for them at each moment that it
-// looks at.
+// faultsOf returns the faults of a process or link in order. It uses an index, since the checker calls it for
+// every sampled moment.
 func (rec *record) faultsOf(name string) []fault {
 	if rec.indexedFaults != len(rec.faults) {
 		rec.byProcess, rec.indexedFaults = map[string][]fault{}, len(rec.faults)
@@ -46,19 +47,19 @@
 	return rec.byProcess[name]
 }
 
-// mayBeDelayed reports whether calls of a worker may have been held up within a time: its link was
-// disturbed, or the worker stood still.
+// mayBeDelayed reports whether calls of a worker may have been delayed between two moments, because its link
+// was faulty or the worker was paused.
 func (rec *record) mayBeDelayed(worker string, from, to time.Time) bool {
 	link := "link-" + strings.TrimPrefix(worker, "w")
-	disturbed := func(at time.Time) bool {
+	faulty := func(at time.Time) bool {
 		mode := linkMode(rec.lastFault(link, at))
 		return mode != "" && mode != linkRestore || rec.lastFault(worker, at) == syscall.SIGSTOP.String()
 	}
-	if disturbed(from) {
+	if faulty(from) {
 		return true
 	}
 	for _, f := range rec.faults {
-		if (f.Process == link || f.Process == worker) && f.at().After(from) && !f.at().After(to) && disturbed(f.at()) {
+		if (f.Process == link || f.Process == worker) && f.at().After(from) && !f.at().After(to) && faulty(f.at()) {
 			return true
 		}
 	}
--- a/soak/record.go
+++ b/soak/record.go
@@ -15,45 +15,46 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// incarnation is a life of a worker.
+// incarnation is an incarnation of a worker, from its start to its end.
 type incarnation struct {
 	worker     string
 	sick       bool
 	start, end time.Time
-	// leaseExpiredAt is when its lease last ran out.
+	// leaseExpiredAt is when its lease last expired.
 	leaseExpiredAt time.Time
-	// ackedEnds is how many ends have been acknowledged.
+	// ackedEnds is the number of run ends that have been acknowledged.
 	ackedEnds uint64
 	runs      []*run
 }
 
-// run is a run of a task on a life of a worker.
+// run is a run of a task on an incarnation of a worker.
 type run struct {
 	task        string
 	number      uint64
 	incarnation *incarnation
 	start, end  time.Time
-	// acknowledged: the agent let the worker forget its end, at ackedAt.
+	// acknowledged is whether the agent acknowledged the end, at ackedAt, so that the worker may forget it.
 	acknowledged bool
-	// leaseExpiredBeforeAck: the worker's lease ran out between the end and that.
+	// leaseExpiredBeforeAck is whether the worker's lease expired between the end and its acknowledgement.
 	leaseExpiredBeforeAck bool
 	ackedAt               time.Time
-	// outcome it ended; "died" with its worker, "runs" when it had not ended.
+	// outcome is how the run ended: "died" if its worker died, "runs" if it had not ended.
 	outcome string
 }
 
-// record is what the workers wrote and what was done to them.
+// record holds the events that the workers recorded, and the faults.
 type record struct {
 	incarnations []*incarnation
 	runs         []*run
 	faults       []fault
 	end          time.Time
-	// byProcess are the first indexed faults by what they were done to.
+	// byProcess groups the first indexedFaults faults by process or link.
 	byProcess     map[string][]fault
 	indexedFaults int
 }
 
-// readRecord reads the workers' lines. What had not ended by end is taken to end then.
+// readRecord reads the faults and the workers' events. Runs and incarnations that had not ended by end are
+// taken to end then.
 func readRecord(folder string, end time.Time) (*record, error) {
 	rec := &record{end: end}
 	if err := rec.readFaults(filepath.Join(folder, faultsFile)); err != nil {
@@ -77,12 +78,12 @@
 func (rec *record) readFaults(path string) error {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Wrap(err, "record of faults")
+		return errors.Wrap(err, "fault log")
 	}
 	for line := range bytes.Lines(data) {
 		var f fault
 		if err := json.Unmarshal(line, &f); err != nil {
-			return errors.Wrap(err, "record of faults")
+			return errors.Wrap(err, "fault log")
 		}
 		if f.at().Before(rec.end) {
 			rec.faults = append(rec.faults, f)
@@ -91,46 +92,47 @@
 	return nil
 }
 
+// readWorkerEvents adds the events in a worker's output to the record.
 func (rec *record) readWorkerEvents(name string, data []byte) {
-	var now *incarnation
+	var current *incarnation
 	open := map[string]*run{}
 	var ended []*run
 	for line := range bytes.Lines(data) {
 		var e platformtest.Event
 		if json.Unmarshal(line, &e) != nil || e.Kind == "" || e.At().After(rec.end) {
-			continue // another line, or one cut off by the end of the process
+			continue // not an event, or cut off by the end of the process
 		}
 		switch e.Kind {
 		case platformtest.LifeBegan:
-			now = &incarnation{worker: name, sick: e.Sick, start: e.At()}
-			now.end = rec.endOf(now)
-			rec.incarnations = append(rec.incarnations, now)
+			current = &incarnation{worker: name, sick: e.Sick, start: e.At()}
+			current.end = rec.endOf(current)
+			rec.incarnations = append(rec.incarnations, current)
 			open, ended = map[string]*run{}, nil
 		case platformtest.RunBegan:
-			r := &run{task: e.Task, number: e.Run, incarnation: now, start: e.At(), end: now.end, outcome: "died"}
-			if now.end.Equal(rec.end) {
+			r := &run{task: e.Task, number: e.Run, incarnation: current, start: e.At(), end: current.end, outcome: "died"}
+			if current.end.Equal(rec.end) {
 				r.outcome = "runs"
 			}
 			open[e.Task] = r
-			rec.runs, now.runs = append(rec.runs, r), append(now.runs, r)
+			rec.runs, current.runs = append(rec.runs, r), append(current.runs, r)
 		case platformtest.RunEnded:
 			if r := open[e.Task]; r != nil && r.number == e.Run {
 				r.end, r.outcome = e.At(), e.How
 				ended = append(ended, r)
 			}
 		case platformtest.LeaseLapsed:
-			now.leaseExpiredAt = e.At()
+			current.leaseExpiredAt = e.At()
 		case platformtest.EndsAcknowledged:
-			for ; len(ended) > 0 && now.ackedEnds < e.Ends; now.ackedEnds++ {
+			for ; len(ended) > 0 && current.ackedEnds < e.Ends; current.ackedEnds++ {
 				ended[0].acknowledged, ended[0].ackedAt = true, e.At()
-				ended[0].leaseExpiredBeforeAck = now.leaseExpiredAt.After(ended[0].end)
+				ended[0].leaseExpiredBeforeAck = current.leaseExpiredAt.After(ended[0].end)
 				ended = ended[1:]
 			}
 		}
 	}
 }
 
-// endOf is when a life ended by a kill.
+// endOf returns when an incarnation's process ended, or the end of the record if it had not.
 func (rec *record) endOf(l *incarnation) time.Time {
 	for _, f := range rec.faults {
 		if f.Process == l.worker && f.What == "ended" && f.at().After(l.start) {
@@ -140,7 +142,7 @@
 	return rec.end
 }
 
-// runsOf returns the runs of a task in the order of their begin.
+// runsOf returns the runs of a task in the order of their start.
 func (rec *record) runsOf(task string) []*run {
 	var list []*run
 	for _, r := range rec.runs {
@@ -151,20 +153,20 @@
 	return list
 }
 
-// gap is a time without a run of a task that lasts.
+// gap is a time without a run of a long-running task.
 type gap struct {
 	task string
 	step platformtest.Step
-	// previous is the run before it; nil before the first one.
+	// previous is the run before the gap; nil before the first run.
 	previous *run
-	// next is the run after it; nil where there was none.
+	// next is the run after the gap; nil if there was none.
 	next     *run
 	from, to time.Time
 }
 
 func (g gap) length() time.Duration { return g.to.Sub(g.from) }
 
-// gapsOf returns the times without a run of a task since it was accepted.
+// gapsOf returns the gaps between the runs of a task since its job was accepted.
 func (rec *record) gapsOf(task string, step platformtest.Step, since time.Time) []gap {
 	var gaps []gap
 	covered := since
--- a/soak/report.go
+++ b/soak/report.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// minDetailedGap is the shortest gap that is told with what the leader wrote of it.
+// minDetailedGap is the shortest gap that the report shows together with the leader's log lines.
 const minDetailedGap = 6500 * time.Millisecond
 
 const clockFormat = "15:04:05.000"
 
-// text is the report as a table, the longest gaps first.
+// text returns the report as a table, with the longest gaps first.
 func (rep *report) text() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%d tasks that last, %d runs, %d lives; times without a run: %s\n",
+	fmt.Fprintf(&b, "%d long-running tasks, %d runs, %d worker incarnations; gaps between runs: %s\n",
 		rep.tasks, len(rep.rec.runs), len(rep.rec.incarnations), rep.quantiles())
 	for _, t := range rep.overlaps {
 		fmt.Fprintf(&b, "TWICE %s\n", t)
@@ -35,7 +35,7 @@
 	return b.String()
 }
 
-// quantiles sums the lengths of all gaps after a first run up.
+// quantiles summarizes the lengths of all gaps after a first run.
 func (rep *report) quantiles() string {
 	var lengths []time.Duration
 	for _, g := range rep.gaps {
@@ -47,12 +47,13 @@
 		return "none"
 	}
 	slices.Sort(lengths)
-	at := func(share float64) time.Duration {
-		return lengths[int(share*float64(len(lengths)-1))].Round(time.Millisecond)
+	at := func(fraction float64) time.Duration {
+		return lengths[int(fraction*float64(len(lengths)-1))].Round(time.Millisecond)
 	}
 	return fmt.Sprintf("%d, median %v, 90%% %v, longest %v", len(lengths), at(0.5), at(0.9), at(1))
 }
 
+// gapLine formats a gap with its neighboring runs and the faults around it.
 func (rep *report) gapLine(g checkedGap) string {
 	mark := "      "
 	if g.violated {
@@ -73,10 +74,10 @@
 		rep.faultsNear(g.gap))
 }
 
-// faultsShownBefore is how long before a gap faults are shown.
+// faultsShownBefore is how long before a gap the faults shown with it begin.
 const faultsShownBefore = 2 * time.Second
 
-// faultsNear lists what befell processes shortly before a gap and in it, by seconds since its begin.
+// faultsNear lists the faults shortly before and within a gap, with their times in seconds since its beginning.
 func (rep *report) faultsNear(g gap) string {
 	var near []string
 	for _, f := range rep.rec.faults {
@@ -87,7 +88,7 @@
 	return strings.Join(near, ", ")
 }
 
-// excerpts are the lines of agents and leader about the long gaps.
+// excerpts returns the log lines of the agents and the leader about the long gaps.
 func (rep *report) excerpts(folder string) (string, error) {
 	var b strings.Builder
 	for _, g := range rep.gaps {
--- a/soak/run.go
+++ b/soak/run.go
@@ -14,57 +14,59 @@
 )
 
 const (
-	// warmUp is how long the lasting tasks have to start before the first fault.
+	// warmUp is the time from the submission of the long-running tasks to the first fault.
 	warmUp = 5 * time.Second
-	// coolDown is how long all is calm at the end.
+	// coolDown is the fault-free time at the end.
 	coolDown = 14 * time.Second
-	// faultPhase is how long faults begin.
+	// faultPhase is the time within which faults begin.
 	faultPhase = 60 * time.Second
 )
 
-// batchShares and failPercents are what the load of a play is drawn from.
+// batchShares and failPercents are the values from which the load of a soak run is drawn.
 var (
 	batchShares  = []float64{0.3, 0.7, 1, 1.5, 2.5}
 	failPercents = []uint32{0, 20, 50, 100}
 )
 
-// failingPercent is how many batch runs fail where most do.
+// failingPercent is the percentage of batch runs that fail with Profile.Failing.
 const failingPercent = 80
 
-// The streams of random numbers of the operator, beside that of a play.
+// The streams of random numbers of the operator, which are separate from that of the soak run.
 const (
 	changesStream = 2
 	readsStream   = 3
 )
 
-// Profile says what goes wrong beside the deaths of workers.
+// Profile selects the faults and the load of a soak run, in addition to the deaths of workers. The names of
+// its fields are written into the summary.
 type Profile struct {
-	// Agents: agents are killed and paused, too.
+	// Agents adds kills, pauses and terminations of agents.
 	Agents bool
-	// Fronts: control hosts and entries are killed, paused and terminated, too.
+	// Fronts adds kills, pauses and terminations of control hosts and entries.
 	Fronts bool
-	// Links: the connections between agents and workers are disturbed, too.
+	// Links adds faults of the connections between agents and workers.
 	Links bool
-	// Outages: all but the workers lose power at times, disks are lost, and links are dark until leases
-	// have run out.
+	// Outages adds power losses of all processes except the workers, lost disks, and links that are blackholed
+	// until leases have expired.
 	Outages bool
-	// Configurations: the configuration is changed and read all the while.
+	// Configurations adds continuous changes and reads of the configuration.
 	Configurations bool
-	// Callers: callers cancel jobs, give up after refusals, and send again what was accepted.
+	// Callers makes some callers cancel jobs, give up after refusals, and resend accepted jobs.
 	Callers bool
-	// Failing: most batch runs fail.
+	// Failing makes most batch runs fail.
 	Failing bool
-	// Sick: some workers fail whatever they run after they came back.
+	// Sick makes some workers fail every task after a restart.
 	Sick bool
-	// Uneven: all processes but the workers are held up for moments now and then.
+	// Uneven adds brief pauses of all processes except the workers.
 	Uneven bool
-	// BatchShare is how much batch work comes, against what the lasting tasks leave; drawn when 0.
+	// BatchShare is the batch work as a fraction of the capacity that the long-running tasks leave; drawn if 0.
 	BatchShare float64
-	// Plan is carried out instead of one that is drawn; it has the form of a play's plan.txt.
+	// Plan replaces the drawn plan; it has the format of a soak run's plan.txt.
 	Plan string
 }
 
-// Run plays workers that die and come back under their ids. Judge judges the play.
+// Run runs a cluster whose workers die and restart under the same ids, and writes the records that Check
+// checks.
 func Run(ctx context.Context, o Options, p Profile, seed uint64) error {
 	r := rand.New(rand.NewPCG(seed, 1))
 	plan, err := drawPlan(r, o.fleet(), faultPhase, p), error(nil)
@@ -101,7 +103,7 @@
 	return summary{Title: title, End: time.Now(), Jobs: l.answeredJobs(), Changes: op.changes, Reads: op.reads}.write(o.Folder)
 }
 
-// run hands the jobs in, and carries the plan out beside them.
+// run submits the jobs, and executes the plan at the same time.
 func (l *load) run(ctx context.Context, plan []action, p Profile, op *operator) {
 	working, stop := context.WithCancel(ctx)
 	var all conc.WaitGroup
@@ -109,8 +111,8 @@
 	defer stop()
 	all.Go(func() { watchStalls(working, l.c.faults) })
 	if p.Uneven {
-		hitches := rand.New(rand.NewPCG(l.rand.Uint64(), 1))
-		all.Go(func() { l.c.pauseProcesses(working, hitches) })
+		pauseRand := rand.New(rand.NewPCG(l.rand.Uint64(), 1))
+		all.Go(func() { l.c.pauseProcesses(working, pauseRand) })
 	}
 	if p.Configurations {
 		all.Go(func() { op.submitChanges(working, rand.New(rand.NewPCG(l.seed, changesStream))) })
@@ -119,7 +121,7 @@
 	for _, j := range drawLongRunning(l.rand, l.c.o.Workers) {
 		id := l.newID()
 		caller := l.drawCaller()
-		caller.maxAttempts = 0 // the load has to come
+		caller.maxAttempts = 0 // submitted until accepted, so that every soak run has its load
 		all.Go(func() { l.runCaller(working, servingPath, id, j, caller) })
 	}
 	sleep(ctx, warmUp/2)
@@ -133,11 +135,11 @@
 	l.queryStates(ctx)
 }
 
-// executePlan does to the processes what the plan says.
+// executePlan applies the actions of a plan at their times.
 func (c *cluster) executePlan(ctx context.Context, plan []action) {
-	began := time.Now()
+	start := time.Now()
 	for _, a := range plan {
-		sleep(ctx, time.Until(began.Add(a.at)))
+		sleep(ctx, time.Until(start.Add(a.at)))
 		if ctx.Err() != nil {
 			return
 		}
@@ -145,6 +147,7 @@
 	}
 }
 
+// apply applies an action to its process, disk or link.
 func (c *cluster) apply(a action) {
 	if a.kind == linkKind {
 		c.faults.add(fmt.Sprintf("link-%d", a.host), string(a.link), 0)
@@ -164,14 +167,14 @@
 		return
 	}
 	if a.kind != workerKind {
-		p.kill() // one that was terminated may not have ended yet
+		p.kill() // a terminated process may not have ended yet
 	}
 	if err := p.start(); err != nil {
 		c.faults.add(p.name, "start: "+err.Error(), 0)
 	}
 }
 
-// wipeDisk empties the disk of a control host, whose process is ended if it is there.
+// wipeDisk empties the disk of a control host, after killing its process if that is running.
 func (c *cluster) wipeDisk(host int) {
 	p := c.controls[host]
 	p.kill()
@@ -182,7 +185,7 @@
 	c.faults.add(p.name, what, 0)
 }
 
-// processOf is the process that an action names.
+// processOf returns the process of an action.
 func (c *cluster) processOf(a action) *process {
 	switch a.kind {
 	case agentKind:
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,7 +14,7 @@
 	"github.com/cairnlift/cairnlift/platform/platformtest"
 )
 
-// The words by which the test binary is one of the cluster's processes.
+// The first arguments that make the test binary run as one of the cluster's processes.
 const (
 	programArgument = "soak-program"
 	workerArgument  = "soak-worker"
@@ -68,7 +68,7 @@
 	return c
 }
 
-// countRunning counts the tasks of a job that run now by the workers' lines.
+// countRunning counts the tasks of a job that are running according to the workers' events.
 func countRunning(t *testing.T, c *cluster, job string, tasks uint32) int {
 	rec, err := readRecord(c.o.Folder, time.Now())
 	if err != nil {
@@ -85,7 +85,8 @@
 	return running
 }
 
-// TestTasksRestartAfterWorkersDie guards the whole way of a task that lasts through real processes.
+// TestTasksRestartAfterWorkersDie guards against long-running tasks that are not started, or not restarted
+// after the death of their workers, anywhere on the path through real processes.
 func TestTasksRestartAfterWorkersDie(t *testing.T) {
 	c := newTestCluster(t, 2)
 	const job, tasks = "00000000000000aa", 4
--- a/soak/stalls.go
+++ b/soak/stalls.go
@@ -8,11 +8,11 @@
 
 const (
 	stallCheckInterval = 50 * time.Millisecond
-	// maxTimerDelay is how late a timer may be before the machine counts as held up.
+	// maxTimerDelay is how late a timer may fire before the machine counts as stalled.
 	maxTimerDelay = 250 * time.Millisecond
 )
 
-// watchStalls notes when the machine that plays is held up itself, until ctx ends.
+// watchStalls records when the machine that executes the soak run is itself stalled, until ctx ends.
 func watchStalls(ctx context.Context, l *faultLog) {
 	for ctx.Err() == nil {
 		due := time.Now().Add(stallCheckInterval)
--- a/soak/summary.go
+++ b/soak/summary.go
@@ -9,13 +9,14 @@
 	"github.com/cockroachdb/errors"
 )
 
-// summary is what the judge needs to know of a play beside its processes' records.
+// summary is the information about a soak run that the checker needs in addition to the records of its
+// processes.
 type summary struct {
 	Title string
-	// End is when the play was over, and its processes were ended.
+	// End is when the soak run ended, after which its processes were killed.
 	End  time.Time
 	Jobs []submittedJob
-	// Changes and Reads are of the configuration; none where it was not changed.
+	// Changes and Reads are those of the configuration; empty if it was not changed.
 	Changes []configChange
 	Reads   []configRead
 }
--- a/soak/sysprocattr_linux.go
+++ b/soak/sysprocattr_linux.go
@@ -2,8 +2,9 @@
 
 import "syscall"
 
-// sysProcAttr has a process end with the one that started it. It is in a group of its own: the
-// kernel hangs up a group that its shell leaves while one member is paused.
+// sysProcAttr makes the kernel kill a process when the process that started it ends. Each process is in a
+// group of its own, because the kernel sends SIGHUP to a group that its shell leaves while a member is
+// stopped.
 func sysProcAttr() *syscall.SysProcAttr {
 	return &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 }
--- a/soak/sysprocattr_other.go
+++ b/soak/sysprocattr_other.go
@@ -4,5 +4,5 @@
 
 import "syscall"
 
-// sysProcAttr has a process in a group of its own. It outlives a play that is killed.
+// sysProcAttr puts a process into a group of its own. The process outlives a soak run that is killed.
 func sysProcAttr() *syscall.SysProcAttr { return &syscall.SysProcAttr{Setpgid: true} }
