--- a/cmd/cairnlift-soak/main.go
+++ b/cmd/cairnlift-soak/main.go
@@ -1,5 +1,5 @@
-// Command cairnlift-soak plays cairnlift's roles on the users' platform as real processes and
-// kills some of them. It is for developers; no role starts it.
+// Command cairnlift-soak runs cairnlift's roles on the users' platform as real processes, kills some of
+// them, and checks the result. It is a tool for developers; no role starts it.
 package main
 
 import (
@@ -19,36 +19,37 @@
 	"github.com/cairnlift/cairnlift/soak"
 )
 
-// programArgument stands before the words of cairnlift-platform.
+// programArgument is the first argument that makes this program run as cairnlift-platform, with the
+// arguments that follow.
 const programArgument = "program"
 
 func main() {
 	if len(os.Args) > 1 && os.Args[1] == programArgument {
 		os.Exit(platform.Main(os.Args[2:]))
 	}
-	app := kingpin.New("cairnlift-soak", "Plays real processes under faults.")
-	lives := app.Command("lives", "Workers die and come back under their ids.")
+	app := kingpin.New("cairnlift-soak", "Runs real processes under faults and checks the result.")
+	lives := app.Command("lives", "Runs workers that die and restart under the same ids.")
 	first := lives.Flag("first", "First seed.").Default("1").Uint64()
-	seeds := lives.Flag("seeds", "How many seeds.").Default("1").Uint64()
-	folder := lives.Flag("folder", "Folder of the plays.").Required().String()
-	program := lives.Flag("program", "Absolute path of cairnlift-platform; the one in this program when empty.").String()
-	workers := lives.Flag("workers", "How many workers.").Default("8").Int()
-	controls := lives.Flag("controls", "How many control hosts, an odd number.").Default("3").Int()
-	disks := lives.Flag("disks", "Folder of the control hosts' disks, such as one in memory; the play's own when empty.").String()
-	agents := lives.Flag("agents", "Kill and pause agents, too.").Default("true").Bool()
-	fronts := lives.Flag("fronts", "Kill, pause and terminate control hosts and entries, too.").Bool()
-	links := lives.Flag("links", "Disturb connections between agents and workers, too.").Bool()
-	outages := lives.Flag("outages", "Cut the power of all but the workers, empty disks, and keep links dark until leases run out.").Bool()
-	configurations := lives.Flag("configurations", "Change and read the configuration all the while.").Bool()
-	callers := lives.Flag("callers", "Have callers cancel, give up and send again.").Bool()
-	failing := lives.Flag("failing", "Have most batch runs fail.").Bool()
-	sick := lives.Flag("sick", "Have some workers come back sick.").Bool()
-	uneven := lives.Flag("uneven", "Hold processes up for moments now and then.").Bool()
-	plan := lives.Flag("plan", "File with the faults, in the form of a play's plan.txt, instead of drawn ones.").String()
-	batch := lives.Flag("batch", "How much batch work comes, against what the lasting tasks leave; drawn when 0.").Float64()
-	judge := app.Command("judge", "Judges plays again.")
-	played := judge.Arg("folders", "Folders of the plays.").Required().Strings()
-	worker := app.Command("worker", "Stands in for the platform's worker.").Hidden()
+	seeds := lives.Flag("seeds", "Number of seeds.").Default("1").Uint64()
+	folder := lives.Flag("folder", "Folder of the soak runs.").Required().String()
+	program := lives.Flag("program", "Absolute path of cairnlift-platform; if empty, the one built into this program.").String()
+	workers := lives.Flag("workers", "Number of workers.").Default("8").Int()
+	controls := lives.Flag("controls", "Number of control hosts, an odd number.").Default("3").Int()
+	disks := lives.Flag("disks", "Folder of the control hosts' disks, for example in memory; if empty, the folder of the soak run.").String()
+	agents := lives.Flag("agents", "Also kill, pause and terminate agents.").Default("true").Bool()
+	fronts := lives.Flag("fronts", "Also kill, pause and terminate control hosts and entries.").Bool()
+	links := lives.Flag("links", "Also disturb connections between agents and workers.").Bool()
+	outages := lives.Flag("outages", "Also cut the power of all processes except the workers, empty disks, and blackhole links until leases expire.").Bool()
+	configurations := lives.Flag("configurations", "Change and read the configuration continuously.").Bool()
+	callers := lives.Flag("callers", "Let some callers cancel jobs, give up after refusals, and resend accepted jobs.").Bool()
+	failing := lives.Flag("failing", "Let most batch runs fail.").Bool()
+	sick := lives.Flag("sick", "Let some workers fail every task after a restart.").Bool()
+	uneven := lives.Flag("uneven", "Pause all processes except the workers briefly, one at a time.").Bool()
+	plan := lives.Flag("plan", "File with the faults, in the format of a soak run's plan.txt, instead of drawn ones.").String()
+	batch := lives.Flag("batch", "Batch work as a fraction of the capacity that the long-running tasks leave; drawn if 0.").Float64()
+	check := app.Command("judge", "Checks the records of soak runs again.")
+	folders := check.Arg("folders", "Folders of the soak runs.").Required().Strings()
+	worker := app.Command("worker", "Runs as a stand-in for the platform's worker.").Hidden()
 	settings := worker.Arg("settings", "Settings as JSON.").Required().String()
 	chosen := kingpin.MustParse(app.Parse(os.Args[1:]))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -57,8 +58,8 @@
 	switch chosen {
 	case worker.FullCommand():
 		err = runWorker(ctx, *settings)
-	case judge.FullCommand():
-		err = checkFolders(*played)
+	case check.FullCommand():
+		err = checkFolders(*folders)
 	default:
 		o := soak.Options{Folder: *folder, Workers: *workers, Controls: *controls, Disks: *disks}
 		if *program != "" {
@@ -91,21 +92,22 @@
 	return string(text), errors.Wrap(err, "plan")
 }
 
-// networkNumbers is how many values a number of an address has for networks.
+// networkNumbers is the number of values that each of the two network numbers of an address can take.
 const networkNumbers = 250
 
+// runSeeds executes and checks one soak run per seed. Each has its own folder and network.
 func runSeeds(ctx context.Context, o soak.Options, p soak.Profile, first, seeds uint64) error {
 	self, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "own path")
+		return errors.Wrap(err, "path of this program")
 	}
 	o.Worker = []string{self, "worker"}
 	if o.Program == nil {
 		o.Program = []string{self, programArgument}
 	}
-	under, disks, findings := o.Folder, o.Disks, []error{}
+	base, disks, findings := o.Folder, o.Disks, []error{}
 	for seed := first; seed < first+seeds && ctx.Err() == nil; seed++ {
-		o.Folder = filepath.Join(under, fmt.Sprintf("seed-%d", seed))
+		o.Folder = filepath.Join(base, fmt.Sprintf("seed-%d", seed))
 		if disks != "" {
 			o.Disks = filepath.Join(disks, fmt.Sprintf("seed-%d-%d", seed, os.Getpid()))
 		}
