--- a/soak/configurations_test.go
+++ b/soak/configurations_test.go
@@ -10,8 +10,8 @@
 		{Version: 1, Sent: s.at(0), Acknowledged: s.at(0)}, {Version: 4, Sent: s.at(5), Acknowledged: s.at(6)}, {Version: 9, Sent: s.at(28)},
 	}
 	for name, c := range map[string]struct {
-		reads  []configRead
-		broken int
+		reads []configRead
+		want  int
 	}{
 		"not in effect yet":    {[]configRead{{1, s.at(8.9)}, {4, s.at(29)}}, 0},
 		"older than in effect": {[]configRead{{1, s.at(9.1)}, {4, s.at(29)}}, 1},
@@ -21,7 +21,7 @@
 	} {
 		rep := &report{rec: s.rec}
 		rep.checkConfigurations(changes, c.reads)
-		if len(rep.violations) != c.broken {
+		if len(rep.violations) != c.want {
 			t.Errorf("%s: %v", name, rep.violations)
 		}
 	}
--- a/soak/guarantees_test.go
+++ b/soak/guarantees_test.go
@@ -31,8 +31,8 @@
 // met.
 func TestGuaranteeViolations(t *testing.T) {
 	for name, c := range map[string]struct {
-		build      func(*recordBuilder) submittedJob
-		violations int
+		build func(*recordBuilder) submittedJob
+		want  int
 	}{
 		"unknown at the end": {func(s *recordBuilder) submittedJob {
 			return s.job(func(j *submittedJob) { j.Status = http.StatusGone })
@@ -111,7 +111,7 @@
 		rep := &report{rec: s.rec}
 		rep.checkJob(j)
 		rep.checkDone("a.0.0.0")
-		if len(rep.violations) != c.violations {
+		if len(rep.violations) != c.want {
 			t.Errorf("%s: %v", name, rep.violations)
 		}
 	}
