--- a/soak/cluster.go
+++ b/soak/cluster.go
@@ -159,7 +159,7 @@
 		s := platformtest.WorkerSettings{
 			ID: workerName(number), Address: platformtest.WorkerAddress(m.IP), Registry: platformtest.ControlAddress(m.IP),
 			Pool: pool, Zone: m.Zone, Labels: []string{"a"}, CPUMilli: workerCPUMilli, MemoryMB: workerMemoryMB, HeartbeatMs: heartbeatMs,
-			Sick: h.sick.Load(), ClockStartMs: clockStartMs(number, incarnations), ClockRatePPM: int64(number%clockRateCount) * clockRateStepPPM,
+			FailsAllRuns: h.sick.Load(), ClockStartMs: clockStartMs(number, incarnations), ClockRatePPM: int64(number%clockRateCount) * clockRateStepPPM,
 		}
 		if h.link != nil {
 			s.Listen = h.link.workerAddress
@@ -221,7 +221,7 @@
 		}
 	}
 	err := c.waitUntil(ctx, "configuration", func() bool {
-		status, err := c.client.Put(ctx, c.seedIPs[0], configuration)
+		status, err := c.client.PutConfiguration(ctx, c.seedIPs[0], configuration)
 		return err == nil && status == http.StatusOK
 	})
 	if err != nil {
--- a/soak/configurations.go
+++ b/soak/configurations.go
@@ -53,7 +53,7 @@
 		version += 1 + r.Uint64N(maxVersionStep)
 		o.changes = append(o.changes, configChange{Version: version, Sent: time.Now()})
 		for ctx.Err() == nil {
-			status, err := o.c.client.Put(ctx, o.pickSeedIP(r), configuration(version))
+			status, err := o.c.client.PutConfiguration(ctx, o.pickSeedIP(r), configuration(version))
 			if err == nil && status == http.StatusOK {
 				o.changes[len(o.changes)-1].Acknowledged = time.Now()
 				break
--- a/soak/crash_test.go
+++ b/soak/crash_test.go
@@ -24,7 +24,7 @@
 	l := &load{c: c}
 	const longRunning, crashing, tasks = "00000000000000ab", "00000000000000ac", 3
 	l.runCaller(t.Context(), servingPath, longRunning, platformtest.Job{
-		Spec:  platformtest.Behavior{Lasts: true}.Payload(),
+		Spec:  platformtest.Behavior{LongRunning: true}.Payload(),
 		Steps: []platformtest.Step{{Count: tasks, CPU: 500, MemoryMB: 500, LongRunning: true}},
 	}, caller{})
 	all := func() bool { return countRunning(t, c, longRunning, tasks) == tasks }
--- a/soak/load.go
+++ b/soak/load.go
@@ -71,7 +71,7 @@
 			step.MaxPerWorker = 1
 			step.Count = min(step.Count, uint32(workers-3))
 		}
-		behavior := platformtest.Behavior{Lasts: true}
+		behavior := platformtest.Behavior{LongRunning: true}
 		if r.IntN(4) == 0 {
 			behavior.FailPercent, behavior.WorkMs, behavior.SpreadMs = 20, 500, 10_000
 		}
--- a/soak/record.go
+++ b/soak/record.go
@@ -103,12 +103,12 @@
 			continue // not an event, or cut off by the end of the process
 		}
 		switch e.Kind {
-		case platformtest.LifeBegan:
-			current = &incarnation{worker: name, sick: e.Sick, start: e.At()}
+		case platformtest.IncarnationStarted:
+			current = &incarnation{worker: name, sick: e.FailsAllRuns, start: e.At()}
 			current.end = rec.endOf(current)
 			rec.incarnations = append(rec.incarnations, current)
 			open, ended = map[string]*run{}, nil
-		case platformtest.RunBegan:
+		case platformtest.RunStarted:
 			r := &run{task: e.Task, number: e.Run, incarnation: current, start: e.At(), end: current.end, outcome: "died"}
 			if current.end.Equal(rec.end) {
 				r.outcome = "runs"
@@ -117,10 +117,10 @@
 			rec.runs, current.runs = append(rec.runs, r), append(current.runs, r)
 		case platformtest.RunEnded:
 			if r := open[e.Task]; r != nil && r.number == e.Run {
-				r.end, r.outcome = e.At(), e.How
+				r.end, r.outcome = e.At(), e.EndKind
 				ended = append(ended, r)
 			}
-		case platformtest.LeaseLapsed:
+		case platformtest.LeaseExpired:
 			current.leaseExpiredAt = e.At()
 		case platformtest.EndsAcknowledged:
 			for ; len(ended) > 0 && current.ackedEnds < e.Ends; current.ackedEnds++ {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -91,7 +91,7 @@
 	c := newTestCluster(t, 2)
 	const job, tasks = "00000000000000aa", 4
 	spec := platformtest.Job{
-		Spec:  platformtest.Behavior{Lasts: true}.Payload(),
+		Spec:  platformtest.Behavior{LongRunning: true}.Payload(),
 		Steps: []platformtest.Step{{Count: tasks, CPU: 500, MemoryMB: 500, LongRunning: true}},
 	}
 	(&load{c: c}).runCaller(t.Context(), servingPath, job, spec, caller{})
