--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -21,8 +21,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// fakeBackend applies commands to a real state machine and answers the rest with
-// what the test put in.
+// fakeBackend applies commands to a real state machine. Its other methods return what the test
+// has set.
 type fakeBackend struct {
 	Backend
 	machine  *state.Machine
@@ -70,13 +70,13 @@
 	r.Header.Set("Content-Type", contentType)
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
-	var answer errorResponse
-	_ = json.Unmarshal(w.Body.Bytes(), &answer) // text and successes hold no error
-	return w.Code, answer.Error, w.Header()
+	var failure errorResponse
+	_ = json.Unmarshal(w.Body.Bytes(), &failure) // plain text and successful responses have no error
+	return w.Code, failure.Error, w.Header()
 }
 
-// Each bad request has its status, code and message, proposes nothing and leaves
-// the version as it was.
+// Checks that each bad request is rejected with the right status, code and message, proposes
+// nothing and leaves the configuration version unchanged.
 func TestBadRequestsChangeNothing(t *testing.T) {
 	b := newFakeBackend()
 	h := Handler(b, metrics.NewRegistry())
@@ -129,11 +129,11 @@
 	}
 }
 
-// Two operators submit from the same version: the first wins, the other is told
-// the winner. A submission id that comes back gets its first answer, with another
-// text it is refused, and none of this makes a version. A text made from the
-// version here goes to the log by delta and reads back as submitted; one made from
-// a version that has passed goes as its digest, and is answered the same.
+// Two operators submit from the same base version: the first submission is accepted, and the
+// other gets a conflict that names the first. A repeated submission id gets its first response;
+// with another text it is refused. None of these creates a version. A text based on the current
+// version is proposed as a delta and reads back as submitted; one based on an older version is
+// proposed as its digest only, and gets the same response.
 func TestSubmissionVersions(t *testing.T) {
 	b := newFakeBackend()
 	h := Handler(b, metrics.NewRegistry())
@@ -168,8 +168,9 @@
 	}
 }
 
-// What the control group can't do is told with the time to come back; what may
-// have been done is never called "not done".
+// Checks the status for each error of the backend: an unavailable control group gives a
+// Retry-After header, and a command that may have been executed is never reported as not
+// executed.
 func TestBackendErrorStatus(t *testing.T) {
 	for _, c := range []struct {
 		err        error
@@ -195,7 +196,8 @@
 	}
 }
 
-// More requests than the bound are refused at once, and watches don't count.
+// Checks that requests above the limit are refused immediately, and that watches don't count
+// towards it.
 func TestConcurrencyLimit(t *testing.T) {
 	h := &handler{backend: newFakeBackend(), requestSlots: make(chan struct{}, 1), watchSlots: make(chan struct{}, 1)}
 	h.requestSlots <- struct{}{}
@@ -228,7 +230,7 @@
 	return c
 }
 
-// refusingAddress refuses connections.
+// refusingAddress returns an address that refuses connections.
 func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -239,24 +241,23 @@
 	return l.Addr().String()
 }
 
-// Symptom: an operator who resends after a lost answer makes two versions, or is
-// told of a conflict with their own text. Sequence: the entry commits the
-// submission, the connection breaks before the answer, the client resends to the
-// other entry. Cause: a resend under a new submission id.
+// Guards against a retry under a new submission id: the entry commits the submission, the
+// connection breaks before the response, and the client retries with the next entry. Under a new
+// id, the retry would create a second version or conflict with the operator's own submission.
 func TestClientRetriesWithSameSubmissionID(t *testing.T) {
 	b := newFakeBackend()
 	api := Handler(b, metrics.NewRegistry())
-	losesAnswer := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	losesResponse := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		api.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}))
-	c := newTestClient(t, refusingAddress(t), losesAnswer, startServer(t, api))
+	c := newTestClient(t, refusingAddress(t), losesResponse, startServer(t, api))
 	got, err := c.Submit(t.Context(), SubmitRequest{SubmissionID: "ann-1", Text: testText, Operator: "ann"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	if b.proposed != 2 || got.Version != 1 || !got.Repeated || b.Configuration().GetVersion() != 1 {
-		t.Errorf("%d commands, answer %+v, version %d", b.proposed, got, b.Configuration().GetVersion())
+		t.Errorf("%d commands, response %+v, version %d", b.proposed, got, b.Configuration().GetVersion())
 	}
 }
 
@@ -264,14 +265,15 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// cancelAfterResponses returns a context that ends when the client got its n-th answer.
+// cancelAfterResponses returns a context that is canceled when the client has received its n-th
+// response or error.
 func cancelAfterResponses(t *testing.T, c *Client, n int) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	transport := &http.Transport{DisableKeepAlives: true}
 	c.http.Transport = roundTripFunc(func(r *http.Request) (*http.Response, error) {
 		resp, err := transport.RoundTrip(r)
 		if n--; n == 0 {
-			// The body of an answer has to be read before its context may end.
+			// The body has to be read before the context of its request is canceled.
 			if err != nil {
 				cancel()
 				return nil, err
@@ -288,11 +290,12 @@
 	return ctx
 }
 
-// When time runs out, a change is "not done" only if no attempt can have reached
-// the system; after one lost answer it stays unknown. A read is never in doubt.
+// Checks the error after the context has ended: a change is unavailable only if no attempt can
+// have reached the system; after one lost response its outcome is unknown. A read is always
+// unavailable.
 func TestClientTimeoutOutcome(t *testing.T) {
-	lost := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	cut := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	abort := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	truncate := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
 		_, _ = w.Write(bytes.Repeat([]byte(" "), 50))
 	})
@@ -309,8 +312,8 @@
 	}{
 		{"refused connections", nil, false},
 		{"no quorum", []http.Handler{unavailable}, false},
-		{"lost answer", []http.Handler{lost, unavailable}, true},
-		{"cut answer", []http.Handler{cut}, true},
+		{"lost response", []http.Handler{abort, unavailable}, true},
+		{"truncated response", []http.Handler{truncate}, true},
 		{"leader lost", []http.Handler{unavailable, unknown}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -331,7 +334,8 @@
 	}
 }
 
-// A watcher that knows the newest version is answered by the next change.
+// Checks that a watch reports no change while there is no newer version, and reports the new
+// version once there is one.
 func TestWatchReportsNewVersion(t *testing.T) {
 	b := newFakeBackend()
 	c := newTestClient(t, startServer(t, Handler(b, metrics.NewRegistry())))
@@ -348,7 +352,7 @@
 	}
 }
 
-// Headers beyond the bound are refused before the handler sees the request.
+// Checks that headers above the size limit are refused before the request reaches the handler.
 func TestServerRefusesHugeHeaders(t *testing.T) {
 	s := httptest.NewUnstartedServer(nil)
 	s.Config = NewServer("", Handler(newFakeBackend(), metrics.NewRegistry()))
@@ -364,7 +368,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close() //nolint:errcheck // only the status counts
+		resp.Body.Close() //nolint:errcheck // only the status is checked
 		if resp.StatusCode != want {
 			t.Errorf("header of %d bytes: status %d", size, resp.StatusCode)
 		}
--- a/admin/errors.go
+++ b/admin/errors.go
@@ -11,27 +11,29 @@
 	"github.com/cairnlift/cairnlift/spec"
 )
 
-// Code names the kind of an error.
+// Code is the machine-readable kind of an error.
 type Code string
 
-// The codes of errors, each with its HTTP status.
+// Error codes, each with its HTTP status.
 const (
-	// CodeBadRequest: the request itself is malformed (400).
+	// CodeBadRequest means that the request is malformed (400).
 	CodeBadRequest Code = "bad_request"
-	// CodeNotFound: there is no such path or thing (404).
+	// CodeNotFound means that the path or the named object does not exist (404).
 	CodeNotFound Code = "not_found"
-	// CodeConflict: another submission won, or the state has moved on (409).
+	// CodeConflict means that another submission was committed first, or that the state
+	// has changed since the version that the request is based on (409).
 	CodeConflict Code = "conflict"
-	// CodeTooLarge: the body is too large (413).
+	// CodeTooLarge means that the body is too large (413).
 	CodeTooLarge Code = "too_large"
-	// CodeInvalid: the text or the request was understood and refused (422).
+	// CodeInvalid means that the text or the request is well-formed but not valid (422).
 	CodeInvalid Code = "invalid"
-	// CodeOverloaded: too many requests at a time; nothing was done (429).
+	// CodeOverloaded means that too many requests are being processed; the request was not
+	// executed (429).
 	CodeOverloaded Code = "overloaded"
-	// CodeUnavailable: nothing was done; come back (503).
+	// CodeUnavailable means that the request was not executed and may be retried (503).
 	CodeUnavailable Code = "unavailable"
-	// CodeUnknownOutcome: it may or may not have been done (504). Resending the
-	// same request is safe.
+	// CodeUnknownOutcome means that the request may or may not have been executed (504).
+	// Retrying the same request is safe.
 	CodeUnknownOutcome Code = "unknown_outcome"
 )
 
@@ -46,14 +48,15 @@
 	CodeUnknownOutcome: http.StatusGatewayTimeout,
 }
 
-// Error is the error that the API answers with and the client returns.
+// Error is the error in an API response. The client returns it as it is.
 type Error struct {
 	Code     Code          `json:"code"`
 	Message  string        `json:"message"`
 	Problems spec.Problems `json:"problems,omitempty"`
-	// RetryAfterMs is when the same request may be sent again.
+	// RetryAfterMs is the delay after which the same request may be retried.
 	RetryAfterMs int64 `json:"retry_after_ms,omitempty"`
-	// Version and Winner tell a beaten submission what is in force.
+	// Version and Winner are set on a conflict: the version in force and the id of the
+	// submission that created it.
 	Version uint64 `json:"version,omitempty"`
 	Winner  string `json:"winner_submission_id,omitempty"`
 }
@@ -66,33 +69,34 @@
 	return fmt.Sprintf("%s: %s", e.Code, e.Message)
 }
 
-// Errorf makes an error with a code.
+// Errorf returns an error with the given code and a formatted message.
 func Errorf(code Code, format string, args ...any) *Error {
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// errorResponse is the JSON of every answer that is not a success.
+// errorResponse is the JSON body of every unsuccessful response.
 type errorResponse struct {
 	Error *Error `json:"error"`
 }
 
-// defaultRetryAfter is when to come back if nothing better is known.
+// defaultRetryAfter is the retry delay that clients get if the cause gives no other.
 const defaultRetryAfter = time.Second
 
-// toAPIError maps the errors that a Backend may return.
+// toAPIError converts an error of the Backend to an API error.
 func toAPIError(err error) *Error {
-	var own *Error
+	var apiError *Error
 	var unavailable *control.UnavailableError
 	var unknown *control.UnknownError
 	switch {
-	case errors.As(err, &own):
-		return own
+	case errors.As(err, &apiError):
+		return apiError
 	case errors.As(err, &unavailable):
 		return &Error{Code: CodeUnavailable, Message: unavailable.Cause, RetryAfterMs: unavailable.RetryAfter.Milliseconds()}
 	case errors.As(err, &unknown):
 		return &Error{Code: CodeUnknownOutcome, Message: unknown.Cause}
 	}
-	// Whatever else went wrong after the request was taken in leaves its fate
-	// open; to call it "not done" would make an operator send it anew.
+	// Any other failure after the request was accepted leaves its outcome unknown. If it
+	// were reported as not executed, an operator might submit the change a second time
+	// as a new request.
 	return &Error{Code: CodeUnknownOutcome, Message: err.Error()}
 }
--- a/admin/handler.go
+++ b/admin/handler.go
@@ -1,6 +1,6 @@
-// Package admin is the administration API: its HTTP handler on the entry's admin
-// address, and its client. The API is JSON over HTTP; the probes and the metrics
-// are plain text.
+// Package admin implements the administration API: the HTTP handler that an entry serves on
+// its admin address, and the client. The API is JSON over HTTP; the health checks and the
+// metrics are plain text.
 package admin
 
 import (
@@ -15,13 +15,13 @@
 	"github.com/cairnlift/cairnlift/spec"
 )
 
-// Bounds of the API.
+// Limits of the API.
 const (
-	// maxTextBodyBytes leaves room for the escapes that JSON adds to a text.
+	// maxTextBodyBytes leaves space for the escape sequences that JSON adds to a text.
 	maxTextBodyBytes = 2*spec.MaxTextBytes + 1<<16
 	maxBodyBytes     = 1 << 20
-	// maxConcurrentRequests requests are worked on at a time, those with a text and
-	// watches not counted: they have bounds of their own.
+	// maxConcurrentRequests excludes requests with a text and watches, which have their
+	// own limits: maxConcurrentTexts and maxConcurrentWatches.
 	maxConcurrentRequests = 64
 	maxConcurrentTexts    = 4
 	maxConcurrentWatches  = 256
@@ -33,26 +33,28 @@
 	maxDecisions          = 1_000
 )
 
-// Backend is what the API works on. Errors are *Error, *control.UnavailableError
-// or *control.UnknownError; any other is answered as an unknown outcome.
+// Backend executes the requests of the API. Its errors are *Error, *control.UnavailableError
+// or *control.UnknownError; the API reports any other error as an unknown outcome.
 type Backend interface {
-	// Propose commits a command, as control.Service does.
+	// Propose commits a command, like control.Service.
 	Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error)
-	// Configuration returns the newest configuration known here; version 0 when none.
+	// Configuration returns the newest configuration known to this process; version 0 if
+	// there is none.
 	Configuration() *apiv1.Configuration
 	// Changed returns a channel that is closed at the next configuration change.
 	Changed() <-chan struct{}
-	// Ready returns nil while the process takes new work, else the reason.
+	// Ready returns nil while the process accepts new work, otherwise the reason.
 	Ready() error
-	// Status returns the named sections, all of them when none is named.
+	// Status returns the named sections, or all of them if none is named.
 	Status(ctx context.Context, sections []string) (*Status, error)
 	Explain(ctx context.Context, job string) (*Explanation, error)
 	Drain(ctx context.Context, r DrainRequest) (*DrainResponse, error)
 	Members(ctx context.Context) (*MemberList, error)
-	// AddMember takes a replica in, as a learner first. Adding one that is there
-	// under the same address changes nothing.
+	// AddMember adds a replica to the control group, as a learner first. Adding a member
+	// again with the same address has no effect.
 	AddMember(ctx context.Context, m Member) error
-	// RemoveMember takes a replica out. Removing an absent one changes nothing.
+	// RemoveMember removes a replica from the control group. Removing a replica that is
+	// not a member has no effect.
 	RemoveMember(ctx context.Context, name string) error
 	Decisions(ctx context.Context, q DecisionQuery) (*DecisionList, error)
 }
@@ -65,7 +67,7 @@
 	watchSlots   chan struct{}
 }
 
-// Handler serves the API. The registry's metrics are shown at /metrics.
+// Handler returns the HTTP handler of the API. It exposes the registry's metrics at /metrics.
 func Handler(b Backend, registry metrics.Registry) http.Handler {
 	h := &handler{
 		backend:      b,
@@ -99,34 +101,36 @@
 	writeError(w, Errorf(CodeNotFound, "there is no %s %.200q", r.Method, r.URL.Path))
 }
 
-// jsonEndpoint answers one request with a value that becomes its JSON body.
+// jsonEndpoint handles one request and returns the value that is encoded as the JSON body of
+// the response.
 type jsonEndpoint func(r *http.Request, p httprouter.Params) (any, error)
 
-// withLimits bounds how many requests are worked on at a time and how long each
-// may take. Without the first bound a burst of large texts would exhaust memory.
-func withLimits(places chan struct{}, do jsonEndpoint) httprouter.Handle {
+// withLimits limits the number of concurrent requests to the capacity of slots, and the
+// duration of each request to requestTimeout. Without the limit on concurrency, a burst of
+// large texts would exhaust the memory.
+func withLimits(slots chan struct{}, endpoint jsonEndpoint) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		select {
-		case places <- struct{}{}:
-			defer func() { <-places }()
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
 		default:
 			writeError(w, overloadedError())
 			return
 		}
 		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		respond(w, r.WithContext(ctx), p, do)
+		respond(w, r.WithContext(ctx), p, endpoint)
 	}
 }
 
 func overloadedError() *Error {
-	e := Errorf(CodeOverloaded, "too many requests at a time")
+	e := Errorf(CodeOverloaded, "too many concurrent requests")
 	e.RetryAfterMs = defaultRetryAfter.Milliseconds()
 	return e
 }
 
-func respond(w http.ResponseWriter, r *http.Request, p httprouter.Params, do jsonEndpoint) {
-	body, err := do(r, p)
+func respond(w http.ResponseWriter, r *http.Request, p httprouter.Params, endpoint jsonEndpoint) {
+	body, err := endpoint(r, p)
 	if err != nil {
 		writeError(w, toAPIError(err))
 		return
--- a/admin/read.go
+++ b/admin/read.go
@@ -37,16 +37,16 @@
 }
 
 func (h *handler) status(r *http.Request, _ httprouter.Params) (any, error) {
-	var wanted []string
+	var selected []string
 	if s := r.URL.Query().Get("sections"); s != "" {
-		wanted = strings.Split(s, ",")
+		selected = strings.Split(s, ",")
 	}
-	for _, s := range wanted {
+	for _, s := range selected {
 		if !slices.Contains(statusSections, s) {
 			return nil, Errorf(CodeBadRequest, "there is no section %.80q; there are %s", s, strings.Join(statusSections, ", "))
 		}
 	}
-	return h.backend.Status(r.Context(), wanted)
+	return h.backend.Status(r.Context(), selected)
 }
 
 func (h *handler) explain(r *http.Request, p httprouter.Params) (any, error) {
@@ -67,9 +67,9 @@
 	return h.backend.Decisions(r.Context(), DecisionQuery{Part: q.Get("part"), Subject: q.Get("subject"), Limit: int(limit)})
 }
 
-// watch answers once there is a configuration newer than the one in the query,
-// or when its wait is over. Watches have a limit of their own: operators who
-// watch must not keep others from submitting.
+// watch responds when there is a configuration newer than the version in the query, or when the
+// wait time has elapsed. Watches have a separate limit on concurrency, so that long watches
+// don't block submissions of other operators.
 func (h *handler) watch(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	select {
 	case h.watchSlots <- struct{}{}:
@@ -93,7 +93,8 @@
 	ctx, cancel := context.WithTimeout(r.Context(), wait)
 	defer cancel()
 	for {
-		// The channel is taken first: a change between the two calls closes it.
+		// The channel must be read before the configuration: a change between the two calls
+		// then closes it.
 		changed := h.backend.Changed()
 		c := h.backend.Configuration()
 		if c.GetVersion() > after {
@@ -110,25 +111,25 @@
 func writeText(w http.ResponseWriter, status int, text string) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	w.WriteHeader(status)
-	_, _ = w.Write([]byte(text)) // a client that went away gets nothing
+	_, _ = w.Write([]byte(text)) // fails only if the client has disconnected
 }
 
-// NewServer returns a server with the API's timeouts. A client that sends its
-// request byte by byte, or never reads its answer, is cut off.
+// NewServer returns an HTTP server with timeouts for the API. It closes the connection of a
+// client that sends its request too slowly or does not read the response.
 func NewServer(address string, h http.Handler) *http.Server {
 	const (
-		headerBound = 5 * time.Second
-		readBound   = 20 * time.Second
-		idleBound   = 2 * time.Minute
-		maxHeader   = 16 << 10
+		headerTimeout  = 5 * time.Second
+		readTimeout    = 20 * time.Second
+		idleTimeout    = 2 * time.Minute
+		maxHeaderBytes = 16 << 10
 	)
 	return &http.Server{
 		Addr:              address,
 		Handler:           h,
-		ReadHeaderTimeout: headerBound,
-		ReadTimeout:       readBound,
-		WriteTimeout:      maxWatchWait + readBound,
-		IdleTimeout:       idleBound,
-		MaxHeaderBytes:    maxHeader,
+		ReadHeaderTimeout: headerTimeout,
+		ReadTimeout:       readTimeout,
+		WriteTimeout:      maxWatchWait + readTimeout,
+		IdleTimeout:       idleTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
 	}
 }
--- a/admin/types.go
+++ b/admin/types.go
@@ -2,59 +2,59 @@
 
 import "github.com/cairnlift/cairnlift/spec"
 
-// SubmitRequest replaces the configuration with the operators' text.
+// SubmitRequest replaces the configuration with the operators' configuration text.
 type SubmitRequest struct {
-	// SubmissionID makes a resend safe: the same id gets the first answer again.
+	// SubmissionID makes a retry safe: a repeated id gets the response to its first submission.
 	SubmissionID string `json:"submission_id"`
-	// BaseVersion is the version the text was made from. It has to be the newest.
+	// BaseVersion is the version that the text was derived from. It must be the newest one.
 	BaseVersion uint64 `json:"base_version"`
 	Text        string `json:"text"`
 	Operator    string `json:"operator"`
 }
 
-// SubmitResponse says that the text is accepted.
+// SubmitResponse confirms that the text was accepted.
 type SubmitResponse struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	// Repeated: this submission id had been accepted before.
+	// Repeated is true if this submission id had already been accepted.
 	Repeated bool `json:"repeated"`
 }
 
-// ValidateRequest asks for the mistakes of a text; nothing is changed.
+// ValidateRequest checks a text for errors and changes nothing.
 type ValidateRequest struct {
 	Text string `json:"text"`
 }
 
-// ValidateResponse shows what a valid text would change.
+// ValidateResponse lists what a valid text would change.
 type ValidateResponse struct {
 	Digest  string            `json:"digest"`
 	Version uint64            `json:"version"`
 	Changes []spec.ItemChange `json:"changes"`
 }
 
-// Configuration is the newest configuration that the asked entry knows.
+// Configuration is the newest configuration known to the entry that answers.
 type Configuration struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
 	Text    string `json:"text"`
 }
 
-// WatchResponse tells the newest version.
+// WatchResponse reports the newest version.
 type WatchResponse struct {
 	Version uint64 `json:"version"`
 	Digest  string `json:"digest"`
-	// Changed is false when the wait ended without a newer version.
+	// Changed is false if the wait ended without a newer version.
 	Changed bool `json:"changed"`
 }
 
-// Resources is an amount of what a worker has.
+// Resources is an amount of the resources of a worker.
 type Resources struct {
 	MilliProcessors int64 `json:"milli_processors"`
 	MemoryBytes     int64 `json:"memory_bytes"`
 	Accelerators    int64 `json:"accelerators"`
 }
 
-// The sections of a status; a query may ask for some of them only.
+// The sections of a status. A query may select some of them.
 const (
 	SectionProcesses = "processes"
 	SectionWorkers   = "workers"
@@ -62,17 +62,17 @@
 	SectionJobs      = "jobs"
 )
 
-// Status is the system as the asked entry sees it.
+// Status is the state of the system as known to the entry that answers.
 type Status struct {
 	Entry string `json:"entry"`
-	// ConfigurationVersion is the newest version the entry knows.
+	// ConfigurationVersion is the newest version known to the entry.
 	ConfigurationVersion uint64 `json:"configuration_version"`
-	// ConfirmedAgeMs is how long ago a quorum confirmed that it is the newest;
-	// negative when it never was.
+	// ConfirmedAgeMs is the time since a quorum confirmed that this version is the
+	// newest; negative if none ever did.
 	ConfirmedAgeMs int64  `json:"confirmed_age_ms"`
 	Leader         string `json:"leader"`
 	Term           uint64 `json:"term"`
-	// Index is the last log index that the shown state includes.
+	// Index is the last log index that is applied to this state.
 	Index     uint64    `json:"index"`
 	Processes []Process `json:"processes,omitempty"`
 	Workers   []Worker  `json:"workers,omitempty"`
@@ -80,18 +80,18 @@
 	Jobs      []Job     `json:"jobs,omitempty"`
 }
 
-// Process is one of the system's own processes.
+// Process is one process of the system itself.
 type Process struct {
 	Name string `json:"name"`
 	// Role is leader, follower, learner, entry or agent.
 	Role             string `json:"role"`
 	Address          string `json:"address"`
 	AvailabilityZone string `json:"availability_zone"`
-	// ConfigurationVersion is the version in force there, as it last told.
+	// ConfigurationVersion is the version in force in the process, as it last reported.
 	ConfigurationVersion uint64 `json:"configuration_version"`
 	Ready                bool   `json:"ready"`
 	Leaving              bool   `json:"leaving"`
-	// LastHeardMs is how long ago it was heard of; 0 for the asked entry itself.
+	// LastHeardMs is the time since the process last reported; 0 for the entry that answers.
 	LastHeardMs int64 `json:"last_heard_ms"`
 }
 
@@ -101,9 +101,9 @@
 	AvailabilityZone string    `json:"availability_zone"`
 	Rack             string    `json:"rack"`
 	Capacity         Resources `json:"capacity"`
-	// Reserved is what targets on the worker take.
+	// Reserved is the sum of the reservations of the worker's targets.
 	Reserved Resources `json:"reserved"`
-	// Granted is what running tasks hold.
+	// Granted is the sum of the grants of the worker's running tasks.
 	Granted     Resources `json:"granted"`
 	Tasks       int       `json:"tasks"`
 	Alive       bool      `json:"alive"`
@@ -111,7 +111,7 @@
 	Quarantined string    `json:"quarantined,omitempty"`
 }
 
-// Target is a back end instance.
+// Target is one back end instance of a service.
 type Target struct {
 	Name             string `json:"name"`
 	Service          string `json:"service"`
@@ -133,22 +133,22 @@
 	Succeeded int    `json:"succeeded"`
 	Failed    int    `json:"failed"`
 	Canceled  int    `json:"canceled"`
-	// WaitsFor says what keeps its queued tasks from being placed.
+	// WaitsFor is the reason why its queued tasks are not placed.
 	WaitsFor string `json:"waits_for,omitempty"`
 }
 
-// Explanation tells why a job stands where it does.
+// Explanation gives the reasons for the current state of a job.
 type Explanation struct {
 	Job Job `json:"job"`
-	// Reasons are sentences about the job as a whole: parked, canceled, waiting
-	// for a dependency, too large for every worker.
+	// Reasons are sentences about the job as a whole, for example that it is parked,
+	// canceled, waiting for a dependency or too large for every worker.
 	Reasons []string          `json:"reasons"`
 	Tasks   []TaskExplanation `json:"tasks"`
-	// TasksLeftOut counts tasks beyond the bound of the list.
+	// TasksLeftOut is the number of tasks omitted because the list is bounded.
 	TasksLeftOut int `json:"tasks_left_out,omitempty"`
 }
 
-// TaskExplanation tells what was tried for one task.
+// TaskExplanation describes one task: its state, its failures and the last attempt to place it.
 type TaskExplanation struct {
 	Task          string   `json:"task"`
 	State         string   `json:"state"`
@@ -158,54 +158,54 @@
 	Failures      int      `json:"failures"`
 	Evictions     int      `json:"evictions"`
 	FailedWorkers []string `json:"failed_workers,omitempty"`
-	// NotBeforeMs is when it may be tried again, Unix milliseconds.
+	// NotBeforeMs is the earliest time of the next attempt, in Unix milliseconds.
 	NotBeforeMs int64 `json:"not_before_ms,omitempty"`
-	// Refused counts the workers that each filter refused in the last round.
+	// Refused is the number of workers that each filter excluded in the last placement round.
 	Refused map[string]int `json:"refused,omitempty"`
-	// Rejections says why, for some of the workers.
+	// Rejections gives the reasons for some of these workers.
 	Rejections []Rejection `json:"rejections,omitempty"`
 }
 
-// Rejection says which filter refused which worker.
+// Rejection is the exclusion of a worker by a filter.
 type Rejection struct {
 	Worker string `json:"worker"`
 	Filter string `json:"filter"`
 	Reason string `json:"reason"`
 }
 
-// DrainRequest makes a worker or a target leave, or ends that.
+// DrainRequest starts or, with Undo, ends the drain of a worker or a target.
 type DrainRequest struct {
 	Name string `json:"name"`
-	// Kind is worker or target; empty takes whichever has the name.
+	// Kind is worker or target; if empty, it is whichever of the two has the name.
 	Kind     string `json:"kind,omitempty"`
 	Undo     bool   `json:"undo,omitempty"`
 	Operator string `json:"operator"`
 }
 
-// The kinds of what can be drained.
+// Values of DrainRequest.Kind.
 const (
 	KindWorker = "worker"
 	KindTarget = "target"
 )
 
-// DrainResponse tells how far a drain is.
+// DrainResponse reports the progress of a drain.
 type DrainResponse struct {
 	Kind     string `json:"kind"`
 	Draining bool   `json:"draining"`
-	// InFlight counts requests of a target, or tasks of a worker, still there.
+	// InFlight is the number of requests in flight on a target, or of tasks on a worker.
 	InFlight int `json:"in_flight"`
 }
 
-// CancelRequest ends jobs.
+// CancelRequest cancels jobs.
 type CancelRequest struct {
 	Jobs     []string `json:"jobs"`
 	Reason   string   `json:"reason,omitempty"`
 	Operator string   `json:"operator"`
 }
 
-// CancelResponse says that the jobs are canceled.
+// CancelResponse confirms that the jobs are canceled.
 type CancelResponse struct {
-	// Repeated: all of them had been canceled before.
+	// Repeated is true if all of them had already been canceled.
 	Repeated bool `json:"repeated"`
 }
 
@@ -216,22 +216,22 @@
 	Address string `json:"address"`
 	// Role is leader, follower or learner.
 	Role string `json:"role,omitempty"`
-	// Match is the last log index known to be on it; 0 when unknown.
+	// Match is the last log index known to be replicated to it; 0 if unknown.
 	Match uint64 `json:"match,omitempty"`
 }
 
-// MemberList is the control group.
+// MemberList is the membership of the control group.
 type MemberList struct {
 	Members []Member `json:"members"`
 	Term    uint64   `json:"term"`
 	Commit  uint64   `json:"commit"`
 }
 
-// DecisionQuery picks decisions.
+// DecisionQuery selects decisions.
 type DecisionQuery struct {
-	// Part is route or place; empty for both.
+	// Part is route or place; both if empty.
 	Part string
-	// Subject is a request id or a task; empty for all.
+	// Subject is a request id or a task; all if empty.
 	Subject string
 	Limit   int
 }
@@ -244,13 +244,13 @@
 	// Subject is the request id or the task.
 	Subject string `json:"subject"`
 	Attempt uint64 `json:"attempt"`
-	// Chosen is the target or worker; empty when there was none.
+	// Chosen is the target or worker; empty if none was chosen.
 	Chosen     string `json:"chosen,omitempty"`
 	Candidates int    `json:"candidates"`
 	Reason     string `json:"reason"`
 }
 
-// DecisionList holds the newest decisions, newest first.
+// DecisionList lists the most recent decisions, newest first.
 type DecisionList struct {
 	Decisions []Decision `json:"decisions"`
 }
--- a/admin/write.go
+++ b/admin/write.go
@@ -43,13 +43,15 @@
 	}, nil
 }
 
-// setContent puts the change into a submission when the version that the text was made
-// from is the one here and that is shorter, otherwise the whole configuration.
+// setContent sets the content of a submission: a delta if the base version of the text is the
+// version of this process and the delta is shorter, otherwise the whole configuration.
 //
-// A version that has passed here has passed in the log: what is left to say is
-// whether this is the submission that made the next one, and its id and digest
-// tell. With the whole in it, the resend of a change to a text that no log entry
-// holds would be refused as too large, though the change is in force.
+// If this process has a later version than the base, so does the log. Then the submission can
+// only be a retry of the one that created the version after the base, or a conflict. The state
+// machine decides this by the submission id and the text digest, so that an empty delta with
+// the digest suffices. With the whole configuration instead, the retry of a change to a text
+// that exceeds the size of a log entry would be refused as too large, although the change is
+// in force.
 func (h *handler) setContent(s *apiv1.Submit, c *apiv1.Configuration) {
 	base := h.backend.Configuration()
 	if base.GetVersion() > s.BaseVersion {
@@ -82,7 +84,7 @@
 
 func parseConfiguration(text string) (*apiv1.Configuration, error) {
 	if len(text) > spec.MaxTextBytes {
-		return nil, Errorf(CodeTooLarge, "the text has %d bytes, more than the %d allowed", len(text), spec.MaxTextBytes)
+		return nil, Errorf(CodeTooLarge, "the text has %d bytes; at most %d are allowed", len(text), spec.MaxTextBytes)
 	}
 	c, problems := spec.Parse([]byte(text))
 	if len(problems) > 0 {
@@ -99,7 +101,7 @@
 		return nil, err
 	}
 	if len(req.Jobs) == 0 || len(req.Jobs) > maxCanceledJobs {
-		return nil, Errorf(CodeInvalid, "a cancellation names between 1 and %d jobs", maxCanceledJobs)
+		return nil, Errorf(CodeInvalid, "a cancellation must name between 1 and %d jobs", maxCanceledJobs)
 	}
 	if err := validateName("operator", req.Operator); err != nil {
 		return nil, err
@@ -116,8 +118,9 @@
 	return &CancelResponse{Repeated: res.GetVerdict() == apiv1.Verdict_VERDICT_REPEATED}, nil
 }
 
-// checkJobsExist refuses a cancellation with an unknown name as a whole: it is most
-// likely misspelt, and the operator should not have to find out which part ran.
+// checkJobsExist returns an error if any of the names is unknown, so that a cancellation takes
+// effect for all of its jobs or for none. An unknown name is most likely misspelt, and after a
+// partial cancellation the operator would have to find out which jobs were canceled.
 func (h *handler) checkJobsExist(names []string) error {
 	known := map[string]bool{}
 	for _, j := range h.backend.Configuration().GetJobs() {
@@ -169,7 +172,8 @@
 	return h.backend.Members(r.Context())
 }
 
-// propose returns the result of a command that was accepted, now or before.
+// propose proposes a command and returns its result if the command was accepted, now or by an
+// earlier proposal; otherwise it returns the verdict as an error.
 func (h *handler) propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	res, err := h.backend.Propose(ctx, cmd)
 	if err != nil {
@@ -184,8 +188,8 @@
 	return nil, Errorf(CodeInvalid, "%s", res.GetMessage())
 }
 
-// validateName holds names of people and things to printable text of bounded
-// length, since they end up in logs and in the replicated state.
+// validateName returns an error unless s is a printable name of at most maxNameBytes, since
+// names of operators and objects are written to logs and to the replicated state.
 func validateName(field, s string) error {
 	if s == "" {
 		return Errorf(CodeInvalid, "%s is required", field)
@@ -195,7 +199,7 @@
 	}
 	for _, r := range s {
 		if !unicode.IsPrint(r) || r == unicode.ReplacementChar {
-			return Errorf(CodeInvalid, "%s holds characters that can't be printed", field)
+			return Errorf(CodeInvalid, "%s contains characters that can't be printed", field)
 		}
 	}
 	return nil
--- a/cli/app.go
+++ b/cli/app.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command line, cairnlift: thin commands over the
-// client of the administration API.
+// Package cli implements cairnlift, the operators' command line. Most commands are thin wrappers
+// of the clients of the administration API and of the job API.
 package cli
 
 import (
@@ -15,15 +15,15 @@
 	"github.com/cairnlift/cairnlift/admin"
 )
 
-// AddressVariable is the environment variable with the entries' admin
-// addresses, separated by commas or spaces.
+// AddressVariable is the environment variable with the admin addresses of the entries, separated
+// by commas or spaces.
 const AddressVariable = "CAIRNLIFT_ADDRESS"
 
 const defaultTimeout = 30 * time.Second
 
-// App is the command line. Commands are added to it before Run.
+// App is the command-line application. Commands must be added before Run.
 type App struct {
-	// Stdout and Stderr are the process's own unless changed before Run.
+	// Stdout and Stderr default to those of the process. They may be changed before Run.
 	Stdout, Stderr io.Writer
 
 	kingpin   *kingpin.Application
@@ -35,16 +35,17 @@
 	err error
 }
 
-// Runner runs a command once its arguments are known. The context ends with the
-// first signal.
+// Runner runs a command after its arguments have been parsed. Its context is the
+// one given to App.Run, which cairnlift cancels at the first signal.
 type Runner func(ctx context.Context) error
 
-// Parent is what commands can be added to: the App's Root or a command.
+// Parent is a parent of commands: the App's Root or another command.
 type Parent interface {
 	Command(name, help string) *kingpin.CmdClause
 }
 
-// New returns the command line with all commands that need the system only.
+// New returns the application with all commands except dev, which package dev adds because it
+// starts a system in this process.
 func New() *App {
 	a := &App{Stdout: os.Stdout, Stderr: os.Stderr}
 	a.kingpin = kingpin.New("cairnlift", "Operates cairnlift, a scheduler for latency-critical and batch work on shared hosts.")
@@ -52,8 +53,8 @@
 	a.kingpin.Terminate(func(code int) { panic(kingpinExit{code}) })
 	a.kingpin.Flag("address", "Admin address of an entry, IP:port; repeat it for several. Also from "+AddressVariable+".").
 		Short('a').StringsVar(&a.addresses)
-	a.kingpin.Flag("timeout", "How long to go on trying.").Default(defaultTimeout.String()).DurationVar(&a.timeout)
-	a.kingpin.Flag("operator", "Name that goes into the log of changes.").Default(defaultOperator()).StringVar(&a.operator)
+	a.kingpin.Flag("timeout", "How long to keep trying.").Default(defaultTimeout.String()).DurationVar(&a.timeout)
+	a.kingpin.Flag("operator", "Operator's name, recorded with each change.").Default(defaultOperator()).StringVar(&a.operator)
 	a.addTextCommands()
 	a.addReadCommands()
 	a.addWatchCommand()
@@ -73,11 +74,11 @@
 	return "operator"
 }
 
-// Root is the parent of commands at the top level.
+// Root returns the parent of the top-level commands.
 func (a *App) Root() Parent { return a.kingpin }
 
-// Command adds a command. The setup declares flags and arguments and returns
-// what runs the command.
+// Command adds a command. The function setup declares its flags and arguments and returns the
+// function that runs it.
 func (a *App) Command(parent Parent, name, help string, setup func(*kingpin.CmdClause) Runner) {
 	clause := parent.Command(name, help)
 	run := setup(clause)
@@ -87,8 +88,8 @@
 	})
 }
 
-// Run runs the command line's arguments, program name excluded, and returns the
-// exit code.
+// Run executes the command given by the arguments, without the program name, and returns the exit
+// code.
 func (a *App) Run(ctx context.Context, args []string) int {
 	a.ctx = ctx
 	a.kingpin.UsageWriter(a.Stdout)
@@ -102,13 +103,13 @@
 	return exitCode(a.err)
 }
 
-// kingpinExit is the panic that stands for an exit by kingpin, after it has
-// answered --help or --version by itself. Without it kingpin goes on parsing: the
-// help is printed twice, and a command may run.
+// kingpinExit is the panic value that replaces an exit by kingpin, after it has handled --help or
+// --version itself. If its terminate function returned instead, kingpin would continue to parse:
+// the help would be printed twice, and a command might run.
 type kingpinExit struct{ code int }
 
-// parse reads the arguments and runs the command; done when there is nothing
-// more to report.
+// parse parses the arguments and runs the command, whose error it stores in a.err. If done is
+// true, code is the exit code, and there is no error left to report.
 func (a *App) parse(args []string) (code int, done bool) {
 	defer func() {
 		switch v := recover().(type) {
@@ -127,26 +128,27 @@
 }
 
 func (a *App) printError(format string, args ...any) {
-	_, _ = fmt.Fprintf(a.Stderr, "cairnlift: "+format+"\n", args...) // nobody is left to tell
+	_, _ = fmt.Fprintf(a.Stderr, "cairnlift: "+format+"\n", args...) // there is nowhere to report a failed write
 }
 
 func (a *App) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(a.Stdout, format, args...) // as above
 }
 
-// entryAddresses are the entries' admin addresses.
+// entryAddresses returns the admin addresses of the entries, from the flags or else from the
+// environment.
 func (a *App) entryAddresses() ([]string, error) {
 	addresses := a.addresses
 	if len(addresses) == 0 {
 		addresses = strings.FieldsFunc(os.Getenv(AddressVariable), func(r rune) bool { return r == ',' || r == ' ' })
 	}
 	if len(addresses) == 0 {
-		return nil, &usageError{"no entry is named: give --address or set " + AddressVariable}
+		return nil, &usageError{"no entry address is given: use --address or set " + AddressVariable}
 	}
 	return addresses, nil
 }
 
-// client makes the client and a context that ends with the timeout.
+// client returns a client and a context that ends after the timeout.
 func (a *App) client(ctx context.Context) (*admin.Client, context.Context, context.CancelFunc, error) {
 	addresses, err := a.entryAddresses()
 	if err != nil {
@@ -160,7 +162,7 @@
 	return c, ctx, cancel, nil
 }
 
-// withClient runs f with a client until the timeout.
+// withClient returns a Runner that calls f with a client and a context that ends after the timeout.
 func (a *App) withClient(f func(ctx context.Context, c *admin.Client) error) Runner {
 	return func(ctx context.Context) error {
 		c, ctx, cancel, err := a.client(ctx)
--- a/cli/change.go
+++ b/cli/change.go
@@ -10,14 +10,14 @@
 )
 
 func (a *App) addChangeCommands() {
-	a.Command(a.Root(), "drain", "Make a worker or a target leave: nothing new, and what runs ends or moves.", a.drain)
+	a.Command(a.Root(), "drain", "Drain a worker or a target: it gets no new work, and its current work finishes or moves.", a.drain)
 	a.Command(a.Root(), "cancel", "Cancel jobs.", a.cancel)
 }
 
 func (a *App) drain(c *kingpin.CmdClause) Runner {
 	req := admin.DrainRequest{}
 	c.Arg("name", "Name of the worker or target.").Required().StringVar(&req.Name)
-	c.Flag("kind", "worker or target; needed when both have the name.").EnumVar(&req.Kind, admin.KindWorker, admin.KindTarget)
+	c.Flag("kind", "worker or target; required if both have the name.").EnumVar(&req.Kind, admin.KindWorker, admin.KindTarget)
 	c.Flag("undo", "End the drain.").BoolVar(&req.Undo)
 	return a.withClient(func(ctx context.Context, client *admin.Client) error {
 		req.Operator = a.operator
@@ -37,7 +37,7 @@
 func (a *App) cancel(c *kingpin.CmdClause) Runner {
 	req := admin.CancelRequest{}
 	c.Arg("job", "Names of the jobs.").Required().StringsVar(&req.Jobs)
-	c.Flag("reason", "Reason that is shown with the jobs.").StringVar(&req.Reason)
+	c.Flag("reason", "Reason to show with the jobs.").StringVar(&req.Reason)
 	return a.withClient(func(ctx context.Context, client *admin.Client) error {
 		req.Operator = a.operator
 		got, err := client.Cancel(ctx, req)
@@ -57,8 +57,8 @@
 func (a *App) addMemberCommands() {
 	members := a.kingpin.Command("members", "Show or change the control group.")
 	a.Command(members, "list", "Show the replicas.", a.listMembers)
-	a.Command(members, "add", "Take a replica in, as a learner until it has caught up.", a.addMember)
-	a.Command(members, "remove", "Take a replica out.", a.removeMember)
+	a.Command(members, "add", "Add a replica, as a learner until it has caught up.", a.addMember)
+	a.Command(members, "remove", "Remove a replica.", a.removeMember)
 }
 
 func (a *App) listMembers(c *kingpin.CmdClause) Runner {
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -29,9 +29,9 @@
 	})
 }
 
-// TestScripts runs the command against an API over a real state machine. ENTRY
-// works, LOSES commits and then loses each answer, NOQUORUM has no leader and
-// CLOSED refuses connections.
+// TestScripts runs the command against an API over a real state machine. Scripts find these
+// addresses in the environment: ENTRY works, LOSES commits and then drops each response, NOQUORUM
+// has no leader, and CLOSED refuses connections.
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
@@ -42,13 +42,13 @@
 
 func startEntries(env *testscript.Env) error {
 	api := admin.Handler(&fakeBackend{machine: state.New()}, metrics.NewRegistry())
-	loses := func(_ http.ResponseWriter, r *http.Request) {
+	dropResponse := func(_ http.ResponseWriter, r *http.Request) {
 		api.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}
 	for name, h := range map[string]http.Handler{
 		"ENTRY":    api,
-		"LOSES":    http.HandlerFunc(loses),
+		"LOSES":    http.HandlerFunc(dropResponse),
 		"NOQUORUM": admin.Handler(&fakeBackend{machine: state.New(), noQuorum: true}, metrics.NewRegistry()),
 	} {
 		s := httptest.NewServer(h)
@@ -63,7 +63,7 @@
 	return closed.Close()
 }
 
-// expectExitCode runs a command and checks its exit code.
+// expectExitCode implements the script command exits, which runs a command and checks its exit code.
 func expectExitCode(ts *testscript.TestScript, _ bool, args []string) {
 	code := 0
 	var exit *exec.ExitError
@@ -77,6 +77,7 @@
 	}
 }
 
+// fakeBackend applies commands to a state machine and returns fixed results otherwise.
 type fakeBackend struct {
 	admin.Backend
 	mu       sync.Mutex
@@ -104,8 +105,8 @@
 
 func (b *fakeBackend) Changed() <-chan struct{} { return nil }
 
-// Status has a process that is behind in its first answer only, and one that is
-// long lost.
+// Status returns one process that has an older version only in the first response, and one that has
+// long been unresponsive.
 func (b *fakeBackend) Status(context.Context, []string) (*admin.Status, error) {
 	version := b.Configuration().GetVersion()
 	b.mu.Lock()
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -12,17 +12,17 @@
 // Exit codes of cairnlift.
 const (
 	ExitOK = 0
-	// ExitFailure: the command failed for a reason without a code of its own.
+	// ExitFailure means that the command failed for a reason without a separate code.
 	ExitFailure = 1
-	// ExitUsage: the command line is wrong.
+	// ExitUsage means that the command line is invalid.
 	ExitUsage = 2
-	// ExitInvalid: the text or the request is refused; nothing was changed.
+	// ExitInvalid means that the text or the request is invalid; nothing was changed.
 	ExitInvalid = 3
-	// ExitConflict: another submission won; nothing was changed.
+	// ExitConflict means that another submission was committed first; nothing was changed.
 	ExitConflict = 4
-	// ExitUnavailable: nothing was done; come back.
+	// ExitUnavailable means that the request was not executed and may be retried.
 	ExitUnavailable = 5
-	// ExitUnknown: it may or may not have been done; resending is safe.
+	// ExitUnknown means that the request may or may not have been executed; a retry is safe.
 	ExitUnknown = 6
 )
 
@@ -31,13 +31,13 @@
 // Error implements error.
 func (e *usageError) Error() string { return e.message }
 
-// invalidTextError holds the mistakes of a file.
+// invalidTextError lists the errors in a configuration text.
 type invalidTextError struct {
 	file     string
 	problems spec.Problems
 }
 
-// Error implements error with one line per mistake: file:line: field: message.
+// Error implements error with one line per problem, as file:line: field: message.
 func (e *invalidTextError) Error() string {
 	return fmt.Sprintf("%s is not valid; nothing was changed\n%s", e.file, e.problems.In(e.file))
 }
@@ -53,8 +53,8 @@
 	admin.CodeUnknownOutcome: ExitUnknown,
 }
 
-// exitCode tells scripts what became of a command. The outer types come first:
-// an unknown outcome also holds the error of its last attempt.
+// exitCode returns the exit code for the error of a command. The outer error types must be checked
+// first: an UnknownOutcomeError also wraps the error of its last attempt.
 func exitCode(err error) int {
 	var usage *usageError
 	var invalid *invalidTextError
@@ -78,14 +78,14 @@
 	return ExitFailure
 }
 
-// describeError adds to an error what the operator can do about it.
+// describeError returns the text of an error, with what the operator can do about it.
 func describeError(err error) string {
 	var api *admin.Error
 	switch {
 	case exitCode(err) == ExitUnknown:
-		return err.Error() + "\nresend the same command, with the same --submission-id if it has one"
+		return err.Error() + "\nretry the same command, with the same --submission-id if it has one"
 	case errors.As(err, &api) && api.Code == admin.CodeConflict && api.Winner != "":
-		return fmt.Sprintf("%v; version %d is in force, submission %s came first\nget it, bring your change in and apply again", err, api.Version, api.Winner)
+		return fmt.Sprintf("%v; version %d is in force, submission %s came first\nget it, merge your change into it and apply again", err, api.Version, api.Winner)
 	}
 	return err.Error()
 }
--- a/cli/hosts_test.go
+++ b/cli/hosts_test.go
@@ -11,7 +11,7 @@
 	"github.com/cairnlift/cairnlift/jobapi"
 )
 
-// fakeControlGroup lists two hosts and takes moves to the pool batch.
+// fakeControlGroup lists two hosts and accepts moves to the pool batch only.
 type fakeControlGroup struct {
 	jobapi.Backend
 	requestedMoves []string
@@ -32,6 +32,7 @@
 	return apiv1.JobOutcome_JOB_OUTCOME_OK, nil
 }
 
+// Checks the output and the exit codes of the host commands.
 func TestHostListAndMove(t *testing.T) {
 	g := &fakeControlGroup{}
 	s := httptest.NewServer(jobapi.Handler(g))
@@ -47,15 +48,15 @@
 		{"host move h9 batch", 1, "", `no host "h9"`},
 		{"host move h1", 2, "", "pool"},
 	} {
-		var out, complaint bytes.Buffer
+		var out, errOut bytes.Buffer
 		a := New()
-		a.Stdout, a.Stderr = &out, &complaint
+		a.Stdout, a.Stderr = &out, &errOut
 		code := a.Run(t.Context(), append([]string{"-a", strings.TrimPrefix(s.URL, "http://")}, strings.Fields(c.args)...))
-		if code != c.code || out.String() != c.out || !strings.Contains(complaint.String(), c.err) {
-			t.Errorf("%s: code %d, %q, %q", c.args, code, out.String(), complaint.String())
+		if code != c.code || out.String() != c.out || !strings.Contains(errOut.String(), c.err) {
+			t.Errorf("%s: code %d, %q, %q", c.args, code, out.String(), errOut.String())
 		}
 	}
 	if got := strings.Join(g.requestedMoves, ", "); got != "h1 to batch, h1 to nosuch" {
-		t.Errorf("asked for %s", got)
+		t.Errorf("requested moves: %s", got)
 	}
 }
--- a/cli/jobs.go
+++ b/cli/jobs.go
@@ -16,25 +16,25 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// addJobCommands adds the commands of queues and of the jobs that callers submit.
+// addJobCommands adds the commands for queues, submitted jobs, maintenance waves and hosts.
 func (a *App) addJobCommands() {
 	queues := a.kingpin.Command("queues", "Show or change the queues that callers submit jobs to.")
-	a.Command(queues, "apply", "Submit the queues, a JSON file; the highest version is in force.", a.applyQueues)
+	a.Command(queues, "apply", "Submit the queues from a JSON file; the highest version is in force.", a.applyQueues)
 	a.Command(queues, "pending", "Show how many jobs of a queue wait for their first start.", a.pendingJobs)
 	jobs := a.kingpin.Command("job", "Submit, read or cancel a job.")
-	a.Command(jobs, "submit", "Hand a job in, a JSON file; the same id is the same job.", a.submitJob)
+	a.Command(jobs, "submit", "Submit a job from a JSON file; the same id is the same job.", a.submitJob)
 	a.Command(jobs, "state", "Show a job's state.", a.jobState)
 	a.Command(jobs, "cancel", "Cancel a job.", a.cancelJob)
-	a.Command(jobs, "explain", "Show where a job's tasks run and why others wait.", a.explainJob)
-	waves := a.kingpin.Command("wave", "Start or follow a maintenance wave.")
-	a.Command(waves, "start", "Submit a wave, a JSON file; the same number is the same wave.", a.startWave)
-	a.Command(waves, "state", "Show how far the hosts of a wave are.", a.waveState)
+	a.Command(jobs, "explain", "Show where a job's tasks run and why its other tasks wait.", a.explainJob)
+	waves := a.kingpin.Command("wave", "Start or show a maintenance wave.")
+	a.Command(waves, "start", "Submit a wave from a JSON file; the same number is the same wave.", a.startWave)
+	a.Command(waves, "state", "Show the progress of each host of a wave.", a.waveState)
 	hosts := a.kingpin.Command("host", "List the hosts, or move one to another pool.")
 	a.Command(hosts, "list", "Show each host with its pool, its worker and its newest move.", a.listHosts)
-	a.Command(hosts, "move", "Move a host to a pool, once what runs there is elsewhere.", a.moveHost)
+	a.Command(hosts, "move", "Move a host to a pool, after its current work has moved elsewhere.", a.moveHost)
 }
 
-// withJobClient runs f with a client until the timeout.
+// withJobClient calls f with a client of the job API and a context that ends after the timeout.
 func (a *App) withJobClient(ctx context.Context, f func(context.Context, *jobapi.Client) error) error {
 	addresses, err := a.entryAddresses()
 	if err != nil {
@@ -59,13 +59,14 @@
 	}
 }
 
+// submitFile sends the content of a file with f and prints that it was accepted.
 func (a *App) submitFile(ctx context.Context, file string, f func(*jobapi.Client, context.Context, []byte) error) error {
-	text, err := os.ReadFile(file)
+	content, err := os.ReadFile(file)
 	if err != nil {
-		return errors.Wrap(err, "file")
+		return errors.Wrap(err, "the file can't be read")
 	}
 	return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
-		if err := f(c, ctx, text); err != nil {
+		if err := f(c, ctx, content); err != nil {
 			return err
 		}
 		a.printf("accepted\n")
@@ -134,7 +135,7 @@
 	}
 }
 
-// printJobExplanation prints a line for each step, each run and each wait.
+// printJobExplanation prints the state of a job and one line per step, run and wait.
 func (a *App) printJobExplanation(e *apiv1.JobExplanation) {
 	a.printf("%s%s\n", strings.ToLower(strings.TrimPrefix(e.Job.GetState().String(), "JOB_STATE_")), failureText(e.Job))
 	for k, o := range e.Job.GetOccurrences() {
@@ -147,7 +148,7 @@
 	}
 }
 
-// failureText says why a job failed, empty for others.
+// failureText returns why a job failed, or an empty string if it did not.
 func failureText(j *apiv1.SubmittedJobRecord) string {
 	task := jobqueue.TaskIDOf(j.GetFailedTask())
 	switch j.GetFailure() {
@@ -208,7 +209,7 @@
 	}
 }
 
-// maintenanceStateText is a state's name for operators.
+// maintenanceStateText returns the name of a maintenance state as shown to operators.
 func maintenanceStateText(s apiv1.MaintenanceState) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "MAINTENANCE_STATE_"))
 }
@@ -228,6 +229,7 @@
 	}
 }
 
+// hostStateText returns whether a host is up as shown to operators.
 func hostStateText(up bool) string {
 	if up {
 		return "up"
@@ -235,7 +237,7 @@
 	return "away"
 }
 
-// moveText is a move's state for operators.
+// moveText returns the pool and the state of a move as shown to operators.
 func moveText(m *apiv1.HostMove) string {
 	if m == nil {
 		return "-"
@@ -244,8 +246,8 @@
 }
 
 func (a *App) moveHost(c *kingpin.CmdClause) Runner {
-	host := c.Arg("host", "The host, as the platform names it.").Required().String()
-	pool := c.Arg("pool", "The pool of workers that it is to join.").Required().String()
+	host := c.Arg("host", "Name of the host on the platform.").Required().String()
+	pool := c.Arg("pool", "The pool of workers to move it to.").Required().String()
 	return func(ctx context.Context) error {
 		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			if err := c.MoveHost(ctx, *host, *pool); err != nil {
--- a/cli/print.go
+++ b/cli/print.go
@@ -16,19 +16,19 @@
 	columnPadding    = 2
 )
 
-// printTable prints rows under a header, in columns.
+// printTable prints a header and rows in aligned columns. It prints nothing if there are no rows.
 func (a *App) printTable(header string, rows []string) {
 	if len(rows) == 0 {
 		return
 	}
 	w := tabwriter.NewWriter(a.Stdout, 0, 0, columnPadding, ' ', 0)
-	for _, row := range append([]string{header}, rows...) {
-		_, _ = fmt.Fprintln(w, row) // nobody is left to tell
+	for _, line := range append([]string{header}, rows...) {
+		_, _ = fmt.Fprintln(w, line) // there is nowhere to report a failed write
 	}
 	_ = w.Flush()
 }
 
-// joinCells joins the cells of one row.
+// joinCells formats the cells of one table row, separated by tabs.
 func joinCells(cells ...any) string {
 	texts := make([]string, len(cells))
 	for i, c := range cells {
@@ -37,7 +37,7 @@
 	return strings.Join(texts, "\t")
 }
 
-// formatRows makes one row per item.
+// formatRows returns one table row per item.
 func formatRows[T any](items []T, cells func(T) string) []string {
 	out := make([]string, len(items))
 	for i, item := range items {
@@ -90,7 +90,7 @@
 	name string
 }
 
-// stateText names what is set, and says ok when nothing is.
+// stateText lists the names of the flags that are set, or returns ok if none is.
 func stateText(flags ...stateFlag) string {
 	var names []string
 	for _, f := range flags {
@@ -104,7 +104,7 @@
 	return strings.Join(names, ", ")
 }
 
-// resourcesText formats processors, gigabytes and accelerators.
+// resourcesText formats resources as processors:gigabytes:accelerators.
 func resourcesText(r admin.Resources) string {
 	return fmt.Sprintf("%g:%.1fG:%d", float64(r.MilliProcessors)/milliPerUnit, float64(r.MemoryBytes)/bytesPerGigabyte, r.Accelerators)
 }
--- a/cli/read.go
+++ b/cli/read.go
@@ -13,24 +13,24 @@
 )
 
 func jsonFlag(c *kingpin.CmdClause) *bool {
-	return c.Flag("json", "Print JSON, as the API gives it.").Bool()
+	return c.Flag("json", "Print the JSON of the API.").Bool()
 }
 
-// printResult prints a value as JSON or as text.
-func (a *App) printResult(asJSON bool, value any, text func()) error {
+// printResult prints a value as JSON, or calls printText to print it as text.
+func (a *App) printResult(asJSON bool, value any, printText func()) error {
 	if !asJSON {
-		text()
+		printText()
 		return nil
 	}
 	enc := json.NewEncoder(a.Stdout)
 	enc.SetIndent("", "  ")
-	return errors.Wrap(enc.Encode(value), "the answer can't be printed")
+	return errors.Wrap(enc.Encode(value), "the result can't be printed")
 }
 
 func (a *App) addReadCommands() {
-	a.Command(a.Root(), "get", "Print the text in force.", a.get)
+	a.Command(a.Root(), "get", "Print the configuration text in force.", a.get)
 	a.Command(a.Root(), "status", "Show processes, workers, targets and jobs.", a.status)
-	a.Command(a.Root(), "explain", "Show why a job waits and what was tried.", a.explain)
+	a.Command(a.Root(), "explain", "Show why a job waits and which placements were tried.", a.explain)
 	a.Command(a.Root(), "decisions", "Show recent routing and placement decisions of an entry.", a.decisions)
 }
 
@@ -73,9 +73,9 @@
 func (a *App) decisions(c *kingpin.CmdClause) Runner {
 	const defaultLimit = "20"
 	q := admin.DecisionQuery{}
-	c.Flag("part", "Decisions of this part only: route or place.").EnumVar(&q.Part, "route", "place")
-	c.Flag("subject", "Decisions about this request id or task only.").StringVar(&q.Subject)
-	c.Flag("limit", "Most decisions to show.").Default(defaultLimit).IntVar(&q.Limit)
+	c.Flag("part", "Only decisions of this part: route or place.").EnumVar(&q.Part, "route", "place")
+	c.Flag("subject", "Only decisions about this request id or task.").StringVar(&q.Subject)
+	c.Flag("limit", "Maximum number of decisions to show.").Default(defaultLimit).IntVar(&q.Limit)
 	asJSON := jsonFlag(c)
 	return a.withClient(func(ctx context.Context, client *admin.Client) error {
 		got, err := client.Decisions(ctx, q)
@@ -93,7 +93,7 @@
 func (a *App) watch(c *kingpin.CmdClause) Runner {
 	const wait = 20 * time.Second
 	after := c.Flag("after", "Start after this version.").Uint64()
-	count := c.Flag("count", "End after this many versions; 0 never ends.").Int()
+	count := c.Flag("count", "Exit after this many versions; 0 for no limit.").Int()
 	asJSON := jsonFlag(c)
 	return func(ctx context.Context) error {
 		seen := *after
@@ -118,7 +118,8 @@
 	}
 }
 
-// watchOnce gives each wait the whole timeout on top.
+// watchOnce waits for a newer version with a single watch, which may take the timeout in addition to
+// the wait.
 func (a *App) watchOnce(ctx context.Context, after uint64, wait time.Duration) (*admin.WatchResponse, error) {
 	client, _, cancel, err := a.client(ctx)
 	if err != nil {
--- a/cli/record.go
+++ b/cli/record.go
@@ -12,15 +12,15 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// addRecordCommand adds the command that sums logs up; it needs no entry.
+// addRecordCommand adds the command that summarizes logs. It reads files only and needs no entry.
 func (a *App) addRecordCommand() {
-	a.Command(a.Root(), "record", "Sum up what logs say of lost time, by queue, zone, second and cause.", a.record)
+	a.Command(a.Root(), "record", "Summarize the lost time in logs by queue, zone, interval and cause.", a.record)
 }
 
 func (a *App) record(c *kingpin.CmdClause) Runner {
 	window := c.Flag("window", "Length of the windows of long-running jobs and of the table's intervals.").Default("2s").Duration()
 	picture := c.Flag("picture", "Also draw the intervals into this file (.svg, .png or .pdf).").String()
-	files := c.Arg("file", "Log files, one a process or several in one; standard input without any.").Strings()
+	files := c.Arg("file", "Log files, each of one or several processes; standard input if none is given.").Strings()
 	return func(context.Context) error {
 		if *window <= 0 {
 			return &usageError{"--window must be above 0"}
@@ -45,7 +45,7 @@
 	a.printIntervals(r)
 }
 
-// printQueues prints what became of jobs, and where the late ones' time went.
+// printQueues prints the outcomes of jobs by queue, and the lost time of late jobs by cause.
 func (a *App) printQueues(r *record.Record) {
 	var rows []string
 	for _, q := range r.Queues {
@@ -59,7 +59,7 @@
 	a.printTable(joinCells("QUEUE", "ZONE", "IN TIME", "LATE", "TOO LATE", "FAILED", "OPEN", "CANCELED", "REFUSED", "SECONDS OF THE LATE ONES, BY CAUSE"), rows)
 }
 
-// printLongRunning prints what long-running jobs lost.
+// printLongRunning prints the windows and the time that long-running jobs lost.
 func (a *App) printLongRunning(r *record.Record) {
 	var rows []string
 	for _, l := range r.LongRunning {
@@ -74,7 +74,7 @@
 	a.printTable(joinCells("LONG-RUNNING", "ZONE", "WINDOWS", "HALF OR MORE LOST", "SECONDS OF ITS TASKS, BY CAUSE"), rows)
 }
 
-// printIntervals prints the intervals in which something happened.
+// printIntervals prints the intervals of the record with their jobs, lost windows and events.
 func (a *App) printIntervals(r *record.Record) {
 	var rows []string
 	for _, i := range r.Intervals {
--- a/cli/text.go
+++ b/cli/text.go
@@ -16,31 +16,33 @@
 )
 
 const (
-	// statusPollInterval is the time between looks at the versions in force.
+	// statusPollInterval is the time from one status response to the next status request
+	// while apply --wait polls the versions in force.
 	statusPollInterval = 200 * time.Millisecond
-	// unresponsiveAfter is when apply --wait stops waiting for a process that is not
-	// heard of: by then it has gone past its staleness bound and serves nothing.
+	// unresponsiveAfter is the time since the last report of a process after which apply
+	// --wait no longer waits for it: it has then exceeded its staleness bound and serves
+	// nothing.
 	unresponsiveAfter = 5 * time.Second
 )
 
 func (a *App) addTextCommands() {
-	a.Command(a.Root(), "apply", "Submit the operators' text.", a.apply)
-	a.Command(a.Root(), "validate", "Check a text without a system; every mistake is shown.", a.validate)
-	a.Command(a.Root(), "diff", "Show what a text would change.", a.diff)
+	a.Command(a.Root(), "apply", "Submit a configuration text.", a.apply)
+	a.Command(a.Root(), "validate", "Check a configuration text offline and show every error.", a.validate)
+	a.Command(a.Root(), "diff", "Show what a configuration text would change.", a.diff)
 }
 
 func fileArg(c *kingpin.CmdClause) *string {
-	return c.Arg("file", "The text (TOML).").Required().String()
+	return c.Arg("file", "The configuration text (TOML).").Required().String()
 }
 
-// readText reads a text and checks it. The read is bounded, so that a wrong
-// file name does not fill memory.
+// readText reads and validates a configuration text. It limits the size that it reads, so that a
+// wrong file name doesn't exhaust the memory.
 func readText(file string) (string, error) {
 	in, err := os.Open(file)
 	if err != nil {
 		return "", errors.Wrap(err, "the text can't be read")
 	}
-	defer in.Close() //nolint:errcheck // it was only read
+	defer in.Close() //nolint:errcheck // opened for reading only
 	text, err := io.ReadAll(io.LimitReader(in, spec.MaxTextBytes+1))
 	if err != nil {
 		return "", errors.Wrap(err, "the text can't be read")
@@ -94,8 +96,8 @@
 func (a *App) apply(c *kingpin.CmdClause) Runner {
 	f := applyFlags{
 		file:         fileArg(c),
-		base:         c.Flag("base", "Version that the text was made from; the one in force when left out.").Default("-1").Int64(),
-		submissionID: c.Flag("submission-id", "Id that makes a resend safe; made up when left out.").String(),
+		base:         c.Flag("base", "Version that the text is based on; the one in force if not given.").Default("-1").Int64(),
+		submissionID: c.Flag("submission-id", "Id that makes a retry safe; generated if not given.").String(),
 		wait:         c.Flag("wait", "Wait until the text is in force in every process.").Bool(),
 	}
 	return a.withClient(func(ctx context.Context, client *admin.Client) error {
@@ -115,8 +117,8 @@
 	if req.BaseVersion, err = baseVersion(ctx, client, *f.base); err != nil {
 		return err
 	}
-	// Said before the attempt: should the answer be lost, these two make the
-	// resend that can't make a second version.
+	// Printed before the attempt: if the response is lost, the operator can retry with these two
+	// values without creating a second version.
 	_, _ = fmt.Fprintf(a.Stderr, "submission %s on version %d\n", req.SubmissionID, req.BaseVersion)
 	got, err := client.Submit(ctx, req)
 	if err != nil {
@@ -144,16 +146,17 @@
 	return c.Version, nil
 }
 
-// waitUntilInForce waits until every process that is heard of has the version.
+// waitUntilInForce waits until the version is in force in every process that still reports.
 func (a *App) waitUntilInForce(ctx context.Context, client *admin.Client, version uint64) error {
 	for {
 		s, err := client.Status(ctx, admin.SectionProcesses)
 		if err != nil {
-			// Not wrapped: err alone would tell a script that nothing was done.
+			// Not wrapped: the type of err would give the exit code of a command that was
+			// not executed, although the text was accepted.
 			return errors.Newf("version %d is accepted, but the processes' versions can't be read: %v", version, err)
 		}
-		behind := outdatedProcesses(s.Processes, version)
-		if len(behind) == 0 {
+		outdated := outdatedProcesses(s.Processes, version)
+		if len(outdated) == 0 {
 			a.printProcesses(s.Processes)
 			a.printf("version %d is in force\n", version)
 			return nil
@@ -161,17 +164,19 @@
 		select {
 		case <-ctx.Done():
 			a.printProcesses(s.Processes)
-			return errors.Newf("version %d is accepted, but not yet in force at %s", version, strings.Join(behind, ", "))
+			return errors.Newf("version %d is accepted, but not yet in force at %s", version, strings.Join(outdated, ", "))
 		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
+// outdatedProcesses returns the names of the processes that have an older version, except those that
+// are unresponsive.
 func outdatedProcesses(processes []admin.Process, version uint64) []string {
 	var names []string
 	for _, p := range processes {
-		lost := p.LastHeardMs > unresponsiveAfter.Milliseconds()
-		if p.ConfigurationVersion < version && !lost {
+		unresponsive := p.LastHeardMs > unresponsiveAfter.Milliseconds()
+		if p.ConfigurationVersion < version && !unresponsive {
 			names = append(names, p.Name)
 		}
 	}
--- a/cmd/cairnlift-agent/main.go
+++ b/cmd/cairnlift-agent/main.go
@@ -1,4 +1,4 @@
-// Command cairnlift-agent is the gate in front of the targets of one host.
+// Command cairnlift-agent runs the agent, the admission control in front of the targets of one host.
 package main
 
 import (
--- a/cmd/cairnlift-entry/main.go
+++ b/cmd/cairnlift-entry/main.go
@@ -1,4 +1,5 @@
-// Command cairnlift-entry takes callers' requests and operators' texts.
+// Command cairnlift-entry runs an entry, which receives callers' requests and operators'
+// configuration texts.
 package main
 
 import (
--- a/cmd/cairnlift-fake/main.go
+++ b/cmd/cairnlift-fake/main.go
@@ -1,4 +1,4 @@
-// Command cairnlift-fake runs the stand-ins for what surrounds the system.
+// Command cairnlift-fake runs the fakes of external systems, for tests and development.
 package main
 
 import (
--- a/cmd/cairnlift-platform/main.go
+++ b/cmd/cairnlift-platform/main.go
@@ -1,4 +1,4 @@
-// Command cairnlift-platform runs cairnlift's roles on the users' platform.
+// Command cairnlift-platform runs the roles of cairnlift on the users' platform.
 package main
 
 import (
--- a/cmd/cairnlift/main.go
+++ b/cmd/cairnlift/main.go
@@ -16,7 +16,7 @@
 func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// Once the first signal came, the next one gets its default action.
+	// After the first signal, the next one has its default action and ends the process.
 	context.AfterFunc(ctx, stop)
 	app := cli.New()
 	dev.AddCommand(app)
