--- a/admin/client_retry.go
+++ b/admin/client_retry.go
@@ -146,6 +146,7 @@
 	}
 }
 
+// sendOnce sends an operation to the next entry and returns the result of this attempt.
 func (c *Client) sendOnce(ctx context.Context, op operation, payload []byte) attempt {
 	ctx, cancel := context.WithTimeout(ctx, c.options.AttemptTimeout+op.serverWait)
 	defer cancel()
@@ -167,22 +168,22 @@
 	if err != nil {
 		return attempt{err: err, maybeApplied: connected}
 	}
-	defer resp.Body.Close() //nolint:errcheck // the body was read completely, or its read error is returned
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	defer resp.Body.Close() //nolint:errcheck // a read error is returned below
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return attempt{err: errors.Wrap(err, "the response was truncated"), maybeApplied: true}
 	}
-	return classifyResponse(resp.StatusCode, body)
+	return classifyResponse(resp.StatusCode, data)
 }
 
 // classifyResponse determines from an entry's response whether it is final and whether the
 // operation may have been executed.
-func classifyResponse(status int, body []byte) attempt {
+func classifyResponse(status int, data []byte) attempt {
 	if status == http.StatusOK {
-		return attempt{response: body, final: true}
+		return attempt{response: data, final: true}
 	}
 	var failure errorResponse
-	if json.Unmarshal(body, &failure) != nil || failure.Error == nil {
+	if json.Unmarshal(data, &failure) != nil || failure.Error == nil {
 		return attempt{err: fmt.Errorf("status %d without an error body of the API", status), maybeApplied: true}
 	}
 	a := attempt{err: failure.Error, retryAfter: time.Duration(failure.Error.RetryAfterMs) * time.Millisecond}
--- a/admin/write.go
+++ b/admin/write.go
@@ -43,10 +43,11 @@
 	}, nil
 }
 
-// setContent sets the content of a submission: a delta if the base version of the text is the
-// version of this process and the delta is shorter, otherwise the whole configuration.
+// setContent sets the content of a submission: a delta if the text is based on the version of this
+// process and the delta is shorter; only the text digest if this process has a later version than
+// the base; otherwise the whole configuration.
 //
-// If this process has a later version than the base, so does the log. Then the submission can
+// If this process has a later version, so does the log. Then the submission can
 // only be a retry of the one that created the version after the base, or a conflict. The state
 // machine decides this by the submission id and the text digest, so that an empty delta with
 // the digest suffices. With the whole configuration instead, the retry of a change to a text
--- a/cli/app.go
+++ b/cli/app.go
@@ -128,7 +128,7 @@
 }
 
 func (a *App) printError(format string, args ...any) {
-	_, _ = fmt.Fprintf(a.Stderr, "cairnlift: "+format+"\n", args...) // there is nowhere to report a failed write
+	_, _ = fmt.Fprintf(a.Stderr, "cairnlift: "+format+"\n", args...) // a failed write can't be reported
 }
 
 func (a *App) printf(format string, args ...any) {
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -83,7 +83,7 @@
 	var api *admin.Error
 	switch {
 	case exitCode(err) == ExitUnknown:
-		return err.Error() + "\nretry the same command, with the same --submission-id if it has one"
+		return err.Error() + "\nresend the same command, with the same --submission-id if it has one"
 	case errors.As(err, &api) && api.Code == admin.CodeConflict && api.Winner != "":
 		return fmt.Sprintf("%v; version %d is in force, submission %s came first\nget it, merge your change into it and apply again", err, api.Version, api.Winner)
 	}
--- a/cli/print.go
+++ b/cli/print.go
@@ -23,7 +23,7 @@
 	}
 	w := tabwriter.NewWriter(a.Stdout, 0, 0, columnPadding, ' ', 0)
 	for _, line := range append([]string{header}, rows...) {
-		_, _ = fmt.Fprintln(w, line) // there is nowhere to report a failed write
+		_, _ = fmt.Fprintln(w, line) // a failed write can't be reported
 	}
 	_ = w.Flush()
 }
