--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -107,7 +107,7 @@
 	s.last, s.lastWritten, s.bytesAtLastWrite = current, now, logged
 	event.StateOfGroup.Write(s.logger,
 		event.Term(current.term), event.LeaderAddress(current.leader), event.Leads(current.leads), event.Since(now.Sub(s.leaderSince)),
-		event.Voters(current.size.Voters), event.Heard(current.size.Heard), event.Spares(current.size.Spares),
+		event.Voters(current.size.Voters), event.Heard(current.size.Responsive), event.Spares(current.size.Spares),
 		event.Version(current.version), event.WorkerCount(current.workers), event.Reachable(current.reachable),
 		event.Waiting(status.Waiting))
 }
