--- a/control/replica.go
+++ b/control/replica.go
@@ -312,7 +312,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.metrics.commit.Since(start)
+	r.metrics.commit.ObserveSince(start)
 	res := &apiv1.Result{}
 	if err := proto.Unmarshal(out, res); err != nil {
 		return nil, &UnknownError{Cause: "result cannot be decoded: " + err.Error()}
--- a/quorum/node/form.go
+++ b/quorum/node/form.go
@@ -214,7 +214,7 @@
 		if self := findReplica(a.Membership, n.id()); fresh && self != nil && !self.Learner {
 			// The peer has not stored this initial membership yet. Joining that group as an empty
 			// learner would leave it without a voter's log.
-			event.GroupNamesReplica.Write(n.logger, event.Peer(a.Name))
+			event.MembershipAwaited.Write(n.logger, event.Peer(a.Name))
 		} else if a.Membership != nil {
 			group = a.Membership
 		}
--- a/quorum/node/leaderless.go
+++ b/quorum/node/leaderless.go
@@ -77,10 +77,10 @@
 	n.metrics.votersLost.Update(int64(len(w.diskLost)))
 	n.metrics.votersUnresponsive.Update(int64(len(w.unresponsive)))
 	fields := []event.Field{
-		event.Voters(w.voters), event.SilentVoters(w.unresponsive), event.DiskLost(w.diskLost), event.ReplicaID(n.id()),
+		event.Voters(w.voters), event.UnresponsiveVoters(w.unresponsive), event.DiskLost(w.diskLost), event.ReplicaID(n.id()),
 	}
 	if w.majorityLost() {
-		event.DisksLost.Write(n.logger, fields...)
+		event.MajorityDisksLost.Write(n.logger, fields...)
 		return
 	}
 	event.GroupLeaderless.Write(n.logger, fields...)
@@ -94,7 +94,7 @@
 	n.leaderlessLoggedAt = time.Time{}
 	n.metrics.votersLost.Update(0)
 	n.metrics.votersUnresponsive.Update(0)
-	event.GroupLedAgain.Write(n.logger, event.LeaderID(n.Status().Leader))
+	event.GroupHasLeaderAgain.Write(n.logger, event.LeaderID(n.Status().Leader))
 }
 
 // joinAnswers holds the last response to a join request from each address, so that the same
--- a/quorum/node/loop.go
+++ b/quorum/node/loop.go
@@ -91,7 +91,7 @@
 		return
 	}
 	if err := n.raft.TransferLeadership(to); err != nil {
-		event.HandoverImpossible.Write(n.logger, event.Err(err))
+		event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 		return
 	}
 	n.metrics.slowDiskHandovers.Inc(1)
@@ -209,7 +209,7 @@
 			return err
 		}
 	}
-	event.SnapshotReplaces.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
+	event.SnapshotInstalled.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
 	return n.storage.SaveSnapshot(rd.Snapshot)
 }
 
@@ -233,7 +233,7 @@
 		return
 	}
 	if n.leadership.Leading != l.Leading {
-		event.LeadershipChanged.Write(n.logger, event.Leading(l.Leading), event.Term(l.Term))
+		event.LeadershipChanged.Write(n.logger, event.BecameLeader(l.Leading), event.Term(l.Term))
 		if l.Leading {
 			n.metrics.elections.Inc(1)
 		}
--- a/quorum/node/membership.go
+++ b/quorum/node/membership.go
@@ -95,10 +95,10 @@
 	}
 	_, _, err := n.raft.ProposeMembership(next)
 	if err != nil {
-		event.MembershipWaits.Write(n.logger, event.Change(reason), event.Err(err))
+		event.MembershipChangeDeferred.Write(n.logger, event.Change(reason), event.Err(err))
 		return
 	}
-	event.MembershipChanges.Write(n.logger, event.Change(reason))
+	event.MembershipChanging.Write(n.logger, event.Change(reason))
 }
 
 // withOwnAddress returns a membership with the current address of a leader that moved while it was
@@ -252,7 +252,7 @@
 		}
 		err := n.callOnLoop(ctx, func() error {
 			if err := n.raft.TransferLeadership(to); err != nil {
-				event.HandoverImpossible.Write(n.logger, event.Err(err))
+				event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 			}
 			return nil
 		})
--- a/quorum/wal/load.go
+++ b/quorum/wal/load.go
@@ -99,7 +99,7 @@
 		if _, ok := decodeHeader(b); last && !ok && len(b) <= headerSize {
 			// The power failed while the file was created. The header is synced before
 			// any frame is written, so this file never held a frame.
-			event.SegmentUnfinished.Write(l.logger, event.File(path))
+			event.UnfinishedSegmentRemoved.Write(l.logger, event.File(path))
 			return l.remove(segmentName(seq))
 		}
 		s, size, err := readSegment(path, b, last, r.applyRecord)
@@ -109,7 +109,7 @@
 		l.segments = append(l.segments, s)
 		l.size = size
 		if torn := int64(len(b)) - size; torn > 0 {
-			event.TornRecordCut.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(torn)))
+			event.TornRecordTruncated.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(torn)))
 		}
 	}
 	return nil
