--- a/cli/record.go
+++ b/cli/record.go
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		r := record.Of(trace.Order(lines).Lines, record.Options{Window: *window})
+		r := record.Summarize(trace.Order(lines).Lines, record.Options{Window: *window})
 		a.printRecord(r)
 		if *picture == "" {
 			return nil
@@ -39,7 +39,7 @@
 }
 
 func (a *App) printRecord(r *record.Record) {
-	a.printf("%s of lines; without a leader %s\n", seconds(r.Last.Sub(r.First)), seconds(r.LeaderAway))
+	a.printf("%s of lines; without a leader %s\n", seconds(r.Last.Sub(r.First)), seconds(r.LeaderlessTime))
 	a.printQueues(r)
 	a.printLongRunning(r)
 	a.printIntervals(r)
@@ -53,7 +53,7 @@
 		for _, o := range record.Outcomes() {
 			cells = append(cells, q.Outcomes[o])
 		}
-		cells = append(cells, q.Canceled, q.Refused, costsText(q.Late))
+		cells = append(cells, q.Canceled, q.Refused, costsText(q.LateBreakdown))
 		rows = append(rows, row(cells...))
 	}
 	a.printTable(row("QUEUE", "ZONE", "IN TIME", "LATE", "TOO LATE", "FAILED", "OPEN", "CANCELED", "REFUSED", "SECONDS OF THE LATE ONES, BY CAUSE"), rows)
@@ -65,11 +65,11 @@
 	for _, l := range r.LongRunning {
 		var lost []string
 		for _, c := range record.Causes() {
-			if l.LostBy[c] > 0 {
-				lost = append(lost, fmt.Sprintf("%v %d", c, l.LostBy[c]))
+			if l.LostWindows[c] > 0 {
+				lost = append(lost, fmt.Sprintf("%v %d", c, l.LostWindows[c]))
 			}
 		}
-		rows = append(rows, row(l.Path, orDash(l.Zone), l.Windows, orDash(strings.Join(lost, ", ")), costsText(l.Costs)))
+		rows = append(rows, row(l.Path, orDash(l.Zone), l.Windows, orDash(strings.Join(lost, ", ")), costsText(l.Breakdown)))
 	}
 	a.printTable(row("LONG-RUNNING", "ZONE", "WINDOWS", "HALF OR MORE LOST", "SECONDS OF ITS TASKS, BY CAUSE"), rows)
 }
@@ -78,14 +78,14 @@
 func (a *App) printIntervals(r *record.Record) {
 	var rows []string
 	for _, i := range r.Intervals {
-		late := i.Ended[record.Late] + i.Ended[record.TooLate]
-		rows = append(rows, row(seconds(i.From.Sub(r.First)), i.HandedIn, i.Ended[record.InTime], late, i.Ended[record.FailedJob],
+		late := i.Finished[record.Late] + i.Finished[record.TooLate]
+		rows = append(rows, row(seconds(i.From.Sub(r.First)), i.Submitted, i.Finished[record.InTime], late, i.Finished[record.FailedJob],
 			countsText(i.LostWindows[:]), countsText(i.Events[:])))
 	}
 	a.printTable(row("AT", "HANDED IN", "IN TIME", "LATE", "FAILED", "WINDOWS LOST", "SIGNS OF TROUBLE"), rows)
 }
 
-func costsText(costs record.Costs) string {
+func costsText(costs record.Breakdown) string {
 	var parts []string
 	for _, c := range record.Causes() {
 		if costs[c] >= time.Second/10 {
--- a/control/decisions.go
+++ b/control/decisions.go
@@ -79,7 +79,7 @@
 func (d *decisionRing) log(dec place.Decision) {
 	kind := event.TaskPlaced
 	if dec.Worker == "" {
-		kind = event.TaskWaits
+		kind = event.TaskWaiting
 	}
 	kind.Write(d.logger, event.TaskName(dec.Task), event.Attempt(dec.Attempt), event.Worker(dec.Worker),
 		event.Reason(dec.Reason), event.Candidates(dec.Candidates), event.Score(dec.Score), event.Refused(dec.Refused))
--- a/control/keep.go
+++ b/control/keep.go
@@ -41,11 +41,11 @@
 		if ctx.Err() != nil || !errors.As(err, &refused) {
 			return err
 		}
-		event.DiskRefuses.Write(h.Logger, event.Err(err))
+		event.DiskUnwritable.Write(h.Logger, event.Err(err))
 		if err := h.waitForDisk(ctx); err != nil || ctx.Err() != nil {
 			return err
 		}
-		event.DiskTakesWrites.Write(h.Logger)
+		event.DiskWritable.Write(h.Logger)
 	}
 }
 
--- a/control/leader.go
+++ b/control/leader.go
@@ -144,7 +144,7 @@
 	cmds := make([]*apiv1.Command, len(workers))
 	for i, w := range workers {
 		cmds[i] = expiries[w]
-		event.LeasesRanOut.Write(r.logger, event.Worker(w), event.AttemptCount(len(cmds[i].GetExpire().Tasks)))
+		event.LeasesExpired.Write(r.logger, event.Worker(w), event.AttemptCount(len(cmds[i].GetExpire().Tasks)))
 	}
 	results := r.proposeAll(ctx, cmds)
 	r.leading.Lock()
--- a/control/replica.go
+++ b/control/replica.go
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.metrics.commit.Since(began)
+	r.metrics.commit.ObserveSince(began)
 	res := &apiv1.Result{}
 	if err := proto.Unmarshal(out, res); err != nil {
 		return nil, &UnknownError{Cause: "result can't be decoded: " + err.Error()}
--- a/jobclient/client.go
+++ b/jobclient/client.go
@@ -148,7 +148,7 @@
 	}
 	c.peers = peers
 	c.forwarder.SetPeers(peers)
-	event.ControlHostsNews.Write(c.logger, event.Addresses(peers))
+	event.ControlHostsChanged.Write(c.logger, event.Addresses(peers))
 }
 
 // Addresses returns the internal addresses of the known control hosts, including the seeds until
@@ -195,7 +195,7 @@
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	c.leader.Note(err)
+	c.leader.Record(err)
 }
 
 func (c *Client) recordContact() {
--- a/quorum/node/form.go
+++ b/quorum/node/form.go
@@ -214,7 +214,7 @@
 		if self := findByID(a.Membership, n.id()); fresh && self != nil && !self.Learner {
 			// An initial membership that the peer has not stored yet. To join that
 			// group as an empty learner would leave it without a voter's log.
-			event.GroupNamesReplica.Write(n.logger, event.Peer(a.Name))
+			event.MembershipAwaited.Write(n.logger, event.Peer(a.Name))
 		} else if a.Membership != nil {
 			group = a.Membership
 		}
--- a/quorum/node/loop.go
+++ b/quorum/node/loop.go
@@ -92,7 +92,7 @@
 		return
 	}
 	if err := n.raft.TransferLeadership(to); err != nil {
-		event.HandoverImpossible.Write(n.logger, event.Err(err))
+		event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 		return
 	}
 	n.meters.slowHandovers.Inc(1)
@@ -210,7 +210,7 @@
 			return err
 		}
 	}
-	event.SnapshotReplaces.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
+	event.SnapshotInstalled.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
 	return n.storage.SaveSnapshot(rd.Snapshot)
 }
 
@@ -234,7 +234,7 @@
 		return
 	}
 	if n.leadership.Leading != l.Leading {
-		event.LeadershipChanged.Write(n.logger, event.Leading(l.Leading), event.Term(l.Term))
+		event.LeadershipChanged.Write(n.logger, event.BecameLeader(l.Leading), event.Term(l.Term))
 		if l.Leading {
 			n.meters.elections.Inc(1)
 		}
--- a/quorum/node/membership.go
+++ b/quorum/node/membership.go
@@ -95,10 +95,10 @@
 	}
 	_, _, err := n.raft.ProposeMembership(next)
 	if err != nil {
-		event.MembershipWaits.Write(n.logger, event.Change(reason), event.Err(err))
+		event.MembershipChangeDeferred.Write(n.logger, event.Change(reason), event.Err(err))
 		return
 	}
-	event.MembershipChanges.Write(n.logger, event.Change(reason))
+	event.MembershipChanging.Write(n.logger, event.Change(reason))
 }
 
 // withOwnAddress notes where a leader is reached that moved while it was down. Others
@@ -249,7 +249,7 @@
 		}
 		err := n.do(ctx, func() error {
 			if err := n.raft.TransferLeadership(to); err != nil {
-				event.HandoverImpossible.Write(n.logger, event.Err(err))
+				event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 			}
 			return nil
 		})
--- a/quorum/node/missing.go
+++ b/quorum/node/missing.go
@@ -76,10 +76,10 @@
 	n.meters.votersLost.Update(int64(len(w.lost)))
 	n.meters.votersSilent.Update(int64(len(w.silent)))
 	fields := []event.Field{
-		event.Voters(w.voters), event.SilentVoters(w.silent), event.DiskLost(w.lost), event.ReplicaID(n.id()),
+		event.Voters(w.voters), event.UnresponsiveVoters(w.silent), event.DiskLost(w.lost), event.ReplicaID(n.id()),
 	}
 	if w.majorityLost() {
-		event.DisksLost.Write(n.logger, fields...)
+		event.MajorityDisksLost.Write(n.logger, fields...)
 		return
 	}
 	event.GroupLeaderless.Write(n.logger, fields...)
@@ -93,7 +93,7 @@
 	n.leaderlessReport = time.Time{}
 	n.meters.votersLost.Update(0)
 	n.meters.votersSilent.Update(0)
-	event.GroupLedAgain.Write(n.logger, event.LeaderID(n.Status().Leader))
+	event.GroupHasLeaderAgain.Write(n.logger, event.LeaderID(n.Status().Leader))
 }
 
 // refusals keeps the last answer to a request to join from each address, so that the
--- a/quorum/node/node.go
+++ b/quorum/node/node.go
@@ -265,7 +265,7 @@
 func (n *Node) Stop(ctx context.Context) error {
 	n.leaving.Store(true)
 	if err := n.TransferLeadership(ctx); err != nil && ctx.Err() != nil {
-		event.ReplicaStopsLeads.Write(n.logger, event.Err(err))
+		event.LeaderReplicaStopping.Write(n.logger, event.Err(err))
 	}
 	n.stopOnce.Do(func() { close(n.stop) })
 	n.cancel()
--- a/quorum/wal/load.go
+++ b/quorum/wal/load.go
@@ -99,7 +99,7 @@
 		if _, ok := decodeHeader(b); last && !ok && len(b) <= headerSize {
 			// A power cut while the file was created: the header is synced before
 			// any frame is written, so this file never held one.
-			event.SegmentUnfinished.Write(l.logger, event.File(path))
+			event.UnfinishedSegmentRemoved.Write(l.logger, event.File(path))
 			return l.remove(segmentName(seq))
 		}
 		s, size, err := readSegment(path, b, last, r.visit)
@@ -109,7 +109,7 @@
 		l.segments = append(l.segments, s)
 		l.size = size
 		if cut := int64(len(b)) - size; cut > 0 {
-			event.TornRecordCut.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(cut)))
+			event.TornRecordTruncated.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(cut)))
 		}
 	}
 	return nil
