--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -15,21 +15,21 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// budget bounds what a process writes in a second.
+// budget limits what a process writes per second.
 type budget struct{ lines, bytes int }
 
-// Each class of lines has a budget of its own, so that a flood of one never pushes out
-// another: the line that explains a failure, or the one that says when the leader
-// changed. The bytes bound how far back the last 95 kB of a process reach, which is what
-// an incident's record keeps of it. A busy leader of eleven workers writes 6 kB a second,
-// an entry up to 45 kB in the second in which all callers come back after an outage.
+// budgetsPerSecond has a separate budget for each class of lines, so that a burst of one class
+// does not displace another, such as the line that explains a failure or a change of leader. The
+// byte limits determine how far back the last 95 kB of a process reach, which is what an incident
+// record keeps of it. A busy leader of eleven workers writes 6 kB per second; an entry writes up
+// to 45 kB in the second in which all callers reconnect after an outage.
 var budgetsPerSecond = [numClasses]budget{
 	routine: {lines: 400, bytes: 64 << 10},
 	rare:    {lines: 50, bytes: 8 << 10},
 	warning: {lines: 200, bytes: 32 << 10},
 }
 
-// class is a class of lines with a budget.
+// class is a class of log lines that share a budget.
 type class int
 
 const (
@@ -39,7 +39,7 @@
 	numClasses
 )
 
-// classOf returns a line's class; event.Priority says what belongs where.
+// classOf returns the class of a line. event.Priority defines which lines belong to which class.
 func classOf(level zapcore.Level, fields []zapcore.Field) class {
 	switch {
 	case level >= zapcore.WarnLevel:
@@ -51,22 +51,22 @@
 }
 
 const (
-	// MaxQueuedLines is the number of lines that wait for a slow reader of the output.
+	// MaxQueuedLines is the capacity of the queue of lines that wait for a slow reader.
 	MaxQueuedLines = 2048
-	// flushTimeout bounds the wait for a slow reader at the process's end.
+	// flushTimeout limits how long Close waits for a slow reader.
 	flushTimeout = 200 * time.Millisecond
-	// dropNoticeInterval is the time between two lines that say what was left out.
+	// dropNoticeInterval is the time between two lines that report dropped lines.
 	dropNoticeInterval = time.Second
-	// timeLayout is how the other lines write their time.
+	// timeLayout is the time format of lines that zap encodes.
 	timeLayout = "2006-01-02T15:04:05.000Z0700"
 	processKey = "process"
 )
 
-// Bounded is a logger's output whose volume is bounded and that never blocks.
+// Bounded is a log output of limited volume that never blocks its callers.
 //
-// What goes wrong without it: standard output is a pipe; a reader that is stuck
-// stops the process at the next line, in the middle of a request. A burst of
-// requests costs more for its lines than for its answers.
+// Standard output is a pipe: with blocking writes, a stuck reader stops the process at the next
+// line, in the middle of a request. Without the limit, writing the lines of a burst of requests
+// costs more than answering them.
 type Bounded struct {
 	out        io.Writer
 	process    string
@@ -82,13 +82,13 @@
 	used        [numClasses]budget
 }
 
-// NewBounded returns a logger that writes JSON lines to out, each with the name of the
-// process, and its bounded output.
+// NewBounded returns a logger that writes JSON lines to out, each with the name of the process,
+// and the logger's bounded output.
 func NewBounded(out io.Writer, level, process string) (*zap.Logger, *Bounded, error) {
-	at := zapcore.InfoLevel
+	minLevel := zapcore.InfoLevel
 	if level != "" {
-		if err := at.Set(level); err != nil {
-			return nil, nil, errors.Wrap(err, "log level")
+		if err := minLevel.Set(level); err != nil {
+			return nil, nil, errors.Wrap(err, "parse log level")
 		}
 	}
 	b := &Bounded{
@@ -96,12 +96,12 @@
 		lines: make(chan []byte, MaxQueuedLines), closing: make(chan struct{}), writerDone: make(chan struct{}),
 	}
 	go b.write()
-	core := messageOnlyErrors{&boundedCore{LevelEnabler: at, encoder: zapcore.NewJSONEncoder(encoderConfig()), b: b}}
+	core := messageOnlyErrors{&boundedCore{LevelEnabler: minLevel, encoder: zapcore.NewJSONEncoder(encoderConfig()), b: b}}
 	return zap.New(core).With(zap.String(processKey, process)), b, nil
 }
 
-// Close ends the output and waits, for flushTimeout at most, until what was logged
-// is written. Lines of goroutines that outlive it are left out.
+// Close stops the output and waits up to flushTimeout until the queued lines are written. Lines
+// that goroutines log after Close are dropped.
 func (b *Bounded) Close() {
 	close(b.closing)
 	select {
@@ -110,23 +110,23 @@
 	}
 }
 
-// MetricBytes is the name of the number of bytes logged so far.
+// MetricBytes is the name of the gauge that counts the bytes logged since the process started.
 const MetricBytes = "log.bytes"
 
-// Register shows the bytes logged and the lines left out and waiting among a process's metrics.
+// Register adds gauges of the bytes logged, the lines dropped and the lines queued to r.
 func (b *Bounded) Register(r metrics.Registry) {
 	r.GetOrRegister("log.lines_left_out", metrics.NewFunctionalGauge(b.Dropped))
 	r.GetOrRegister(MetricBytes, metrics.NewFunctionalGauge(b.bytes.Load))
 	r.GetOrRegister("log.lines_queued", metrics.NewFunctionalGauge(func() int64 { return int64(b.Queued()) }))
 }
 
-// Queued is the number of lines that wait for the reader of the output.
+// Queued returns the number of lines that wait for the reader of the output.
 func (b *Bounded) Queued() int { return len(b.lines) }
 
-// Dropped is the number of lines that were left out so far.
+// Dropped returns the number of lines dropped since the process started.
 func (b *Bounded) Dropped() int64 { return b.dropped.Load() }
 
-// write hands the lines on and says, in lines of its own, how many were left out.
+// write copies queued lines to the output and adds lines that report how many were dropped.
 func (b *Bounded) write() {
 	defer close(b.writerDone)
 	notices := time.NewTicker(dropNoticeInterval)
@@ -153,11 +153,11 @@
 
 func (b *Bounded) writeLine(line []byte) {
 	if _, err := b.out.Write(line); err != nil {
-		b.dropped.Add(1) // nowhere is left to say so but the counter
+		b.dropped.Add(1) // the output failed, so only the counter can report it
 	}
 }
 
-// dropNotice says how many lines were left out since it last did.
+// dropNotice reports how many lines were dropped since its previous report.
 type dropNotice struct {
 	b        *Bounded
 	reported int64
@@ -175,8 +175,8 @@
 	n.reported, n.lastAt = dropped, at
 }
 
-// admitLine spends one line of this second's budget; lines that find none are not even
-// encoded.
+// admitLine takes one line from the budget of the current second and reports whether the budget
+// allowed it. Lines that exceed it are not encoded.
 func (b *Bounded) admitLine(c class) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -190,7 +190,7 @@
 	return true
 }
 
-// admitBytes spends the bytes of a line.
+// admitBytes takes the bytes of a line from the budget and reports whether the budget allowed it.
 func (b *Bounded) admitBytes(c class, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -201,7 +201,7 @@
 	return true
 }
 
-// boundedCore encodes the lines that the budget admits.
+// boundedCore is a zap core that encodes and queues the lines that the budget admits.
 type boundedCore struct {
 	zapcore.LevelEnabler
 	encoder zapcore.Encoder
@@ -234,7 +234,7 @@
 	}
 	buffer, err := c.encoder.EncodeEntry(e, fields)
 	if err != nil {
-		return errors.Wrap(err, "log line")
+		return errors.Wrap(err, "encode log line")
 	}
 	defer buffer.Free()
 	if !c.b.admitBytes(class, buffer.Len()) {
@@ -250,5 +250,5 @@
 	return nil
 }
 
-// Sync implements zapcore.Core; lines are handed on as they come.
+// Sync implements zapcore.Core. It does nothing, since lines are written as they are queued.
 func (c *boundedCore) Sync() error { return nil }
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -15,7 +15,7 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// blockedWriter takes nothing until it is released.
+// blockedWriter blocks all writes until it is released.
 type blockedWriter struct {
 	release  chan struct{}
 	mu       sync.Mutex
@@ -35,9 +35,9 @@
 	return w.received.String()
 }
 
-// Symptom: requests stop being answered when nobody reads the process's output.
-// Sequence: the reader is stuck while far more lines are logged than can wait.
-// Cause: a logger that waits for its output.
+// Guards against requests that stop being answered when the process's output is not read: the
+// reader is stuck while far more lines are logged than the queue holds, and the logger waits for
+// its output.
 func TestBlockedOutputOnlyDropsLines(t *testing.T) {
 	w := &blockedWriter{release: make(chan struct{})}
 	log, bounded, err := logging.NewBounded(w, "info", "h1/entry")
@@ -48,14 +48,13 @@
 		log.Info("routine")
 	}
 	if bounded.Dropped() == 0 {
-		t.Fatal("10,000 lines went into an output that takes none")
+		t.Fatal("no line was dropped of 10,000 logged to a blocked output")
 	}
 	close(w.release)
 }
 
-// Symptom: the line that explains a failure is missing.
-// Sequence: a burst of routine lines uses up the budget of a second; then a warning.
-// Cause: one budget for all lines.
+// Guards against a missing line that would explain a failure: with one budget for all lines, a
+// burst of routine lines uses up the budget of a second before the warning.
 func TestWarningsHaveSeparateBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &blockedWriter{release: make(chan struct{})}
@@ -78,17 +77,17 @@
 			t.Errorf("%d routine lines in a second", n)
 		}
 		if !strings.Contains(text, "lines left out") {
-			t.Error("nothing says that lines were left out")
+			t.Error("no line reports that lines were dropped")
 		}
 	})
 }
 
-// countingWriter counts lines and bytes by the second of the test's clock.
+// countingWriter counts lines by message and bytes by second of the test's clock.
 type countingWriter struct {
 	start time.Time
 	bytes map[int]int
 	lines map[string]int
-	// reportedDropped is the sum of what the notices say.
+	// reportedDropped is the total number of dropped lines that the notices report.
 	reportedDropped int
 }
 
@@ -106,17 +105,16 @@
 	return len(p), nil
 }
 
-// Symptom: in a burst, the lines on the new leader and on refused requests are missing,
-// and the collector of logs falls behind.
-// Sequence: an entry of 50 requests a second gets 20 times as many for ten seconds;
-// each second one is refused and one line tells of a belief. Cause: a volume that grows
-// with the traffic.
+// Guards against a log volume that grows with the traffic: in a burst, the lines about a new leader
+// and about refused requests are missing, and the log collector falls behind. An entry of 50
+// requests per second receives 20 times as many for ten seconds; in each second one request is
+// refused and one rare line is written.
 func TestBudgetLimitsBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			seconds, perSecond = 10, 20 * 50
-			// most is the sum of the budgets of a second, and room for a notice.
-			most = (64+8+32)<<10 + 1<<10
+			// maxBytes is the sum of the budgets of a second, plus space for a drop notice.
+			maxBytes = (64+8+32)<<10 + 1<<10
 		)
 		w := &countingWriter{start: time.Now(), bytes: map[int]int{}, lines: map[string]int{}}
 		log, bounded, err := logging.NewBounded(w, "info", "h1/entry")
@@ -127,7 +125,7 @@
 			for i := range perSecond {
 				event.Request.Write(log, event.Method("POST"), event.Path("/queue/0123456789abcdef"), event.Job("0123456789abcdef"),
 					event.Status(200), event.Took(time.Duration(i)*time.Microsecond))
-				if i == perSecond-1 { // when routine lines have long found no room
+				if i == perSecond-1 { // the budget of routine lines is used up long before
 					event.RequestFailed.Write(log, event.Status(503))
 					event.ControlHostsChanged.Write(log, event.Addresses([]string{"10.0.0.1:7000"}))
 				}
@@ -137,7 +135,7 @@
 		bounded.Close()
 		synctest.Wait()
 		for second, n := range w.bytes {
-			if n > most {
+			if n > maxBytes {
 				t.Errorf("%d bytes in second %d", n, second)
 			}
 		}
@@ -145,14 +143,13 @@
 			t.Errorf("lines %v", w.lines)
 		}
 		if got := w.lines["request"] + w.reportedDropped; got != seconds*perSecond || int64(w.reportedDropped) != bounded.Dropped() {
-			t.Errorf("%d lines written and said to be left out, %d left out, want %d in all", got, bounded.Dropped(), seconds*perSecond)
+			t.Errorf("%d lines written or reported as dropped, %d dropped, want %d in total", got, bounded.Dropped(), seconds*perSecond)
 		}
 	})
 }
 
-// Symptom: a process that is asked to stop ends with a panic and exit code 2.
-// Sequence: its output is closed while a goroutine that outlives its role by a moment
-// still writes a line. Cause: a line sent to a queue that is closed.
+// Guards against a process that panics while it stops, with exit code 2: its output is closed, and
+// a goroutine that still runs sends a line to the closed queue.
 func TestLinesAfterCloseAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &blockedWriter{release: make(chan struct{})}
--- a/logging/debug.go
+++ b/logging/debug.go
@@ -6,16 +6,16 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Debug lines with the same message: the first debugFirst in each debugSampleInterval are
-// written, then every debugThereafter-th.
+// Sampling of debug lines with the same message: in each debugSampleInterval the first debugFirst
+// are written, then every debugThereafter-th.
 const (
 	debugSampleInterval = time.Second
 	debugFirst          = 50
 	debugThereafter     = 100
 )
 
-// sampledDebug is a core that bounds the rate of debug lines alone. Lines of the
-// levels above, decisions among them, are all written: each has to be found again.
+// sampledDebug is a core that samples debug lines only. Lines of higher levels, which include
+// routing and placement decisions, are all written, since each decision must be found in the log.
 type sampledDebug struct {
 	zapcore.Core
 	debug zapcore.Core
--- a/logging/dependency/dependency.go
+++ b/logging/dependency/dependency.go
@@ -1,8 +1,8 @@
-// Package dependency tells when a process loses another one that it needs, and when
-// it has it back: one line each, however many calls fail between.
+// Package dependency logs the outages of the processes and services that a process depends on: one
+// line when a dependency is lost and one when it recovers, however many calls fail in between.
 //
-// What goes wrong without it: each call that fails leaves a line of its own, hundreds
-// in an outage, and none says when the outage began and how long it lasted.
+// With a line for each failed call, an outage writes hundreds of lines, and none of them shows when
+// it began or how long it lasted.
 package dependency
 
 import (
@@ -16,25 +16,24 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// lostAfter is how long calls must have failed, without one that was answered, for the
-// other side to count as lost: an election, or a restart of the agent's worker, takes
-// less.
+// lostAfter is the time from the first failed call without a later answer until the dependency
+// counts as lost. An election, or a restart of the agent's worker, takes less.
 const lostAfter = time.Second
 
-// Watch follows the calls of one dependency.
+// Watch tracks the results of the calls to one dependency.
 type Watch struct {
 	name   string
 	logger *zap.Logger
 	now    func() time.Time
 
 	mu sync.Mutex
-	// failingSince is when the first of the calls failed that no answer followed; zero when
-	// the last call was answered.
+	// failingSince is when the first call failed that no answered call followed; zero if the last
+	// call was answered.
 	failingSince time.Time
 	lost         bool
 }
 
-// New returns a watch of the dependency of a name. The clock is time.Now when nil.
+// New returns a watch of the named dependency. A nil now means time.Now.
 func New(name string, logger *zap.Logger, now func() time.Time) *Watch {
 	if now == nil {
 		now = time.Now
@@ -42,8 +41,8 @@
 	return &Watch{name: name, logger: logger, now: now}
 }
 
-// Record takes in how a call ended; nil means that it was answered. A call that its
-// caller gave up tells nothing.
+// Record records the result of a call; nil means that it was answered. A call that its caller
+// canceled is ignored, since it says nothing about the dependency.
 func (w *Watch) Record(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
--- a/logging/dependency/dependency_test.go
+++ b/logging/dependency/dependency_test.go
@@ -13,20 +13,20 @@
 	"github.com/cairnlift/cairnlift/logging/dependency"
 )
 
-// Symptom: nothing says from when to when a process was without its leader.
-// Sequence: calls fail for three seconds, hundreds of them, one is given up by its
-// caller, then they are answered. Cause: a line for each call, or none.
+// Guards against a log that does not show when a process had no leader: with a line for each call,
+// or with none. Hundreds of calls fail for three seconds, some are canceled by their caller, then
+// calls are answered again.
 func TestOneLinePerLossAndRecovery(t *testing.T) {
 	core, lines := observer.New(zapcore.InfoLevel)
 	now := time.Unix(100, 0)
 	w := dependency.New("leader", zap.New(core), func() time.Time { return now })
 	failed := errors.New("no answer")
 	w.Record(failed)
-	w.Record(nil) // a call that fails now and then is no loss
+	w.Record(nil) // single failed calls do not count as a loss
 	now = now.Add(2 * time.Second)
 	w.Record(failed)
 	if lines.Len() != 0 {
-		t.Fatalf("%v after single calls that failed", lines.All())
+		t.Fatalf("lines %v after single failed calls", lines.All())
 	}
 	for range 300 {
 		now = now.Add(10 * time.Millisecond)
@@ -39,7 +39,7 @@
 	if len(all) != 2 || all[0].Message != "dependency lost" || all[1].Message != "dependency is back" {
 		t.Fatalf("lines %v", all)
 	}
-	if away := all[1].ContextMap()["away"]; away != 3*time.Second {
-		t.Errorf("away for %v", away)
+	if outage := all[1].ContextMap()["away"]; outage != 3*time.Second {
+		t.Errorf("the outage lasted %v", outage)
 	}
 }
--- a/logging/errors.go
+++ b/logging/errors.go
@@ -5,9 +5,9 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// messageOnlyErrors is a core that writes errors as their message alone. The errors of
-// this project carry stack traces, which zap would add to every line that names
-// one: a warning that repeats each second would fill the log with them.
+// messageOnlyErrors is a core that writes only the message of an error. The errors of this project
+// carry stack traces, which zap would add to every line with an error field: a warning repeated
+// every second would fill the log with them.
 type messageOnlyErrors struct{ zapcore.Core }
 
 // With implements zapcore.Core.
@@ -28,6 +28,7 @@
 	return c.Core.Write(e, errorsAsMessages(fields))
 }
 
+// errorsAsMessages replaces error fields in place by string fields with the errors' messages.
 func errorsAsMessages(fields []zap.Field) []zap.Field {
 	for i, f := range fields {
 		if f.Type != zapcore.ErrorType {
--- a/logging/event/event.go
+++ b/logging/event/event.go
@@ -1,10 +1,10 @@
-// Package event declares the lines that the processes on the users' platform write:
-// the name of each, the part that writes it, how it competes for the budget of lines,
-// and its fields. docs/OPERATIONS.md tells what each means.
+// Package event declares the log lines that the processes on the users' platform write: the message
+// of each, the part that writes it, its priority in the budget of lines, and its fields.
+// docs/OPERATIONS.md explains each of them.
 //
-// What goes wrong without it: the same id is a task in one part's lines and an attempt
-// in another's, and whoever follows a request through four processes loses it between
-// two of them. Here a field has one constructor, so it has one name and one type.
+// Each field has one constructor, so it has one name and one type in the lines of all parts.
+// Otherwise the same id could be a task in one part's lines and an attempt in another's, and a
+// request could not be followed through the four processes that handle it.
 package event
 
 import (
@@ -17,7 +17,7 @@
 // Part is the part of a process that writes a line.
 type Part string
 
-// The parts. Process is the process as a whole.
+// The parts. Process stands for the whole process and adds no name to its lines.
 const (
 	Process   Part = ""
 	Frontend  Part = "frontend"
@@ -33,32 +33,32 @@
 	Log       Part = "log"
 )
 
-// Named returns a part's own logger.
-func (p Part) Named(l *zap.Logger) *zap.Logger {
+// Named derives the logger of a part from the logger of the process.
+func (p Part) Named(logger *zap.Logger) *zap.Logger {
 	if p == Process {
-		return l
+		return logger
 	}
-	return l.Named(string(p))
+	return logger.Named(string(p))
 }
 
-// Priority is how a line competes for the budget of lines.
+// Priority determines the level of a line and the budget that it is counted against.
 type Priority int
 
 const (
 	// Debug lines are not written on the users' platform.
 	Debug Priority = iota
-	// Routine lines come with the traffic; they are left out first.
+	// Routine lines grow in number with the traffic; they are dropped first.
 	Routine
-	// Rare lines say what a process believes: leader, members, workers, versions.
+	// Rare lines report changes in what a process knows: leader, members, workers, versions.
 	Rare
-	// Warning lines tell of a refusal, a loss or a failure.
+	// Warning lines report a refusal, a loss or a failure.
 	Warning
-	// Failure lines tell what stops the process or loses something for good.
+	// Failure lines report an error that stops the process or a loss that can't be undone.
 	Failure
 )
 
-func (r Priority) level() zapcore.Level {
-	switch r {
+func (p Priority) level() zapcore.Level {
+	switch p {
 	case Debug:
 		return zapcore.DebugLevel
 	case Warning:
@@ -69,33 +69,33 @@
 	return zapcore.InfoLevel
 }
 
-// Event is a kind of line.
+// Event is a kind of log line.
 type Event struct {
 	Part     Part
 	Name     string
 	Priority Priority
-	// Fields are the names of the fields that its lines may have.
+	// Fields are the names of the fields that lines of this kind may have.
 	Fields []string
 }
 
-// declared are the declared events; it is complete once the package is initialized.
+// declared contains all declared events; it is complete once the package is initialized.
 var declared []*Event
 
-func declare(p Part, r Priority, name string, fields ...string) *Event {
-	e := &Event{Part: p, Name: name, Priority: r, Fields: fields}
+func declare(part Part, priority Priority, name string, fields ...string) *Event {
+	e := &Event{Part: part, Name: name, Priority: priority, Fields: fields}
 	declared = append(declared, e)
 	return e
 }
 
-// All returns the declared events.
+// All returns all declared events.
 func All() []*Event { return slices.Clone(declared) }
 
-// Field is a field of a line. Only this package makes them.
+// Field is a field of a log line. Only this package creates fields.
 type Field struct{ field zap.Field }
 
-// Write writes a line by the logger of the event's part.
-func (e *Event) Write(part *zap.Logger, fields ...Field) {
-	checked := part.Check(e.Priority.level(), e.Name)
+// Write writes a line with the given fields to logger, which is that of the event's part.
+func (e *Event) Write(logger *zap.Logger, fields ...Field) {
+	checked := logger.Check(e.Priority.level(), e.Name)
 	if checked == nil {
 		return
 	}
@@ -109,10 +109,10 @@
 	checked.Write(list...)
 }
 
-// rareMarker marks a line that is no routine; it is not written.
+// rareMarker marks the lines of Rare events; the encoder skips it.
 var rareMarker = zap.Field{Type: zapcore.SkipType, Key: "rare"}
 
-// IsRare reports whether a line's fields mark it as no routine.
+// IsRare reports whether the fields of a line contain the marker of Rare events.
 func IsRare(fields []zap.Field) bool {
 	return slices.ContainsFunc(fields, func(f zap.Field) bool { return f.Type == zapcore.SkipType && f.Key == rareMarker.Key })
 }
--- a/logging/event/events.go
+++ b/logging/event/events.go
@@ -1,6 +1,6 @@
 package event
 
-// Lines of a process as a whole.
+// Lines about the whole process.
 var (
 	ProcessStarted      = declare(Process, Rare, "started", "role", "node", "ip", "bootstrap", "addresses", NameZone)
 	ProcessStopping     = declare(Process, Rare, "stopping")
@@ -17,7 +17,7 @@
 	ControlHostsChanged = declare(JobClient, Rare, "control hosts changed", "addresses")
 )
 
-// Lines about calls of callers and operators.
+// Lines about requests of callers and operators.
 var (
 	Request                = declare(Frontend, Routine, "request", requestFields...)
 	RequestFailed          = declare(Frontend, Warning, "request failed", requestFields...)
@@ -30,7 +30,7 @@
 
 var requestFields = []string{NameMethod, "host", NamePath, NameJob, NameStatus, NameAllowed, NameTook, "error"}
 
-// Lines of the leader about jobs.
+// Lines of the leader about jobs, workers and hosts.
 var (
 	LeaderReady            = declare(Dispatch, Rare, "leader is ready", NameTerm, "index")
 	LeaderNotReady         = declare(Dispatch, Warning, "leader is not ready", NameTerm, "error")
@@ -83,7 +83,7 @@
 	ReportLost              = declare(Runs, Rare, "report is lost", NameWorker, "ends", "running", "error")
 )
 
-// GroupState sums up what a control host believes.
+// GroupState summarizes the state of the control group as a control host knows it.
 var GroupState = declare(Group, Rare, "state", NameTerm, "leader", "leads", "voters", "heard", "spares", NameVersion,
 	"workers", "reachable", "waiting", "since")
 
--- a/logging/event/fields.go
+++ b/logging/event/fields.go
@@ -10,7 +10,7 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Names of the fields that tie the lines of several processes together.
+// Names of the fields that trace and record use to relate the lines of several processes.
 const (
 	NameJob               = "job"
 	NameTask              = "task"
@@ -46,71 +46,72 @@
 	NameMethod            = "method"
 )
 
-// Ids, spelled the same in all parts.
+// Identifiers. They are formatted the same way in all parts.
 
-// Job is the id that the caller gave a job.
+// Job is the id that the caller assigned to a job.
 func Job(id string) Field { return stringField(NameJob, id) }
 
-// Task is a task of a job: JOB/OCCURRENCE/STEP/INDEX.
+// Task identifies a task of a job: JOB/OCCURRENCE/STEP/INDEX.
 func Task(id fmt.Stringer) Field { return Field{zap.Stringer(NameTask, id)} }
 
-// TaskName is a task by its name alone.
+// TaskName identifies a task whose id is available as a string only.
 func TaskName(id string) Field { return stringField(NameTask, id) }
 
-// Step is a step of a job: JOB/OCCURRENCE/STEP.
+// Step identifies a step of a job: JOB/OCCURRENCE/STEP.
 func Step(id fmt.Stringer) Field { return Field{zap.Stringer(NameStep, id)} }
 
-// Run is the number of a task's run; each start gets the next one.
+// Run is the number of a run of a task; each start of the task gets the next number.
 func Run(number uint64) Field { return uint64Field(NameRun, number) }
 
-// Worker is an incarnation of a worker.
+// Worker is the id of an incarnation of a worker.
 func Worker(id string) Field { return stringField(NameWorker, id) }
 
 // Term is the leader's term.
 func Term(t uint64) Field { return uint64Field(NameTerm, t) }
 
-// Version is a version of the configuration.
+// Version is the version of the configuration.
 func Version(v uint64) Field { return uint64Field(NameVersion, v) }
 
 // Wave is the number of a maintenance wave.
 func Wave(number uint64) Field { return uint64Field("wave", number) }
 
-// Outcomes and what decided them.
+// Outcomes and their reasons.
 
-// Err is the error; nil adds no field.
+// Err is an error; nil adds no field.
 func Err(err error) Field { return Field{zap.Error(err)} }
 
-// Reason is why.
+// Reason is the reason for a decision or an outcome.
 func Reason(why string) Field { return stringField(NameReason, why) }
 
-// Answer is what the other side answered to an order.
+// Answer is the answer to an order.
 func Answer(a fmt.Stringer) Field { return Field{zap.Stringer("answer", a)} }
 
-// Outcome is how a run ended.
+// Outcome is the kind of end of a run.
 func Outcome(kind string) Field { return stringField(NameOutcome, kind) }
 
-// Status is the HTTP status of an answer.
+// Status is the HTTP status of a response.
 func Status(code int) Field { return intField(NameStatus, code) }
 
-// Took is how long it took.
+// Took is the duration of a call or request.
 func Took(d time.Duration) Field { return durationField(NameTook, d) }
 
-// Allowed is how long the caller was ready to wait.
+// Allowed is how long the caller of a request was willing to wait.
 func Allowed(d time.Duration) Field { return durationField(NameAllowed, d) }
 
-// UnresponsiveFor is how long ago the other side was heard of last.
+// UnresponsiveFor is the time since the last answer or report of the other side, or since the wait
+// for the first one began.
 func UnresponsiveFor(d time.Duration) Field { return durationField("silent", d) }
 
-// Lease is for how long the lease was granted.
+// Lease is the duration for which a lease was granted.
 func Lease(d time.Duration) Field { return durationField("lease", d) }
 
-// Delay is how much later than what it is judged by something was asked.
+// Delay is the time from the confirmed stop of a run to the request of the status that omits it.
 func Delay(d time.Duration) Field { return durationField("after", d) }
 
-// Epoch counts how often a worker's lease ran out, as the leader has it.
+// Epoch is the number of expiries of a worker's lease that the leader has counted.
 func Epoch(n uint64) Field { return uint64Field("epoch", n) }
 
-// Percent is a pace.
+// Percent is a pace in percent of full speed, or a tail latency in percent of its objective.
 func Percent(p uint32) Field { return Field{zap.Uint32(NamePercent, p)} }
 
 // Counts and lists.
@@ -124,143 +125,146 @@
 // RunningCount is a number of running runs.
 func RunningCount(n int) Field { return intField("running", n) }
 
-// OrderCount is a number of starts that are ordered and not known to have begun.
+// OrderCount is a number of ordered starts that are not confirmed.
 func OrderCount(n int) Field { return intField("orders", n) }
 
 // HostCount is a number of hosts.
 func HostCount(n int) Field { return intField("hosts", n) }
 
-// CandidateWorkers is the number of workers that the advisor was asked about.
+// CandidateWorkers is the number of workers in a query to the placement advisor.
 func CandidateWorkers(n int) Field { return intField("asked", n) }
 
-// ApprovedWorkers is the number of workers that the advisor allows.
+// ApprovedWorkers is the number of workers that the placement advisor approved.
 func ApprovedWorkers(n int) Field { return intField("approved", n) }
 
-// Started lists the runs that were started, by worker; each is "TASK RUN AGE", the
-// age in milliseconds before the line.
+// Started lists the runs that were started, by worker; each is "TASK RUN AGE", where AGE is the
+// time from the start to the line in milliseconds.
 func Started(byWorker map[string][]string) Field { return listsField(NameStarted, byWorker) }
 
-// Ended lists the runs that ended done, like Started.
+// Ended lists the runs that ended as done, in the format of Started.
 func Ended(byWorker map[string][]string) Field { return listsField(NameEnded, byWorker) }
 
-// LongRunning lists the runs of long-running steps that were started, like Started.
+// LongRunning lists the runs of long-running steps that were started, in the format of Started.
 func LongRunning(byWorker map[string][]string) Field { return listsField(NameLongRunning, byWorker) }
 
-// Tails lists the serving runs whose tails are over their objectives, by worker; each is
-// "TASK RUN PERCENT AGE", the tail in percent of the objective and the age in milliseconds.
+// Tails lists the serving runs whose tail latencies exceed their objectives, by worker; each is
+// "TASK RUN PERCENT AGE", with the tail latency in percent of the objective and the age in
+// milliseconds.
 func Tails(byWorker map[string][]string) Field { return listsField(NameTails, byWorker) }
 
-// Jobs lists the jobs that came to an end, by the path of their queue; each is "JOB HOW TOOK
-// ALLOWED AGE", the times in milliseconds.
+// Jobs lists the jobs that finished, by the path of their queue; each is "JOB HOW TOOK ALLOWED
+// AGE", with times in milliseconds.
 func Jobs(byPath map[string][]string) Field { return listsField(NameJobs, byPath) }
 
-// AvailabilityZone is where the process runs.
+// AvailabilityZone is the availability zone in which the process runs.
 func AvailabilityZone(name string) Field { return stringField(NameZone, name) }
 
-// Lost lists the runs that are lost, like Started.
+// Lost lists lost runs, in the format of Started.
 func Lost(byWorker map[string][]string) Field { return listsField(NameLost, byWorker) }
 
-// Unlogged lists the runs that a worker has and the log does not hold, like Started.
+// Unlogged lists the runs that a worker reports but the replicated log does not contain, in the
+// format of Started.
 func Unlogged(byWorker map[string][]string) Field { return listsField(NameUnlogged, byWorker) }
 
-// Worked lists the runs that began last on a worker, by worker; each is "TASK RUN WORKED", the time
-// that it had worked at least in milliseconds.
+// Worked lists the most recently started runs of a worker, by worker; each is "TASK RUN WORKED",
+// where WORKED is the least time that the run had worked, in milliseconds.
 func Worked(byWorker map[string][]string) Field { return listsField(NameWorked, byWorker) }
 
-// Suspects lists tasks that may crash their workers, each "TASK IN_ROW ALONE": the crashes under it in
-// a row, and those of them that no other run can have caused.
+// Suspects lists tasks that may crash their workers; each is "TASK IN_ROW ALONE", the number of
+// consecutive crashes of its workers, and the number of those that no other run can have caused.
 func Suspects(tasks []string) Field { return Field{zap.Strings(NameSuspects, tasks)} }
 
-// PassedProbation lists the runs whose trial went well, each "TASK RUN".
+// PassedProbation lists the runs that passed their probation; each is "TASK RUN".
 func PassedProbation(runs []string) Field { return Field{zap.Strings(NamePassedProbation, runs)} }
 
-// TasksNotRunning lists the long-running tasks that are not known to run, by why; each is
-// "TASK RUN WORKER AWAY HOW", of its last run and how that ended, the time away in
-// milliseconds.
+// TasksNotRunning lists the long-running tasks that are not known to run, by reason; each is
+// "TASK RUN WORKER AWAY HOW", where AWAY is the duration of the outage in milliseconds, and RUN,
+// WORKER and HOW are the number, the worker and the outcome of the last run.
 func TasksNotRunning(byReasons map[string][]string) Field {
 	return listsField(NameTasksNotRunning, byReasons)
 }
 
-// TasksRunningAgain lists the long-running tasks that run again, by worker; each is
-// "TASK RUN AWAY", the time away in milliseconds.
+// TasksRunningAgain lists the long-running tasks that run again, by worker; each is "TASK RUN
+// AWAY", where AWAY is the duration of the outage in milliseconds.
 func TasksRunningAgain(byWorker map[string][]string) Field {
 	return listsField(NameTasksRunningAgain, byWorker)
 }
 
-// WaitingSteps lists the steps that wait, by how many workers each reason rules out; each is
-// "STEP TASKS WAITED AGE", both times in milliseconds.
+// WaitingSteps lists the waiting steps, by the number of workers that each reason rules out; each
+// is "STEP TASKS WAITED AGE", with both times in milliseconds.
 func WaitingSteps(byReasons map[string][]string) Field {
 	return listsField(NameWaitingSteps, byReasons)
 }
 
-// CoreSeconds is processor time.
+// CoreSeconds is processor time in seconds of one core.
 func CoreSeconds(d time.Duration) Field {
 	return Field{zap.Float64("core_seconds", d.Round(time.Millisecond).Seconds())}
 }
 
-// Others.
+// Other fields.
 
-// Method is the method of a caller's request.
+// Method is the HTTP method of a caller's request.
 func Method(m string) Field { return stringField(NameMethod, m) }
 
-// Host is a queue's host, or a host of the fleet.
+// Host is the Host header of a caller's request, or a host of the fleet.
 func Host(name string) Field { return stringField("host", name) }
 
-// Path is the path of a caller's request.
+// Path is the URL path of a caller's request.
 func Path(p string) Field { return stringField(NamePath, p) }
 
-// State is a host's state in a wave.
+// State is the state of a host in a maintenance wave or a move.
 func State(s fmt.Stringer) Field { return Field{zap.Stringer("state", s)} }
 
-// Committed says whether a step of a wave was committed.
+// Committed reports whether a step of a wave or a move was committed.
 func Committed(yes bool) Field { return Field{zap.Bool("taken", yes)} }
 
-// PreviousWorker is the incarnation that was served before.
+// PreviousWorker is the incarnation that the agent served before.
 func PreviousWorker(worker string) Field { return stringField("before", worker) }
 
-// ClockMs is what a worker's clock shows, in milliseconds.
+// ClockMs is a reading of a worker's clock, in milliseconds.
 func ClockMs(ms int64) Field { return Field{zap.Int64("clock_ms", ms)} }
 
-// PreviousClockMs is what it showed before.
+// PreviousClockMs is the reading before ClockMs.
 func PreviousClockMs(ms int64) Field { return Field{zap.Int64("clock_before_ms", ms)} }
 
-// Acknowledged is the number up to which a worker's ends are acknowledged.
+// Acknowledged is the sequence number up to which the ends that a worker reports are acknowledged.
 func Acknowledged(n uint64) Field { return uint64Field("acknowledged", n) }
 
-// Replaced says that another incarnation answers in a worker's place.
+// Replaced reports whether another incarnation answers at the worker's address.
 func Replaced(yes bool) Field { return Field{zap.Bool("replaced", yes)} }
 
-// Role is the process's role.
+// Role is the role of the process.
 func Role(name string) Field { return stringField("role", name) }
 
-// Node is the host's name in the settings.
+// Node is the name of the host in the settings.
 func Node(name string) Field { return stringField("node", name) }
 
-// IP is the host's address.
+// IP is the IP address of the host.
 func IP(address string) Field { return stringField("ip", address) }
 
-// Bootstrap says that the process forms the first group.
+// Bootstrap reports whether the process forms the first control group.
 func Bootstrap(yes bool) Field { return Field{zap.Bool("bootstrap", yes)} }
 
-// Addresses are addresses of control hosts.
+// Addresses are the addresses of control hosts.
 func Addresses(list []string) Field { return Field{zap.Strings("addresses", list)} }
 
 // Address is the address of another process.
 func Address(a string) Field { return stringField("address", a) }
 
-// Index is an index of the log.
+// Index is an index in the replicated log.
 func Index(i uint64) Field { return uint64Field("index", i) }
 
-// Changed names the settings that a reload found changed.
+// Changed lists the names of the settings that changed in a reload.
 func Changed(names []string) Field { return Field{zap.Strings("changed", names)} }
 
-// Dependency is what a process needs another one for.
+// Dependency is the name of a process or service that the process depends on.
 func Dependency(name string) Field { return stringField("dependency", name) }
 
-// OutageDuration is how long a dependency was lost.
+// OutageDuration is how long a dependency was unavailable.
 func OutageDuration(d time.Duration) Field { return durationField("away", d) }
 
-// durationField is written to ten microseconds: finer digits only take room.
+// durationField returns a duration rounded to ten microseconds, since finer digits only add bytes
+// to the line.
 func durationField(name string, d time.Duration) Field {
 	const resolution = 10 * time.Microsecond
 	return Field{zap.Duration(name, d.Round(resolution))}
@@ -272,7 +276,8 @@
 
 func uint64Field(name string, n uint64) Field { return Field{zap.Uint64(name, n)} }
 
-// listsField is a map of lists, written in the order of the names.
+// listsField returns a map of lists, written in the order of their names; an empty map adds no
+// field.
 func listsField(name string, lists map[string][]string) Field {
 	if len(lists) == 0 {
 		return Field{zap.Skip()}
@@ -290,20 +295,20 @@
 	return nil
 }
 
-// Pool is the pool that a host moves to.
+// Pool is the pool to which a host moves.
 func Pool(name string) Field { return stringField("pool", name) }
 
 // FromPool is the pool that a host leaves.
 func FromPool(name string) Field { return stringField("from", name) }
 
-// Order is the number of an order about a host.
+// Order is the sequence number of an order about a host.
 func Order(n uint64) Field { return uint64Field("order", n) }
 
-// EntryKind is what kind of entries a line is about.
+// EntryKind is the kind of the entries that a line is about.
 func EntryKind(name string) Field { return stringField("kind", name) }
 
-// EntryCount is the number of entries of one message.
+// EntryCount is a number of entries in one message.
 func EntryCount(n int) Field { return intField("entries", n) }
 
-// TotalCount is a count since the start of the process.
+// TotalCount is a cumulative count since the process started.
 func TotalCount(n int64) Field { return Field{zap.Int64("so_far", n)} }
--- a/logging/events_test.go
+++ b/logging/events_test.go
@@ -15,16 +15,16 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// eventPackages are those that run on the users' platform and write lines. They write
-// declared events only. The other daemons' own packages keep their lines as they are.
+// eventPackages are the packages that log on the users' platform. They write declared events only.
+// The packages of the other daemons are not checked.
 var eventPackages = []string{
 	"dispatch", "agent/runs", "platform", "jobclient", "control", "quorum/node", "quorum/wal",
 	"logging/dependency",
 }
 
-// TestEventsAreDocumented compares the table of lines with the declared events: a line
-// that the table lacks can't be understood, one that nothing writes is waited for in
-// vain.
+// TestEventsAreDocumented compares the table of log lines in the operations page with the declared
+// events. Operators can't interpret a line that is missing there, and would wait without result
+// for a documented line that is never written.
 func TestEventsAreDocumented(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATIONS.md")
 	if err != nil {
@@ -39,21 +39,21 @@
 		}
 		declared[id] = true
 		if !slices.Contains(documented, id) {
-			t.Errorf("%v is declared and not in the table", id)
+			t.Errorf("%v is declared but not in the table", id)
 		}
 	}
 	for _, id := range documented {
 		if !declared[id] {
-			t.Errorf("%v is in the table and not declared", id)
+			t.Errorf("%v is in the table but not declared", id)
 		}
 	}
 }
 
-// eventID names a kind of line.
+// eventID identifies an event by its part and message.
 type eventID struct{ part, name string }
 
-// documentedEvents returns the quoted names in the first column of the table of lines,
-// with the part in the second.
+// documentedEvents returns the events of the table of log lines: the quoted messages in its first
+// column, each with the part in the second.
 func documentedEvents(page string) []eventID {
 	_, table, _ := strings.Cut(page, "| line | part | what it means |")
 	quoted := regexp.MustCompile("`([^`]+)`")
@@ -74,10 +74,10 @@
 	return events
 }
 
-// TestPackagesWriteDeclaredEvents looks for lines beside the declared events, for
-// declared events that nothing writes, and for fields that an event does not declare.
+// TestPackagesWriteDeclaredEvents reports log lines that are not declared events, declared events
+// that are never written, and fields that an event does not declare.
 func TestPackagesWriteDeclaredEvents(t *testing.T) {
-	v := readDeclarations(t)
+	decls := readDeclarations(t)
 	used := map[string]bool{"LinesLeftOut": true} // written by Bounded itself
 	for _, dir := range eventPackages {
 		forEachNode(t, filepath.Join("..", dir), func(n ast.Node) {
@@ -87,56 +87,56 @@
 			if name, ok := selectorName(n, "event"); ok {
 				used[name] = true
 			}
-			v.checkWrite(t, dir, n)
+			decls.checkWrite(t, dir, n)
 		})
 	}
-	for name := range v.events {
+	for name := range decls.events {
 		if !used[name] {
 			t.Errorf("event %s is never written", name)
 		}
 	}
 }
 
-// declarations is what the sources of package event declare, by the names in Go.
+// declarations is what the sources of package event declare, by Go identifier.
 type declarations struct {
 	events map[string]*event.Event
-	// fields are the constructors and the names of their fields.
+	// fields maps field constructors to the names of their fields.
 	fields map[string]string
 }
 
 func readDeclarations(t *testing.T) *declarations {
 	t.Helper()
 	v := &declarations{events: map[string]*event.Event{}, fields: map[string]string{}}
-	names := map[string]string{}
-	forEachNode(t, "event", func(n ast.Node) { readConstant(n, names) })
+	constants := map[string]string{}
+	forEachNode(t, "event", func(n ast.Node) { readConstant(n, constants) })
 	forEachNode(t, "event", func(n ast.Node) {
 		switch n := n.(type) {
 		case *ast.ValueSpec:
 			v.readEvent(n)
 		case *ast.FuncDecl:
-			if name, ok := fieldNameOf(n, names); ok {
+			if name, ok := fieldNameOf(n, constants); ok {
 				v.fields[n.Name.Name] = name
 			}
 		}
 	})
 	if len(v.events) != len(event.All()) {
-		t.Fatalf("%d of %d declarations are understood", len(v.events), len(event.All()))
+		t.Fatalf("%d of %d event declarations were parsed", len(v.events), len(event.All()))
 	}
 	return v
 }
 
-// readConstant notes a constant that is a string.
-func readConstant(n ast.Node, names map[string]string) {
+// readConstant records the value of a string constant.
+func readConstant(n ast.Node, constants map[string]string) {
 	spec, ok := n.(*ast.ValueSpec)
 	if !ok || len(spec.Values) != 1 {
 		return
 	}
 	if text, ok := stringLiteral(spec.Values[0]); ok {
-		names[spec.Names[0].Name] = text
+		constants[spec.Names[0].Name] = text
 	}
 }
 
-// readEvent notes a variable that is declared as an event.
+// readEvent records a variable that is declared as an event.
 func (v *declarations) readEvent(spec *ast.ValueSpec) {
 	if len(spec.Values) != 1 {
 		return
@@ -146,8 +146,8 @@
 		return
 	}
 	part, ok := call.Args[0].(*ast.Ident)
-	name, isText := stringLiteral(call.Args[2])
-	if !ok || !isText {
+	name, isString := stringLiteral(call.Args[2])
+	if !ok || !isString {
 		return
 	}
 	for _, e := range event.All() {
@@ -158,34 +158,34 @@
 	}
 }
 
-// fieldNameOf returns the name of the field that a function makes: the first text in
-// its body.
-func fieldNameOf(f *ast.FuncDecl, names map[string]string) (string, bool) {
+// fieldNameOf returns the name of the field that a constructor creates: the first string constant
+// or literal in its body.
+func fieldNameOf(f *ast.FuncDecl, constants map[string]string) (string, bool) {
 	if f.Type.Results == nil || len(f.Type.Results.List) != 1 || !ast.IsExported(f.Name.Name) {
 		return "", false
 	}
 	if result, ok := f.Type.Results.List[0].Type.(*ast.Ident); !ok || result.Name != "Field" {
 		return "", false
 	}
-	made := "error" // zap.Error names its field itself
+	name := "error" // zap.Error sets the name of its field itself
 	ast.Inspect(f.Body, func(n ast.Node) bool {
-		if made != "error" {
+		if name != "error" {
 			return false
 		}
-		if ident, ok := n.(*ast.Ident); ok && names[ident.Name] != "" {
-			made = names[ident.Name]
+		if ident, ok := n.(*ast.Ident); ok && constants[ident.Name] != "" {
+			name = constants[ident.Name]
 		}
 		if expr, ok := n.(ast.Expr); ok {
 			if text, ok := stringLiteral(expr); ok {
-				made = text
+				name = text
 			}
 		}
 		return true
 	})
-	return made, true
+	return name, true
 }
 
-// checkWrite compares the fields of a call event.X.Write with those that X declares.
+// checkWrite compares the fields of a call of event.X.Write with those that X declares.
 func (v *declarations) checkWrite(t *testing.T, dir string, n ast.Node) {
 	t.Helper()
 	call, ok := n.(*ast.CallExpr)
@@ -201,18 +201,18 @@
 		return
 	}
 	for _, arg := range call.Args[1:] {
-		made, ok := arg.(*ast.CallExpr)
+		field, ok := arg.(*ast.CallExpr)
 		if !ok {
 			continue
 		}
-		constructor, ok := selectorName(made.Fun, "event")
+		constructor, ok := selectorName(field.Fun, "event")
 		if ok && !slices.Contains(v.events[name].Fields, v.fields[constructor]) {
 			t.Errorf("%s: event %s has no field %q", dir, name, v.fields[constructor])
 		}
 	}
 }
 
-// forEachNode visits the sources of a package that are no tests.
+// forEachNode calls visit with each syntax node of a package, without its tests.
 func forEachNode(t *testing.T, dir string, visit func(ast.Node)) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
@@ -236,17 +236,17 @@
 	}
 }
 
-// selectorName returns X of an expression PACKAGE.X.
-func selectorName(n ast.Node, of string) (string, bool) {
+// selectorName returns X of a selector expression pkg.X.
+func selectorName(n ast.Node, pkg string) (string, bool) {
 	selector, ok := n.(*ast.SelectorExpr)
 	if !ok {
 		return "", false
 	}
 	ident, ok := selector.X.(*ast.Ident)
-	return selector.Sel.Name, ok && ident.Name == of
+	return selector.Sel.Name, ok && ident.Name == pkg
 }
 
-// stringLiteral returns an expression that is a text.
+// stringLiteral returns the value of a string literal.
 func stringLiteral(e ast.Expr) (string, bool) {
 	lit, ok := e.(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
@@ -256,7 +256,7 @@
 	return text, err == nil
 }
 
-// loggedMessage returns the message of a call of a logger.
+// loggedMessage returns the message of a call of a logging method.
 func loggedMessage(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging makes the daemons' loggers from their settings.
+// Package logging creates the daemons' loggers from their settings.
 package logging
 
 import (
@@ -9,14 +9,14 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// New returns a logger that writes to standard error. Every part of a daemon
-// names its own with Named, which becomes the fixed prefix of its lines. Lines above debug
-// are never sampled: each routing and placement decision has to be found again.
+// New returns a logger that writes to standard error. Each part of a daemon derives its own logger
+// with Named; the name is written in the field "part" of its lines. Lines above debug level are
+// never sampled, since each routing and placement decision must be found in the log.
 func New(s settings.Log) (*zap.Logger, error) {
 	level := zapcore.InfoLevel
 	if s.Level != "" {
 		if err := level.Set(s.Level); err != nil {
-			return nil, errors.Wrap(err, "log level")
+			return nil, errors.Wrap(err, "parse log level")
 		}
 	}
 	format := s.Format
@@ -33,14 +33,14 @@
 		DisableStacktrace: true,
 	}
 	log, err := cfg.Build(zap.WrapCore(func(c zapcore.Core) zapcore.Core { return newSampledDebug(messageOnlyErrors{c}) }))
-	return log, errors.Wrap(err, "logger")
+	return log, errors.Wrap(err, "create logger")
 }
 
-// encoderConfig is how a line is written.
+// encoderConfig returns the encoding of log lines, which New and NewBounded share.
 func encoderConfig() zapcore.EncoderConfig {
-	enc := zap.NewProductionEncoderConfig()
-	enc.EncodeTime = zapcore.ISO8601TimeEncoder
-	enc.EncodeDuration = zapcore.StringDurationEncoder
-	enc.NameKey = "part"
-	return enc
+	cfg := zap.NewProductionEncoderConfig()
+	cfg.EncodeTime = zapcore.ISO8601TimeEncoder
+	cfg.EncodeDuration = zapcore.StringDurationEncoder
+	cfg.NameKey = "part"
+	return cfg
 }
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -9,9 +9,9 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// Symptom: a decision can't be found in the log, or debug lines fill the disk.
-// Sequence: thousands of equal lines within a second. Cause: one rate bound for
-// every level, or none.
+// Guards against a decision that is missing in the log, and against debug lines that fill the disk:
+// thousands of lines with the same message are written within a second, and all levels are sampled
+// alike or none is.
 func TestOnlyDebugLinesAreSampled(t *testing.T) {
 	core, lines := observer.New(zapcore.DebugLevel)
 	log := zap.New(newSampledDebug(messageOnlyErrors{core})).Named("part").With(zap.Int("n", 1))
@@ -29,7 +29,7 @@
 	}
 	for _, line := range lines.FilterMessage("leases ran out").All() {
 		if got := line.ContextMap()["error"]; got != "with a stack trace" {
-			t.Fatalf("error is logged as %v", got)
+			t.Fatalf("the error is logged as %v", got)
 		}
 	}
 }
