--- a/record/account.go
+++ b/record/account.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Breakdown are times by cause.
+// Breakdown is an amount of time broken down by cause.
 type Breakdown [numCauses]time.Duration
 
 func (c *Breakdown) add(o Breakdown) {
@@ -16,7 +16,7 @@
 	}
 }
 
-// Lost is the time that was not spent at work.
+// Lost returns the time of all causes other than Working.
 func (c *Breakdown) Lost() time.Duration {
 	var sum time.Duration
 	for cause, d := range c {
@@ -27,116 +27,118 @@
 	return sum
 }
 
-// criticalPath accounts for the time of a job that ended, from the time that it was handed in: the
-// task that ended last is followed back to when its step's turn had come, then the one that
-// ended last before that, and so on. A job ends with its slowest tasks; what the others met
-// cost nobody anything.
+// criticalPath breaks down the time from the submission of a job to its end along the critical
+// path. It starts at the task that finished last and goes back to the time at which its step became
+// ready, then to the task that finished last before that time, and so on. A job finishes with its
+// slowest tasks, so delays of the other tasks do not delay it.
 func (h *history) criticalPath(j *job) Breakdown {
-	var costs Breakdown
+	var total Breakdown
 	end := j.finishedAt
 	for !end.IsZero() && end.After(j.submittedAt) {
 		s, last := j.lastFinished(end)
 		if last == nil {
 			break
 		}
-		done, _ := last.finishedAt()
-		turn := j.readyAt(s)
-		costs.add(h.taskBreakdown(s, last, span{turn, done}))
-		if !turn.Before(end) {
+		finished, _ := last.finishedAt()
+		ready := j.readyAt(s)
+		total.add(h.taskBreakdown(s, last, span{ready, finished}))
+		if !ready.Before(end) {
 			break
 		}
-		end = turn
+		end = ready
 	}
-	return costs
+	return total
 }
 
-// lastFinished returns the task that ended last, no later than at, with its step.
+// lastFinished returns the last task that finished at or before the given time, with its step; nil
+// if there is none.
 func (j *job) lastFinished(at time.Time) (*step, *task) {
-	var found *task
-	var of *step
-	var newest time.Time
+	var last *task
+	var lastStep *step
+	var latest time.Time
 	for _, name := range slices.Sorted(maps.Keys(j.steps)) {
 		s := j.steps[name]
 		for _, id := range slices.Sorted(maps.Keys(s.tasks)) {
 			t := s.tasks[id]
-			if done, ok := t.finishedAt(); ok && !done.After(at) && (found == nil || done.After(newest)) {
-				of, found, newest = s, t, done
+			if finished, ok := t.finishedAt(); ok && !finished.After(at) && (last == nil || finished.After(latest)) {
+				lastStep, last, latest = s, t, finished
 			}
 		}
 	}
-	return of, found
+	return lastStep, last
 }
 
-// readyAt is when a step's turn had come: when the last step that ended before its first
-// sign did, or the job was handed in.
+// readyAt returns when a step became ready: the time at which the last of the steps that finished
+// before its first activity did so, or at which the job was submitted.
 func (j *job) readyAt(s *step) time.Time {
-	turn := j.submittedAt
+	ready := j.submittedAt
 	first := s.firstActivity()
 	for _, other := range j.steps {
 		if other == s {
 			continue
 		}
-		if ended, ok := other.finishedAt(); ok && !ended.After(first) && ended.After(turn) {
-			turn = ended
+		if finished, ok := other.finishedAt(); ok && !finished.After(first) && finished.After(ready) {
+			ready = finished
 		}
 	}
-	return turn
+	return ready
 }
 
-// finishedAt is when the last task of a step ended well; false while one has not.
+// finishedAt returns when the last task of a step succeeded; false while any task has not.
 func (s *step) finishedAt() (time.Time, bool) {
 	var last time.Time
 	for _, t := range s.tasks {
-		done, ok := t.finishedAt()
+		finished, ok := t.finishedAt()
 		if !ok {
 			return time.Time{}, false
 		}
-		if done.After(last) {
-			last = done
+		if finished.After(last) {
+			last = finished
 		}
 	}
 	return last, len(s.tasks) > 0
 }
 
-// taskBreakdown accounts for a task's time within a span.
+// taskBreakdown breaks down the time of a task within a span.
 func (h *history) taskBreakdown(s *step, t *task, within span) Breakdown {
-	var costs Breakdown
+	var total Breakdown
 	at := within.from
-	why := WaitsUnexplained
+	cause := WaitsUnexplained
 	for _, r := range t.runs {
 		if !r.start.Before(within.to) {
 			break
 		}
 		gap := span{at, r.start}
 		if r == t.runs[0] {
-			h.addWait(&costs, s, gap)
+			h.addWait(&total, s, gap)
 		} else {
-			h.addGap(&costs, gap, why)
+			h.addGap(&total, gap, cause)
 		}
 		end := r.end
 		if end.IsZero() || end.After(within.to) {
 			end = within.to
 		}
-		r.addRunTime(&costs, span{r.start, end})
-		at, why = end, r.cause
+		r.addRunTime(&total, span{r.start, end})
+		at, cause = end, r.cause
 	}
-	return costs
+	return total
 }
 
-// addGap adds a time without a run: while there was no leader, nobody could end it.
-func (h *history) addGap(costs *Breakdown, gap span, why Cause) {
+// addGap adds a time without a run under its cause. The part of it without a leader counts as
+// NoLeader, since only a leader can start the next run.
+func (h *history) addGap(total *Breakdown, gap span, cause Cause) {
 	length := gap.length()
-	for _, away := range h.leaderless {
-		lost := min(length, gap.overlap(away))
-		costs[NoLeader] += lost
+	for _, s := range h.leaderless {
+		lost := min(length, gap.overlap(s))
+		total[NoLeader] += lost
 		length -= lost
 	}
-	costs[why] += length
+	total[cause] += length
 }
 
-// addWait adds the time before a task's first run, by what the lines on its step say. Each
-// line holds until the next one.
-func (h *history) addWait(costs *Breakdown, s *step, gap span) {
+// addWait adds the time before the first run of a task, by the causes in the lines about its
+// waiting step. Each line applies until the next one.
+func (h *history) addWait(total *Breakdown, s *step, gap span) {
 	waits := slices.Clone(s.waits)
 	slices.SortStableFunc(waits, func(a, b wait) int { return a.to.Compare(b.to) })
 	at := gap.from
@@ -149,7 +151,7 @@
 			at = w.from
 		}
 		if until.After(at) && at.Before(gap.to) {
-			h.addGap(costs, span{at, until}, w.cause)
+			h.addGap(total, span{at, until}, w.cause)
 			at = until
 		}
 	}
@@ -157,7 +159,7 @@
 	if len(waits) > 0 {
 		before = span{gap.from, earlierOf(gap.to, waits[0].from)}.length()
 	}
-	h.addGap(costs, span{gap.from, gap.from.Add(before)}, WaitsUnexplained)
+	h.addGap(total, span{gap.from, gap.from.Add(before)}, WaitsUnexplained)
 }
 
 func earlierOf(a, b time.Time) time.Time {
@@ -167,39 +169,40 @@
 	return a
 }
 
-// addRunTime adds the time of a run, what its paces took apart.
-func (r *run) addRunTime(costs *Breakdown, within span) {
+// addRunTime adds the time of a run within a span, divided by its paces into time at full speed and
+// time lost.
+func (r *run) addRunTime(total *Breakdown, within span) {
 	const full = 100
 	at, percent := within.from, float64(full)
-	spend := func(until time.Time) {
+	addUntil := func(until time.Time) {
 		length := span{at, until}.length()
 		worked := time.Duration(float64(length) * percent / full)
-		costs[Working] += worked
-		costs[SlowedDown] += length - worked
+		total[Working] += worked
+		total[SlowedDown] += length - worked
 		at = until
 	}
 	slices.SortStableFunc(r.paces, func(a, b pace) int { return a.at.Compare(b.at) })
 	for _, p := range r.paces {
 		if p.at.After(at) && p.at.Before(within.to) {
-			spend(p.at)
+			addUntil(p.at)
 		}
 		percent = p.percent
 	}
-	spend(within.to)
+	addUntil(within.to)
 }
 
-// Window is a time of a long-running job with what was lost in it.
+// Window is a period of a long-running job with the time that was lost in it.
 type Window struct {
 	Job  string
 	Path string
 	Zone string
 	From time.Time
-	// TaskTime is the time that all tasks together had, Costs what was lost of it.
+	// TaskTime is the length of the window times the number of tasks; Breakdown divides it by cause.
 	TaskTime  time.Duration
 	Breakdown Breakdown
 }
 
-// Cause is the one that took most.
+// Cause returns the cause of most of the lost time, or Working if none was lost.
 func (w *Window) Cause() Cause {
 	worst := Working
 	for c := Working + 1; c < numCauses; c++ {
@@ -210,12 +213,12 @@
 	return worst
 }
 
-// tailReportInterval is the time that one report of a tail stands for: agents report a worker on
-// which nothing ends twice a second.
+// tailReportInterval is the time that each report of a tail latency covers, from one report to the
+// next: agents report a worker on which nothing ends twice per second.
 const tailReportInterval = 500 * time.Millisecond
 
-// windows returns the windows of a long-running job, from the first start of one of its
-// tasks until it was canceled or the lines end.
+// windows returns the windows of a long-running job, from the first start of any of its tasks to
+// its cancellation or the last line.
 func (h *history) windows(j *job, length time.Duration) []Window {
 	var tasks []*task
 	var first time.Time
@@ -249,39 +252,39 @@
 	return windows
 }
 
-// longRunningBreakdown accounts for a long-running task's time within a span.
+// longRunningBreakdown breaks down the time of a long-running task within a span.
 func (h *history) longRunningBreakdown(t *task, within span) Breakdown {
-	var costs Breakdown
-	at, why := within.from, WaitsUnexplained
+	var total Breakdown
+	at, cause := within.from, WaitsUnexplained
 	for _, r := range t.runs {
 		if !r.end.IsZero() && !r.end.After(within.from) {
-			why = r.cause
+			cause = r.cause
 			continue
 		}
 		if r.start.After(at) {
-			h.addGap(&costs, span{at, earlierOf(r.start, within.to)}, why)
+			h.addGap(&total, span{at, earlierOf(r.start, within.to)}, cause)
 		}
-		at, why = within.to, r.cause
+		at, cause = within.to, r.cause
 		if r.end.IsZero() || !r.end.Before(within.to) {
 			break
 		}
 		at = r.end
 	}
-	h.addGap(&costs, span{at, within.to}, why)
-	for _, over := range t.overObjectiveAt {
-		if !over.Before(within.from) && over.Before(within.to) {
-			costs[OverObjective] += tailReportInterval
+	h.addGap(&total, span{at, within.to}, cause)
+	for _, reportedAt := range t.overObjectiveAt {
+		if !reportedAt.Before(within.from) && reportedAt.Before(within.to) {
+			total[OverObjective] += tailReportInterval
 		}
 	}
-	costs[Working] = max(0, within.length()-costs.Lost())
-	return costs
+	total[Working] = max(0, within.length()-total.Lost())
+	return total
 }
 
-// Outcome is how a job that should end did.
+// Outcome is the outcome of a job that is not long-running.
 type Outcome int
 
-// The outcomes. TooLate is later than three times the allowed time, after which callers
-// count a job as not served.
+// The outcomes. Late is after the allowed time; TooLate is after three times the allowed time, when
+// callers count the job as not served.
 const (
 	InTime Outcome = iota
 	Late
@@ -293,10 +296,10 @@
 
 var outcomeNames = [numOutcomes]string{"in time", "late", "too late", "failed", "open"}
 
-// String returns the outcome's name in tables.
+// String returns the name of the outcome in tables.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// tooLateFactor times the allowed time is when callers have made do without the job.
+// tooLateFactor times the allowed time is the time after which callers proceed without the job.
 const tooLateFactor = 3
 
 func (j *job) outcome() Outcome {
@@ -330,7 +333,7 @@
 	})
 }
 
-// Outcomes returns all outcomes, in the order in which they are shown.
+// Outcomes returns all outcomes in display order.
 func Outcomes() []Outcome {
 	list := make([]Outcome, numOutcomes)
 	for i := range list {
--- a/record/cause.go
+++ b/record/cause.go
@@ -7,32 +7,33 @@
 	"github.com/cairnlift/cairnlift/schedule"
 )
 
-// Cause is why time was lost.
+// Cause is the reason for which time was lost.
 type Cause int
 
-// The causes, in the order in which they are shown.
+// The causes, in display order.
 const (
-	// Working is time at work at full speed.
+	// Working is time of runs at full speed.
 	Working Cause = iota
-	// LeaderlessTime is time in which no leader gave orders.
+	// NoLeader is time without a leader to give orders.
 	NoLeader
-	// WaitsForCapacity is time in which each worker lacked processors, memory or accelerators,
-	// had enough tasks of the step already, or was out of reach.
+	// WaitsForCapacity is time in which most workers were ruled out for other reasons than
+	// interference: they lacked free processors, memory or accelerators, had enough tasks of the
+	// step already, or were unreachable, for instance.
 	WaitsForCapacity
 	// WaitsForInterference is time in which most workers were ruled out since the task would have
-	// disturbed what serves there, or would have gone too slowly.
+	// lengthened the tail latencies there too much, or would have run too slowly.
 	WaitsForInterference
-	// WaitsUnexplained is time before a start that no line explains.
+	// WaitsUnexplained is time before a start for which no line gives a reason.
 	WaitsUnexplained
-	// SlowedDown is what paces took of the time at work.
+	// SlowedDown is the time that runs lost to paces below full speed.
 	SlowedDown
-	// Moved is time from a stop for a better place to the next start.
+	// Moved is time from a stop for a move to another worker to the next start.
 	Moved
-	// WorkerLost is time from the loss of a worker to the next start.
+	// WorkerLost is time from the loss of a run with its worker to the next start.
 	WorkerLost
-	// Failed is time from a failure to the next start.
+	// Failed is time from the failure of a run to the next start.
 	Failed
-	// OverObjective is time with a tail over its objective.
+	// OverObjective is time with a tail latency that exceeds its objective.
 	OverObjective
 	numCauses
 )
@@ -42,13 +43,13 @@
 	"failed", "over objective",
 }
 
-// String returns the cause's name in tables.
+// String returns the name of the cause in tables.
 func (c Cause) String() string { return causeNames[c] }
 
-// waitCause is the cause that ruled out most workers, given what a line on a waiting step
-// says, such as "disturbs 8, memory 3".
+// waitCause returns the cause that ruled out most workers, given the reasons in a line about a
+// waiting step, such as "disturbs 8, memory 3".
 func waitCause(workers string) Cause {
-	room, disturbs := 0, 0
+	capacity, interference := 0, 0
 	for reason := range strings.SplitSeq(workers, ", ") {
 		space := strings.LastIndexByte(reason, ' ')
 		if space < 0 {
@@ -56,25 +57,25 @@
 		}
 		n, err := strconv.Atoi(reason[space+1:])
 		if err != nil {
-			continue // Another program's line: it explains nothing.
+			continue // not a count of workers, for instance in a line from another program
 		}
 		switch reason[:space] {
 		case schedule.ReasonInterference.String(), schedule.ReasonSlow.String():
-			disturbs += n
+			interference += n
 		default:
-			room += n
+			capacity += n
 		}
 	}
 	switch {
-	case room+disturbs == 0:
+	case capacity+interference == 0:
 		return WaitsUnexplained
-	case disturbs >= room:
+	case interference >= capacity:
 		return WaitsForInterference
 	}
 	return WaitsForCapacity
 }
 
-// Causes returns all causes, in the order in which they are shown.
+// Causes returns all causes in display order.
 func Causes() []Cause {
 	list := make([]Cause, numCauses)
 	for i := range list {
--- a/record/chart.go
+++ b/record/chart.go
@@ -14,16 +14,16 @@
 const (
 	chartWidth  = 24 * vg.Centimeter
 	chartHeight = 12 * vg.Centimeter
-	// barWidthFraction is the share of an interval's width that its bar takes.
+	// barWidthFraction is the fraction of the width of an interval that its bar takes.
 	barWidthFraction = 0.8
 )
 
-// Draw writes a picture of what went wrong over time: by cause, stacked, the windows lost by
-// long-running jobs and the signs of other trouble. The file's ending says the format: .svg,
+// Draw writes a stacked bar chart of the problems over time, by cause: the windows that
+// long-running jobs lost, and other events. The extension of the file determines the format: .svg,
 // .png or .pdf.
 func (r *Record) Draw(file string) error {
 	if len(r.Intervals) == 0 {
-		return errors.New("there is nothing to draw")
+		return errors.New("no intervals to draw")
 	}
 	p := plot.New()
 	p.Title.Text = "Windows lost and signs of trouble, by cause"
@@ -32,15 +32,15 @@
 	p.Legend.Top = true
 	colors, err := brewer.GetPalette(brewer.TypeQualitative, "Paired", int(numCauses))
 	if err != nil {
-		return errors.Wrap(err, "colors")
+		return errors.Wrap(err, "color palette")
 	}
 	if err := r.addBars(p, colors.Colors()); err != nil {
 		return err
 	}
-	return errors.Wrap(p.Save(chartWidth, chartHeight, file), "picture")
+	return errors.Wrap(p.Save(chartWidth, chartHeight, file), "save chart")
 }
 
-// addBars adds a stacked row of bars for each cause that occurs.
+// addBars adds a stacked series of bars for each cause that occurs.
 func (r *Record) addBars(p *plot.Plot, colors []color.Color) error {
 	seconds := 1.0
 	if len(r.Intervals) > 1 {
@@ -55,7 +55,7 @@
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
-			return errors.Wrapf(err, "bars of %v", c)
+			return errors.Wrapf(err, "bars for cause %v", c)
 		}
 		bars.Color = colors[c]
 		bars.LineStyle.Width = 0
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// countsByInterval counts a cause by interval, and reports whether it occurs.
+// countsByInterval returns the counts of a cause by interval, and reports whether it occurs.
 func (r *Record) countsByInterval(c Cause) (plotter.Values, bool) {
 	values := make(plotter.Values, len(r.Intervals))
 	occurs := false
@@ -83,10 +83,10 @@
 	return values, occurs
 }
 
-// tickSeconds is the time between two labels of the time's axis.
+// tickSeconds is the time between two labels of the time axis.
 const tickSeconds = 10
 
-// intervalTicks labels the intervals, whose places are whole numbers, with seconds.
+// intervalTicks labels the intervals, which have whole numbers as positions, with seconds.
 func intervalTicks(intervals int, seconds float64) []plot.Tick {
 	var ticks []plot.Tick
 	for at := 0.0; at <= float64(intervals)*seconds; at += tickSeconds {
--- a/record/history.go
+++ b/record/history.go
@@ -10,19 +10,19 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// Lines of single runs, as trace makes them of gathered ones.
+// Events of single runs, which package trace expands from aggregated lines.
 const (
 	lineStart = "start"
 	lineEnded = "run ended"
 	lineLost  = "run lost"
 )
 
-// span is a time from one moment to another.
+// span is a period of time.
 type span struct{ from, to time.Time }
 
 func (s span) length() time.Duration { return max(0, s.to.Sub(s.from)) }
 
-// overlap is how long two spans have in common.
+// overlap returns the duration that two spans have in common.
 func (s span) overlap(o span) time.Duration {
 	from, to := s.from, s.to
 	if o.from.After(from) {
@@ -34,32 +34,33 @@
 	return max(0, to.Sub(from))
 }
 
-// run is one run of a task. Its end is zero while none is known.
+// run is a run of a task. Its end is zero while none is known.
 type run struct {
 	number float64
 	start  time.Time
 	end    time.Time
-	// cause it ended; Working for one that ended done.
+	// cause is why the run ended; Working if it ended as done.
 	cause Cause
-	// paces are the changes of its pace, oldest first.
+	// paces are the changes of the pace, in the order of their lines.
 	paces []pace
 }
 
+// pace is a change of the allowed fraction of full speed.
 type pace struct {
 	at      time.Time
 	percent float64
 }
 
-// task is a task with its runs, in their order.
+// task is a task with its runs, ordered by number.
 type task struct {
 	runs []*run
-	// longRunning: its step is long-running.
+	// longRunning reports whether the step of the task is long-running.
 	longRunning bool
-	// overObjectiveAt are the times of the reports that showed its tail over its objective.
+	// overObjectiveAt are the times of the reports of a tail latency that exceeds its objective.
 	overObjectiveAt []time.Time
 }
 
-// finishedAt returns when the task ended well.
+// finishedAt returns when the task succeeded; false while it has not.
 func (t *task) finishedAt() (time.Time, bool) {
 	for _, r := range t.runs {
 		if r.cause == Working && !r.end.IsZero() {
@@ -69,7 +70,7 @@
 	return time.Time{}, false
 }
 
-// wait is a line on a step that found no worker.
+// wait is a period in which a step waited for a worker, and the cause.
 type wait struct {
 	span
 	cause Cause
@@ -82,61 +83,62 @@
 	waits []wait
 }
 
-// firstActivity is when the step's turn is first seen to have come.
+// firstActivity returns the time of the first start or wait of the step.
 func (s *step) firstActivity() time.Time {
 	var first time.Time
-	note := func(at time.Time) {
+	record := func(at time.Time) {
 		if first.IsZero() || at.Before(first) {
 			first = at
 		}
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
-			note(r.start)
+			record(r.start)
 		}
 	}
 	for _, w := range s.waits {
-		note(w.from)
+		record(w.from)
 	}
 	return first
 }
 
-// job is what the lines say of a job.
+// job is the state of a job as the lines show it.
 type job struct {
 	id, path, zone string
 	submittedAt    time.Time
 	canceledAt     time.Time
-	// finishedAt is when it ended, how, after which time, and within which it should have.
+	// finishedAt is when the job ended, result how, took after which time since its submission, and
+	// allowed the time that the caller allowed.
 	finishedAt    time.Time
 	result        string
 	took, allowed time.Duration
 	steps         map[string]*step
 }
 
-// history is what the lines of many processes say of jobs and leaders.
+// history is the state of jobs and leaders as the lines of many processes show it.
 type history struct {
 	jobs  map[string]*job
 	first time.Time
 	last  time.Time
-	// leaderless are the times without a leader.
+	// leaderless are the periods without a leader.
 	leaderless []span
-	// refused counts the submissions that were refused, by path.
+	// refused counts the refused submissions by path.
 	refused map[string]int
-	// events are what the table by time counts.
+	// events are the events that the table of intervals counts.
 	events []occurrence
 }
 
-// occurrence is something that happened, for the table by time.
+// occurrence is an event in the table of intervals.
 type occurrence struct {
 	at    time.Time
 	cause Cause
 }
 
-// newHistory takes in lines that are in one order.
+// newHistory builds a history from lines in causal order.
 func newHistory(lines []trace.Line) *history {
 	h := &history{jobs: map[string]*job{}, refused: map[string]int{}}
 	zones := zonesByProcess(lines)
-	leads := leadership{}
+	leaders := leadership{}
 	for i := range lines {
 		l := &lines[i]
 		if h.first.IsZero() || l.At.Before(h.first) {
@@ -145,21 +147,21 @@
 		if l.At.After(h.last) {
 			h.last = l.At
 		}
-		leads.apply(l)
+		leaders.apply(l)
 		h.apply(l, zones)
 	}
-	h.leaderless = leads.leaderless()
+	h.leaderless = leaders.leaderless()
 	h.sortRuns()
 	h.backdateLosses()
 	return h
 }
 
-// lossReportDelay is the time after a new leader is ready in which it tells of what was lost
-// before.
+// lossReportDelay is the time, from the moment at which a new leader is ready, within which it
+// reports the runs that were lost before.
 const lossReportDelay = time.Second
 
-// backdateLosses puts losses that a new leader tells of to the end of the leader before: where
-// both went with the same power cut, nobody saw the runs end.
+// backdateLosses moves losses that a new leader reports to the last sign of the previous leader. If
+// the leader and the worker fail in the same power outage, no line shows when the runs ended.
 func (h *history) backdateLosses() {
 	for _, j := range h.jobs {
 		for _, s := range j.steps {
@@ -172,17 +174,17 @@
 	}
 }
 
-func (r *run) backdateLoss(away []span) {
-	for _, a := range away {
-		told := r.end.Sub(a.to)
-		if r.cause == WorkerLost && r.start.Before(a.from) && told >= 0 && told <= lossReportDelay {
-			r.end = a.from
+func (r *run) backdateLoss(leaderless []span) {
+	for _, s := range leaderless {
+		delay := r.end.Sub(s.to)
+		if r.cause == WorkerLost && r.start.Before(s.from) && delay >= 0 && delay <= lossReportDelay {
+			r.end = s.from
 			return
 		}
 	}
 }
 
-// zonesByProcess returns the availability zone of each process that named one at its start.
+// zonesByProcess returns the availability zone of each process that logged one when it started.
 func zonesByProcess(lines []trace.Line) map[string]string {
 	zones := map[string]string{}
 	for i := range lines {
@@ -251,7 +253,7 @@
 	}
 }
 
-// stepOf returns the step of a task's or step's name.
+// stepOf returns the step of the given name and adds it if it is not known.
 func (h *history) stepOf(name string) *step {
 	j := h.job(name[:strings.IndexByte(name, '/')])
 	s := j.steps[name]
@@ -274,8 +276,9 @@
 	h.events = append(h.events, occurrence{l.At, cause})
 }
 
-// endCauses is why a run ended, by how its line says that it did. A member of a gang that is
-// broken, or that waited alone for the others, went with a failure of another one.
+// endCauses maps the outcomes in lines about ended runs to causes. The outcomes "broken" and
+// "alone" are of members of a gang that has lost another member, or that waited in vain for the
+// others: they end because another member failed.
 var endCauses = map[string]Cause{
 	"done": Working, "failed": Failed, "broken": Failed, "alone": Failed, "stopped": Moved, "lapsed": WorkerLost,
 }
@@ -301,7 +304,7 @@
 	case lineEnded:
 		cause, known := endCauses[l.Text(event.NameOutcome)]
 		if !known {
-			return // Another program's line: it ends nothing.
+			return // an unrecognized outcome, for instance from another program
 		}
 		r.finish(l.At, cause)
 		if cause == Failed {
@@ -333,14 +336,14 @@
 	return r
 }
 
-// finish notes a run's end; what ended it first counts.
-func (r *run) finish(at time.Time, why Cause) {
-	if r.end.IsZero() || why == Working {
-		r.end, r.cause = at, why
+// finish records the end of a run. The first end counts, unless a later one is a success.
+func (r *run) finish(at time.Time, cause Cause) {
+	if r.end.IsZero() || cause == Working {
+		r.end, r.cause = at, cause
 	}
 }
 
-// sortRuns puts runs in order, and leaves out those whose start no line tells.
+// sortRuns sorts the runs of each task by number and removes those without a known start.
 func (h *history) sortRuns() {
 	for _, j := range h.jobs {
 		for _, s := range j.steps {
@@ -352,10 +355,11 @@
 	}
 }
 
-// leadership collects from when to when there was a leader.
+// leadership collects the periods with a leader.
 type leadership struct {
 	readyAt []time.Time
-	// lastSeen is when the leader of a term was last seen to lead.
+	// terms are the terms of the leaders in readyAt, and lastSeen is the last sign of the leader of
+	// each term.
 	terms    []float64
 	lastSeen map[float64]time.Time
 }
@@ -369,8 +373,8 @@
 		g.readyAt = append(g.readyAt, l.At)
 		g.terms = append(g.terms, term)
 	}
-	leads := l.Event == event.GroupState.Name && l.Fields["leads"] == true
-	if leads || l.Part == string(event.Dispatch) || l.Event == lineStart || l.Event == lineEnded {
+	isLeader := l.Event == event.GroupState.Name && l.Fields["leads"] == true
+	if isLeader || l.Part == string(event.Dispatch) || l.Event == lineStart || l.Event == lineEnded {
 		if g.lastSeen == nil {
 			g.lastSeen = map[float64]time.Time{}
 		}
@@ -380,13 +384,13 @@
 	}
 }
 
-// leaderless returns the times from the last sign of a leader until the next one was ready.
+// leaderless returns the periods from the last sign of a leader until the next leader was ready.
 func (g *leadership) leaderless() []span {
-	var away []span
+	var spans []span
 	for i := 1; i < len(g.readyAt); i++ {
 		if last := g.lastSeen[g.terms[i-1]]; last.Before(g.readyAt[i]) {
-			away = append(away, span{last, g.readyAt[i]})
+			spans = append(spans, span{last, g.readyAt[i]})
 		}
 	}
-	return away
+	return spans
 }
--- a/record/record.go
+++ b/record/record.go
@@ -1,6 +1,6 @@
-// Package record sums up, from the log lines of many processes, where time was lost: by
-// queue, availability zone and second, and by cause. Operators ask it after a bad morning;
-// package trace answers the same for one job.
+// Package record summarizes, from the log lines of many processes, how much time was lost, by
+// queue, availability zone, interval and cause. Operators use it after an incident; package trace
+// answers the same question for a single job.
 package record
 
 import (
@@ -12,62 +12,64 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// Record is what the lines of some time come to.
+// Record is the summary of the lines of a period.
 type Record struct {
 	First, Last time.Time
-	// LeaderlessTime is the time without a leader.
+	// LeaderlessTime is the total time without a leader.
 	LeaderlessTime time.Duration
 	Queues         []Queue
 	LongRunning    []LongRunning
 	Intervals      []Interval
 }
 
-// Queue is what became of the jobs of a queue that were handed in in an availability zone.
+// Queue summarizes the jobs of a queue that were submitted in an availability zone.
 type Queue struct {
 	Path, Zone string
 	Outcomes   [numOutcomes]int
 	Canceled   int
-	// Refused are the submissions that were refused, in all zones.
+	// Refused is the number of refused submissions in all availability zones.
 	Refused int
-	// LateBreakdown accounts for the time of the jobs that ended late.
+	// LateBreakdown divides the time of the jobs that finished late by cause.
 	LateBreakdown Breakdown
 }
 
-// LongRunning is what the long-running jobs of a queue lost in an availability zone.
+// LongRunning summarizes the time that the long-running jobs of a queue lost in an availability
+// zone.
 type LongRunning struct {
 	Path, Zone string
 	Windows    int
-	// LostWindows counts the windows of which half or more was lost, by the cause that took most.
+	// LostWindows counts the windows of which half or more was lost, by the cause of most of the loss.
 	LostWindows [numCauses]int
 	Breakdown   Breakdown
 }
 
-// Interval is what happened within some seconds.
+// Interval counts the events of an interval.
 type Interval struct {
 	From      time.Time
 	Submitted int
 	Finished  [numOutcomes]int
-	// Events counts lines by cause: waiting steps, ends, tails over their objectives.
+	// Events counts lines by cause: waiting steps, ends of runs, tail latencies that exceed their
+	// objectives.
 	Events [numCauses]int
-	// LostWindows counts the windows of long-running jobs, as LongRunning does.
+	// LostWindows counts the lost windows of long-running jobs, as LongRunning.LostWindows does.
 	LostWindows [numCauses]int
 }
 
-// Options say how to sum up.
+// Options configure Summarize.
 type Options struct {
-	// Window is the length of windows and intervals; 2 s when 0.
+	// Window is the length of windows and intervals; 0 means 2 s.
 	Window time.Duration
 }
 
 const defaultWindow = 2 * time.Second
 
-// Summarize sums up the lines of one or many processes.
+// Summarize returns the summary of the lines of one or more processes, which are in causal order.
 func Summarize(lines []trace.Line, o Options) *Record {
 	o.Window = cmp.Or(o.Window, defaultWindow)
 	h := newHistory(lines)
 	r := &Record{First: h.first, Last: h.last}
-	for _, away := range h.leaderless {
-		r.LeaderlessTime += away.length()
+	for _, s := range h.leaderless {
+		r.LeaderlessTime += s.length()
 	}
 	b := builder{r: r, h: h, o: o, queues: map[queueZone]*Queue{}, longRunning: map[queueZone]*LongRunning{}}
 	for _, j := range h.sortedJobs() {
@@ -82,13 +84,14 @@
 	return r
 }
 
-// queueZone is a queue's path and an availability zone.
+// queueZone identifies a queue, by its path, in an availability zone.
 type queueZone struct{ path, zone string }
 
 func compareQueueZones(a, b queueZone) int {
 	return cmp.Or(cmp.Compare(a.path, b.path), cmp.Compare(a.zone, b.zone))
 }
 
+// builder builds a record from a history.
 type builder struct {
 	r           *Record
 	h           *history
@@ -97,7 +100,7 @@
 	longRunning map[queueZone]*LongRunning
 }
 
-// interval returns the interval of a moment.
+// interval returns the interval that contains the given time; nil if it is outside the record.
 func (b *builder) interval(at time.Time) *Interval {
 	if at.Before(b.r.First) || at.After(b.r.Last) {
 		return nil
@@ -112,7 +115,7 @@
 
 func (b *builder) addJob(j *job) {
 	if j.submittedAt.IsZero() {
-		return // Handed in before the lines begin.
+		return // submitted before the first line
 	}
 	if i := b.interval(j.submittedAt); i != nil {
 		i.Submitted++
@@ -121,11 +124,11 @@
 		b.addLongRunning(j)
 		return
 	}
-	at := queueZone{j.path, j.zone}
-	q := b.queues[at]
+	key := queueZone{j.path, j.zone}
+	q := b.queues[key]
 	if q == nil {
 		q = &Queue{Path: j.path, Zone: j.zone}
-		b.queues[at] = q
+		b.queues[key] = q
 	}
 	if !j.canceledAt.IsZero() {
 		q.Canceled++
@@ -142,11 +145,11 @@
 }
 
 func (b *builder) addLongRunning(j *job) {
-	at := queueZone{j.path, j.zone}
-	l := b.longRunning[at]
+	key := queueZone{j.path, j.zone}
+	l := b.longRunning[key]
 	if l == nil {
 		l = &LongRunning{Path: j.path, Zone: j.zone}
-		b.longRunning[at] = l
+		b.longRunning[key] = l
 	}
 	for _, w := range b.h.windows(j, b.o.Window) {
 		l.Windows++
@@ -163,12 +166,12 @@
 }
 
 func (b *builder) finish() {
-	for _, at := range slices.SortedFunc(maps.Keys(b.queues), compareQueueZones) {
-		q := b.queues[at]
+	for _, key := range slices.SortedFunc(maps.Keys(b.queues), compareQueueZones) {
+		q := b.queues[key]
 		q.Refused = b.h.refused[q.Path]
 		b.r.Queues = append(b.r.Queues, *q)
 	}
-	for _, at := range slices.SortedFunc(maps.Keys(b.longRunning), compareQueueZones) {
-		b.r.LongRunning = append(b.r.LongRunning, *b.longRunning[at])
+	for _, key := range slices.SortedFunc(maps.Keys(b.longRunning), compareQueueZones) {
+		b.r.LongRunning = append(b.r.LongRunning, *b.longRunning[key])
 	}
 }
--- a/record/record_test.go
+++ b/record/record_test.go
@@ -19,8 +19,8 @@
 	return fmt.Sprintf(`%d "part":"dispatch","msg":"runs","term":1,"started":{"w1":["%s"]}`, ms, strings.Join(lines, `","`))
 }
 
-func waitsLine(ms int, why, entry string) string {
-	return fmt.Sprintf(`%d "part":"dispatch","msg":"tasks wait","term":1,"waits":{%q:[%q]}`, ms, why, entry)
+func waitsLine(ms int, reasons, entry string) string {
+	return fmt.Sprintf(`%d "part":"dispatch","msg":"tasks wait","term":1,"waits":{%q:[%q]}`, ms, reasons, entry)
 }
 
 func finishedLine(ms int, entry string) string {
@@ -29,17 +29,17 @@
 
 const entryStartedLine = `0 "msg":"started","availability_zone":"z1"`
 
-// wantSeconds checks one cause's time.
-func wantSeconds(t *testing.T, costs record.Breakdown, c record.Cause, want float64) {
+// wantSeconds checks the time of one cause.
+func wantSeconds(t *testing.T, b record.Breakdown, c record.Cause, want float64) {
 	t.Helper()
-	if got := costs[c].Seconds(); got < want-0.01 || got > want+0.01 {
+	if got := b[c].Seconds(); got < want-0.01 || got > want+0.01 {
 		t.Errorf("%v: %.2f s, want %.2f s", c, got, want)
 	}
 }
 
-// A late job of two steps: the slowest task of the first waits for two seconds since it would
-// disturb, is moved, and loses its worker; its fast sibling costs nothing. The second step
-// goes at half of its pace for a second.
+// The job is late and has two steps. The slowest task of the first waits for two seconds because of
+// interference, is moved, and loses its worker; the fast task of that step does not count. The
+// second step runs at half speed for a second.
 func TestLateJobTimeByCause(t *testing.T) {
 	lines := tracetest.Lines(t, "entry-1", 0, entryStartedLine, requestLine(1000, "POST", "j1", 200), requestLine(1100, "POST", "j2", 503))
 	lines = append(lines, tracetest.Lines(t, "control-1", 0,
@@ -77,8 +77,9 @@
 	wantSeconds(t, q.LateBreakdown, record.WaitsUnexplained, 0)
 }
 
-// A long-running job of two tasks: both are lost with their hosts while there is no leader,
-// start anew two seconds later, and one is over its objective after that.
+// The long-running job has two tasks. Both are lost with their hosts, the next leader is ready
+// after a period without one and starts them again two seconds after the loss, and one then exceeds
+// its tail-latency objective.
 func TestLongRunningJobWindows(t *testing.T) {
 	lines := tracetest.Lines(t, "entry-1", 0, entryStartedLine, requestLine(0, "POST", "l1", 200), requestLine(9000, "DELETE", "l1", 200))
 	lines = append(lines, tracetest.Lines(t, "control-1", 0,
@@ -108,8 +109,9 @@
 	}
 }
 
-// A power cut takes the leader and a worker together; the next leader tells of the loss when
-// the worker is back. The task was away since the cut, not since the line.
+// Guards against an outage of a task that is counted from the line about its loss: the leader and a
+// worker fail in the same power outage, and the next leader reports the loss when the worker is
+// available again. The outage began with the power outage.
 func TestLossReportedByNewLeaderIsBackdated(t *testing.T) {
 	lines := tracetest.Lines(t, "entry-1", 0, entryStartedLine, requestLine(0, "POST", "l1", 200))
 	lines = append(lines, tracetest.Lines(t, "control-1", 0,
@@ -128,7 +130,7 @@
 	wantSeconds(t, r.LongRunning[0].Breakdown, record.WorkerLost, 0.3)
 }
 
-// Lines that another program wrote, or that lack fields, are passed over.
+// Lines of other programs and lines that lack fields are skipped.
 func TestUnrecognizedLines(t *testing.T) {
 	lines := tracetest.Lines(t, "control-1", 0,
 		`0 "part":"dispatch","msg":"tasks wait","waits":{"none":["x"],"disturbs":[7]}`,
@@ -142,6 +144,6 @@
 		t.Errorf("record %+v", r)
 	}
 	if err := r.Draw(t.TempDir() + "/empty.svg"); err == nil {
-		t.Error("a picture of nothing")
+		t.Error("a chart without intervals was drawn")
 	}
 }
