--- a/failstop/failstop.go
+++ b/failstop/failstop.go
@@ -1,11 +1,10 @@
-// Package failstop runs a daemon's goroutines and handlers so that a broken
-// invariant stops the process.
+// Package failstop runs the goroutines and handlers of a daemon so that a violated invariant stops
+// the process.
 //
-// What goes wrong without it: a goroutine group reports a panic only when it is
-// waited for, which is at shutdown, and net/http logs a handler's panic and goes
-// on. A part that found its state broken would then be silently gone, or keep
-// answering from that state; one would notice it as leases that are no longer
-// renewed, or as wrong answers.
+// A goroutine group reports a panic only when it is waited for, which happens at shutdown, and
+// net/http logs the panic of a handler and continues. A component that detects a violated invariant
+// would end without notice, or continue to answer from invalid state; the visible effects would be
+// leases that are not renewed, or wrong answers.
 package failstop
 
 import (
@@ -18,7 +17,7 @@
 	"github.com/sourcegraph/conc/panics"
 )
 
-// Group is a set of goroutines that fail together. Use New.
+// Group is a set of goroutines that fail together. Create it with New.
 type Group struct {
 	wg     conc.WaitGroup
 	failed chan error
@@ -27,7 +26,7 @@
 // New returns an empty group.
 func New() *Group { return &Group{failed: make(chan error, 1)} }
 
-// Go runs f. A panic in it fails the group.
+// Go runs f in a new goroutine. A panic in f fails the group.
 func (g *Group) Go(name string, f func()) {
 	g.wg.Go(func() {
 		if r := panics.Try(f); r != nil {
@@ -36,7 +35,8 @@
 	})
 }
 
-// Fail fails the group; only the first error counts.
+// Fail fails the group with an error. Later errors are dropped until the first one is received from
+// the channel of Failed.
 func (g *Group) Fail(err error) {
 	select {
 	case g.failed <- err:
@@ -44,14 +44,14 @@
 	}
 }
 
-// Failed returns a channel with the error that failed the group.
+// Failed returns a channel that receives the error with which the group failed.
 func (g *Group) Failed() <-chan error { return g.failed }
 
-// Wait returns when all goroutines have ended.
+// Wait waits until all goroutines have ended.
 func (g *Group) Wait() { g.wg.Wait() }
 
-// WaitUntil waits until the goroutines have ended or ctx has; false when ctx ended first.
-// Those left then run on until the process ends.
+// WaitUntil waits until all goroutines or ctx have ended, and reports whether the goroutines have.
+// If not, the remaining ones run until the process ends.
 func (g *Group) WaitUntil(ctx context.Context) bool {
 	done := make(chan struct{})
 	go func() {
@@ -66,9 +66,9 @@
 	}
 }
 
-// Handler fails the group when a handler panics over a broken invariant. A
-// run-time error ends only its request: it is most likely caused by what the
-// request holds, and must not let one caller stop every host in turn.
+// Handler returns a handler that fails the group if h panics with anything but a run-time error or
+// http.ErrAbortHandler. A run-time error ends only the request: it is most likely caused by the
+// content of the request, and otherwise one caller could stop all hosts one after another.
 func (g *Group) Handler(name string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
--- a/failstop/failstop_test.go
+++ b/failstop/failstop_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Symptom: a host goes on serving with its lease loop gone, or from state that it
-// found broken. Sequence: a core panics over a broken invariant, in a goroutine
-// or under a handler. Cause: the panic was held until shutdown, or logged only.
+// Guards against a host that keeps serving without its lease loop or from invalid state: a core
+// panics because an invariant is violated, in a goroutine or in a handler, and the panic is only
+// logged or not reported before shutdown.
 func TestInvariantViolationFailsGroup(t *testing.T) {
 	var none []int
 	for _, c := range []struct {
@@ -46,8 +46,8 @@
 	h.ServeHTTP(httptest.NewRecorder(), httptest.NewRequest(http.MethodGet, "/", nil))
 }
 
-// Symptom: a process that was asked to stop never ends. Sequence: one of its goroutines
-// waits for something that never comes. Cause: a wait for the group without a bound.
+// Guards against a process that never stops: one of its goroutines is blocked, and the wait for the
+// group has no time limit.
 func TestWaitUntil(t *testing.T) {
 	g := New()
 	release := make(chan struct{})
@@ -55,10 +55,10 @@
 	ended, end := context.WithCancel(context.Background())
 	end()
 	if g.WaitUntil(ended) {
-		t.Error("a group with a stuck goroutine was said to have ended")
+		t.Error("a group with a blocked goroutine was reported as ended")
 	}
 	close(release)
 	if !g.WaitUntil(context.Background()) {
-		t.Error("a group that has ended was said to be stuck")
+		t.Error("a group that has ended was reported as running")
 	}
 }
--- a/hdrmetric/hdrmetric.go
+++ b/hdrmetric/hdrmetric.go
@@ -1,6 +1,6 @@
-// Package hdrmetric puts latency histograms of bounded error into a registry of
-// go-metrics. That library's own samples keep a thousand values: of ten thousand
-// requests in a minute they hold each tenth, and a p99.9 rests on one value.
+// Package hdrmetric registers latency histograms of bounded error with go-metrics. The samples of
+// that library keep a thousand values: of ten thousand requests per minute they keep one in ten,
+// and p99.9 depends on a single value.
 package hdrmetric
 
 import (
@@ -13,18 +13,17 @@
 
 const (
 	unit = time.Microsecond
-	// maxLatency is the longest latency that is told apart from longer ones.
+	// maxLatency is the longest recorded latency; longer ones are recorded as this value.
 	maxLatency = 10 * time.Minute
-	// significantDigits of precision: a value is at most 1 % off.
+	// significantDigits is the number of significant digits; the error of a value is at most 1 %.
 	significantDigits = 2
-	// window is the time that a histogram covers at least, and half of what it covers at
-	// most: what was slow an hour ago must not hide what is now.
+	// window is the minimum time that a histogram covers, and half of the maximum. Slow requests of
+	// an hour ago must not hide the current latencies.
 	window = time.Minute
 )
 
-// Histogram observes latencies in microseconds. Its count and sum are those since the
-// start; the rest is that of the last one to two windows. It implements
-// metrics.Histogram.
+// Histogram records latencies in microseconds. Its count and sum cover the time since it was
+// created; all other values cover the last one to two windows. It implements metrics.Histogram.
 type Histogram struct {
 	now func() time.Time
 
@@ -38,12 +37,13 @@
 
 var _ metrics.Histogram = (*Histogram)(nil)
 
-// GetOrRegister returns the histogram of a name, which ends with _us.
+// GetOrRegister returns the histogram of the given name, which ends with _us, and registers it
+// first if r has none.
 func GetOrRegister(name string, r metrics.Registry) *Histogram {
 	return r.GetOrRegister(name, func() *Histogram { return New(time.Now) }).(*Histogram)
 }
 
-// New returns a histogram that reads a clock.
+// New returns an empty histogram that reads the time from now.
 func New(now func() time.Time) *Histogram {
 	return &Histogram{now: now, windowStart: now(), current: newWindow(), previous: newWindow()}
 }
@@ -52,11 +52,11 @@
 	return hdrhistogram.New(1, int64(maxLatency/unit), significantDigits)
 }
 
-// Observe takes in a latency.
+// Observe records a latency.
 func (h *Histogram) Observe(d time.Duration) { h.Update(int64(d / unit)) }
 
-// ObserveSince takes in the time since a moment.
-func (h *Histogram) ObserveSince(began time.Time) { h.Observe(h.now().Sub(began)) }
+// ObserveSince records the time since start.
+func (h *Histogram) ObserveSince(start time.Time) { h.Observe(h.now().Sub(start)) }
 
 // Update implements metrics.Histogram.
 func (h *Histogram) Update(us int64) {
@@ -66,10 +66,10 @@
 	us = min(max(us, 0), int64(maxLatency/unit))
 	h.count++
 	h.sum += us
-	_ = h.current.RecordValue(us) // it is within the bounds
+	_ = h.current.RecordValue(us) // can't fail, since us is within the bounds
 }
 
-// rotate begins another window when the current one is over; h.mu is held.
+// rotate begins the next window if the current one has ended. The caller must hold h.mu.
 func (h *Histogram) rotate() {
 	age := h.now().Sub(h.windowStart)
 	if age < window {
@@ -83,7 +83,7 @@
 	h.windowStart = h.now()
 }
 
-// mergedView is a histogram as it was at a moment.
+// mergedView is the state of a histogram at one time, with its windows merged.
 type mergedView struct {
 	count, sum int64
 	values     *hdrhistogram.Histogram
@@ -99,7 +99,7 @@
 	return v
 }
 
-// Snapshot implements metrics.Histogram: a copy that nothing changes any more.
+// Snapshot implements metrics.Histogram. The copy that it returns does not change.
 func (h *Histogram) Snapshot() metrics.Histogram {
 	v := h.view()
 	at := h.now()
@@ -139,19 +139,19 @@
 	return deviation * deviation
 }
 
-// Percentile implements metrics.Histogram; p is a share, 0.99 for p99.
+// Percentile implements metrics.Histogram; p is a fraction, 0.99 for p99.
 func (h *Histogram) Percentile(p float64) float64 { return h.Percentiles([]float64{p})[0] }
 
 // Percentiles implements metrics.Histogram.
-func (h *Histogram) Percentiles(shares []float64) []float64 {
+func (h *Histogram) Percentiles(quantiles []float64) []float64 {
 	const percent = 100
 	values := h.view().values
-	list := make([]float64, len(shares))
-	for i, p := range shares {
+	list := make([]float64, len(quantiles))
+	for i, p := range quantiles {
 		list[i] = float64(values.ValueAtQuantile(p * percent))
 	}
 	return list
 }
 
-// Sample implements metrics.Histogram; there are no single values to show.
+// Sample implements metrics.Histogram. It is empty, since single values are not kept.
 func (h *Histogram) Sample() metrics.Sample { return metrics.NilSample{} }
--- a/hdrmetric/hdrmetric_test.go
+++ b/hdrmetric/hdrmetric_test.go
@@ -12,9 +12,9 @@
 	"github.com/cairnlift/cairnlift/metricstext"
 )
 
-// Symptom: p99 is fine while one request in a hundred takes seconds.
-// Sequence: ten thousand fast requests and a hundred and twenty slow ones.
-// Cause: percentiles of a sample of the values.
+// Guards against a low p99 while one request in a hundred takes seconds, because percentiles are
+// computed from a sample of the values. There are ten thousand fast requests and a hundred and
+// twenty slow ones.
 func TestPercentilesOfAllValues(t *testing.T) {
 	now := time.Unix(0, 0)
 	h := hdrmetric.New(func() time.Time { return now })
@@ -34,7 +34,7 @@
 	now = now.Add(3 * time.Minute)
 	h.Observe(time.Millisecond)
 	if p := h.Percentile(0.999); p > 1100 {
-		t.Errorf("p99.9 is %v after all slow requests are three minutes old", p)
+		t.Errorf("p99.9 is %v three minutes after the last slow request", p)
 	}
 	if h.Count() != 10_121 || snapshot.Count() != 10_120 || snapshot.Max() < 2_900_000 {
 		t.Errorf("counts %d and %d, max %d", h.Count(), snapshot.Count(), snapshot.Max())
--- a/metricstext/metricstext.go
+++ b/metricstext/metricstext.go
@@ -1,5 +1,5 @@
-// Package metricstext renders a metrics registry as plain text, one value per
-// line, for the daemons' /metrics.
+// Package metricstext formats a metrics registry as plain text, one value per line, for the
+// daemons' /metrics endpoint.
 package metricstext
 
 import (
@@ -11,14 +11,13 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// percentiles of histograms and timers that are shown.
+// percentiles are the percentiles that Format writes for histograms and timers.
 var percentiles = []float64{0.5, 0.95, 0.99, 0.999}
 
-// Format renders a registry as lines "name value", in the order of the
-// names. Counters and gauges are one line each. Histograms and timers are the
-// lines name.count, .min, .max, .mean, .p50, .p95, .p99 and .p99.9; a histogram's
-// unit is what its name ends with, a timer's is nanoseconds. Meters are
-// name.count and name.rate1m, per second. Floats have three decimals.
+// Format formats a registry as lines "name value", sorted by name. Counters and gauges have one
+// line each. Histograms and timers have the lines name.count, .min, .max, .mean, .p50, .p95, .p99
+// and .p99.9; the unit of a histogram is the suffix of its name, that of a timer is nanoseconds.
+// Meters have the lines name.count and name.rate1m, a rate per second. Floats have three decimals.
 func Format(registry metrics.Registry) string {
 	var lines []string
 	add := func(name string, value any) { lines = append(lines, name+" "+formatValue(value)+"\n") }
@@ -44,7 +43,7 @@
 	return strings.Join(lines, "")
 }
 
-// formatValue writes integers whole and floats with three decimals.
+// formatValue formats floats with three decimals and all other values with fmt.Sprint.
 func formatValue(value any) string {
 	if f, ok := value.(float64); ok {
 		return strconv.FormatFloat(f, 'f', 3, 64)
@@ -52,6 +51,7 @@
 	return fmt.Sprint(value)
 }
 
+// distribution is the common part of snapshots of histograms and timers.
 type distribution interface {
 	Count() int64
 	Min() int64
