--- a/logging/event/fields.go
+++ b/logging/event/fields.go
@@ -81,7 +81,7 @@
 func Err(err error) Field { return Field{zap.Error(err)} }
 
 // Reason is the reason for a decision or an outcome.
-func Reason(why string) Field { return stringField(NameReason, why) }
+func Reason(reason string) Field { return stringField(NameReason, reason) }
 
 // Answer is the answer to an order.
 func Answer(a fmt.Stringer) Field { return Field{zap.Stringer("answer", a)} }
--- a/record/account.go
+++ b/record/account.go
@@ -10,16 +10,16 @@
 // Breakdown is an amount of time broken down by cause.
 type Breakdown [numCauses]time.Duration
 
-func (c *Breakdown) add(o Breakdown) {
-	for cause := range c {
-		c[cause] += o[cause]
+func (b *Breakdown) add(other Breakdown) {
+	for cause := range b {
+		b[cause] += other[cause]
 	}
 }
 
 // Lost returns the time of all causes other than Working.
-func (c *Breakdown) Lost() time.Duration {
+func (b *Breakdown) Lost() time.Duration {
 	var sum time.Duration
-	for cause, d := range c {
+	for cause, d := range b {
 		if Cause(cause) != Working {
 			sum += d
 		}
--- a/record/chart.go
+++ b/record/chart.go
@@ -37,7 +37,7 @@
 	if err := r.addBars(p, colors.Colors()); err != nil {
 		return err
 	}
-	return errors.Wrap(p.Save(chartWidth, chartHeight, file), "save chart")
+	return errors.Wrap(p.Save(chartWidth, chartHeight, file), "picture")
 }
 
 // addBars adds a stacked series of bars for each cause that occurs.
--- a/record/history.go
+++ b/record/history.go
@@ -107,8 +107,8 @@
 	id, path, zone string
 	submittedAt    time.Time
 	canceledAt     time.Time
-	// finishedAt is when the job ended, result how, took after which time since its submission, and
-	// allowed the time that the caller allowed.
+	// finishedAt is when the job ended, result is how it ended, took is the time that it took, and
+	// allowed is the time that its caller allowed.
 	finishedAt    time.Time
 	result        string
 	took, allowed time.Duration
--- a/trace/order.go
+++ b/trace/order.go
@@ -53,7 +53,8 @@
 }
 
 // termEdges returns the edges between the lines of leadership terms: a leader becomes ready only
-// after all decisions of previous leaders, and before later leaders become ready.
+// after all decisions of previous leaders, and before later leaders become ready. A leader decides
+// nothing before it is ready.
 func termEdges(lines []Line) []edge {
 	var edges []edge
 	for i := range lines {
