--- a/control/keep.go
+++ b/control/keep.go
@@ -22,9 +22,9 @@
 	Replica func(context.Context) error
 	// Directory serves without a replica until the context ends.
 	Directory func(context.Context) error
-	// Writable returns an error while the disk takes no writes.
-	Writable func() error
-	Logger   *zap.Logger
+	// CheckWritable returns an error while the disk takes no writes.
+	CheckWritable func() error
+	Logger        *zap.Logger
 }
 
 // Run runs the host until ctx ends or something else than the disk fails.
@@ -67,7 +67,7 @@
 func (h Host) awaitWritable(ctx context.Context) {
 	ticker := time.NewTicker(diskCheckInterval)
 	defer ticker.Stop()
-	for h.Writable() != nil {
+	for h.CheckWritable() != nil {
 		select {
 		case <-ctx.Done():
 			return
--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -107,7 +107,7 @@
 	s.last, s.lastWritten, s.bytesAtLastWrite = current, now, logged
 	event.GroupState.Write(s.logger,
 		event.Term(current.term), event.LeaderAddress(current.leader), event.IsLeader(current.leads), event.UnchangedFor(now.Sub(s.leaderSince)),
-		event.Voters(current.size.Voters), event.RespondingVoters(current.size.Heard), event.Spares(current.size.Spares),
+		event.Voters(current.size.Voters), event.RespondingVoters(current.size.Responsive), event.Spares(current.size.Spares),
 		event.Version(current.version), event.WorkerCount(current.workers), event.Reachable(current.reachable),
 		event.WaitingTasks(status.Waiting))
 }
--- a/internal/routesim/agent.go
+++ b/internal/routesim/agent.go
@@ -23,7 +23,7 @@
 
 func newSimAgent(t *simTarget, waiting int) *simAgent {
 	limits := gate.DefaultLimits()
-	limits.Waiting = waiting
+	limits.MaxWaiting = waiting
 	a := &simAgent{target: t, gate: gate.New(incarnation, limits), waiting: map[gate.Key]dispatch{}}
 	a.announce()
 	return a
@@ -56,7 +56,7 @@
 func (a *simAgent) dispatch(d dispatch) {
 	ad := a.gate.Admit(a.now(), gate.Dispatch{
 		Key: d.key, Service: serviceName, Target: a.target.id, Incarnation: incarnation,
-		Remaining: d.deadline - a.target.clock.now, Version: version,
+		Remaining: d.deadline - a.target.clock.now, ConfigurationVersion: version,
 		Batch: d.request.priority == apiv1.Priority_PRIORITY_BATCH,
 	})
 	if ad.Wait {
@@ -69,7 +69,7 @@
 }
 
 func (a *simAgent) lapse(k gate.Key) {
-	a.gate.Lapse(a.now(), k)
+	a.gate.TimeOut(a.now(), k)
 	a.deliverDecisions()
 }
 
--- a/jobclient/client.go
+++ b/jobclient/client.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, refreshInterval)
 	defer cancel()
 	fromMember := false
-	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, false, func(ctx context.Context, address string) (string, bool) {
 		resp, err := c.jobsClient(address).Members(ctx, &apiv1.JobsMembersRequest{})
 		if err != nil || len(resp.Addresses) == 0 {
 			return "", false
@@ -236,7 +236,7 @@
 // Read reads state that is confirmed to be the newest. Errors: ErrUnconfirmed.
 func (c *Client) Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	var found *apiv1.JobsReadResponse
-	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, false, func(ctx context.Context, address string) (string, bool) {
 		resp, err := c.jobsClient(address).Read(ctx, r)
 		if err != nil || resp.Unconfirmed {
 			return "", false
@@ -268,7 +268,7 @@
 	var found T
 	var responded bool
 	cause := ErrNoLeader
-	c.forwarder.Ask(ctx, true, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, true, func(ctx context.Context, address string) (string, bool) {
 		resp, err := call(ctx, c.jobsClient(address))
 		if err != nil {
 			cause = errors.Mark(errors.Wrapf(err, "%s %s", operation, address), ErrNoLeader)
