--- a/internal/routesim/world.go
+++ b/internal/routesim/world.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// lostAfter is how long an entry waits for a sign of life of an attempt's
+	// lostHostTimeout is how long an entry waits for a sign of life of an attempt's
 	// host before it takes it for lost.
-	lostAfter = 500 * time.Millisecond
+	lostHostTimeout = 500 * time.Millisecond
 	// The faults that end last from a third to two thirds of a run.
-	faultFrom = 3
+	faultDivisor = 3
 )
 
-// world is one run: targets, faults, callers and a policy's driver.
-type world struct {
+// simulation is one run: targets, faults, callers and a policy's driver.
+type simulation struct {
 	clock
 	run     Run
 	targets []*simTarget
@@ -33,12 +33,12 @@
 type driver interface {
 	// arrive gets a request; it ends it through world.end, once.
 	arrive(c *call)
-	// queues says whether targets queue up to their connections.
-	queues() bool
-	// faultChanged is told that a target is announced as leaving or is back.
-	faultChanged(t *simTarget)
-	// counts are the policy's own.
-	counts() (retries, hedges, refusedDispatches int)
+	// queuesAtTargets says whether targets queue up to their connections.
+	queuesAtTargets() bool
+	// targetChanged is told that a target is announced as leaving or is back.
+	targetChanged(t *simTarget)
+	// attemptCounts are the policy's own.
+	attemptCounts() (retries, hedges, refusedDispatches int)
 }
 
 // call is one request in a run.
@@ -46,14 +46,14 @@
 	request  request
 	arrived  time.Duration
 	deadline time.Duration
-	ended    bool
-	// sent counts the attempts, begun those that began at a target.
-	sent, begun int
+	finished bool
+	// attempts counts the attempts, begun those that began at a target.
+	attempts, executions int
 }
 
 // Simulate runs one policy and returns what its callers got.
 func Simulate(r Run) *Report {
-	w := &world{run: r, byID: map[string]*simTarget{}, rng: rand.New(rand.NewPCG(r.Seed, 2))}
+	w := &simulation{run: r, byID: map[string]*simTarget{}, rng: rand.New(rand.NewPCG(r.Seed, 2))}
 	w.report = newReport(r)
 	w.driver = newDriver(w)
 	for i := range r.Deployment.Targets {
@@ -63,22 +63,22 @@
 	if s, ok := w.driver.(interface{ start() }); ok {
 		s.start()
 	}
-	w.planFaults()
+	w.scheduleFaults()
 	for _, req := range r.requests() {
-		w.after(req.at, func() { w.offer(req) })
+		w.after(req.arrival, func() { w.offer(req) })
 	}
 	w.runAll()
-	w.report.close(w)
+	w.report.finalize(w)
 	return w.report
 }
 
-func (w *world) addTarget(i int) {
+func (w *simulation) addTarget(i int) {
 	d := w.run.Deployment
 	t := &simTarget{
 		clock: &w.clock, rng: w.rng, id: fmt.Sprintf("t%02d", i), zone: zoneName(i % d.Zones),
-		slots: d.Slots, conns: d.Connections, slow: 1,
+		slots: d.Slots, connections: d.Connections, slowFactor: 1,
 	}
-	if !w.driver.queues() {
+	if !w.driver.queuesAtTargets() {
 		t.agent = newSimAgent(t, w.run.AgentQueue)
 	}
 	w.targets = append(w.targets, t)
@@ -87,39 +87,39 @@
 
 func zoneName(i int) string { return fmt.Sprintf("az-%d", i) }
 
-func (w *world) offer(req request) {
+func (w *simulation) offer(req request) {
 	c := &call{request: req, arrived: w.now, deadline: w.now + w.run.Deployment.Deadline}
 	w.report.offered++
-	w.report.open++
+	w.report.unfinished++
 	w.driver.arrive(c)
 }
 
-// hop is the time one way from an entry to a target.
-func (w *world) hop(entry int, t *simTarget) time.Duration {
+// oneWayLatency is the time one way from an entry to a target.
+func (w *simulation) oneWayLatency(entry int, t *simTarget) time.Duration {
 	if zoneName(entry%w.run.Deployment.Zones) == t.zone {
-		return w.run.Deployment.Near
+		return w.run.Deployment.SameZoneLatency
 	}
-	return w.run.Deployment.OneWay
+	return w.run.Deployment.CrossZoneLatency
 }
 
 // send carries a dispatch to a target and its answer back. The result gives it up.
-func (w *world) send(c *call, t *simTarget, back func(reply)) (cancel func()) {
-	hop := w.hop(c.request.entry, t)
-	c.sent++
+func (w *simulation) send(c *call, t *simTarget, back func(reply)) (cancel func()) {
+	hop := w.oneWayLatency(c.request.entry, t)
+	c.attempts++
 	d := dispatch{
-		request: c.request, key: gate.Key{RequestID: c.request.id, Attempt: uint32(c.sent)}, deadline: c.deadline,
-		began:  func() { w.began(c) },
-		answer: func(r reply) { w.after(hop, func() { back(r) }) },
+		request: c.request, key: gate.Key{RequestID: c.request.id, Attempt: uint32(c.attempts)}, deadline: c.deadline,
+		onStart: func() { w.recordStart(c) },
+		onReply: func(r reply) { w.after(hop, func() { back(r) }) },
 	}
 	w.after(hop, func() {
 		if w.brownout {
-			d.request.work *= brownoutFactor
+			d.request.serviceTime *= brownoutFactor
 		}
 		t.dispatch(d)
 	})
 	return func() {
 		w.after(hop, func() {
-			if t.agent != nil && !t.lost {
+			if t.agent != nil && !t.unreachable {
 				t.agent.cancel(d.key)
 			}
 		})
@@ -127,7 +127,7 @@
 }
 
 // tickAgents does what agents do all the time, until the last deadline.
-func (w *world) tickAgents() {
+func (w *simulation) tickAgents() {
 	for _, t := range w.targets {
 		if t.agent != nil {
 			t.agent.tick()
@@ -138,67 +138,67 @@
 	}
 }
 
-// began notes work that starts at a target, and counts violations of the invariant
+// recordStart notes work that starts at a target, and counts violations of the invariant
 // that a request that is not idempotent runs at most once.
-func (w *world) began(c *call) {
-	c.begun++
-	w.report.runs++
-	if c.begun > 1 && !c.request.idempotent {
+func (w *simulation) recordStart(c *call) {
+	c.executions++
+	w.report.executions++
+	if c.executions > 1 && !c.request.idempotent {
 		w.report.RunTwice++
 	}
 }
 
-func (w *world) planFaults() {
-	if w.run.Fault != Calm {
-		w.shiftSlow()
+func (w *simulation) scheduleFaults() {
+	if w.run.Fault != FaultFree {
+		w.moveSlowdowns()
 	}
-	from, to := w.run.Duration/faultFrom, 2*w.run.Duration/faultFrom
+	from, to := w.run.Duration/faultDivisor, 2*w.run.Duration/faultDivisor
 	victim := w.targets[w.rng.IntN(len(w.targets))]
 	switch w.run.Fault {
 	case Failing:
-		w.between(from, to, func(on bool) { victim.failing = on })
+		w.scheduleInterval(from, to, func(on bool) { victim.failing = on })
 	case HostLost:
-		w.between(from, to, func(on bool) { victim.lost = on })
+		w.scheduleInterval(from, to, func(on bool) { victim.unreachable = on })
 	case Leaving:
-		w.between(from, to, func(on bool) {
+		w.scheduleInterval(from, to, func(on bool) {
 			victim.leaving = on
 			if on && victim.agent != nil {
-				victim.agent.leave()
+				victim.agent.withdraw()
 			}
-			w.driver.faultChanged(victim)
+			w.driver.targetChanged(victim)
 		})
 	case ZoneLost:
-		w.between(from, to, func(on bool) {
+		w.scheduleInterval(from, to, func(on bool) {
 			for _, t := range w.targets {
-				t.lost = on && t.zone == victim.zone
+				t.unreachable = on && t.zone == victim.zone
 			}
 		})
 	case Brownout:
-		w.between(from, to, func(on bool) { w.brownout = on })
-	case Storm:
-		w.between(from, to, func(on bool) {
+		w.scheduleInterval(from, to, func(on bool) { w.brownout = on })
+	case ErrorStorm:
+		w.scheduleInterval(from, to, func(on bool) {
 			for _, t := range w.targets {
-				t.storm = on
+				t.errorStorm = on
 			}
 		})
 	}
 }
 
-func (w *world) between(from, to time.Duration, set func(on bool)) {
+func (w *simulation) scheduleInterval(from, to time.Duration, set func(on bool)) {
 	w.after(from, func() { set(true) })
 	w.after(to, func() { set(false) })
 }
 
-// shiftSlow moves the hidden slow-downs to other targets.
-func (w *world) shiftSlow() {
+// moveSlowdowns moves the hidden slow-downs to other targets.
+func (w *simulation) moveSlowdowns() {
 	if w.now >= w.run.Duration {
 		return
 	}
 	for _, t := range w.targets {
-		t.slow = 1
+		t.slowFactor = 1
 	}
 	for _, i := range w.rng.Perm(len(w.targets))[:slowTargets] {
-		w.targets[i].slow = slowLeast + (slowMost-slowLeast)*w.rng.Float64()
+		w.targets[i].slowFactor = minSlowFactor + (maxSlowFactor-minSlowFactor)*w.rng.Float64()
 	}
-	w.after(slowPeriod, w.shiftSlow)
+	w.after(slowPeriod, w.moveSlowdowns)
 }
