--- a/agent/runs/session.go
+++ b/agent/runs/session.go
@@ -142,7 +142,7 @@
 // recordTerm records a term that a leader reported. The caller must hold s.mu.
 func (s *session) recordTerm(term uint64) {
 	s.term = max(s.term, term)
-	s.d.term.Note(term)
+	s.d.term.Record(term)
 }
 
 func (s *session) announcement() Announcement {
--- a/internal/groupbench/group.go
+++ b/internal/groupbench/group.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	heartbeat  = time.Second
-	region     = "local"
-	targetName = "runner"
-	drainDelay = 100 * time.Millisecond
+	heartbeatInterval = time.Second
+	region            = "local"
+	targetName        = "runner"
+	drainDelay        = 100 * time.Millisecond
 )
 
 // group is the running system.
 type group struct {
-	cancel context.CancelFunc
-	parts  *failstop.Group
-	// stops ends one entry each.
-	stops []context.CancelFunc
+	cancel    context.CancelFunc
+	processes *failstop.Group
+	// stopEntry ends one entry each.
+	stopEntry []context.CancelFunc
 }
 
 func entryHost(i int) string { return fmt.Sprintf("127.0.41.%d", i+1) }
@@ -46,10 +46,10 @@
 	return settings.Location{Region: region, AvailabilityZone: fmt.Sprintf("zone-%d", i%entries+1)}
 }
 
-// start runs the entries, the agents and one target on the first agent's host.
-func start(ctx context.Context, folder string, staleness time.Duration) (*group, error) {
+// startGroup runs the entries, the agents and one target on the first agent's host.
+func startGroup(ctx context.Context, folder string, staleness time.Duration) (*group, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	g := &group{cancel: cancel, parts: failstop.New()}
+	g := &group{cancel: cancel, processes: failstop.New()}
 	for i, p := range peers() {
 		s := &settings.Entry{
 			Name: p.Name, Location: location(i), Peers: peers(), InternalAddress: p.Address,
@@ -64,14 +64,14 @@
 			return nil, err
 		}
 		own, stop := context.WithCancel(ctx)
-		g.stops = append(g.stops, stop)
+		g.stopEntry = append(g.stopEntry, stop)
 		g.run(own, p.Name, e.Run)
 	}
 	for i := range agents {
 		s := &settings.Agent{
 			Name: fmt.Sprintf("host-%d", i+1), Location: location(i), Entries: peers(),
 			Address: agentHost(i) + ":7010", LocalAddress: agentHost(i) + ":7011",
-			HeartbeatInterval: settings.Duration{Duration: heartbeat},
+			HeartbeatInterval: settings.Duration{Duration: heartbeatInterval},
 			StalenessBound:    settings.Duration{Duration: staleness},
 		}
 		s.SetDefaults()
@@ -102,16 +102,16 @@
 }
 
 func (g *group) run(ctx context.Context, name string, f func(context.Context) error) {
-	g.parts.Go(name, func() {
+	g.processes.Go(name, func() {
 		if err := f(ctx); err != nil {
-			g.parts.Fail(err)
+			g.processes.Fail(err)
 		}
 	})
 }
 
 func (g *group) stop() {
 	g.cancel()
-	g.parts.Wait()
+	g.processes.Wait()
 }
 
 func (g *group) adminAddresses() []string {
--- a/internal/groupbench/loss.go
+++ b/internal/groupbench/loss.go
@@ -7,42 +7,42 @@
 )
 
 const (
-	lossTime = 12 * time.Second
-	// lossPace is the time between requests during the loss.
-	lossPace = 10 * time.Millisecond
+	lossDuration = 12 * time.Second
+	// lossRequestInterval is the time between requests during the loss.
+	lossRequestInterval = 10 * time.Millisecond
 )
 
-// loss counts what callers of the one entry left got while the control group had
+// lossResult counts what callers of the one entry left got while the control group had
 // no quorum.
-type loss struct {
+type lossResult struct {
 	answered, refused int
 	// lastAnswer is when, after the loss, the last request was answered.
 	lastAnswer time.Duration
 }
 
 // measureQuorumLoss stops all entries but the first and sends requests to that one.
-func (g *group) measureQuorumLoss(ctx context.Context) (*loss, error) {
+func (g *group) measureQuorumLoss(ctx context.Context) (*lossResult, error) {
 	if err := g.awaitTarget(ctx); err != nil {
 		return nil, err
 	}
-	for _, stop := range g.stops[1:] {
+	for _, stop := range g.stopEntry[1:] {
 		stop()
 	}
-	l := &loss{}
+	l := &lossResult{}
 	began := time.Now()
-	for time.Since(began) < lossTime && ctx.Err() == nil {
+	for time.Since(began) < lossDuration && ctx.Err() == nil {
 		if g.request(ctx, 0, "") == nil {
 			l.answered++
 			l.lastAnswer = time.Since(began)
 		} else {
 			l.refused++
 		}
-		time.Sleep(lossPace)
+		time.Sleep(lossRequestInterval)
 	}
 	return l, ctx.Err()
 }
 
-func reportLoss(bounded, unbounded *loss) {
+func printLoss(bounded, unbounded *lossResult) {
 	fmt.Printf(`
 ## What the staleness bound costs
 
@@ -52,9 +52,9 @@
 
 | staleness bound | answered | refused | last answer after |
 |---|---|---|---|
-%s%s`, lossTime, lossPace, bounded.row("3s"), unbounded.row("none"))
+%s%s`, lossDuration, lossRequestInterval, bounded.row("3s"), unbounded.row("none"))
 }
 
-func (l *loss) row(bound string) string {
+func (l *lossResult) row(bound string) string {
 	return fmt.Sprintf("| %s | %d | %d | %.1f s |\n", bound, l.answered, l.refused, l.lastAnswer.Seconds())
 }
--- a/internal/groupbench/main.go
+++ b/internal/groupbench/main.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	entries     = 3
-	agents      = 11
-	submissions = 40
-	requests    = 400
-	bound       = 4 * time.Minute
-	// stalenessBound is the default; noBound is longer than the loss lasts.
-	stalenessBound = 3 * time.Second
-	noBound        = 3 * lossTime
+	entries      = 3
+	agents       = 11
+	submissions  = 40
+	requests     = 400
+	benchTimeout = 4 * time.Minute
+	// stalenessBound is the default; unboundedStaleness is longer than the loss lasts.
+	stalenessBound     = 3 * time.Second
+	unboundedStaleness = 3 * lossDuration
 )
 
 func main() {
@@ -36,9 +36,9 @@
 }
 
 func run() error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+	ctx, cancel := context.WithTimeout(context.Background(), benchTimeout)
 	defer cancel()
-	var bounded, unbounded *loss
+	var bounded, unbounded *lossResult
 	err := withGroup(ctx, stalenessBound, func(g *group, client *admin.Client) (err error) {
 		if err := measureGroup(ctx, g, client); err != nil {
 			return err
@@ -49,14 +49,14 @@
 	if err != nil {
 		return err
 	}
-	err = withGroup(ctx, noBound, func(g *group, client *admin.Client) (err error) {
+	err = withGroup(ctx, unboundedStaleness, func(g *group, client *admin.Client) (err error) {
 		unbounded, err = measureUnbounded(ctx, g, client)
 		return errors.Wrap(err, "quorum loss without a bound")
 	})
 	if err != nil {
 		return err
 	}
-	reportLoss(bounded, unbounded)
+	printLoss(bounded, unbounded)
 	return nil
 }
 
@@ -67,7 +67,7 @@
 		return err
 	}
 	defer func() { _ = os.RemoveAll(folder) }()
-	g, err := start(ctx, folder, staleness)
+	g, err := startGroup(ctx, folder, staleness)
 	if err != nil {
 		return err
 	}
@@ -96,14 +96,14 @@
 	if err != nil {
 		return errors.Wrap(err, "requests with a key")
 	}
-	report(accepted, inForce, plain, keyed)
+	printReport(accepted, inForce, plain, keyed)
 	return nil
 }
 
 // measureUnbounded repeats the loss of the quorum in a group that serves by
 // whatever configuration it has.
-func measureUnbounded(ctx context.Context, g *group, client *admin.Client) (*loss, error) {
-	r := admin.SubmitRequest{SubmissionID: "only", Text: text(0), Operator: "groupbench"}
+func measureUnbounded(ctx context.Context, g *group, client *admin.Client) (*lossResult, error) {
+	r := admin.SubmitRequest{SubmissionID: "only", Text: configurationText(0), Operator: "groupbench"}
 	if _, err := client.Submit(ctx, r); err != nil {
 		return nil, err
 	}
@@ -113,7 +113,7 @@
 	return g.measureQuorumLoss(ctx)
 }
 
-func report(accepted, inForce, plain, keyed *times) {
+func printReport(accepted, inForce, plain, keyed *latencies) {
 	fmt.Printf(`# Configuration in force, and the cost of a claim
 
     go run ./internal/groupbench > docs/measurements/group.md
@@ -128,10 +128,10 @@
 The first row ends when the operator has the answer, the second when all %d processes
 report the version in force, as one entry sees them; it is polled every %v. A request
 with a key costs %.1f ms more at the median than one without: one commit.
-`, entries, agents, heartbeat,
+`, entries, agents, heartbeatInterval,
 		accepted.row("text sent to accepted"),
 		inForce.row("text sent to in force at every process"),
 		plain.row("request, not idempotent, no key"),
 		keyed.row("request, not idempotent, with a key"),
-		entries+agents, poll, keyed.ms(50)-plain.ms(50))
+		entries+agents, pollInterval, keyed.ms(50)-plain.ms(50))
 }
--- a/internal/groupbench/measure.go
+++ b/internal/groupbench/measure.go
@@ -15,49 +15,49 @@
 )
 
 const (
-	service = "bookings"
-	poll    = 5 * time.Millisecond
-	// betweenTexts lets each text start at another moment of the heartbeats.
-	betweenTexts = 130 * time.Millisecond
+	service      = "bookings"
+	pollInterval = 5 * time.Millisecond
+	// submissionInterval lets each text start at another moment of the heartbeats.
+	submissionInterval = 130 * time.Millisecond
 )
 
-// times is a set of durations.
-type times struct{ h *hdrhistogram.Histogram }
+// latencies is a set of durations.
+type latencies struct{ histogram *hdrhistogram.Histogram }
 
-func newTimes() *times {
-	return &times{hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
+func newLatencies() *latencies {
+	return &latencies{hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
-func (t *times) add(d time.Duration) { _ = t.h.RecordValue(d.Microseconds()) }
+func (t *latencies) add(d time.Duration) { _ = t.histogram.RecordValue(d.Microseconds()) }
 
 // ms returns a percentile in milliseconds.
-func (t *times) ms(percentile float64) float64 {
-	return float64(t.h.ValueAtQuantile(percentile)) / 1000
+func (t *latencies) ms(percentile float64) float64 {
+	return float64(t.histogram.ValueAtQuantile(percentile)) / 1000
 }
 
-func (t *times) row(what string) string {
-	return fmt.Sprintf("| %s | %d | %.1f | %.1f | %.1f |\n", what, t.h.TotalCount(), t.ms(50), t.ms(99), t.ms(100))
+func (t *latencies) row(what string) string {
+	return fmt.Sprintf("| %s | %d | %.1f | %.1f | %.1f |\n", what, t.histogram.TotalCount(), t.ms(50), t.ms(99), t.ms(100))
 }
 
-// text declares the service with another timeout each time, so that each
+// configurationText declares the service with another timeout each time, so that each
 // submission is a change.
-func text(n int) string {
+func configurationText(n int) string {
 	return fmt.Sprintf("[[service]]\nname = %q\npaths = [\"/bookings\"]\nobjective = \"80ms\"\ntimeout = \"%dms\"\nslots = 8\nconnections = 64\nsize = { processors = 1, memory = \"1GB\" }\n", service, 5000+n)
 }
 
 // measureSubmissions submits texts one after the other and times each until it is
 // accepted and until it is in force at every process.
-func measureSubmissions(ctx context.Context, client *admin.Client) (inForce, accepted *times, err error) {
-	inForce, accepted = newTimes(), newTimes()
+func measureSubmissions(ctx context.Context, client *admin.Client) (inForce, accepted *latencies, err error) {
+	inForce, accepted = newLatencies(), newLatencies()
 	if err := awaitProcesses(ctx, client, 0); err != nil {
 		return nil, nil, err
 	}
 	var version uint64
 	for n := range submissions {
-		time.Sleep(betweenTexts)
+		time.Sleep(submissionInterval)
 		sent := time.Now()
 		resp, err := client.Submit(ctx, admin.SubmitRequest{
-			SubmissionID: fmt.Sprint("bench-", n), BaseVersion: version, Text: text(n), Operator: "groupbench",
+			SubmissionID: fmt.Sprint("bench-", n), BaseVersion: version, Text: configurationText(n), Operator: "groupbench",
 		})
 		if err != nil {
 			return nil, nil, err
@@ -76,15 +76,15 @@
 func awaitProcesses(ctx context.Context, client *admin.Client, version uint64) error {
 	for ctx.Err() == nil {
 		s, err := client.Status(ctx, admin.SectionProcesses)
-		if err == nil && allHave(s, version) {
+		if err == nil && allInEffect(s, version) {
 			return nil
 		}
-		time.Sleep(poll)
+		time.Sleep(pollInterval)
 	}
 	return errors.Wrapf(ctx.Err(), "version %d in force", version)
 }
 
-func allHave(s *admin.Status, version uint64) bool {
+func allInEffect(s *admin.Status, version uint64) bool {
 	n := 0
 	for _, p := range s.Processes {
 		if p.Ready && p.ConfigurationVersion >= version {
@@ -101,15 +101,15 @@
 			if ctx.Err() != nil {
 				return errors.Wrap(ctx.Err(), "target")
 			}
-			time.Sleep(poll)
+			time.Sleep(pollInterval)
 		}
 	}
 	return nil
 }
 
 // measureRequests sends requests one at a time, each to the next entry.
-func (g *group) measureRequests(ctx context.Context, keyed bool) (*times, error) {
-	t := newTimes()
+func (g *group) measureRequests(ctx context.Context, keyed bool) (*latencies, error) {
+	t := newLatencies()
 	for n := range requests {
 		key := ""
 		if keyed {
--- a/internal/highest/highest.go
+++ b/internal/highest/highest.go
@@ -6,8 +6,8 @@
 // Number is the highest number noted so far; 0 at first.
 type Number struct{ value atomic.Uint64 }
 
-// Note takes in a number.
-func (n *Number) Note(value uint64) {
+// Record takes in a number.
+func (n *Number) Record(value uint64) {
 	for known := n.value.Load(); value > known; known = n.value.Load() {
 		if n.value.CompareAndSwap(known, value) {
 			return
--- a/internal/highest/highest_test.go
+++ b/internal/highest/highest_test.go
@@ -5,15 +5,15 @@
 	"testing"
 )
 
-func TestHighestOfManyNotes(t *testing.T) {
+func TestConcurrentRecords(t *testing.T) {
 	var n Number
 	var all sync.WaitGroup
 	for first := range uint64(8) {
 		all.Go(func() {
 			for i := uint64(0); i < 1000; i++ {
-				n.Note(first + 8*i)
+				n.Record(first + 8*i)
 			}
-			n.Note(first)
+			n.Record(first)
 		})
 	}
 	all.Wait()
--- a/internal/routebench/main.go
+++ b/internal/routebench/main.go
@@ -38,7 +38,7 @@
 	var cfg route.Config
 	app.FatalIfError(json.Unmarshal([]byte(*override), &cfg), "config")
 
-	setEntries(*entries)
+	overrideEntries(*entries)
 	started := time.Now()
 	plan := newPlan(seedSets[*set], *duration, cfg, *agentQueue, *policies, *faults)
 	results := plan.run(*workers)
@@ -52,12 +52,12 @@
 	faultLoads = []float64{0.7}
 	allFaults  = []routesim.Fault{
 		routesim.Slow, routesim.Failing, routesim.HostLost, routesim.Leaving,
-		routesim.ZoneLost, routesim.Storm, routesim.Brownout, routesim.Rush,
+		routesim.ZoneLost, routesim.ErrorStorm, routesim.Brownout, routesim.LoadSpike,
 	}
 	deployments = []routesim.Deployment{routesim.Wrekinford(), routesim.Auction()}
 )
 
-func setEntries(n int) {
+func overrideEntries(n int) {
 	for i := range deployments {
 		if n > 0 {
 			deployments[i].Entries = n
--- a/internal/routebench/plan.go
+++ b/internal/routebench/plan.go
@@ -79,18 +79,18 @@
 		title := fmt.Sprintf("%s, %s", r.deployment.Name, r.fault)
 		if title != head {
 			head = title
-			fmt.Fprintf(w, "\n### %s\n\n%s", title, header)
+			fmt.Fprintf(w, "\n### %s\n\n%s", title, tableHeader)
 		}
-		fmt.Fprintln(w, r.line(merge(reports[r.from:r.to])))
+		fmt.Fprintln(w, r.line(summarize(reports[r.from:r.to])))
 	}
 }
 
-const header = `| load | policy | p50 ms | p99 ms | p99.9 ms | past objective % | goodput /s | refused % | refused in ms | come back ms | failed % | unknown % | retries % | hedges % | no slot % | hog / rest in time % | no final answer | run twice |
+const tableHeader = `| load | policy | p50 ms | p99 ms | p99.9 ms | past objective % | goodput /s | refused % | refused in ms | come back ms | failed % | unknown % | retries % | hedges % | no slot % | hog / rest in time % | no final answer | run twice |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|
 `
 
-func (r row) line(t total) string {
+func (r row) line(t summary) string {
 	return fmt.Sprintf("| %.2f | %s | %.0f | %.0f | %.0f | %.2f | %.0f | %.1f | %.1f | %.0f | %.2f | %.2f | %.1f | %.1f | %.1f | %.0f / %.0f | %d | %d |",
-		r.load, r.policy, t.p50, t.p99, t.p999, t.past, t.goodput, t.refused, t.refusalMs, t.retryAfterMs,
-		t.failed, t.unknown, t.retries, t.hedges, t.full, t.hog, t.rest, t.unended, t.runTwice)
+		r.load, r.policy, t.p50, t.p99, t.p999, t.pastObjective, t.goodput, t.refused, t.refusalMs, t.retryAfterMs,
+		t.failed, t.unknown, t.retries, t.hedges, t.slotsFull, t.busiest, t.others, t.unfinished, t.runTwice)
 }
--- a/internal/routebench/total.go
+++ b/internal/routebench/summary.go
@@ -6,20 +6,20 @@
 	"github.com/cairnlift/cairnlift/internal/routesim"
 )
 
-// total is the mean over a row's seeds: times in milliseconds, shares in
+// summary is the mean over a row's seeds: times in milliseconds, shares in
 // percent. Counts of violated invariants are summed.
-type total struct {
-	p50, p99, p999, past        float64
-	goodput                     float64
-	refused, failed, unknown    float64
-	refusalMs, retryAfterMs     float64
-	retries, hedges, full       float64
-	hog, rest                   float64
-	unended, runTwice, endTwice int
+type summary struct {
+	p50, p99, p999, pastObjective       float64
+	goodput                             float64
+	refused, failed, unknown            float64
+	refusalMs, retryAfterMs             float64
+	retries, hedges, slotsFull          float64
+	busiest, others                     float64
+	unfinished, runTwice, finishedTwice int
 }
 
-func merge(reports []*routesim.Report) total {
-	var t total
+func summarize(reports []*routesim.Report) summary {
+	var t summary
 	n := float64(len(reports))
 	for _, r := range reports {
 		offered := float64(r.Offered())
@@ -27,7 +27,7 @@
 		t.p50 += millis(r.Quantile(50)) / n
 		t.p99 += millis(r.Quantile(99)) / n
 		t.p999 += millis(r.Quantile(99.9)) / n
-		t.past += 100 * float64(r.PastObjective) / max(1, float64(r.Answered)) / n
+		t.pastObjective += 100 * float64(r.PastObjective) / max(1, float64(r.Answered)) / n
 		t.goodput += r.Goodput() / n
 		t.refused += 100 * float64(r.Refused) / offered / n
 		t.failed += 100 * float64(r.Failed) / offered / n
@@ -36,12 +36,12 @@
 		t.retryAfterMs += millis(r.RetryAfterMean) / n
 		t.retries += 100 * float64(r.Retries) / started / n
 		t.hedges += 100 * float64(r.Hedges) / started / n
-		t.full += 100 * float64(r.SlotsFull) / started / n
-		t.hog += 100 * r.HogAnswered / n
-		t.rest += 100 * r.RestAnswered / n
-		t.unended += r.Unended
+		t.slotsFull += 100 * float64(r.SlotsFull) / started / n
+		t.busiest += 100 * r.BusiestAnswered / n
+		t.others += 100 * r.OthersAnswered / n
+		t.unfinished += r.Unfinished
 		t.runTwice += r.RunTwice
-		t.endTwice += r.EndedTwice
+		t.finishedTwice += r.FinishedTwice
 	}
 	return t
 }
--- a/internal/routesim/agent.go
+++ b/internal/routesim/agent.go
@@ -9,9 +9,9 @@
 
 const (
 	// announceTTL outlasts every run.
-	announceTTL = time.Hour
-	incarnation = 1
-	version     = 1
+	announceTTL          = time.Hour
+	incarnation          = 1
+	configurationVersion = 1
 )
 
 // simAgent puts the agents' own gate in front of a target.
@@ -34,7 +34,7 @@
 func (a *simAgent) announce() {
 	a.gate.Announce(a.now(), gate.Announcement{
 		Name: a.target.id, Service: serviceName, Address: a.target.id,
-		Slots: a.target.slots, Connections: a.target.conns, TTL: announceTTL,
+		Slots: a.target.slots, Connections: a.target.connections, TTL: announceTTL,
 	})
 }
 
@@ -47,8 +47,8 @@
 	a.deliverDecisions()
 }
 
-// leave tells the gate that its target leaves; a later tick announces it again.
-func (a *simAgent) leave() {
+// withdraw tells the gate that its target leaves; a later tick announces it again.
+func (a *simAgent) withdraw() {
 	a.gate.Withdraw(a.now(), a.target.id)
 	a.deliverDecisions()
 }
@@ -56,19 +56,19 @@
 func (a *simAgent) dispatch(d dispatch) {
 	ad := a.gate.Admit(a.now(), gate.Dispatch{
 		Key: d.key, Service: serviceName, Target: a.target.id, Incarnation: incarnation,
-		Remaining: d.deadline - a.target.clock.now, Version: version,
+		Remaining: d.deadline - a.target.clock.now, Version: configurationVersion,
 		Batch: d.request.priority == apiv1.Priority_PRIORITY_BATCH,
 	})
 	if ad.Wait {
 		a.waiting[d.key] = d
-		a.target.clock.after(ad.LatestStart.Sub(a.now()), func() { a.lapse(d.key) })
+		a.target.clock.after(ad.LatestStart.Sub(a.now()), func() { a.expireWaiting(d.key) })
 	} else {
-		a.settle(d, ad)
+		a.handleAdmission(d, ad)
 	}
 	a.deliverDecisions()
 }
 
-func (a *simAgent) lapse(k gate.Key) {
+func (a *simAgent) expireWaiting(k gate.Key) {
 	a.gate.Lapse(a.now(), k)
 	a.deliverDecisions()
 }
@@ -83,16 +83,16 @@
 	for _, decided := range a.gate.Decisions() {
 		d := a.waiting[decided.Key]
 		delete(a.waiting, decided.Key)
-		a.settle(d, decided.Admission)
+		a.handleAdmission(d, decided.Admission)
 	}
 }
 
-func (a *simAgent) settle(d dispatch, ad gate.Admission) {
+func (a *simAgent) handleAdmission(d dispatch, ad gate.Admission) {
 	if !ad.Run {
 		a.target.reply(d, reply{outcome: ad.Verdict.Outcome, reason: ad.Verdict.Reason, load: ad.Load})
 		return
 	}
-	a.target.work(d, func(out reply) {
+	a.target.execute(d, func(out reply) {
 		out.load = a.gate.Finish(a.now(), d.key, gate.Verdict{Outcome: out.outcome})
 		a.deliverDecisions()
 		a.target.reply(d, out)
--- a/internal/routesim/baseline.go
+++ b/internal/routesim/baseline.go
@@ -13,17 +13,17 @@
 // no ejection. Targets queue up to their connections. Failed and refused
 // attempts are tried again at once where that is safe.
 type baseline struct {
-	w      *world
+	sim    *simulation
 	choose func(entry int) *simTarget
 	// inFlight counts each entry's attempts per target.
-	inFlight []map[*simTarget]int
-	turn     []int
+	inFlight        []map[*simTarget]int
+	roundRobinIndex []int
 
-	retries, full int
+	retries, slotsFull int
 }
 
-func newBaseline(w *world, policy string) *baseline {
-	b := &baseline{w: w, turn: make([]int, w.run.Deployment.Entries)}
+func newBaseline(w *simulation, policy string) *baseline {
+	b := &baseline{sim: w, roundRobinIndex: make([]int, w.run.Deployment.Entries)}
 	for range w.run.Deployment.Entries {
 		b.inFlight = append(b.inFlight, map[*simTarget]int{})
 	}
@@ -38,24 +38,24 @@
 	return b
 }
 
-func (b *baseline) queues() bool            { return true }
-func (b *baseline) faultChanged(*simTarget) {}
-func (b *baseline) counts() (int, int, int) { return b.retries, 0, b.full }
-func (b *baseline) arrive(c *call)          { b.attempt(c, 0) }
+func (b *baseline) queuesAtTargets() bool          { return true }
+func (b *baseline) targetChanged(*simTarget)       {}
+func (b *baseline) attemptCounts() (int, int, int) { return b.retries, 0, b.slotsFull }
+func (b *baseline) arrive(c *call)                 { b.attempt(c, 0) }
 func (b *baseline) random(int) *simTarget {
-	return b.w.targets[b.w.rng.IntN(len(b.w.targets))]
+	return b.sim.targets[b.sim.rng.IntN(len(b.sim.targets))]
 }
 
 func (b *baseline) roundRobin(entry int) *simTarget {
-	b.turn[entry]++
-	return b.w.targets[b.turn[entry]%len(b.w.targets)]
+	b.roundRobinIndex[entry]++
+	return b.sim.targets[b.roundRobinIndex[entry]%len(b.sim.targets)]
 }
 
 func (b *baseline) leastInFlight(entry int) *simTarget {
-	from := b.w.rng.IntN(len(b.w.targets))
+	from := b.sim.rng.IntN(len(b.sim.targets))
 	var best *simTarget
-	for i := range b.w.targets {
-		t := b.w.targets[(from+i)%len(b.w.targets)]
+	for i := range b.sim.targets {
+		t := b.sim.targets[(from+i)%len(b.sim.targets)]
 		if best == nil || b.inFlight[entry][t] < b.inFlight[entry][best] {
 			best = t
 		}
@@ -74,28 +74,28 @@
 		}
 		settled = true
 		held[t]--
-		b.settle(c, n, r)
+		b.handleReply(c, n, r)
 	}
-	b.w.send(c, t, settle)
-	limit := c.deadline - b.w.now
-	if t.lost {
-		limit = min(limit, lostAfter)
+	b.sim.send(c, t, settle)
+	limit := c.deadline - b.sim.now
+	if t.unreachable {
+		limit = min(limit, lostHostTimeout)
 	}
-	b.w.after(limit, func() {
+	b.sim.after(limit, func() {
 		settle(reply{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: apiv1.Reason_REASON_DEADLINE})
 	})
 }
 
-func (b *baseline) settle(c *call, n int, r reply) {
+func (b *baseline) handleReply(c *call, n int, r reply) {
 	if r.reason == apiv1.Reason_REASON_SLOTS_FULL {
-		b.full++
+		b.slotsFull++
 	}
 	notRun := r.outcome == apiv1.Outcome_OUTCOME_NOT_RUN
 	again := r.outcome != apiv1.Outcome_OUTCOME_ANSWERED && (c.request.idempotent || notRun)
-	if again && n < baselineRetries && b.w.now < c.deadline {
+	if again && n < baselineRetries && b.sim.now < c.deadline {
 		b.retries++
 		b.attempt(c, n+1)
 		return
 	}
-	b.w.end(c, r.outcome, time.Second)
+	b.sim.finish(c, r.outcome, time.Second)
 }
--- a/internal/routesim/report.go
+++ b/internal/routesim/report.go
@@ -23,18 +23,18 @@
 	Retries, Hedges, SlotsFull int
 	// RunTwice counts requests that are not idempotent and began twice.
 	RunTwice int
-	// Unended counts callers left without a final answer.
-	Unended int
-	// EndedTwice counts final answers after the first.
-	EndedTwice int
-	// HogAnswered and RestAnswered are the shares of requests answered in time for
+	// Unfinished counts callers left without a final answer.
+	Unfinished int
+	// FinishedTwice counts final answers after the first.
+	FinishedTwice int
+	// BusiestAnswered and OthersAnswered are the shares of requests answered in time for
 	// the caller that sends most and for all others.
-	HogAnswered, RestAnswered float64
+	BusiestAnswered, OthersAnswered float64
 
-	offered, open, runs              int
-	latency                          *hdrhistogram.Histogram
-	refusalSum, afterSum             time.Duration
-	hog, hogInTime, restInTime, rest int
+	offered, unfinished, executions                            int
+	latency                                                    *hdrhistogram.Histogram
+	refusalSum, retryAfterSum                                  time.Duration
+	busiestOffered, busiestInTime, othersInTime, othersOffered int
 }
 
 func newReport(r Run) *Report {
@@ -54,34 +54,34 @@
 	return float64(r.InTime) / r.Run.Duration.Seconds()
 }
 
-// end gives a call its final outcome.
-func (w *world) end(c *call, outcome apiv1.Outcome, after time.Duration) {
+// finish gives a call its final outcome.
+func (w *simulation) finish(c *call, outcome apiv1.Outcome, after time.Duration) {
 	r := w.report
-	if c.ended {
-		r.EndedTwice++
+	if c.finished {
+		r.FinishedTwice++
 		return
 	}
-	c.ended = true
-	r.open--
+	c.finished = true
+	r.unfinished--
 	took := w.now - c.arrived
 	inTime := false
 	switch outcome {
 	case apiv1.Outcome_OUTCOME_ANSWERED:
 		inTime = w.now <= c.deadline
-		r.answered(took, inTime)
+		r.recordAnswer(took, inTime)
 	case apiv1.Outcome_OUTCOME_FAILED:
 		r.Failed++
 	case apiv1.Outcome_OUTCOME_NOT_RUN:
 		r.Refused++
 		r.refusalSum += took
-		r.afterSum += after
+		r.retryAfterSum += after
 	default:
 		r.Unknown++
 	}
-	r.share(c, inTime)
+	r.recordCaller(c, inTime)
 }
 
-func (r *Report) answered(took time.Duration, inTime bool) {
+func (r *Report) recordAnswer(took time.Duration, inTime bool) {
 	r.Answered++
 	_ = r.latency.RecordValue(took.Microseconds())
 	if inTime {
@@ -92,25 +92,25 @@
 	}
 }
 
-func (r *Report) share(c *call, inTime bool) {
+func (r *Report) recordCaller(c *call, inTime bool) {
 	n := 0
 	if inTime {
 		n = 1
 	}
-	if c.request.caller == hogCaller {
-		r.hog++
-		r.hogInTime += n
+	if c.request.caller == busiestCaller {
+		r.busiestOffered++
+		r.busiestInTime += n
 		return
 	}
-	r.rest++
-	r.restInTime += n
+	r.othersOffered++
+	r.othersInTime += n
 }
 
-func (r *Report) close(w *world) {
-	r.Unended = r.open
-	r.Retries, r.Hedges, r.SlotsFull = w.driver.counts()
+func (r *Report) finalize(w *simulation) {
+	r.Unfinished = r.unfinished
+	r.Retries, r.Hedges, r.SlotsFull = w.driver.attemptCounts()
 	r.RefusalMean = r.refusalSum / time.Duration(max(1, r.Refused))
-	r.RetryAfterMean = r.afterSum / time.Duration(max(1, r.Refused))
-	r.HogAnswered = float64(r.hogInTime) / float64(max(1, r.hog))
-	r.RestAnswered = float64(r.restInTime) / float64(max(1, r.rest))
+	r.RetryAfterMean = r.retryAfterSum / time.Duration(max(1, r.Refused))
+	r.BusiestAnswered = float64(r.busiestInTime) / float64(max(1, r.busiestOffered))
+	r.OthersAnswered = float64(r.othersInTime) / float64(max(1, r.othersOffered))
 }
--- a/internal/routesim/sim_test.go
+++ b/internal/routesim/sim_test.go
@@ -15,10 +15,10 @@
 	hedgeRatio, hedgeBurst = 0.03, 10
 )
 
-func runs(seeds ...uint64) []Run {
+func allRuns(seeds ...uint64) []Run {
 	var out []Run
 	for _, d := range []Deployment{Wrekinford(), Auction()} {
-		for _, f := range []Fault{Calm, Slow, Failing, HostLost, Leaving, ZoneLost, Storm, Brownout, Rush} {
+		for _, f := range []Fault{FaultFree, Slow, Failing, HostLost, Leaving, ZoneLost, ErrorStorm, Brownout, LoadSpike} {
 			for _, load := range []float64{0.7, 1.3} {
 				for _, seed := range seeds {
 					out = append(out, Run{Deployment: d, Policy: Cairnlift, Fault: f, Load: load, Seed: seed, Duration: 5 * time.Second, AgentQueue: gate.MaxWaiting})
@@ -34,13 +34,13 @@
 // down, fail everything, vanish or leave while requests are queued, retried and
 // hedged. Cause: a request that is woken and abandoned at once, an attempt that
 // is settled after its request, or a retry without proof or budget.
-func TestCallersGetOneFinalWord(t *testing.T) {
-	for _, r := range runs(31, 32) {
+func TestEveryRequestFinishesExactlyOnce(t *testing.T) {
+	for _, r := range allRuns(31, 32) {
 		t.Run(fmt.Sprintf("%s/%s/%.1f/%d", r.Deployment.Name, r.Fault, r.Load, r.Seed), func(t *testing.T) {
 			t.Parallel()
 			got := Simulate(r)
-			if got.Unended != 0 || got.EndedTwice != 0 || got.RunTwice != 0 {
-				t.Errorf("%d without a final word, %d with two, %d run twice", got.Unended, got.EndedTwice, got.RunTwice)
+			if got.Unfinished != 0 || got.FinishedTwice != 0 || got.RunTwice != 0 {
+				t.Errorf("%d without a final word, %d with two, %d run twice", got.Unfinished, got.FinishedTwice, got.RunTwice)
 			}
 			if sum := got.Answered + got.Failed + got.Refused + got.Unknown; sum != got.Offered() {
 				t.Errorf("%d final words for %d requests", sum, got.Offered())
@@ -70,8 +70,8 @@
 			if over.Goodput() < 0.9*peak.Goodput() {
 				t.Errorf("%s: %.0f answers a second in time at 1.3 times capacity, %.0f at capacity", d.Name, over.Goodput(), peak.Goodput())
 			}
-			if over.RestAnswered <= over.HogAnswered {
-				t.Errorf("%s: %.2f of the small callers' requests in time, %.2f of the busy one's", d.Name, over.RestAnswered, over.HogAnswered)
+			if over.OthersAnswered <= over.BusiestAnswered {
+				t.Errorf("%s: %.2f of the small callers' requests in time, %.2f of the busy one's", d.Name, over.OthersAnswered, over.BusiestAnswered)
 			}
 		}
 	}
@@ -80,8 +80,8 @@
 // Symptom: a table of docs/measurements/routing.md can't be repeated. Sequence: one run
 // is made twice with one seed. Cause: a decision that depends on the order of a map, the
 // wall clock or a random source without a seed.
-func TestSameSeedSameRun(t *testing.T) {
-	for _, f := range []Fault{HostLost, Storm} {
+func TestRunsAreDeterministic(t *testing.T) {
+	for _, f := range []Fault{HostLost, ErrorStorm} {
 		r := Run{Deployment: Auction(), Policy: Cairnlift, Fault: f, Load: 1, Seed: 51, Duration: 4 * time.Second, AgentQueue: gate.MaxWaiting}
 		if a, b := Simulate(r), Simulate(r); !reflect.DeepEqual(a, b) {
 			t.Errorf("%s: two runs with one seed differ: %+v, %+v", f, a, b)
--- a/internal/routesim/target.go
+++ b/internal/routesim/target.go
@@ -20,42 +20,42 @@
 	request  request
 	key      gate.Key
 	deadline time.Duration
-	began    func()
-	answer   func(reply)
+	onStart  func()
+	onReply  func(reply)
 }
 
 // simTarget stands in for a target, behind an agent or by itself.
 type simTarget struct {
-	clock *clock
-	rng   *rand.Rand
-	id    string
-	zone  string
-	slots int
-	conns int
+	clock       *clock
+	rng         *rand.Rand
+	id          string
+	zone        string
+	slots       int
+	connections int
 	// agent is nil for a plain server, which takes up to its connections and works
 	// them off in order.
 	agent *simAgent
 
-	busy    int
-	waiting []dispatch
-	slow    float64
-	failing bool
-	storm   bool
-	// lost: nothing reaches the host or comes from it.
-	lost    bool
-	leaving bool
+	busy       int
+	waiting    []dispatch
+	slowFactor float64
+	failing    bool
+	errorStorm bool
+	// unreachable: nothing reaches the host or comes from it.
+	unreachable bool
+	leaving     bool
 }
 
 func (t *simTarget) dispatch(d dispatch) {
 	switch {
-	case t.lost:
+	case t.unreachable:
 	case t.agent != nil:
 		t.agent.dispatch(d)
 	case t.leaving:
 		t.reply(d, t.refuse(apiv1.Reason_REASON_TARGET_LEAVING))
 	case t.busy < t.slots:
-		t.run(d)
-	case t.busy+len(t.waiting) < t.conns:
+		t.serve(d)
+	case t.busy+len(t.waiting) < t.connections:
 		t.waiting = append(t.waiting, d)
 	default:
 		t.reply(d, t.refuse(apiv1.Reason_REASON_SLOTS_FULL))
@@ -67,39 +67,39 @@
 }
 
 func (t *simTarget) reply(d dispatch, r reply) {
-	if !t.lost {
-		d.answer(r)
+	if !t.unreachable {
+		d.onReply(r)
 	}
 }
 
-// run works on a request as a plain server does.
-func (t *simTarget) run(d dispatch) {
+// serve works on a request as a plain server does.
+func (t *simTarget) serve(d dispatch) {
 	t.busy++
-	t.work(d, func(out reply) {
+	t.execute(d, func(out reply) {
 		t.busy--
-		if t.lost {
+		if t.unreachable {
 			return
 		}
 		if len(t.waiting) > 0 {
 			next := t.waiting[0]
 			t.waiting = t.waiting[1:]
-			t.run(next)
+			t.serve(next)
 		}
 		out.load = t.load()
 		t.reply(d, out)
 	})
 }
 
-// work spends a request's time and calls done with the outcome.
-func (t *simTarget) work(d dispatch, done func(reply)) {
-	d.began()
-	took := time.Duration(float64(d.request.work) * t.slow)
+// execute spends a request's time and calls done with the outcome.
+func (t *simTarget) execute(d dispatch, done func(reply)) {
+	d.onStart()
+	took := time.Duration(float64(d.request.serviceTime) * t.slowFactor)
 	out := reply{outcome: apiv1.Outcome_OUTCOME_ANSWERED}
-	if t.failing || (t.storm && t.rng.Float64() < stormShare) {
+	if t.failing || (t.errorStorm && t.rng.Float64() < errorStormFraction) {
 		out.outcome = apiv1.Outcome_OUTCOME_FAILED
 	}
 	if t.failing {
-		took = failTime
+		took = failureLatency
 	}
 	t.clock.after(took, func() { done(out) })
 }
--- a/internal/routesim/workload.go
+++ b/internal/routesim/workload.go
@@ -16,18 +16,18 @@
 	Zones   int
 	Targets int
 	Entries int
-	// OneWay is the time between two availability zones, Near that within one.
-	OneWay, Near time.Duration
-	Slots        int
-	Connections  int
+	// CrossZoneLatency is the time between two availability zones, Near that within one.
+	CrossZoneLatency, SameZoneLatency time.Duration
+	Slots                             int
+	Connections                       int
 	// Mean and Sigma describe the log-normal response time of an idle target.
-	Mean       time.Duration
-	Sigma      float64
-	Deadline   time.Duration
-	Objective  time.Duration
-	Idempotent float64
-	// Batch is the share of requests with batch priority.
-	Batch float64
+	Mean               time.Duration
+	Sigma              float64
+	Deadline           time.Duration
+	Objective          time.Duration
+	IdempotentFraction float64
+	// BatchFraction is the share of requests with batch priority.
+	BatchFraction float64
 }
 
 // Wrekinford is the markets office of the brief; its response times, deadlines
@@ -35,11 +35,11 @@
 func Wrekinford() Deployment {
 	return Deployment{
 		Name: "wrekinford", Zones: 3, Targets: 11, Entries: 3,
-		OneWay: time.Millisecond, Near: 100 * time.Microsecond,
+		CrossZoneLatency: time.Millisecond, SameZoneLatency: 100 * time.Microsecond,
 		Slots: 8, Connections: 64,
 		Mean: 60 * time.Millisecond, Sigma: 0.7,
 		Deadline: 2 * time.Second, Objective: 300 * time.Millisecond,
-		Idempotent: 0.6, Batch: 0.1,
+		IdempotentFraction: 0.6, BatchFraction: 0.1,
 	}
 }
 
@@ -47,11 +47,11 @@
 func Auction() Deployment {
 	return Deployment{
 		Name: "auction", Zones: 4, Targets: 11, Entries: 4,
-		OneWay: 1500 * time.Microsecond, Near: 100 * time.Microsecond,
+		CrossZoneLatency: 1500 * time.Microsecond, SameZoneLatency: 100 * time.Microsecond,
 		Slots: 8, Connections: 64,
 		Mean: 30 * time.Millisecond, Sigma: 0.9,
 		Deadline: 600 * time.Millisecond, Objective: 200 * time.Millisecond,
-		Idempotent: 0.8, Batch: 0.1,
+		IdempotentFraction: 0.8, BatchFraction: 0.1,
 	}
 }
 
@@ -66,36 +66,36 @@
 
 // The faults. Each run also has the hidden slow-downs, unless it is Calm.
 const (
-	Calm     Fault = "calm"
-	Slow     Fault = "slow"
-	Failing  Fault = "failing"
-	HostLost Fault = "host-lost"
-	Storm    Fault = "storm"
-	Leaving  Fault = "leaving"
-	ZoneLost Fault = "zone-lost"
-	Brownout Fault = "brownout"
-	Rush     Fault = "rush"
+	FaultFree  Fault = "calm"
+	Slow       Fault = "slow"
+	Failing    Fault = "failing"
+	HostLost   Fault = "host-lost"
+	ErrorStorm Fault = "storm"
+	Leaving    Fault = "leaving"
+	ZoneLost   Fault = "zone-lost"
+	Brownout   Fault = "brownout"
+	LoadSpike  Fault = "rush"
 )
 
 const (
-	// slowTargets targets at a time are slower by a factor from slowLeast to
-	// slowMost, others after each slowPeriod.
-	slowTargets = 2
-	slowLeast   = 2.0
-	slowMost    = 4.0
-	slowPeriod  = 4 * time.Second
-	// failTime is how fast a target that fails everything does so.
-	failTime = time.Millisecond
-	// rushFactor multiplies the offered rate, and brownoutFactor all response
+	// slowTargets targets at a time are slower by a factor from minSlowFactor to
+	// maxSlowFactor, others after each slowPeriod.
+	slowTargets   = 2
+	minSlowFactor = 2.0
+	maxSlowFactor = 4.0
+	slowPeriod    = 4 * time.Second
+	// failureLatency is how fast a target that fails everything does so.
+	failureLatency = time.Millisecond
+	// loadSpikeFactor multiplies the offered rate, and brownoutFactor all response
 	// times, in the middle third of a run.
-	rushFactor     = 2
-	brownoutFactor = 3
-	// stormShare of all answers are failures during a storm.
-	stormShare = 0.6
-	callers    = 40
-	// hogShare of the requests come from hogCaller.
-	hogShare  = 0.2
-	hogCaller = "c0"
+	loadSpikeFactor = 2
+	brownoutFactor  = 3
+	// errorStormFraction of all answers are failures during a storm.
+	errorStormFraction = 0.6
+	callerCount        = 40
+	// busiestCallerFraction of the requests come from busiestCaller.
+	busiestCallerFraction = 0.2
+	busiestCaller         = "c0"
 )
 
 // Run describes one run.
@@ -117,13 +117,13 @@
 // request is what a caller offers, the same for every policy.
 type request struct {
 	id         string
-	at         time.Duration
+	arrival    time.Duration
 	entry      int
 	caller     string
 	idempotent bool
 	priority   apiv1.Priority
-	// work is the response time on an idle, unhindered target.
-	work time.Duration
+	// serviceTime is the response time on an idle, unhindered target.
+	serviceTime time.Duration
 }
 
 // requests draws a run's arrivals: Poisson, open loop.
@@ -135,35 +135,35 @@
 	var out []request
 	at := 0.0
 	for i := 0; ; i++ {
-		at += rng.ExpFloat64() / (rate * r.rush(seconds(at)))
+		at += rng.ExpFloat64() / (rate * r.loadFactor(seconds(at)))
 		if at >= r.Duration.Seconds() {
 			return out
 		}
 		out = append(out, request{
-			id:         fmt.Sprintf("r%d", i),
-			at:         seconds(at),
-			entry:      rng.IntN(d.Entries),
-			caller:     drawCaller(rng),
-			idempotent: rng.Float64() < d.Idempotent,
-			priority:   drawPriority(rng, d.Batch),
-			work:       seconds(math.Exp(mu + d.Sigma*rng.NormFloat64())),
+			id:          fmt.Sprintf("r%d", i),
+			arrival:     seconds(at),
+			entry:       rng.IntN(d.Entries),
+			caller:      drawCaller(rng),
+			idempotent:  rng.Float64() < d.IdempotentFraction,
+			priority:    drawPriority(rng, d.BatchFraction),
+			serviceTime: seconds(math.Exp(mu + d.Sigma*rng.NormFloat64())),
 		})
 	}
 }
 
-// rush is the factor on the offered rate at a time.
-func (r Run) rush(at time.Duration) float64 {
-	if r.Fault == Rush && at >= r.Duration/faultFrom && at < 2*r.Duration/faultFrom {
-		return rushFactor
+// loadFactor is the factor on the offered rate at a time.
+func (r Run) loadFactor(at time.Duration) float64 {
+	if r.Fault == LoadSpike && at >= r.Duration/faultDivisor && at < 2*r.Duration/faultDivisor {
+		return loadSpikeFactor
 	}
 	return 1
 }
 
 func drawCaller(rng *rand.Rand) string {
-	if rng.Float64() < hogShare {
-		return hogCaller
+	if rng.Float64() < busiestCallerFraction {
+		return busiestCaller
 	}
-	return fmt.Sprintf("c%d", 1+rng.IntN(callers-1))
+	return fmt.Sprintf("c%d", 1+rng.IntN(callerCount-1))
 }
 
 func drawPriority(rng *rand.Rand, batch float64) apiv1.Priority {
--- a/internal/slopes/assumptions.go
+++ b/internal/slopes/assumptions.go
@@ -18,7 +18,7 @@
 	source string
 }
 
-const day = 86_400
+const secondsPerDay = 86_400
 
 // assumptions are all of them; docs/CAPACITY.md prints the table.
 var assumptions = []assumption{
@@ -27,7 +27,7 @@
 	{"targets", 21_000, "letter: latency-critical tasks running; each is a target that announces itself"},
 	{"starts", 1000, "letter: task starts a second at the peak; as many end"},
 	{"teams", teams, "letter"},
-	{"changes", 4700.0 / day, "letter: 4,700 changes of configuration a day, per second"},
+	{"changes", 4700.0 / secondsPerDay, "letter: 4,700 changes of configuration a day, per second"},
 	{"jobs", 37_000, "letter: jobs a day"},
 	{"zones", 19, "letter"},
 	{"regions", 7, "letter"},
@@ -35,7 +35,7 @@
 	{"rack", 37, "ours: hosts behind a rack or switch, a hundredth of all"},
 	{"entries", entries, "ours: entry hosts, two per availability zone, control hosts among them"},
 	{"replicas", replicas, "ours: voters of a log"},
-	{"standing", standingJobs, "ours: jobs in the text at a time, if a job stands there for 8 hours"},
+	{"standing", configuredJobs, "ours: jobs in the text at a time, if a job stands there for 8 hours"},
 	{"services", teams, "ours: one service per team"},
 	{"leases", leasesPerWorker, "tasks / workers, rounded"},
 	{"perHost", targetsPerWorker, "targets / workers, rounded"},
--- a/internal/slopes/commands.go
+++ b/internal/slopes/commands.go
@@ -43,8 +43,8 @@
 	return &apiv1.Command{TimeMs: 1e12, Body: &apiv1.Command_Place{Place: &apiv1.Place{Grants: grants}}}
 }
 
-// stopped ends attempts of job i on its worker; they are queued anew.
-func stopped(i, tasks int, attempt uint64) *apiv1.Command {
+// recordStops ends attempts of job i on its worker; they are queued anew.
+func recordStops(i, tasks int, attempt uint64) *apiv1.Command {
 	info := workerInfo(i)
 	r := &apiv1.RecordTasks{Worker: info.Name, WorkerIncarnation: info.Incarnation}
 	for n := range tasks {
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -28,10 +28,10 @@
 	teams   = 390
 	// configurationVersion is three weeks of 4,700 changes a day.
 	configurationVersion = 100_000
-	// standingJobs are in the text at a time; jobsPerChange come and as many go
+	// configuredJobs are in the text at a time; jobsPerChange come and as many go
 	// with each change, 37,000 a day over 4,700 changes.
-	standingJobs  = 37_000 / 3
-	jobsPerChange = 8
+	configuredJobs = 37_000 / 3
+	jobsPerChange  = 8
 	// targetsPerService is 21,000 targets over one service per team.
 	targetsPerService = 54
 )
@@ -80,8 +80,8 @@
 	}
 }
 
-// beat is worker i's part of a heartbeat in the steady state.
-func beat(i, leases, targets int) *apiv1.WorkerHeartbeat {
+// workerHeartbeat is worker i's part of a heartbeat in the steady state.
+func workerHeartbeat(i, leases, targets int) *apiv1.WorkerHeartbeat {
 	hb := &apiv1.WorkerHeartbeat{Worker: workerName(i), Incarnation: workerInfo(i).Incarnation, Sequence: 1_000_000}
 	for n := range leases {
 		a := &apiv1.TaskAttempt{Task: taskName(i, n), Attempt: 2}
@@ -100,15 +100,15 @@
 	return hb
 }
 
-// heartbeat is what agent i sends in the steady state: its announcement is known.
-func heartbeat(i, leases, targets int) *apiv1.HeartbeatRequest {
+// heartbeatRequest is what agent i sends in the steady state: its announcement is known.
+func heartbeatRequest(i, leases, targets int) *apiv1.HeartbeatRequest {
 	return &apiv1.HeartbeatRequest{
 		Revision: 9, AgentName: workerName(i), AgentIncarnation: workerInfo(i).Incarnation,
-		ConfigurationVersion: configurationVersion, Worker: beat(i, leases, targets),
+		ConfigurationVersion: configurationVersion, Worker: workerHeartbeat(i, leases, targets),
 	}
 }
 
-func heartbeatAnswer(i int) *apiv1.HeartbeatResponse {
+func heartbeatResponse(i int) *apiv1.HeartbeatResponse {
 	return &apiv1.HeartbeatResponse{
 		ConfigurationVersion: configurationVersion, ConfirmedAgeMs: 300,
 		Orders: &apiv1.WorkerOrders{Worker: workerName(i), Sequence: 1_000_000, Renewed: true, LeaseMs: 6000},
@@ -161,9 +161,9 @@
 	return compile(text)
 }
 
-// window is a text in which jobs stand from one number on. Operators take finished
+// jobWindow is a text in which jobs stand from one number on. Operators take finished
 // jobs out at its front and add new ones at its end.
-func window(from, jobs int) *apiv1.Configuration {
+func jobWindow(from, jobs int) *apiv1.Configuration {
 	c := &apiv1.Configuration{}
 	for i := range teams {
 		c.Teams = append(c.Teams, &apiv1.Team{Name: teamName(i), Quota: &apiv1.Resources{MilliProcessors: 640_000}, Weight: 1})
--- a/internal/slopes/formula.go
+++ b/internal/slopes/formula.go
@@ -50,14 +50,14 @@
 	if err != nil {
 		return 0, errors.Wrapf(err, "formula %q", formula)
 	}
-	n, err := v.node(e)
+	n, err := v.evaluateNode(e)
 	return n, errors.Wrapf(err, "formula %q", formula)
 }
 
-func (v values) node(e ast.Expr) (float64, error) {
+func (v values) evaluateNode(e ast.Expr) (float64, error) {
 	switch e := e.(type) {
 	case *ast.ParenExpr:
-		return v.node(e.X)
+		return v.evaluateNode(e.X)
 	case *ast.BasicLit:
 		return strconv.ParseFloat(e.Value, 64)
 	case *ast.Ident:
@@ -67,17 +67,17 @@
 		}
 		return n, nil
 	case *ast.BinaryExpr:
-		return v.binary(e)
+		return v.evaluateBinary(e)
 	}
 	return 0, errors.New("only names, numbers, + - * / and parentheses")
 }
 
-func (v values) binary(e *ast.BinaryExpr) (float64, error) {
-	x, err := v.node(e.X)
+func (v values) evaluateBinary(e *ast.BinaryExpr) (float64, error) {
+	x, err := v.evaluateNode(e.X)
 	if err != nil {
 		return 0, err
 	}
-	y, err := v.node(e.Y)
+	y, err := v.evaluateNode(e.Y)
 	if err != nil {
 		return 0, err
 	}
@@ -96,18 +96,18 @@
 
 var identifier = regexp.MustCompile(`[A-Za-z][A-Za-z0-9_]*`)
 
-// withNumbers is the formula as a reader puts it into a calculator.
-func (v values) withNumbers(formula string) string {
+// substitute is the formula as a reader puts it into a calculator.
+func (v values) substitute(formula string) string {
 	return identifier.ReplaceAllStringFunc(formula, func(name string) string {
-		return short(v[name])
+		return formatShort(v[name])
 	})
 }
 
-// short prints at most four significant digits and no exponent.
-func short(n float64) string {
+// formatShort prints at most four significant digits and no exponent.
+func formatShort(n float64) string {
 	switch {
 	case n < 0:
-		return "-" + short(-n)
+		return "-" + formatShort(-n)
 	case n >= 1000 || n == float64(int64(n)):
 		return strconv.FormatFloat(n, 'f', 0, 64)
 	case n >= 100:
--- a/internal/slopes/main.go
+++ b/internal/slopes/main.go
@@ -34,16 +34,16 @@
 // measureAll runs every measurement, one after the other.
 func measureAll() []*Slope {
 	began := time.Now()
-	r := &run{progress: func(s *Slope) {
+	r := &recorder{progress: func(s *Slope) {
 		fmt.Printf("%5.1fs %-12s %12.1f %s/%s + %.0f, residual %.1f %%\n",
 			time.Since(began).Seconds(), s.Name, s.Slope, s.Unit, s.Per, s.Base, s.Residual*100)
 	}}
-	r.messages()
-	r.wire()
-	r.agentRole()
-	r.entryRole()
-	r.stateMachine()
-	r.replicating()
-	r.leading()
+	r.measureMessages()
+	r.measureWire()
+	r.measureAgent()
+	r.measureEntry()
+	r.measureStateMachine()
+	r.measureLog()
+	r.measureLeader()
 	return r.slopes
 }
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -10,27 +10,27 @@
 )
 
 const (
-	// samples per processor time; the median is taken. The machine may be busy:
+	// costSamples per processor time; the median is taken. The machine may be busy:
 	// processor time leaves out waiting, but not cold caches.
-	samples = 5
-	// minSample is the least processor time of a sample.
-	minSample = 20 * time.Millisecond
+	costSamples = 5
+	// minSampleTime is the least processor time of a sample.
+	minSampleTime = 20 * time.Millisecond
 )
 
-// run collects what is measured.
-type run struct {
+// recorder collects what is measured.
+type recorder struct {
 	slopes []*Slope
 	// progress is told of each finished slope.
 	progress func(*Slope)
 }
 
 // measure runs y at each size and fits a line.
-func (r *run) measure(name, what, unit, per string, sizes []int, y func(n int) float64) {
+func (r *recorder) measure(name, what, unit, per string, sizes []int, y func(n int) float64) {
 	s := &Slope{Name: name, What: what, Unit: unit, Per: per}
 	for _, n := range sizes {
 		s.Points = append(s.Points, Point{X: float64(n), Y: y(n)})
 	}
-	s.fit()
+	s.fitLine()
 	r.slopes = append(r.slopes, s)
 	r.progress(s)
 }
@@ -44,26 +44,26 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cost is the processor time of one call of f in nanoseconds, garbage collection
+// costPerCall is the processor time of one call of f in nanoseconds, garbage collection
 // included.
-func cost(f func()) float64 {
+func costPerCall(f func()) float64 {
 	var all []float64
-	for range samples {
+	for range costSamples {
 		runtime.GC()
 		calls := 0
 		began := processorTime()
-		for processorTime()-began < minSample {
+		for processorTime()-began < minSampleTime {
 			f()
 			calls++
 		}
 		all = append(all, float64(processorTime()-began)/float64(calls))
 	}
 	slices.Sort(all)
-	return all[samples/2]
+	return all[costSamples/2]
 }
 
-// heapOf is the live heap that what build returns keeps.
-func heapOf(build func() any) float64 {
+// retainedHeap is the live heap that what build returns keeps.
+func retainedHeap(build func() any) float64 {
 	before := liveHeap()
 	kept := build()
 	after := liveHeap()
@@ -80,7 +80,7 @@
 	return m.HeapAlloc
 }
 
-func size(m proto.Message) float64 { return float64(proto.Size(m)) }
+func encodedSize(m proto.Message) float64 { return float64(proto.Size(m)) }
 
 // must is for set-up that can't fail unless this program is wrong.
 func must(err error) {
--- a/internal/slopes/probe_agent.go
+++ b/internal/slopes/measure_agent.go
@@ -11,13 +11,13 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// agentRole measures the agent's gate and its leases.
-func (r *run) agentRole() {
+// measureAgent measures the agent's gate and its leases.
+func (r *recorder) measureAgent() {
 	r.measure("agentLease", "agent: four looks at the worker and one heartbeat with its codec, by leases", "ns", "lease", leaseSizes, func(n int) float64 {
 		now := time.Hour
 		m := lease.New(now - time.Minute)
-		o := lease.Observation{Info: workerInfo(3), Tasks: beat(3, n, 0).Tasks}
-		return cost(func() {
+		o := lease.Observation{Info: workerInfo(3), Tasks: workerHeartbeat(3, n, 0).Tasks}
+		return costPerCall(func() {
 			for range 4 {
 				now += 250 * time.Millisecond
 				m.Observe(now, o)
@@ -29,33 +29,33 @@
 		})
 	})
 	r.measure("gateRecord", "agent: attempts remembered for two minutes", "B", "attempt", taskSizes, func(n int) float64 {
-		return heapOf(func() any {
+		return retainedHeap(func() any {
 			g := newGate()
 			for i := range n {
-				g.admit(i)
+				g.admitAndFinish(i)
 			}
 			return g
 		})
 	})
 	r.measure("gateRequest", "agent: attempts admitted and finished", "ns", "attempt", taskSizes, func(n int) float64 {
-		return cost(func() {
+		return costPerCall(func() {
 			g := newGate()
 			for i := range n {
-				g.admit(i)
+				g.admitAndFinish(i)
 			}
 		})
 	})
 }
 
-type testGate struct {
+type measuredGate struct {
 	*gate.Gate
 	now time.Time
 }
 
 const gateIncarnation = 7
 
-func newGate() *testGate {
-	g := &testGate{Gate: gate.New(gateIncarnation, gate.DefaultLimits()), now: epoch}
+func newGate() *measuredGate {
+	g := &measuredGate{Gate: gate.New(gateIncarnation, gate.DefaultLimits()), now: epoch}
 	g.Configure(&apiv1.Configuration{Version: 1, Services: []*apiv1.Service{service(0)}})
 	g.Expire(g.now)
 	g.Announce(g.now, gate.Announcement{
@@ -64,8 +64,8 @@
 	return g
 }
 
-// admit lets one attempt in and finishes it, a millisecond after the last.
-func (g *testGate) admit(i int) {
+// admitAndFinish lets one attempt in and finishes it, a millisecond after the last.
+func (g *measuredGate) admitAndFinish(i int) {
 	g.now = g.now.Add(time.Millisecond)
 	if i%500 == 0 {
 		g.Expire(g.now)
--- a/internal/slopes/probe_control.go
+++ b/internal/slopes/measure_control.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	// longLease keeps leases from running out during a measurement.
-	longLease = time.Hour
-	// shortPause is the leader's pause after a short round.
-	shortPause = 20 * time.Millisecond
-	// roundSamples rounds are waited for, and more while they are short.
-	roundSamples = 10
-	// settledBeats heartbeats, beatSpacing apart on the stand-in's clock, fill what
+	// leaseDuration keeps leases from running out during a measurement.
+	leaseDuration = time.Hour
+	// shortPlanInterval is the leader's pause after a short round.
+	shortPlanInterval = 20 * time.Millisecond
+	// minRounds rounds are waited for, and more while they are short.
+	minRounds = 10
+	// warmUpHeartbeats heartbeats, warmUpInterval apart on the stand-in's clock, fill what
 	// the planner keeps of the last minutes.
-	settledBeats = 30
-	beatSpacing  = 10 * time.Second
+	warmUpHeartbeats = 30
+	warmUpInterval   = 10 * time.Second
 	// grantsPerCommand is how many grants the leader puts into one log entry.
 	grantsPerCommand = 256
 )
 
-// quietPlanner learns as the real one does, and plans once it is opened.
-type quietPlanner struct {
+// switchedPlanner learns as the real one does, and plans once it is opened.
+type switchedPlanner struct {
 	*place.Placer
-	open atomic.Bool
+	enabled atomic.Bool
 }
 
-func (p *quietPlanner) Plan(now time.Time, s *place.Snapshot) place.Plan {
-	if !p.open.Load() {
+func (p *switchedPlanner) Plan(now time.Time, s *place.Snapshot) place.Plan {
+	if !p.enabled.Load() {
 		return place.Plan{}
 	}
 	return p.Placer.Plan(now, s)
@@ -46,20 +46,20 @@
 // leader is a control replica that leads a group of one, and its workers.
 type leader struct {
 	*control.Replica
-	// ahead is how far the replica's clock is ahead, in nanoseconds.
-	ahead   *atomic.Int64
-	planner *quietPlanner
-	rounds  metrics.Timer
-	stop    context.CancelFunc
-	done    conc.WaitGroup
+	// clockOffset is how far the replica's clock is ahead, in nanoseconds.
+	clockOffset *atomic.Int64
+	planner     *switchedPlanner
+	rounds      metrics.Timer
+	stop        context.CancelFunc
+	done        conc.WaitGroup
 }
 
 func newLeader(planInterval time.Duration) *leader {
 	registry := metrics.NewRegistry()
-	l := &leader{ahead: &atomic.Int64{}, planner: &quietPlanner{Placer: place.New(place.Config{Seed: 1})}}
+	l := &leader{clockOffset: &atomic.Int64{}, planner: &switchedPlanner{Placer: place.New(place.Config{Seed: 1})}}
 	l.Replica = control.NewReplica(control.Config{
-		LeaseDuration: longLease, PlanInterval: planInterval, Planner: l.planner, Metrics: registry,
-		Now: func() time.Time { return time.Now().Add(time.Duration(l.ahead.Load())) },
+		LeaseDuration: leaseDuration, PlanInterval: planInterval, Planner: l.planner, Metrics: registry,
+		Now: func() time.Time { return time.Now().Add(time.Duration(l.clockOffset.Load())) },
 	})
 	l.rounds = metrics.GetOrRegisterTimer("control.round", registry)
 	l.Attach(control.NewMemoryLog(l.Replica, ""))
@@ -97,16 +97,16 @@
 	}
 }
 
-// fill registers n workers that run leases each, job i on worker i.
-func (l *leader) fill(n, leases int) []*apiv1.WorkerHeartbeat {
+// addWorkers registers n workers that run leases each, job i on worker i.
+func (l *leader) addWorkers(n, leases int) []*apiv1.WorkerHeartbeat {
 	l.propose(submit(1, 0, configuration(n, max(1, leases), (n*targetsPerWorker)/targetsPerService+1, teams)))
 	var first, beats []*apiv1.WorkerHeartbeat
 	var grants []*apiv1.Grant
 	for i := range n {
-		hb := beat(i, 0, targetsPerWorker)
+		hb := workerHeartbeat(i, 0, targetsPerWorker)
 		hb.Info, hb.Sequence = workerInfo(i), 1
 		first = append(first, hb)
-		beats = append(beats, beat(i, leases, targetsPerWorker))
+		beats = append(beats, workerHeartbeat(i, leases, targetsPerWorker))
 		for k := range leases {
 			grants = append(grants, grant(i, i, k, 1))
 		}
@@ -126,11 +126,11 @@
 	return beats
 }
 
-// settle plans and renews until the planner's memory is full.
-func (l *leader) settle(beats []*apiv1.WorkerHeartbeat) {
-	l.planner.open.Store(true)
-	for range settledBeats {
-		l.ahead.Add(int64(beatSpacing))
+// warmUp plans and renews until the planner's memory is full.
+func (l *leader) warmUp(beats []*apiv1.WorkerHeartbeat) {
+	l.planner.enabled.Store(true)
+	for range warmUpHeartbeats {
+		l.clockOffset.Add(int64(warmUpInterval))
 		l.renew(beats)
 	}
 	l.awaitRounds(l.rounds.Count() + 2)
@@ -141,8 +141,8 @@
 	runtime.GC()
 	l.awaitRounds(l.rounds.Count() + 1)
 	first, began := l.rounds.Count(), processorTime()
-	l.awaitRounds(first + roundSamples)
-	for processorTime()-began < minSample {
+	l.awaitRounds(first + minRounds)
+	for processorTime()-began < minSampleTime {
 		l.awaitRounds(l.rounds.Count() + 1)
 	}
 	return float64(processorTime()-began) / float64(l.rounds.Count()-first)
@@ -156,13 +156,13 @@
 	}
 }
 
-// leading measures the control leader.
-func (r *run) leading() {
+// measureLeader measures the control leader.
+func (r *recorder) measureLeader() {
 	r.measure("renewWorker", "leader: a heartbeat of a worker with 7 leases and 6 targets, orders included", "ns", "worker", workerSizes, func(n int) float64 {
-		return renewing(n, leasesPerWorker)
+		return renewalCost(n, leasesPerWorker)
 	})
 	r.measure("renewLease", "leader: heartbeats of 1,100 workers, by leases of each", "ns", "lease", leaseSizes, func(n int) float64 {
-		return renewing(1100, n) / 1100
+		return renewalCost(1100, n) / 1100
 	})
 	r.measure("heapLeader", "leader, state and planner: workers with 7 leases and 6 targets, one job each", "B", "worker", workerSizes, func(n int) float64 {
 		return leaderHeap(n, leasesPerWorker)
@@ -171,44 +171,44 @@
 		return leaderHeap(1100, n) / 1100
 	})
 	r.measure("round", "leader: a round that places nothing", "ns", "worker", workerSizes, func(n int) float64 {
-		l := newLeader(shortPause)
+		l := newLeader(shortPlanInterval)
 		defer l.close()
-		beats := l.fill(n, leasesPerWorker)
-		l.planner.open.Store(true)
+		beats := l.addWorkers(n, leasesPerWorker)
+		l.planner.enabled.Store(true)
 		l.renew(beats)
 		return l.roundCost()
 	})
 	r.measure("decide", "placer: tasks placed in one round on 3,700 workers", "ns", "task", batchSizes, func(n int) float64 {
-		return deciding(3700, n)
+		return planningCost(3700, n)
 	})
 	r.measure("status", "operators' API: the status of workers, jobs and teams", "ns", "worker", workerSizes, func(n int) float64 {
 		l := newLeader(time.Hour)
 		defer l.close()
-		l.fill(n, leasesPerWorker)
-		return cost(func() { l.Status() })
+		l.addWorkers(n, leasesPerWorker)
+		return costPerCall(func() { l.Status() })
 	})
 }
 
 func leaderHeap(workers, leases int) float64 {
 	var l *leader
-	h := heapOf(func() any {
-		l = newLeader(shortPause)
-		l.settle(l.fill(workers, leases))
+	h := retainedHeap(func() any {
+		l = newLeader(shortPlanInterval)
+		l.warmUp(l.addWorkers(workers, leases))
 		return l
 	})
 	l.close()
 	return h
 }
 
-func renewing(workers, leases int) float64 {
+func renewalCost(workers, leases int) float64 {
 	l := newLeader(time.Hour)
 	defer l.close()
-	beats := l.fill(workers, leases)
-	return cost(func() { l.renew(beats) })
+	beats := l.addWorkers(workers, leases)
+	return costPerCall(func() { l.renew(beats) })
 }
 
-// deciding is a planning round on half-full workers, queued tasks waiting.
-func deciding(workers, queued int) float64 {
+// planningCost is a planning round on half-full workers, queued tasks waiting.
+func planningCost(workers, queued int) float64 {
 	p := place.New(place.Config{Seed: 1})
 	now := time.UnixMilli(1e12)
 	s := &place.Snapshot{
@@ -220,12 +220,12 @@
 	}
 	for i := range workers {
 		s.Workers = append(s.Workers, placeWorker(i, now))
-		p.Observe(now, beat(i, leasesPerWorker, targetsPerWorker))
+		p.Observe(now, workerHeartbeat(i, leasesPerWorker, targetsPerWorker))
 	}
 	for i := range queued {
 		s.Queued = append(s.Queued, placeTask(workers+i, 0, now))
 	}
-	return cost(func() {
+	return costPerCall(func() {
 		now = now.Add(time.Second)
 		if got := len(p.Plan(now, s).Grants); got != queued {
 			panic(fmt.Sprintf("the stand-in's workers have room for %d tasks, %d placed", queued, got))
--- a/internal/slopes/probe_entry.go
+++ b/internal/slopes/measure_entry.go
@@ -10,28 +10,28 @@
 
 var epoch = time.UnixMilli(1e12)
 
-// entryRole measures the directory and the router of an entry.
-func (r *run) entryRole() {
-	r.directory()
-	r.pushSizes()
-	r.pushCosts()
-	r.routing()
+// measureEntry measures the directory and the router of an entry.
+func (r *recorder) measureEntry() {
+	r.measureDirectory()
+	r.measurePushSizes()
+	r.measurePushCosts()
+	r.measureRouter()
 }
 
-func (r *run) directory() {
+func (r *recorder) measureDirectory() {
 	r.measure("heapAgent", "directory: agents of 6 targets", "B", "agent", workerSizes, func(n int) float64 {
-		return heapOf(func() any { return newDirectory(n) })
+		return retainedHeap(func() any { return newDirectory(n) })
 	})
 	r.measure("heard", "directory: steady heartbeats", "ns", "heartbeat", workerSizes, func(n int) float64 {
 		d := member.New(member.DefaultConfig())
 		var beats []*apiv1.HeartbeatRequest
 		for i := range n {
-			first := heartbeat(i, 0, 0)
+			first := heartbeatRequest(i, 0, 0)
 			first.Agent = agentInfo(i, targetsPerWorker)
 			d.RecordHeartbeat(epoch, first)
-			beats = append(beats, heartbeat(i, leasesPerWorker, targetsPerWorker))
+			beats = append(beats, heartbeatRequest(i, leasesPerWorker, targetsPerWorker))
 		}
-		return cost(func() {
+		return costPerCall(func() {
 			for _, hb := range beats {
 				d.RecordHeartbeat(epoch, hb)
 			}
@@ -39,38 +39,38 @@
 	})
 	r.measure("tick", "directory: judging every agent's silence", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
-		return cost(func() { d.Tick(epoch) })
+		return costPerCall(func() { d.Tick(epoch) })
 	})
 }
 
-// pushSizes measures the messages by which entries tell each other of agents.
-func (r *run) pushSizes() {
+// measurePushSizes measures the messages by which entries tell each other of agents.
+func (r *recorder) measurePushSizes() {
 	r.measure("pushSteady", "a push when nothing changed, by the sender's own agents", "B", "agent", batchSizes, func(n int) float64 {
-		return size(newDirectoryOf(n).changed(0))
+		return encodedSize(newHomeDirectory(n).changedPush(0))
 	})
 	r.measure("pushChanged", "a push, by agents that changed", "B", "agent", batchSizes, func(n int) float64 {
-		return size(newDirectoryOf(n).changed(n))
+		return encodedSize(newHomeDirectory(n).changedPush(n))
 	})
 	r.measure("pushLagging", "a push, by agents that have not adopted the newest configuration yet", "B", "agent", batchSizes, func(n int) float64 {
-		return size(newDirectoryOf(n).lagging())
+		return encodedSize(newHomeDirectory(n).laggingPush())
 	})
 	r.measure("pushGone", "the push after one agent has gone, by the sender's own agents", "B", "agent", batchSizes, func(n int) float64 {
-		return size(newDirectoryOf(n).afterOneGone(n))
+		return encodedSize(newHomeDirectory(n).departurePush(n))
 	})
 }
 
-// pushCosts measures the processor time of building and taking a push.
-func (r *run) pushCosts() {
+// measurePushCosts measures the processor time of building and taking a push.
+func (r *recorder) measurePushCosts() {
 	r.measure("push", "directory: building a steady push, by agents known; one in 38 is the sender's", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
-		return cost(func() { d.BuildSyncRequest(epoch, entryName(1), configurationVersion) })
+		return costPerCall(func() { d.BuildSyncRequest(epoch, entryName(1), configurationVersion) })
 	})
 	r.measure("receive", "directory: taking a steady push, by agents known; one in 38 is the sender's", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
 		from := member.New(member.DefaultConfig())
 		for i := range n {
 			if i%entries == 1 {
-				hearWhole(from, i)
+				recordAnnouncement(from, i)
 			}
 		}
 		_, sequence := from.BuildSyncRequest(epoch, entryName(0), configurationVersion)
@@ -80,12 +80,12 @@
 		if d.ApplySyncRequest(epoch, req) {
 			panic("the stand-in's directories agree")
 		}
-		return cost(func() { d.ApplySyncRequest(epoch, req) })
+		return costPerCall(func() { d.ApplySyncRequest(epoch, req) })
 	})
 }
 
-func hearWhole(d *member.Directory, i int) {
-	hb := heartbeat(i, 0, 0)
+func recordAnnouncement(d *member.Directory, i int) {
+	hb := heartbeatRequest(i, 0, 0)
 	hb.Agent = agentInfo(i, targetsPerWorker)
 	d.RecordHeartbeat(epoch, hb)
 }
@@ -94,7 +94,7 @@
 func newDirectory(n int) *member.Directory {
 	d := member.New(member.DefaultConfig())
 	for i := 0; i < n; i += entries {
-		hearWhole(d, i)
+		recordAnnouncement(d, i)
 	}
 	for e := 1; e < entries; e++ {
 		req := &apiv1.SyncRequest{Entry: entryName(e), Full: true, ConfigurationVersion: configurationVersion}
@@ -107,31 +107,31 @@
 	return d
 }
 
-// ownAgents is the directory of an entry that hears n agents and told the others.
-type ownAgents struct{ *member.Directory }
+// homeDirectory is the directory of an entry that hears n agents and told the others.
+type homeDirectory struct{ *member.Directory }
 
-func newDirectoryOf(n int) ownAgents {
+func newHomeDirectory(n int) homeDirectory {
 	d := member.New(member.DefaultConfig())
 	for i := range n {
-		hearWhole(d, i)
+		recordAnnouncement(d, i)
 	}
 	_, sequence := d.BuildSyncRequest(epoch, entryName(1), configurationVersion)
 	d.RecordSyncResponse(entryName(1), sequence, &apiv1.SyncResponse{})
-	return ownAgents{d}
+	return homeDirectory{d}
 }
 
-// lagging is a push right after the entry adopted a newer configuration.
-func (d ownAgents) lagging() *apiv1.SyncRequest { return d.push(configurationVersion + 1) }
+// laggingPush is a push right after the entry adopted a newer configuration.
+func (d homeDirectory) laggingPush() *apiv1.SyncRequest { return d.push(configurationVersion + 1) }
 
-func (d ownAgents) push(version uint64) *apiv1.SyncRequest {
+func (d homeDirectory) push(version uint64) *apiv1.SyncRequest {
 	req, _ := d.BuildSyncRequest(epoch, entryName(1), version)
 	req.Entry, req.Address, req.AdminAddress = entryName(0), "10.0.0.17:7301", "10.0.0.17:7303"
 	req.AvailabilityZone = "sto-01"
 	return req
 }
 
-// afterOneGone is what is sent once the receiver has seen that an agent is missing.
-func (d ownAgents) afterOneGone(agents int) *apiv1.SyncRequest {
+// departurePush is what is sent once the receiver has seen that an agent is missing.
+func (d homeDirectory) departurePush(agents int) *apiv1.SyncRequest {
 	other := member.New(member.DefaultConfig())
 	for i := range agents {
 		other.ApplySyncRequest(epoch, &apiv1.SyncRequest{Entry: entryName(0), Agents: []*apiv1.AgentInfo{agentInfo(i, targetsPerWorker)}})
@@ -140,7 +140,7 @@
 	d.RecordSyncResponse(entryName(1), first, &apiv1.SyncResponse{})
 	later := epoch.Add(member.DefaultConfig().HomeTimeout + time.Second)
 	for i := 1; i < agents; i++ {
-		d.RecordHeartbeat(later, heartbeat(i, 0, 0))
+		d.RecordHeartbeat(later, heartbeatRequest(i, 0, 0))
 	}
 	d.Tick(later)
 	for {
@@ -153,10 +153,10 @@
 	}
 }
 
-// changed is a push after some agents announced anew.
-func (d ownAgents) changed(agents int) *apiv1.SyncRequest {
+// changedPush is a push after some agents announced anew.
+func (d homeDirectory) changedPush(agents int) *apiv1.SyncRequest {
 	for i := range agents {
-		hb := heartbeat(i, 0, 0)
+		hb := heartbeatRequest(i, 0, 0)
 		hb.Agent = agentInfo(i, targetsPerWorker)
 		hb.Agent.Revision++
 		d.RecordHeartbeat(epoch, hb)
@@ -164,14 +164,14 @@
 	return d.push(configurationVersion)
 }
 
-func (r *run) routing() {
+func (r *recorder) measureRouter() {
 	r.measure("heapTarget", "router: targets of services of 54, 38 entries", "B", "target", targetSizes, func(n int) float64 {
-		return heapOf(func() any { return newRouter(n) })
+		return retainedHeap(func() any { return newRouter(n) })
 	})
 	r.measure("request", "router: a request from admission to release, by targets known", "ns", "target", targetSizes, func(n int) float64 {
 		rt := newRouter(n)
 		now := epoch.Add(time.Minute)
-		return cost(func() { routeOne(rt, now) })
+		return costPerCall(func() { routeRequest(rt, now) })
 	})
 }
 
@@ -195,7 +195,7 @@
 	return rt
 }
 
-func routeOne(rt *route.Router, now time.Time) {
+func routeRequest(rt *route.Router, now time.Time) {
 	req := &route.Request{
 		ID: "entry-00-0000000000000001", Service: serviceName(0), Caller: "caller", Idempotent: true,
 		Deadline: now.Add(2 * time.Second), Priority: apiv1.Priority_PRIORITY_URGENT,
--- a/internal/slopes/probe_log.go
+++ b/internal/slopes/measure_log.go
@@ -14,16 +14,16 @@
 
 const replicas = 5
 
-// group is a log of five replicas without disks, whose messages are encoded as on
+// logGroup is a log of five replicas without disks, whose messages are encoded as on
 // the wire.
-type group struct {
+type logGroup struct {
 	rafts  []*quorum.Raft
 	leader *quorum.Raft
 	bytes  int
 }
 
-func newGroup() *group {
-	g := &group{}
+func newLogGroup() *logGroup {
+	g := &logGroup{}
 	m := &apiv1.Membership{}
 	for id := uint64(1); id <= replicas; id++ {
 		m.Replicas = append(m.Replicas, &apiv1.Replica{Id: id})
@@ -39,7 +39,7 @@
 	for g.leader == nil {
 		for _, r := range g.rafts {
 			r.Tick()
-			g.settle()
+			g.deliverAll()
 			if r.Status().Role == quorum.Leader {
 				g.leader = r
 			}
@@ -48,8 +48,8 @@
 	return g
 }
 
-// settle works until no replica has anything to do.
-func (g *group) settle() {
+// deliverAll works until no replica has anything to do.
+func (g *logGroup) deliverAll() {
 	for busy := true; busy; {
 		busy = false
 		for _, r := range g.rafts {
@@ -66,7 +66,7 @@
 	}
 }
 
-func (g *group) deliver(m *apiv1.QuorumMessage) {
+func (g *logGroup) deliver(m *apiv1.QuorumMessage) {
 	data, err := proto.Marshal(&apiv1.DeliverRequest{Cell: "main", Messages: []*apiv1.QuorumMessage{m}})
 	must(err)
 	g.bytes += len(data)
@@ -76,23 +76,23 @@
 }
 
 // commit replicates n entries and drops them from memory.
-func (g *group) commit(n int, command []byte) {
+func (g *logGroup) commit(n int, command []byte) {
 	for range n {
 		_, _, err := g.leader.Propose(command)
 		must(err)
 	}
-	g.settle()
+	g.deliverAll()
 	for _, r := range g.rafts {
 		_, err := r.Compact(r.Status().Applied, nil)
 		must(err)
 	}
 }
 
-// replicating measures the log.
-func (r *run) replicating() {
+// measureLog measures the log.
+func (r *recorder) measureLog() {
 	command, err := proto.Marshal(claim(1))
 	must(err)
-	g := newGroup()
+	g := newLogGroup()
 	r.measure("logB", "log: all messages of a group of 5 for claims, the claims' own bytes left out", "B", "entry", batchSizes, func(n int) float64 {
 		before := g.bytes
 		g.commit(n, command)
@@ -102,20 +102,20 @@
 		before := g.bytes
 		for range n {
 			g.leader.Tick()
-			g.settle()
+			g.deliverAll()
 		}
 		return float64(g.bytes - before)
 	})
 	r.measure("logNs", "log: the cores and message codecs of a group of 5, no disk, no sockets", "ns", "entry", batchSizes, func(n int) float64 {
-		return cost(func() { g.commit(n, command) })
+		return costPerCall(func() { g.commit(n, command) })
 	})
 	r.measure("walB", "log on disk: one write, the claims' own bytes left out", "B", "entry", batchSizes, func(n int) float64 {
-		return walSize(n, command) - float64(n*len(command))
+		return walGrowth(n, command) - float64(n*len(command))
 	})
 }
 
-// walSize is what n entries in one write take on the disk.
-func walSize(n int, command []byte) float64 {
+// walGrowth is what n entries in one write take on the disk.
+func walGrowth(n int, command []byte) float64 {
 	folder, err := os.MkdirTemp("", "slopes")
 	must(err)
 	defer os.RemoveAll(folder)
--- a/internal/slopes/probe_messages.go
+++ b/internal/slopes/measure_messages.go
@@ -9,39 +9,39 @@
 	"github.com/cairnlift/cairnlift/configdelta"
 )
 
-// messages measures encoded sizes of the protocols' messages.
-func (r *run) messages() {
+// measureMessages measures encoded sizes of the protocols' messages.
+func (r *recorder) measureMessages() {
 	r.measure("beatLease", "an agent's steady heartbeat, by leases; no targets", "B", "lease", leaseSizes,
-		func(n int) float64 { return size(heartbeat(3, n, 0)) })
+		func(n int) float64 { return encodedSize(heartbeatRequest(3, n, 0)) })
 	r.measure("beatTarget", "an agent's steady heartbeat, by targets; no leases", "B", "target", leaseSizes,
-		func(n int) float64 { return size(heartbeat(3, 0, n)) })
+		func(n int) float64 { return encodedSize(heartbeatRequest(3, 0, n)) })
 	r.measure("beatFull", "an agent's first heartbeat, with its announcement, by targets", "B", "target", leaseSizes, func(n int) float64 {
-		hb := heartbeat(3, 0, n)
+		hb := heartbeatRequest(3, 0, n)
 		hb.Agent = agentInfo(3, n)
 		hb.Worker.Info = workerInfo(3)
-		return size(hb)
+		return encodedSize(hb)
 	})
 	r.measure("orders", "the answer to a heartbeat, by starts ordered", "B", "start", leaseSizes, func(n int) float64 {
-		resp := heartbeatAnswer(3)
+		resp := heartbeatResponse(3)
 		for i := range n {
 			resp.Orders.Start = append(resp.Orders.Start, &apiv1.StartTask{
 				Task: &apiv1.TaskAttempt{Task: taskName(3, i), Attempt: 2}, Kind: "kind-03", Grant: taskSize(),
 				Checkpoint: fmt.Sprintf("%s/2/000041", taskName(3, i)), ExpectedRunMs: 26_000,
 			})
 		}
-		return size(resp)
+		return encodedSize(resp)
 	})
 	r.measure("renewBatch", "renewals to the leader, 7 leases and 6 targets each", "B", "worker", workerSizes,
-		func(n int) float64 { return size(renewRequest(n, leasesPerWorker, targetsPerWorker)) })
+		func(n int) float64 { return encodedSize(renewRequest(n, leasesPerWorker, targetsPerWorker)) })
 	r.measure("renewBare", "renewals that name neither tasks nor targets", "B", "worker", workerSizes,
-		func(n int) float64 { return size(renewRequest(n, 0, 0)) })
+		func(n int) float64 { return encodedSize(renewRequest(n, 0, 0)) })
 	r.measure("renewAnswer", "the leader's answers without orders", "B", "worker", workerSizes,
-		func(n int) float64 { return size(renewAnswer(n)) })
+		func(n int) float64 { return encodedSize(renewAnswer(n)) })
 	r.measure("renewCodec", "decoding renewals and encoding the answers", "ns", "worker", workerSizes, func(n int) float64 {
 		in, err := proto.Marshal(renewRequest(n, leasesPerWorker, targetsPerWorker))
 		must(err)
 		out := renewAnswer(n)
-		return cost(func() {
+		return costPerCall(func() {
 			must(proto.Unmarshal(in, &apiv1.RenewRequest{}))
 			_, err := proto.Marshal(out)
 			must(err)
@@ -49,17 +49,17 @@
 	})
 	r.measure("loadOnAnswer", "a target's load on the answers to requests", "B", "answer", batchSizes, func(n int) float64 {
 		with, without := &apiv1.DispatchResponse{Load: target(1).Load}, &apiv1.DispatchResponse{}
-		return float64(n) * (size(with) - size(without))
+		return float64(n) * (encodedSize(with) - encodedSize(without))
 	})
-	r.configurationMessages()
-	r.deltaMessages()
-	r.commandMessages()
+	r.measureConfigurationMessages()
+	r.measureDeltaMessages()
+	r.measureCommandMessages()
 }
 
 func renewRequest(n, leases, targets int) *apiv1.RenewRequest {
 	req := &apiv1.RenewRequest{}
 	for i := range n {
-		req.Workers = append(req.Workers, beat(i, leases, targets))
+		req.Workers = append(req.Workers, workerHeartbeat(i, leases, targets))
 	}
 	return req
 }
@@ -67,46 +67,46 @@
 func renewAnswer(n int) *apiv1.RenewResponse {
 	resp := &apiv1.RenewResponse{Leader: true}
 	for i := range n {
-		resp.Orders = append(resp.Orders, heartbeatAnswer(i).Orders)
+		resp.Orders = append(resp.Orders, heartbeatResponse(i).Orders)
 	}
 	return resp
 }
 
-// configurationMessages measures what a change of configuration carries.
-func (r *run) configurationMessages() {
+// measureConfigurationMessages measures what a change of configuration carries.
+func (r *recorder) measureConfigurationMessages() {
 	r.measure("submitJob", "a submission: compiled jobs and text", "B", "job", jobSizes,
-		func(n int) float64 { return size(submit(1, 1, configuration(n, 1, 0, 0))) })
+		func(n int) float64 { return encodedSize(submit(1, 1, configuration(n, 1, 0, 0))) })
 	r.measure("textJob", "the operators' text", "B", "job", jobSizes,
 		func(n int) float64 { return float64(len(configuration(n, 1, 0, 0).Text)) })
 	r.measure("submitTeam", "a submission: compiled teams, one service each, and text", "B", "team", teamSizes,
-		func(n int) float64 { return size(submit(1, 1, configuration(0, 1, n, n))) })
+		func(n int) float64 { return encodedSize(submit(1, 1, configuration(0, 1, n, n))) })
 	r.measure("agentService", "the configuration in a heartbeat's answer, which leaves jobs and text out", "B", "service", teamSizes,
 		func(n int) float64 {
 			c := configuration(11, 1, n, n)
-			return size(&apiv1.HeartbeatResponse{Configuration: &apiv1.Configuration{
+			return encodedSize(&apiv1.HeartbeatResponse{Configuration: &apiv1.Configuration{
 				Version: c.Version, Services: c.Services, Policy: c.Policy,
 			}})
 		})
 }
 
-// deltaMessages measures what a change carries by delta.
-func (r *run) deltaMessages() {
-	old := window(0, standingJobs)
+// measureDeltaMessages measures what a change carries by delta.
+func (r *recorder) measureDeltaMessages() {
+	old := jobWindow(0, configuredJobs)
 	deltas := map[int]*apiv1.ConfigurationDelta{}
 	delta := func(n int) *apiv1.ConfigurationDelta {
 		if deltas[n] == nil {
-			deltas[n] = configdelta.Diff(old, window(n, standingJobs))
+			deltas[n] = configdelta.Diff(old, jobWindow(n, configuredJobs))
 		}
 		return deltas[n]
 	}
 	r.measure("submitDelta", "a submission by delta: jobs taken out at the front of 12,333 and as many put in at the end", "B", "job", batchSizes,
-		func(n int) float64 { return size(submitDelta(1, configurationVersion, delta(n))) })
+		func(n int) float64 { return encodedSize(submitDelta(1, configurationVersion, delta(n))) })
 	r.measure("syncDelta", "the same in the answer to another entry's push", "B", "job", batchSizes, func(n int) float64 {
 		d := submitDelta(1, configurationVersion, delta(n)).GetSubmit().Delta
-		return size(&apiv1.SyncResponse{Deltas: []*apiv1.ConfigurationDelta{d}})
+		return encodedSize(&apiv1.SyncResponse{Deltas: []*apiv1.ConfigurationDelta{d}})
 	})
 	r.measure("submitStanding", "a submission by delta, 8 jobs replaced, by jobs that stand in the text", "B", "job", jobSizes, func(n int) float64 {
-		return size(submitDelta(1, configurationVersion, configdelta.Diff(window(0, n), window(jobsPerChange, n))))
+		return encodedSize(submitDelta(1, configurationVersion, configdelta.Diff(jobWindow(0, n), jobWindow(jobsPerChange, n))))
 	})
 	r.measure("agentDelta", "the delta in a heartbeat's answer, by changed services of 390", "B", "service", leaseSizes, func(n int) float64 {
 		old, new := &apiv1.Configuration{Version: configurationVersion}, &apiv1.Configuration{Version: configurationVersion + 1}
@@ -118,31 +118,31 @@
 			}
 			old.Services, new.Services = append(old.Services, was), append(new.Services, is)
 		}
-		return size(&apiv1.HeartbeatResponse{Deltas: []*apiv1.ConfigurationDelta{configdelta.Diff(old, new)}})
+		return encodedSize(&apiv1.HeartbeatResponse{Deltas: []*apiv1.ConfigurationDelta{configdelta.Diff(old, new)}})
 	})
 }
 
-func (r *run) commandMessages() {
+func (r *recorder) measureCommandMessages() {
 	r.measure("grantEntry", "a Place command", "B", "grant", batchSizes, func(n int) float64 {
 		cmd := placeCommand()
 		for i := range n {
 			cmd.GetPlace().Grants = append(cmd.GetPlace().Grants, grant(i/7, i/7, i%7, 2))
 		}
-		return size(cmd)
+		return encodedSize(cmd)
 	})
 	r.measure("endEntry", "a worker's RecordTasks command", "B", "end", leaseSizes,
-		func(n int) float64 { return size(stopped(3, n, 2)) })
+		func(n int) float64 { return encodedSize(recordStops(3, n, 2)) })
 	r.measure("expireEntry", "an Expire command with checkpoints", "B", "lease", leaseSizes,
-		func(n int) float64 { return size(expire(3, n)) })
+		func(n int) float64 { return encodedSize(expire(3, n)) })
 	r.measure("registerEntry", "RegisterWorker commands", "B", "worker", workerSizes, func(n int) (sum float64) {
 		for i := range n {
-			sum += size(register(i))
+			sum += encodedSize(register(i))
 		}
 		return sum
 	})
 	r.measure("claimEntry", "Claim and Settle commands, a response of 200 bytes", "B", "claim", batchSizes, func(n int) (sum float64) {
 		for i := range n {
-			sum += size(claim(i)) + size(settle(i))
+			sum += encodedSize(claim(i)) + encodedSize(settle(i))
 		}
 		return sum
 	})
--- a/internal/slopes/probe_wire.go
+++ b/internal/slopes/measure_wire.go
@@ -40,32 +40,32 @@
 	return n, err
 }
 
-// answering is an entry that answers heartbeats at once.
-type answering struct{ apiv1.Control }
+// heartbeatServer is an entry that answers heartbeats at once.
+type heartbeatServer struct{ apiv1.Control }
 
-func (answering) Heartbeat(context.Context, *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
-	return heartbeatAnswer(3), nil
+func (heartbeatServer) Heartbeat(context.Context, *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
+	return heartbeatResponse(3), nil
 }
 
-// wire measures twirp calls over a loopback connection that is kept open.
-func (r *run) wire() {
+// measureWire measures twirp calls over a loopback connection that is kept open.
+func (r *recorder) measureWire() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
 	counted := &countingListener{Listener: listener}
-	server := &http.Server{Handler: apiv1.NewControlServer(answering{})}
+	server := &http.Server{Handler: apiv1.NewControlServer(heartbeatServer{})}
 	served := make(chan struct{})
 	go func() {
 		_ = server.Serve(counted) // ends by Close
 		close(served)
 	}()
 	client := apiv1.NewControlProtobufClient("http://"+listener.Addr().String(), &http.Client{Transport: &http.Transport{}})
-	hb := heartbeat(3, leasesPerWorker, targetsPerWorker)
+	hb := heartbeatRequest(3, leasesPerWorker, targetsPerWorker)
 	call := func() {
 		_, err := client.Heartbeat(context.Background(), hb)
 		must(err)
 	}
 	call()
-	payload := size(hb) + size(heartbeatAnswer(3))
+	payload := encodedSize(hb) + encodedSize(heartbeatResponse(3))
 	r.measure("callB", "HTTP around a call and its answer, payload left out, TCP and IP headers too", "B", "call", batchSizes, func(n int) float64 {
 		before := counted.bytes.Load()
 		for range n {
@@ -74,7 +74,7 @@
 		return float64(counted.bytes.Load()-before) - float64(n)*payload
 	})
 	r.measure("callNs", "heartbeat calls with 7 leases and 6 targets, client and server together", "ns", "call", batchSizes, func(n int) float64 {
-		return cost(func() {
+		return costPerCall(func() {
 			for range n {
 				call()
 			}
--- a/internal/slopes/pages_test.go
+++ b/internal/slopes/pages_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// TestPagesFollowSlopes: the pages were edited by hand, or a formula was changed and
+// TestPagesMatchSlopes: the pages were edited by hand, or a formula was changed and
 // the pages were not written anew, so that they state what no run gave.
-func TestPagesFollowSlopes(t *testing.T) {
+func TestPagesMatchSlopes(t *testing.T) {
 	p := pages{root: "../.."}
 	list, err := p.load()
 	if err != nil {
@@ -16,8 +16,8 @@
 	}
 	for _, s := range list {
 		again := &Slope{Points: s.Points}
-		again.fit()
-		if !near(again.Slope, s.Slope) || !near(again.Base, s.Base) || !near(again.Residual, s.Residual) {
+		again.fitLine()
+		if !approxEqual(again.Slope, s.Slope) || !approxEqual(again.Base, s.Base) || !approxEqual(again.Residual, s.Residual) {
 			t.Errorf("%s: the line is not the one through its points", s.Name)
 		}
 	}
@@ -36,5 +36,5 @@
 	}
 }
 
-// near allows for processors that round a product and a sum in one step.
-func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a)) }
+// approxEqual allows for processors that round a product and a sum in one step.
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a)) }
--- a/internal/slopes/render.go
+++ b/internal/slopes/render.go
@@ -21,9 +21,9 @@
 		return nil, err
 	}
 	t, err := template.New("capacity").Funcs(template.FuncMap{
-		"rows":        v.table,
-		"assumptions": assumptionTable,
-		"result":      v.result,
+		"rows":        v.renderTable,
+		"assumptions": renderAssumptions,
+		"result":      v.formatResult,
 	}).Parse(capacityTemplate)
 	if err != nil {
 		return nil, errors.Wrap(err, "template")
@@ -35,8 +35,8 @@
 	return b.Bytes(), nil
 }
 
-// table renders one section.
-func (v values) table(section string) (string, error) {
+// renderTable renders one section.
+func (v values) renderTable(section string) (string, error) {
 	rows, ok := sections[section]
 	if !ok {
 		return "", errors.Newf("there is no section %q", section)
@@ -53,13 +53,13 @@
 			flow += " (`" + r.name + "`)"
 		}
 		fmt.Fprintf(&b, "| %s | `%s` | %s | %s | %s | %s | %s |\n", flow, r.formula,
-			strings.ReplaceAll(v.withNumbers(r.formula), "*", "×"), r.unit.format(n), r.boundText(), r.margin(n), r.note)
+			strings.ReplaceAll(v.substitute(r.formula), "*", "×"), r.unit.format(n), r.formatBound(), r.formatMargin(n), r.note)
 	}
 	return strings.TrimSuffix(b.String(), "\n"), nil
 }
 
-// result is a named row's result for use in a sentence.
-func (v values) result(name string) (string, error) {
+// formatResult is a named row's result for use in a sentence.
+func (v values) formatResult(name string) (string, error) {
 	for _, rows := range sections {
 		for _, r := range rows {
 			if r.name == name {
@@ -70,34 +70,34 @@
 	return "", errors.Newf("no row is named %q", name)
 }
 
-func (r row) boundText() string {
+func (r row) formatBound() string {
 	if r.limit() < 0 {
 		return ""
 	}
 	text := r.unit.format(r.limit())
-	if r.least {
+	if r.lowerBound {
 		return "at least " + text
 	}
 	return text
 }
 
-// margin says in words how a result stands to its bound.
-func (r row) margin(n float64) string {
+// formatMargin says in words how a result stands to its bound.
+func (r row) formatMargin(n float64) string {
 	limit := r.limit()
 	switch {
 	case limit < 0:
 		return ""
-	case r.least && n >= limit:
+	case r.lowerBound && n >= limit:
 		return fmt.Sprintf("holds, %.0f %% more", 100*(n/limit-1))
-	case r.least:
-		return fmt.Sprintf("**misses, %s too few**", timesText(limit/n))
+	case r.lowerBound:
+		return fmt.Sprintf("**misses, %s too few**", formatFactor(limit/n))
 	case n <= limit:
 		return fmt.Sprintf("holds, %.0f %% left", 100*(1-n/limit))
 	}
-	return fmt.Sprintf("**misses, %s**", timesText(n/limit))
+	return fmt.Sprintf("**misses, %s**", formatFactor(n/limit))
 }
 
-func timesText(f float64) string {
+func formatFactor(f float64) string {
 	if f < 10 {
 		return fmt.Sprintf("%.1f times", f)
 	}
@@ -107,35 +107,35 @@
 func (u unit) format(n float64) string {
 	switch u {
 	case bytesPerSecond:
-		return bytesText(n) + "/s"
-	case core:
+		return formatBytes(n) + "/s"
+	case coreUsage:
 		return fmt.Sprintf("%.2g %% of a core", n/1e7)
 	case memory:
 		return fmt.Sprintf("%.0f MB", n/1e6)
 	case seconds:
-		return short(n) + " s"
-	case bytesOnce:
-		return bytesText(n)
+		return formatShort(n) + " s"
+	case bytesTotal:
+		return formatBytes(n)
 	case perSecond:
-		return grouped(n) + "/s"
+		return formatGrouped(n) + "/s"
 	}
-	return grouped(n)
+	return formatGrouped(n)
 }
 
-func bytesText(n float64) string {
+func formatBytes(n float64) string {
 	switch {
 	case n >= 1e6:
-		return short(n/1e6) + " MB"
+		return formatShort(n/1e6) + " MB"
 	case n >= 1e3:
-		return short(n/1e3) + " KB"
+		return formatShort(n/1e3) + " KB"
 	}
-	return short(n) + " B"
+	return formatShort(n) + " B"
 }
 
-// grouped prints a number with a comma between thousands.
-func grouped(n float64) string {
+// formatGrouped prints a number with a comma between thousands.
+func formatGrouped(n float64) string {
 	if n < 10 {
-		return short(n)
+		return formatShort(n)
 	}
 	s := strconv.FormatFloat(n, 'f', 0, 64)
 	for i := len(s) - 3; i > 0; i -= 3 {
@@ -144,11 +144,11 @@
 	return s
 }
 
-func assumptionTable() string {
+func renderAssumptions() string {
 	var b strings.Builder
 	b.WriteString("| name | value | source |\n|---|---|---|\n")
 	for _, a := range assumptions {
-		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", a.name, short(a.value), a.source)
+		fmt.Fprintf(&b, "| `%s` | %s | %s |\n", a.name, formatShort(a.value), a.source)
 	}
 	return strings.TrimSuffix(b.String(), "\n")
 }
--- a/internal/slopes/render_slopes.go
+++ b/internal/slopes/render_slopes.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-const slopesHead = `# Measured slopes
+const slopesHeader = `# Measured slopes
 
 Written by ` + "`make slopes`" + `; don't edit. The real cores and the real encoded messages, with made-up content, on one
 machine. Each quantity is measured at the sizes shown, and a line is fitted by least squares: base (the value at size
@@ -24,14 +24,14 @@
 // renderSlopes is the page of measurements.
 func renderSlopes(list []*Slope) []byte {
 	var b bytes.Buffer
-	b.WriteString(slopesHead)
+	b.WriteString(slopesHeader)
 	for _, s := range list {
 		var sizes []string
 		for _, p := range s.Points {
-			sizes = append(sizes, grouped(p.X))
+			sizes = append(sizes, formatGrouped(p.X))
 		}
 		fmt.Fprintf(&b, "| `%s` | %s | %s %s/%s | %s %s | %.1f %% | %s |\n",
-			s.Name, s.What, short(s.Slope), s.Unit, s.Per, short(s.Base), s.Unit, s.Residual*100, strings.Join(sizes, "; "))
+			s.Name, s.What, formatShort(s.Slope), s.Unit, s.Per, formatShort(s.Base), s.Unit, s.Residual*100, strings.Join(sizes, "; "))
 	}
 	return b.Bytes()
 }
--- a/internal/slopes/rows.go
+++ b/internal/slopes/rows.go
@@ -5,23 +5,23 @@
 
 const (
 	bytesPerSecond unit = iota
-	// core is nanoseconds of processor time a second.
-	core
+	// coreUsage is nanoseconds of processor time a second.
+	coreUsage
 	memory
 	seconds
 	count
-	// bytesOnce is an amount that comes once, in a burst.
-	bytesOnce
+	// bytesTotal is an amount that comes once, in a burst.
+	bytesTotal
 	perSecond
 )
 
 // Bounds of the letter for a daemon of control.
 const (
-	maxBytesPerSecond = 6000
-	maxCore           = 1e7
-	maxMemory         = 256e6
-	maxInForce        = 3
-	maxUrgent         = 9.6
+	maxBytesPerSecond     = 6000
+	maxCoreUsage          = 1e7
+	maxMemoryBytes        = 256e6
+	maxInEffectSeconds    = 3
+	maxUrgentStartSeconds = 9.6
 )
 
 // row is one flow of a role.
@@ -34,13 +34,13 @@
 	// bound is the largest that is allowed, 0 when the unit's own holds, and
 	// negative when there is none.
 	bound float64
-	// least: the bound is the smallest that is allowed.
-	least bool
+	// lowerBound: the bound is the smallest that is allowed.
+	lowerBound bool
 	// note names the mechanism that carries it.
 	note string
 }
 
-const unbound = -1
+const noBound = -1
 
 func (r row) limit() float64 {
 	if r.bound != 0 {
@@ -49,12 +49,12 @@
 	switch r.unit {
 	case bytesPerSecond:
 		return maxBytesPerSecond
-	case core:
-		return maxCore
+	case coreUsage:
+		return maxCoreUsage
 	case memory:
-		return maxMemory
+		return maxMemoryBytes
 	}
-	return unbound
+	return noBound
 }
 
 // sections are the page's tables by the name the template calls them.
@@ -70,34 +70,34 @@
 }
 
 const (
-	beatBytes = "beatLease_0 + leases*beatLease + perHost*beatTarget + orders_0 + callB"
-	textBytes = "(standing*submitJob + teams*submitTeam)"
-	// logDeltas and deltaBytes are bytes a second: each job of a day comes once, and
+	heartbeatBytes     = "beatLease_0 + leases*beatLease + perHost*beatTarget + orders_0 + callB"
+	configurationBytes = "(standing*submitJob + teams*submitTeam)"
+	// logDeltaBytes and deltaBytes are bytes a second: each job of a day comes once, and
 	// one goes for it.
-	logDeltas  = "(changes*submitDelta_0 + jobs/86400*submitDelta)"
-	deltaBytes = "(changes*syncDelta_0 + jobs/86400*syncDelta)"
-	roundTime  = "(round_0 + workers*round)"
-	batchCalls = "workers/(1 + gather*workers/entries)"
-	entryRate  = "starts*(1 + 1/perCommand)"
-	stateHeap  = "workers*heapWorker + 2*tasks*heapTask + standing*heapJob + teams*heapTeam"
+	logDeltaBytes = "(changes*submitDelta_0 + jobs/86400*submitDelta)"
+	deltaBytes    = "(changes*syncDelta_0 + jobs/86400*syncDelta)"
+	roundTime     = "(round_0 + workers*round)"
+	batchCalls    = "workers/(1 + gather*workers/entries)"
+	logEntryRate  = "starts*(1 + 1/perCommand)"
+	stateHeap     = "workers*heapWorker + 2*tasks*heapTask + standing*heapJob + teams*heapTeam"
 )
 
 var agentRows = []row{
-	{name: "agentBeat", flow: "heartbeat and its answer", formula: "(" + beatBytes + ")/beat", unit: bytesPerSecond,
+	{name: "agentBeat", flow: "heartbeat and its answer", formula: "(" + heartbeatBytes + ")/beat", unit: bytesPerSecond,
 		note: "one message per host and interval, to one home entry: built"},
 	{name: "agentStarts", flow: "starts ordered at the peak", formula: "starts*orders/workers", unit: bytesPerSecond,
 		note: "all starts of a worker in one answer: built"},
 	{name: "agentConfig", flow: "configuration", formula: "changes*(agentDelta_0 + agentDelta)", unit: bytesPerSecond,
 		note: "by delta, jobs, teams and text left out: built; taken as if each change were of one service"},
 	{name: "agentBytes", flow: "sum of the bytes", formula: "agentBeat + agentStarts + agentConfig", unit: bytesPerSecond},
-	{name: "agentCore", flow: "leases and heartbeat", formula: "(agentLease_0 + leases*agentLease + callNs)/beat + 3*callNs/lookEvery", unit: core,
+	{name: "agentCore", flow: "leases and heartbeat", formula: "(agentLease_0 + leases*agentLease + callNs)/beat + 3*callNs/lookEvery", unit: coreUsage,
 		note: "three calls per look at the worker, counted as whole twirp calls, client and server"},
 	{name: "agentMemory", flow: "memory", formula: "gc*(records*gateRecord + answers)", unit: memory,
 		note: "bounded tables: built; process base not measured"},
 }
 
 var entryRows = []row{
-	{name: "entryBeats", flow: "heartbeats of its agents", formula: "workers/entries*(" + beatBytes + ")/beat", unit: bytesPerSecond,
+	{name: "entryBeats", flow: "heartbeats of its agents", formula: "workers/entries*(" + heartbeatBytes + ")/beat", unit: bytesPerSecond,
 		note: "see mechanisms 1 and 2"},
 	{name: "entryRenewals", flow: "renewals passed on", formula: "workers/entries*(renewBatch + renewAnswer)/beat + callB*" + batchCalls + "/entries", unit: bytesPerSecond,
 		note: "see mechanisms 1 and 3"},
@@ -112,61 +112,61 @@
 	{name: "entryAgentConfig", flow: "configuration handed to its agents", formula: "workers/entries*agentConfig", unit: bytesPerSecond,
 		note: "by delta: built"},
 	{name: "entryBytes", flow: "sum of the bytes", formula: "entryBeats + entryRenewals + entryPushes + entryLagging + entryConfig + entryAgentConfig", unit: bytesPerSecond},
-	{name: "entryBeatsCore", flow: "heartbeats", formula: "workers/entries*(callNs + heard + renewCodec)/beat", unit: core,
+	{name: "entryBeatsCore", flow: "heartbeats", formula: "workers/entries*(callNs + heard + renewCodec)/beat", unit: coreUsage,
 		note: "the agents' half of the call is in it"},
-	{name: "entryPushesCore", flow: "pushes, sent and taken", formula: "(entries-1)/sync*(callNs + workers*(push + receive))", unit: core,
+	{name: "entryPushesCore", flow: "pushes, sent and taken", formula: "(entries-1)/sync*(callNs + workers*(push + receive))", unit: coreUsage,
 		note: "each push looks at the whole directory; an index by home entry is on paper"},
-	{name: "entryTicksCore", flow: "silence of agents", formula: "ticks*workers*tick", unit: core},
-	{name: "entryConfigCore", flow: "taking a change and making its delta for others", formula: "changes*standing*(applyDelta + makeDelta)", unit: core,
+	{name: "entryTicksCore", flow: "silence of agents", formula: "ticks*workers*tick", unit: coreUsage},
+	{name: "entryConfigCore", flow: "taking a change and making its delta for others", formula: "changes*standing*(applyDelta + makeDelta)", unit: coreUsage,
 		note: "the state machine's cost of a delta stands for the smaller one here"},
-	{name: "entryCore", flow: "sum of processor time", formula: "entryBeatsCore + entryPushesCore + entryTicksCore + entryConfigCore", unit: core},
+	{name: "entryCore", flow: "sum of processor time", formula: "entryBeatsCore + entryPushesCore + entryTicksCore + entryConfigCore", unit: coreUsage},
 	{name: "entryMemory", flow: "memory", formula: "gc*(workers*heapAgent + targets*heapTarget + standing*heapJob + teams*heapTeam + 2*kept)", unit: memory,
 		note: "every entry knows every target, and keeps a subset per service for picking: built; changes kept for others bounded: built"},
-	{flow: "a request (not control)", formula: "request_0 + gateRequest", unit: core, bound: unbound,
+	{flow: "a request (not control)", formula: "request_0 + gateRequest", unit: coreUsage, bound: noBound,
 		note: "read as: processor time of one request a second, router and gate, HTTP left out"},
 }
 
 var followerRows = []row{
-	{name: "followerLog", flow: "log at the peak of starts", formula: "starts*(grantEntry + endEntry + endEntry_0) + " + entryRate + "*logB/(replicas-1)", unit: bytesPerSecond,
+	{name: "followerLog", flow: "log at the peak of starts", formula: "starts*(grantEntry + endEntry + endEntry_0) + " + logEntryRate + "*logB/(replicas-1)", unit: bytesPerSecond,
 		note: "grants of a round in entries of 256, ends by worker: built; see mechanism 6"},
-	{name: "followerSubmissions", flow: "submissions in the log", formula: logDeltas, unit: bytesPerSecond, note: "by delta: built; see mechanism 5"},
+	{name: "followerSubmissions", flow: "submissions in the log", formula: logDeltaBytes, unit: bytesPerSecond, note: "by delta: built; see mechanism 5"},
 	{name: "followerBeats", flow: "the log's heartbeats, taken and answered", formula: "logBeats*(quorumBeat/(replicas-1) + 2*callB)", unit: bytesPerSecond,
 		note: "a call each way: built; the answer in the call's own answer halves it: on paper"},
 	{name: "followerReads", flow: "read rounds for renewals, at most", formula: "(quorumBeat/(replicas-1) + 2*callB)/roundTrip", unit: bytesPerSecond,
 		note: "one round at a time, shared by all that wait: built; fewer renewal calls (mechanism 3) make fewer rounds"},
 	{name: "followerBytes", flow: "sum of the bytes", formula: "followerLog + followerSubmissions + followerBeats + followerReads", unit: bytesPerSecond},
-	{name: "applyCore", flow: "applying at the peak", formula: "starts*applyGrant + " + entryRate + "*logNs/replicas + changes*standing*applyDelta", unit: core,
+	{name: "applyCore", flow: "applying at the peak", formula: "starts*applyGrant + " + logEntryRate + "*logNs/replicas + changes*standing*applyDelta", unit: coreUsage,
 		note: "see mechanism 6"},
-	{name: "snapshotCore", flow: "snapshots at the peak", formula: entryRate + "/snapshotEvery*workers*snapshotNs", unit: core,
+	{name: "snapshotCore", flow: "snapshots at the peak", formula: logEntryRate + "/snapshotEvery*workers*snapshotNs", unit: coreUsage,
 		note: "one per 10,000 entries: built; by bytes and age of the log: on paper"},
-	{name: "readsCore", flow: "read rounds for renewals and heartbeats, at most", formula: "callNs*(1/roundTrip + logBeats)", unit: core,
+	{name: "readsCore", flow: "read rounds for renewals and heartbeats, at most", formula: "callNs*(1/roundTrip + logBeats)", unit: coreUsage,
 		note: "half of two calls each; a heartbeat's call stands for the smaller one here, so this is high. See mechanism 3"},
-	{name: "followerCore", flow: "sum of processor time", formula: "applyCore + snapshotCore + readsCore", unit: core},
-	{flow: "log on the disk at the peak", formula: "starts*(grantEntry + endEntry + endEntry_0) + " + entryRate + "*walB", unit: bytesPerSecond, bound: unbound, note: "disk, not network"},
-	{flow: "snapshots on the disk at the peak", formula: entryRate + "/snapshotEvery*(workers*snapshotB + (standing-workers)*submitJob)", unit: bytesPerSecond, bound: unbound,
+	{name: "followerCore", flow: "sum of processor time", formula: "applyCore + snapshotCore + readsCore", unit: coreUsage},
+	{flow: "log on the disk at the peak", formula: "starts*(grantEntry + endEntry + endEntry_0) + " + logEntryRate + "*walB", unit: bytesPerSecond, bound: noBound, note: "disk, not network"},
+	{flow: "snapshots on the disk at the peak", formula: logEntryRate + "/snapshotEvery*(workers*snapshotB + (standing-workers)*submitJob)", unit: bytesPerSecond, bound: noBound,
 		note: "disk, not network"},
 	{flow: "memory, few claims", formula: "gc*(" + stateHeap + ")", unit: memory,
 		note: "as many tasks queued as running"},
 	{name: "followerMemory", flow: "memory, table of claims full", formula: "gc*(" + stateHeap + " + claims*heapClaim + responses)", unit: memory,
 		note: "claims bounded in number and bytes: built; see mechanism 6"},
-	{flow: "log in memory, when one entry in a hundred is a submission", formula: "snapshotEvery/100*" + logDeltas + "/changes", unit: memory,
+	{flow: "log in memory, when one entry in a hundred is a submission", formula: "snapshotEvery/100*" + logDeltaBytes + "/changes", unit: memory,
 		note: "entries since the last snapshot stay in memory, counted and not weighed; by delta: built; see mechanism 7"},
 }
 
 var leaderRows = []row{
 	{name: "leaderRenewals", flow: "renewals taken and answered", formula: "workers*(renewBatch + renewAnswer)/beat + callB*" + batchCalls, unit: bytesPerSecond,
 		note: "see mechanisms 1, 3 and 6"},
-	{name: "leaderLog", flow: "log sent at the peak", formula: "(replicas-1)*starts*(grantEntry + endEntry + endEntry_0) + " + entryRate + "*logB", unit: bytesPerSecond,
+	{name: "leaderLog", flow: "log sent at the peak", formula: "(replicas-1)*starts*(grantEntry + endEntry + endEntry_0) + " + logEntryRate + "*logB", unit: bytesPerSecond,
 		note: "see mechanism 6"},
-	{name: "leaderSubmissions", flow: "submissions sent", formula: "(replicas-1)*" + logDeltas, unit: bytesPerSecond, note: "by delta: built; see mechanism 5"},
+	{name: "leaderSubmissions", flow: "submissions sent", formula: "(replicas-1)*" + logDeltaBytes, unit: bytesPerSecond, note: "by delta: built; see mechanism 5"},
 	{name: "leaderBeats", flow: "the log's heartbeats and read rounds, at most", formula: "(replicas-1)*(followerBeats + followerReads)", unit: bytesPerSecond, note: "see mechanism 3"},
 	{name: "leaderBytes", flow: "sum of the bytes", formula: "leaderRenewals + leaderLog + leaderSubmissions + leaderBeats", unit: bytesPerSecond},
-	{name: "renewalsCore", flow: "renewals", formula: "workers*(renewWorker + renewCodec)/beat + " + batchCalls + "*callNs/2", unit: core,
+	{name: "renewalsCore", flow: "renewals", formula: "workers*(renewWorker + renewCodec)/beat + " + batchCalls + "*callNs/2", unit: coreUsage,
 		note: "half of a call's cost is the entry's; see mechanisms 1, 3 and 6"},
-	{name: "roundsCore", flow: "rounds when little changes", formula: roundTime + "/(pause + " + roundTime + "/1000000000)", unit: core,
+	{name: "roundsCore", flow: "rounds when little changes", formula: roundTime + "/(pause + " + roundTime + "/1000000000)", unit: coreUsage,
 		note: "rounds pause longer as they grow: built; a round over changed workers only: on paper"},
-	{name: "decisionsCore", flow: "placement decisions at the peak", formula: "starts*decide", unit: core, note: "48 workers sampled per task: built"},
-	{name: "leaderCore", flow: "sum of processor time, the follower's in it", formula: "renewalsCore + roundsCore + decisionsCore + applyCore + snapshotCore + (replicas-1)*readsCore", unit: core, note: "its entry's own is on top"},
+	{name: "decisionsCore", flow: "placement decisions at the peak", formula: "starts*decide", unit: coreUsage, note: "48 workers sampled per task: built"},
+	{name: "leaderCore", flow: "sum of processor time, the follower's in it", formula: "renewalsCore + roundsCore + decisionsCore + applyCore + snapshotCore + (replicas-1)*readsCore", unit: coreUsage, note: "its entry's own is on top"},
 	{flow: "memory, few claims", formula: "gc*(workers*heapLeader + tasks*heapTask + (standing-workers)*heapJob)", unit: memory,
 		note: "state, reports, leases, planner; as many tasks queued as running"},
 	{name: "leaderMemory", flow: "memory, table of claims full", formula: "gc*(workers*heapLeader + tasks*heapTask + (standing-workers)*heapJob + claims*heapClaim + responses)", unit: memory,
@@ -174,28 +174,28 @@
 }
 
 var operatorRows = []row{
-	{flow: "texts read and checked, all entries together", formula: "changes*(parseJob_0 + standing*parseJob)", unit: core,
+	{flow: "texts read and checked, all entries together", formula: "changes*(parseJob_0 + standing*parseJob)", unit: coreUsage,
 		note: "spread over the entries by the balancer: built"},
 	{flow: "texts taken in, all entries together", formula: "changes*(textJob_0 + standing*textJob)", unit: bytesPerSecond,
 		note: "an operator sends the text whole"},
-	{name: "jobsInText", flow: "most jobs in a text", formula: "(limit - textJob_0)/textJob", unit: count, bound: 37_000, least: true,
+	{name: "jobsInText", flow: "most jobs in a text", formula: "(limit - textJob_0)/textJob", unit: count, bound: 37_000, lowerBound: true,
 		note: "bound: a day's jobs in one text"},
-	{name: "jobsInEntry", flow: "most jobs in a log entry that holds the whole", formula: "(limit - submitJob_0)/submitJob", unit: count, bound: 37_000, least: true,
+	{name: "jobsInEntry", flow: "most jobs in a log entry that holds the whole", formula: "(limit - submitJob_0)/submitJob", unit: count, bound: 37_000, lowerBound: true,
 		note: "text and compiled form together; only a text that is new as a whole, or whose base the entry lacks, goes so"},
-	{name: "jobsChanged", flow: "most jobs replaced by one change", formula: "(limit - submitDelta_0)/submitDelta", unit: count, bound: jobsPerChange, least: true,
+	{name: "jobsChanged", flow: "most jobs replaced by one change", formula: "(limit - submitDelta_0)/submitDelta", unit: count, bound: jobsPerChange, lowerBound: true,
 		note: "by delta: built; bound: a day's jobs over a day's changes"},
 	{flow: "one status of everything", formula: "(status_0 + workers*status)/1000000000", unit: seconds, note: "processor time at the replica, on demand"},
 }
 
 var timeRows = []row{
-	{name: "inForce", flow: "a change in force at every agent", formula: "(parseJob_0 + standing*(parseJob + 3*makeDelta + 2*applyDelta))/1000000000 + (replicas-1 + 1)*" + logDeltas + "/changes/link + sync + beat", unit: seconds, bound: maxInForce,
+	{name: "inForce", flow: "a change in force at every agent", formula: "(parseJob_0 + standing*(parseJob + 3*makeDelta + 2*applyDelta))/1000000000 + (replicas-1 + 1)*" + logDeltaBytes + "/changes/link + sync + beat", unit: seconds, bound: maxInEffectSeconds,
 		note: "the delta made by the entry that takes the text and by both that hand it on, applied twice; disk syncs and the network's delay are not in it"},
-	{flow: "an urgent start, room free", formula: "pause + " + roundTime + "/1000000000 + beat + call", unit: seconds, bound: maxUrgent},
-	{name: "urgentEvicting", flow: "an urgent start, a task evicted for it", formula: "2*(pause + " + roundTime + "/1000000000) + 2*beat + checkpoint + lookEvery + 2*call", unit: seconds, bound: maxUrgent,
+	{flow: "an urgent start, room free", formula: "pause + " + roundTime + "/1000000000 + beat + call", unit: seconds, bound: maxUrgentStartSeconds},
+	{name: "urgentEvicting", flow: "an urgent start, a task evicted for it", formula: "2*(pause + " + roundTime + "/1000000000) + 2*beat + checkpoint + lookEvery + 2*call", unit: seconds, bound: maxUrgentStartSeconds,
 		note: "each part at its longest: round, order, checkpoint, stop, report, round, order, start"},
-	{name: "urgentAnew", flow: "an urgent task's start anew after its host failed", formula: "leaseWait + pause + " + roundTime + "/1000000000 + beat + call", unit: seconds, bound: maxUrgent},
-	{flow: "no leader after its host failed", formula: "2*election + pause", unit: seconds, bound: unbound,
+	{name: "urgentAnew", flow: "an urgent task's start anew after its host failed", formula: "leaseWait + pause + " + roundTime + "/1000000000 + beat + call", unit: seconds, bound: maxUrgentStartSeconds},
+	{flow: "no leader after its host failed", formula: "2*election + pause", unit: seconds, bound: noBound,
 		note: "longest election timeout, then the first round; leases go on counting from then"},
-	{name: "startsAllowed", flow: "starts that rounds allow", formula: "perRound/(pause + (" + roundTime + " + perRound*decide)/1000000000)", unit: perSecond, bound: 1000, least: true,
+	{name: "startsAllowed", flow: "starts that rounds allow", formula: "perRound/(pause + (" + roundTime + " + perRound*decide)/1000000000)", unit: perSecond, bound: 1000, lowerBound: true,
 		note: "bounded grants per round; commits and the worker's own time are not in it"},
 }
--- a/internal/slopes/slope.go
+++ b/internal/slopes/slope.go
@@ -30,8 +30,8 @@
 // baseSuffix makes the name of a slope's value at zero.
 const baseSuffix = "_0"
 
-// fit fills in the line by ordinary least squares.
-func (s *Slope) fit() {
+// fitLine fills in the line by ordinary least squares.
+func (s *Slope) fitLine() {
 	n := float64(len(s.Points))
 	var sumX, sumY, sumXX, sumXY, top float64
 	for _, p := range s.Points {
