--- a/internal/groupbench/group.go
+++ b/internal/groupbench/group.go
@@ -23,11 +23,11 @@
 	drainDelay        = 100 * time.Millisecond
 )
 
-// group is the running system.
+// group is a running control group with its agents and one target.
 type group struct {
 	cancel    context.CancelFunc
 	processes *failstop.Group
-	// stopEntry ends one entry each.
+	// stopEntry holds one function per entry that stops it.
 	stopEntry []context.CancelFunc
 }
 
@@ -46,7 +46,7 @@
 	return settings.Location{Region: region, AvailabilityZone: fmt.Sprintf("zone-%d", i%entries+1)}
 }
 
-// startGroup runs the entries, the agents and one target on the first agent's host.
+// startGroup starts the entries, the agents and one target on the first agent's host.
 func startGroup(ctx context.Context, folder string, staleness time.Duration) (*group, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	g := &group{cancel: cancel, processes: failstop.New()}
@@ -63,9 +63,9 @@
 		if err != nil {
 			return nil, err
 		}
-		own, stop := context.WithCancel(ctx)
+		entryCtx, stop := context.WithCancel(ctx)
 		g.stopEntry = append(g.stopEntry, stop)
-		g.run(own, p.Name, e.Run)
+		g.run(entryCtx, p.Name, e.Run)
 	}
 	for i := range agents {
 		s := &settings.Agent{
@@ -101,6 +101,7 @@
 	return nil
 }
 
+// run runs f in the background; its error fails the process group.
 func (g *group) run(ctx context.Context, name string, f func(context.Context) error) {
 	g.processes.Go(name, func() {
 		if err := f(ctx); err != nil {
--- a/internal/groupbench/loss.go
+++ b/internal/groupbench/loss.go
@@ -8,19 +8,20 @@
 
 const (
 	lossDuration = 12 * time.Second
-	// lossRequestInterval is the time between requests during the loss.
+	// lossRequestInterval is the time from a response to the next request while the quorum is
+	// lost.
 	lossRequestInterval = 10 * time.Millisecond
 )
 
-// lossResult counts what callers of the one entry left got while the control group had
-// no quorum.
+// lossResult counts the responses of the one remaining entry while the control group has no
+// quorum.
 type lossResult struct {
 	answered, refused int
-	// lastAnswer is when, after the loss, the last request was answered.
+	// lastAnswer is the time from the loss of the quorum to the last answered request.
 	lastAnswer time.Duration
 }
 
-// measureQuorumLoss stops all entries but the first and sends requests to that one.
+// measureQuorumLoss stops all entries except the first and sends requests to the first.
 func (g *group) measureQuorumLoss(ctx context.Context) (*lossResult, error) {
 	if err := g.awaitTarget(ctx); err != nil {
 		return nil, err
--- a/internal/groupbench/main.go
+++ b/internal/groupbench/main.go
@@ -1,7 +1,7 @@
-// Command groupbench measures, on one machine and over loopback, how long an
-// accepted text takes to be in force everywhere, and what the claim of an
-// idempotency key costs a request. It runs three entries and eleven agents, the
-// size of the brief's deployments, in one process with real sockets and disks.
+// Command groupbench measures, on one machine and over loopback, the time from the submission
+// of a configuration until it is in effect in every process, and the latency that claiming an
+// idempotency key adds to a request. It runs three entries and eleven agents, the size of the
+// deployments in the requirements, in one process with real sockets and disks.
 //
 //	go run ./internal/groupbench > docs/measurements/group.md
 package main
@@ -23,7 +23,8 @@
 	submissions  = 40
 	requests     = 400
 	benchTimeout = 4 * time.Minute
-	// stalenessBound is the default; unboundedStaleness is longer than the loss lasts.
+	// stalenessBound is the default setting; unboundedStaleness is longer than the quorum
+	// loss lasts, so it is never reached.
 	stalenessBound     = 3 * time.Second
 	unboundedStaleness = 3 * lossDuration
 )
@@ -44,14 +45,14 @@
 			return err
 		}
 		bounded, err = g.measureQuorumLoss(ctx)
-		return errors.Wrap(err, "quorum loss")
+		return errors.Wrap(err, "measure quorum loss")
 	})
 	if err != nil {
 		return err
 	}
 	err = withGroup(ctx, unboundedStaleness, func(g *group, client *admin.Client) (err error) {
 		unbounded, err = measureUnbounded(ctx, g, client)
-		return errors.Wrap(err, "quorum loss without a bound")
+		return errors.Wrap(err, "measure quorum loss without a staleness bound")
 	})
 	if err != nil {
 		return err
@@ -60,7 +61,7 @@
 	return nil
 }
 
-// withGroup starts a group with a staleness bound, runs f against it and stops it.
+// withGroup starts a group with the given staleness bound, calls f with it and stops it.
 func withGroup(ctx context.Context, staleness time.Duration, f func(*group, *admin.Client) error) error {
 	folder, err := os.MkdirTemp("", "groupbench-")
 	if err != nil {
@@ -79,29 +80,29 @@
 	return f(g, client)
 }
 
-// measureGroup measures submissions and requests and prints their table.
+// measureGroup measures submissions and requests and prints the table of results.
 func measureGroup(ctx context.Context, g *group, client *admin.Client) error {
-	inForce, accepted, err := measureSubmissions(ctx, client)
+	inEffect, accepted, err := measureSubmissions(ctx, client)
 	if err != nil {
-		return errors.Wrap(err, "submissions")
+		return errors.Wrap(err, "measure submissions")
 	}
 	if err := g.awaitTarget(ctx); err != nil {
 		return err
 	}
 	plain, err := g.measureRequests(ctx, false)
 	if err != nil {
-		return errors.Wrap(err, "requests")
+		return errors.Wrap(err, "measure requests")
 	}
 	keyed, err := g.measureRequests(ctx, true)
 	if err != nil {
-		return errors.Wrap(err, "requests with a key")
+		return errors.Wrap(err, "measure requests with an idempotency key")
 	}
-	printReport(accepted, inForce, plain, keyed)
+	printReport(accepted, inEffect, plain, keyed)
 	return nil
 }
 
-// measureUnbounded repeats the loss of the quorum in a group that serves by
-// whatever configuration it has.
+// measureUnbounded measures the loss of the quorum in a group that serves requests by its
+// last configuration, however old that is.
 func measureUnbounded(ctx context.Context, g *group, client *admin.Client) (*lossResult, error) {
 	r := admin.SubmitRequest{SubmissionID: "only", Text: configurationText(0), Operator: "groupbench"}
 	if _, err := client.Submit(ctx, r); err != nil {
@@ -113,7 +114,7 @@
 	return g.measureQuorumLoss(ctx)
 }
 
-func printReport(accepted, inForce, plain, keyed *latencies) {
+func printReport(accepted, inEffect, plain, keyed *latencies) {
 	fmt.Printf(`# Configuration in force, and the cost of a claim
 
     go run ./internal/groupbench > docs/measurements/group.md
@@ -130,7 +131,7 @@
 with a key costs %.1f ms more at the median than one without: one commit.
 `, entries, agents, heartbeatInterval,
 		accepted.row("text sent to accepted"),
-		inForce.row("text sent to in force at every process"),
+		inEffect.row("text sent to in force at every process"),
 		plain.row("request, not idempotent, no key"),
 		keyed.row("request, not idempotent, with a key"),
 		entries+agents, pollInterval, keyed.ms(50)-plain.ms(50))
--- a/internal/groupbench/measure.go
+++ b/internal/groupbench/measure.go
@@ -17,11 +17,12 @@
 const (
 	service      = "bookings"
 	pollInterval = 5 * time.Millisecond
-	// submissionInterval lets each text start at another moment of the heartbeats.
+	// submissionInterval is the pause before each submission. It is no divisor of the heartbeat
+	// interval, so that submissions fall into different phases of the heartbeats.
 	submissionInterval = 130 * time.Millisecond
 )
 
-// latencies is a set of durations.
+// latencies is a histogram of durations in microseconds.
 type latencies struct{ histogram *hdrhistogram.Histogram }
 
 func newLatencies() *latencies {
@@ -30,7 +31,7 @@
 
 func (t *latencies) add(d time.Duration) { _ = t.histogram.RecordValue(d.Microseconds()) }
 
-// ms returns a percentile in milliseconds.
+// ms returns a percentile (0 to 100) in milliseconds.
 func (t *latencies) ms(percentile float64) float64 {
 	return float64(t.histogram.ValueAtQuantile(percentile)) / 1000
 }
@@ -39,16 +40,16 @@
 	return fmt.Sprintf("| %s | %d | %.1f | %.1f | %.1f |\n", what, t.histogram.TotalCount(), t.ms(50), t.ms(99), t.ms(100))
 }
 
-// configurationText declares the service with another timeout each time, so that each
-// submission is a change.
+// configurationText returns a configuration that declares the service with a timeout that
+// depends on n, so that each submission is a change.
 func configurationText(n int) string {
 	return fmt.Sprintf("[[service]]\nname = %q\npaths = [\"/bookings\"]\nobjective = \"80ms\"\ntimeout = \"%dms\"\nslots = 8\nconnections = 64\nsize = { processors = 1, memory = \"1GB\" }\n", service, 5000+n)
 }
 
-// measureSubmissions submits texts one after the other and times each until it is
-// accepted and until it is in force at every process.
-func measureSubmissions(ctx context.Context, client *admin.Client) (inForce, accepted *latencies, err error) {
-	inForce, accepted = newLatencies(), newLatencies()
+// measureSubmissions submits configurations one after the other and measures the time from
+// each submission until it is accepted and until it is in effect in every process.
+func measureSubmissions(ctx context.Context, client *admin.Client) (inEffect, accepted *latencies, err error) {
+	inEffect, accepted = newLatencies(), newLatencies()
 	if err := awaitProcesses(ctx, client, 0); err != nil {
 		return nil, nil, err
 	}
@@ -67,12 +68,13 @@
 		if err := awaitProcesses(ctx, client, version); err != nil {
 			return nil, nil, err
 		}
-		inForce.add(time.Since(sent))
+		inEffect.add(time.Since(sent))
 	}
-	return inForce, accepted, nil
+	return inEffect, accepted, nil
 }
 
-// awaitProcesses waits until all processes are ready with a version in force.
+// awaitProcesses waits until all processes are ready and have at least the given version in
+// effect.
 func awaitProcesses(ctx context.Context, client *admin.Client, version uint64) error {
 	for ctx.Err() == nil {
 		s, err := client.Status(ctx, admin.SectionProcesses)
@@ -81,7 +83,7 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return errors.Wrapf(ctx.Err(), "version %d in force", version)
+	return errors.Wrapf(ctx.Err(), "wait until version %d is in effect in all processes", version)
 }
 
 func allInEffect(s *admin.Status, version uint64) bool {
@@ -94,12 +96,12 @@
 	return n == entries+agents
 }
 
-// awaitTarget waits until every entry routes to the target.
+// awaitTarget waits until every entry routes requests to the target.
 func (g *group) awaitTarget(ctx context.Context) error {
 	for i := range entries {
 		for g.request(ctx, i, "") != nil {
 			if ctx.Err() != nil {
-				return errors.Wrap(ctx.Err(), "target")
+				return errors.Wrap(ctx.Err(), "wait until all entries route to the target")
 			}
 			time.Sleep(pollInterval)
 		}
@@ -107,7 +109,7 @@
 	return nil
 }
 
-// measureRequests sends requests one at a time, each to the next entry.
+// measureRequests sends requests one at a time, to the entries in turn.
 func (g *group) measureRequests(ctx context.Context, keyed bool) (*latencies, error) {
 	t := newLatencies()
 	for n := range requests {
--- a/internal/highest/highest.go
+++ b/internal/highest/highest.go
@@ -1,19 +1,19 @@
-// Package highest keeps the highest of the numbers that several goroutines note.
+// Package highest tracks the highest of the numbers that concurrent goroutines record.
 package highest
 
 import "sync/atomic"
 
-// Number is the highest number noted so far; 0 at first.
+// Number is the highest number recorded so far, initially 0. It is safe for concurrent use.
 type Number struct{ value atomic.Uint64 }
 
-// Record takes in a number.
+// Record replaces the stored number by value if value is higher.
 func (n *Number) Record(value uint64) {
-	for known := n.value.Load(); value > known; known = n.value.Load() {
-		if n.value.CompareAndSwap(known, value) {
+	for current := n.value.Load(); value > current; current = n.value.Load() {
+		if n.value.CompareAndSwap(current, value) {
 			return
 		}
 	}
 }
 
-// Load returns the highest number noted.
+// Load returns the highest number recorded.
 func (n *Number) Load() uint64 { return n.value.Load() }
--- a/internal/highest/highest_test.go
+++ b/internal/highest/highest_test.go
@@ -5,19 +5,21 @@
 	"testing"
 )
 
+// Guards against a lower number that overwrites a higher one when goroutines record at the
+// same time.
 func TestConcurrentRecords(t *testing.T) {
 	var n Number
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for first := range uint64(8) {
-		all.Go(func() {
+		wg.Go(func() {
 			for i := uint64(0); i < 1000; i++ {
 				n.Record(first + 8*i)
 			}
 			n.Record(first)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	if n.Load() != 7999 {
-		t.Errorf("the highest is %d", n.Load())
+		t.Errorf("highest number is %d, want 7999", n.Load())
 	}
 }
--- a/internal/routebench/plan.go
+++ b/internal/routebench/plan.go
@@ -12,7 +12,7 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// plan is the list of runs behind the tables.
+// plan lists the table rows and the runs that they summarize.
 type plan struct {
 	config     route.Config
 	agentQueue int
@@ -20,13 +20,13 @@
 	runs       []routesim.Run
 }
 
-// row is one line of a table: the same run with each seed.
+// row is one line of a table: the same run repeated with each seed.
 type row struct {
 	deployment routesim.Deployment
 	fault      routesim.Fault
 	load       float64
 	policy     string
-	// from and to index the runs of the row.
+	// The row's runs are plan.runs[from:to].
 	from, to int
 }
 
@@ -74,11 +74,11 @@
 }
 
 func (p *plan) print(w io.Writer, reports []*routesim.Report) {
-	head := ""
+	previous := ""
 	for _, r := range p.rows {
 		title := fmt.Sprintf("%s, %s", r.deployment.Name, r.fault)
-		if title != head {
-			head = title
+		if title != previous {
+			previous = title
 			fmt.Fprintf(w, "\n### %s\n\n%s", title, tableHeader)
 		}
 		fmt.Fprintln(w, r.line(summarize(reports[r.from:r.to])))
@@ -89,8 +89,8 @@
 |---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|---|
 `
 
-func (r row) line(t summary) string {
+func (r row) line(s summary) string {
 	return fmt.Sprintf("| %.2f | %s | %.0f | %.0f | %.0f | %.2f | %.0f | %.1f | %.1f | %.0f | %.2f | %.2f | %.1f | %.1f | %.1f | %.0f / %.0f | %d | %d |",
-		r.load, r.policy, t.p50, t.p99, t.p999, t.pastObjective, t.goodput, t.refused, t.refusalMs, t.retryAfterMs,
-		t.failed, t.unknown, t.retries, t.hedges, t.slotsFull, t.busiest, t.others, t.unfinished, t.runTwice)
+		r.load, r.policy, s.p50, s.p99, s.p999, s.pastObjective, s.goodput, s.refused, s.refusalMs, s.retryAfterMs,
+		s.failed, s.unknown, s.retries, s.hedges, s.slotsFull, s.busiest, s.others, s.unfinished, s.runTwice)
 }
--- a/internal/routesim/agent.go
+++ b/internal/routesim/agent.go
@@ -8,22 +8,22 @@
 )
 
 const (
-	// announceTTL outlasts every run.
+	// announceTTL is longer than any run, so that no announcement expires.
 	announceTTL          = time.Hour
 	incarnation          = 1
 	configurationVersion = 1
 )
 
-// simAgent puts the agents' own gate in front of a target.
+// simAgent simulates an agent: it runs the agent's real gate in front of one target.
 type simAgent struct {
 	target  *simTarget
 	gate    *gate.Gate
 	waiting map[gate.Key]dispatch
 }
 
-func newSimAgent(t *simTarget, waiting int) *simAgent {
+func newSimAgent(t *simTarget, maxWaiting int) *simAgent {
 	limits := gate.DefaultLimits()
-	limits.Waiting = waiting
+	limits.Waiting = maxWaiting
 	a := &simAgent{target: t, gate: gate.New(incarnation, limits), waiting: map[gate.Key]dispatch{}}
 	a.announce()
 	return a
@@ -38,7 +38,8 @@
 	})
 }
 
-// tick does what an agent and its target do all the time.
+// tick does the periodic work of an agent: it announces its target, unless that is leaving,
+// expires old state of the gate and handles the gate's decisions.
 func (a *simAgent) tick() {
 	if !a.target.leaving {
 		a.announce()
@@ -47,7 +48,8 @@
 	a.deliverDecisions()
 }
 
-// withdraw tells the gate that its target leaves; a later tick announces it again.
+// withdraw removes the target from the gate. Once the target stops leaving, a later tick
+// announces it again.
 func (a *simAgent) withdraw() {
 	a.gate.Withdraw(a.now(), a.target.id)
 	a.deliverDecisions()
@@ -68,17 +70,19 @@
 	a.deliverDecisions()
 }
 
+// expireWaiting ends a waiting attempt that reached its latest start.
 func (a *simAgent) expireWaiting(k gate.Key) {
 	a.gate.Lapse(a.now(), k)
 	a.deliverDecisions()
 }
 
-// cancel ends an attempt that its entry gave up on, if it still waits.
+// cancel ends an attempt that its entry canceled, if it is still waiting.
 func (a *simAgent) cancel(k gate.Key) {
 	a.gate.Cancel(a.now(), k)
 	a.deliverDecisions()
 }
 
+// deliverDecisions handles the gate's decisions on attempts that were waiting.
 func (a *simAgent) deliverDecisions() {
 	for _, decided := range a.gate.Decisions() {
 		d := a.waiting[decided.Key]
@@ -87,6 +91,7 @@
 	}
 }
 
+// handleAdmission executes an admitted attempt and replies to a refused one.
 func (a *simAgent) handleAdmission(d dispatch, ad gate.Admission) {
 	if !ad.Run {
 		a.target.reply(d, reply{outcome: ad.Verdict.Outcome, reason: ad.Verdict.Reason, load: ad.Load})
--- a/internal/routesim/baseline.go
+++ b/internal/routesim/baseline.go
@@ -6,25 +6,25 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// baselineRetries is how often a baseline tries again at once, without a budget.
+// baselineRetries is how often a baseline retries a request, without delay or retry budget.
 const baselineRetries = 2
 
-// baseline sends every request on at once: no admission, no queue at the entry,
-// no ejection. Targets queue up to their connections. Failed and refused
-// attempts are tried again at once where that is safe.
+// baseline dispatches every request immediately: it has no admission control, no queue at
+// the entry and no ejection. Targets queue requests up to their connection limit. Failed
+// and refused attempts are retried without delay if the request is idempotent or was not run.
 type baseline struct {
 	sim    *simulation
 	choose func(entry int) *simTarget
-	// inFlight counts each entry's attempts per target.
+	// inFlight counts the open attempts by entry and target.
 	inFlight        []map[*simTarget]int
 	roundRobinIndex []int
 
 	retries, slotsFull int
 }
 
-func newBaseline(w *simulation, policy string) *baseline {
-	b := &baseline{sim: w, roundRobinIndex: make([]int, w.run.Deployment.Entries)}
-	for range w.run.Deployment.Entries {
+func newBaseline(sim *simulation, policy string) *baseline {
+	b := &baseline{sim: sim, roundRobinIndex: make([]int, sim.run.Deployment.Entries)}
+	for range sim.run.Deployment.Entries {
 		b.inFlight = append(b.inFlight, map[*simTarget]int{})
 	}
 	switch policy {
@@ -65,23 +65,23 @@
 
 func (b *baseline) attempt(c *call, n int) {
 	t := b.choose(c.request.entry)
-	held := b.inFlight[c.request.entry]
-	held[t]++
+	inFlight := b.inFlight[c.request.entry]
+	inFlight[t]++
 	settled := false
 	settle := func(r reply) {
 		if settled {
 			return
 		}
 		settled = true
-		held[t]--
+		inFlight[t]--
 		b.handleReply(c, n, r)
 	}
 	b.sim.send(c, t, settle)
-	limit := c.deadline - b.sim.now
+	timeout := c.deadline - b.sim.now
 	if t.unreachable {
-		limit = min(limit, lostHostTimeout)
+		timeout = min(timeout, lostHostTimeout)
 	}
-	b.sim.after(limit, func() {
+	b.sim.after(timeout, func() {
 		settle(reply{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: apiv1.Reason_REASON_DEADLINE})
 	})
 }
@@ -91,8 +91,8 @@
 		b.slotsFull++
 	}
 	notRun := r.outcome == apiv1.Outcome_OUTCOME_NOT_RUN
-	again := r.outcome != apiv1.Outcome_OUTCOME_ANSWERED && (c.request.idempotent || notRun)
-	if again && n < baselineRetries && b.sim.now < c.deadline {
+	retriable := r.outcome != apiv1.Outcome_OUTCOME_ANSWERED && (c.request.idempotent || notRun)
+	if retriable && n < baselineRetries && b.sim.now < c.deadline {
 		b.retries++
 		b.attempt(c, n+1)
 		return
--- a/internal/routesim/cairnlift.go
+++ b/internal/routesim/cairnlift.go
@@ -7,7 +7,7 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// The policies that can be run.
+// Names of the routing policies.
 const (
 	Random        = "random"
 	RoundRobin    = "round-robin"
@@ -15,7 +15,7 @@
 	Cairnlift     = "cairnlift"
 )
 
-// Policies lists the baselines and the router, in the order of the tables.
+// Policies lists the baseline policies and the router in the order of the tables.
 var Policies = []string{Random, RoundRobin, LeastInFlight, Cairnlift}
 
 const (
@@ -23,14 +23,14 @@
 	tickPeriod  = 100 * time.Millisecond
 )
 
-func newDriver(w *simulation) driver {
-	if w.run.Policy != Cairnlift {
-		return newBaseline(w, w.run.Policy)
+func newDriver(sim *simulation) driver {
+	if sim.run.Policy != Cairnlift {
+		return newBaseline(sim, sim.run.Policy)
 	}
-	return &routerDriver{sim: w, waiting: map[*route.Request]*routedRequest{}}
+	return &routerDriver{sim: sim, waiting: map[*route.Request]*routedRequest{}}
 }
 
-// routerDriver drives one router per entry.
+// routerDriver is the driver of the Cairnlift policy, with one router per entry.
 type routerDriver struct {
 	sim       *simulation
 	routers   []*route.Router
@@ -38,20 +38,21 @@
 	slotsFull int
 }
 
-// routedRequest is a request that a router admitted or queued.
+// routedRequest is a request that a router has admitted or queued.
 type routedRequest struct {
 	*call
 	driver *routerDriver
 	router *route.Router
 	req    *route.Request
-	// openAttempts counts attempts without an outcome; cancels give them up.
+	// openAttempts counts the attempts without an outcome; cancels holds the function that
+	// cancels each attempt.
 	openAttempts int
 	cancels      []func()
 }
 
 func (d *routerDriver) queuesAtTargets() bool { return false }
 
-// start makes the routers, once the targets are there.
+// start creates the routers. The targets must exist, since every router learns of them here.
 func (d *routerDriver) start() {
 	dep := d.sim.run.Deployment
 	for i := range dep.Entries {
@@ -77,6 +78,7 @@
 	return names
 }
 
+// targetChanged passes the state of a target to every router.
 func (d *routerDriver) targetChanged(t *simTarget) {
 	for _, r := range d.routers {
 		d.handleWakes(r.Upsert(d.sim.time(), route.Target{
@@ -124,12 +126,14 @@
 	})
 }
 
+// handleWakes continues queued requests on which a router has decided.
 func (d *routerDriver) handleWakes(wakes []route.Wake) {
 	for _, w := range wakes {
 		d.waiting[w.Request].handleAdmission(w.Admission)
 	}
 }
 
+// handleAdmission starts the first attempt of an admitted request and ends a refused one.
 func (f *routedRequest) handleAdmission(a route.Admission) {
 	delete(f.driver.waiting, f.req)
 	if !a.OK {
@@ -139,69 +143,74 @@
 	f.attempt(apiv1.Outcome_OUTCOME_NOT_RUN)
 }
 
-// attempt makes one dispatch; last is the outcome to end with when there is none.
+// attempt dispatches the request once. If the router picks no target and no attempt is open,
+// the request ends with the outcome last.
 func (f *routedRequest) attempt(last apiv1.Outcome) {
-	w := f.driver.sim
-	c, ok := f.router.Pick(w.time(), f.req)
+	sim := f.driver.sim
+	c, ok := f.router.Pick(sim.time(), f.req)
 	if !ok {
 		if f.openAttempts == 0 {
 			f.finish(last)
 		}
 		return
 	}
-	t := w.byID[c.Target.ID]
-	f.router.RecordSent(w.time(), f.req, t.id)
+	t := sim.byID[c.Target.ID]
+	f.router.RecordSent(sim.time(), f.req, t.id)
 	f.openAttempts++
-	sent := w.now
+	sent := sim.now
 	settled := false
 	settle := func(r reply) {
 		if settled {
 			return
 		}
 		settled = true
-		f.handleReply(t, r, w.now-sent)
+		f.handleReply(t, r, sim.now-sent)
 	}
-	f.cancels = append(f.cancels, w.send(f.call, t, settle))
+	f.cancels = append(f.cancels, sim.send(f.call, t, settle))
 	f.scheduleTimeout(t, settle)
 	f.scheduleHedge()
 }
 
-// scheduleTimeout ends an attempt whose answer does not come in time.
+// scheduleTimeout ends an attempt with an unknown outcome at the deadline, or earlier if its
+// host is unreachable.
 func (f *routedRequest) scheduleTimeout(t *simTarget, settle func(reply)) {
-	w := f.driver.sim
-	limit, reason := f.deadline-w.now, apiv1.Reason_REASON_DEADLINE
-	if t.unreachable && lostHostTimeout < limit {
-		limit, reason = lostHostTimeout, apiv1.Reason_REASON_TARGET_UNREACHABLE
+	sim := f.driver.sim
+	timeout, reason := f.deadline-sim.now, apiv1.Reason_REASON_DEADLINE
+	if t.unreachable && lostHostTimeout < timeout {
+		timeout, reason = lostHostTimeout, apiv1.Reason_REASON_TARGET_UNREACHABLE
 	}
-	w.after(limit, func() {
+	sim.after(timeout, func() {
 		settle(reply{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: reason})
 	})
 }
 
+// scheduleHedge starts another attempt after the router's hedging delay, if the request is
+// unfinished and exactly one attempt is open then.
 func (f *routedRequest) scheduleHedge() {
-	w := f.driver.sim
-	after, ok := f.router.HedgeAfter(w.time(), f.req)
+	sim := f.driver.sim
+	after, ok := f.router.HedgeAfter(sim.time(), f.req)
 	if !ok {
 		return
 	}
-	w.after(after, func() {
+	sim.after(after, func() {
 		if !f.finished && f.openAttempts == 1 {
 			f.attempt(apiv1.Outcome_OUTCOME_UNKNOWN)
 		}
 	})
 }
 
+// handleReply records the outcome of an attempt and ends or retries the request.
 func (f *routedRequest) handleReply(t *simTarget, r reply, took time.Duration) {
-	w := f.driver.sim
+	sim := f.driver.sim
 	f.openAttempts--
 	if f.finished && r.outcome != apiv1.Outcome_OUTCOME_ANSWERED {
-		// The loser of a hedge: the caller has its answer.
+		// Another attempt has ended the request, so this one was canceled.
 		r.outcome, r.reason = apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_CANCELED
 	}
 	if r.reason == apiv1.Reason_REASON_SLOTS_FULL {
 		f.driver.slotsFull++
 	}
-	f.router.RecordOutcome(w.time(), route.AttemptResult{
+	f.router.RecordOutcome(sim.time(), route.AttemptResult{
 		Request: f.req, Target: t.id, Outcome: r.outcome, Reason: r.reason, Load: r.load, Latency: took,
 	})
 	if f.finished {
@@ -214,19 +223,20 @@
 	if f.openAttempts > 0 {
 		return
 	}
-	next := f.router.Retry(w.time(), f.req, r.outcome, r.reason)
+	next := f.router.Retry(sim.time(), f.req, r.outcome, r.reason)
 	if !next.Allowed {
 		f.finish(r.outcome)
 		return
 	}
-	w.after(next.Delay, func() { f.attempt(r.outcome) })
+	sim.after(next.Delay, func() { f.attempt(r.outcome) })
 }
 
+// finish ends the request, cancels its other attempts and releases its slot at the router.
 func (f *routedRequest) finish(outcome apiv1.Outcome) {
-	w := f.driver.sim
-	w.finish(f.call, outcome, 0)
+	sim := f.driver.sim
+	sim.finish(f.call, outcome, 0)
 	for _, cancel := range f.cancels {
 		cancel()
 	}
-	f.driver.handleWakes(f.router.Release(w.time(), f.req, outcome))
+	f.driver.handleWakes(f.router.Release(sim.time(), f.req, outcome))
 }
--- a/internal/routesim/sim.go
+++ b/internal/routesim/sim.go
@@ -1,6 +1,6 @@
-// Package routesim drives the routing core at virtual time against small
-// stand-ins for targets and callers, and measures what callers get. Baseline
-// policies run against the same arrivals, service times and faults.
+// Package routesim runs the routing core in virtual time against simulated targets and
+// callers, and measures the results that callers see. Baseline policies run with the same
+// arrivals, service times and faults, so that their results can be compared.
 package routesim
 
 import (
@@ -8,17 +8,18 @@
 	"time"
 )
 
-// epoch is the virtual start of every run.
+// epoch is the virtual time at which every run starts.
 var epoch = time.Unix(1_000_000_000, 0)
 
-// event is something that happens at a virtual time.
+// event is a function to run at a virtual time.
 type event struct {
 	at  time.Duration
 	seq uint64
 	run func()
 }
 
-// clock runs events in the order of their times, ties in the order of their making.
+// clock is a virtual clock. It runs events by time, and events of the same time in the order
+// in which they were scheduled.
 type clock struct {
 	now    time.Duration
 	seq    uint64
@@ -27,11 +28,13 @@
 
 func (c *clock) time() time.Time { return epoch.Add(c.now) }
 
+// after schedules run after a delay; a negative delay counts as zero.
 func (c *clock) after(d time.Duration, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: c.now + max(0, d), seq: c.seq, run: run})
 }
 
+// runAll runs events until none is left.
 func (c *clock) runAll() {
 	for len(c.events) > 0 {
 		e := heap.Pop(&c.events).(event)
--- a/internal/routesim/simulation.go
+++ b/internal/routesim/simulation.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// lostHostTimeout is how long an entry waits for a sign of life of an attempt's
-	// host before it takes it for lost.
+	// lostHostTimeout is the time from the start of an attempt at an unreachable host until
+	// the entry regards the host as lost.
 	lostHostTimeout = 500 * time.Millisecond
-	// The faults that end last from a third to two thirds of a run.
+	// faultDivisor divides a run into thirds. Temporary faults are active in the middle third.
 	faultDivisor = 3
 )
 
-// simulation is one run: targets, faults, callers and a policy's driver.
+// simulation is the state of one run: targets, faults, callers and the policy's driver.
 type simulation struct {
 	clock
 	run     Run
@@ -25,100 +25,104 @@
 	rng     *rand.Rand
 	driver  driver
 	report  *Report
-	// brownout slows all targets down.
+	// brownout is set while all targets are slowed down by brownoutFactor.
 	brownout bool
 }
 
-// driver is a policy under test.
+// driver runs one policy.
 type driver interface {
-	// arrive gets a request; it ends it through world.end, once.
+	// arrive handles a new request. The driver ends it by exactly one call of
+	// simulation.finish.
 	arrive(c *call)
-	// queuesAtTargets says whether targets queue up to their connections.
+	// queuesAtTargets reports whether targets queue requests up to their connection limit, as
+	// servers without an agent do.
 	queuesAtTargets() bool
-	// targetChanged is told that a target is announced as leaving or is back.
+	// targetChanged is called when a target starts or stops leaving.
 	targetChanged(t *simTarget)
-	// attemptCounts are the policy's own.
+	// attemptCounts returns the policy's counts of attempts.
 	attemptCounts() (retries, hedges, refusedDispatches int)
 }
 
-// call is one request in a run.
+// call is the state of one request in a run.
 type call struct {
 	request  request
 	arrived  time.Duration
 	deadline time.Duration
 	finished bool
-	// attempts counts the attempts, begun those that began at a target.
+	// attempts counts the attempts sent, executions those that a target started.
 	attempts, executions int
 }
 
-// Simulate runs one policy and returns what its callers got.
+// Simulate runs one policy and returns the results that its callers see.
 func Simulate(r Run) *Report {
-	w := &simulation{run: r, byID: map[string]*simTarget{}, rng: rand.New(rand.NewPCG(r.Seed, 2))}
-	w.report = newReport(r)
-	w.driver = newDriver(w)
+	sim := &simulation{run: r, byID: map[string]*simTarget{}, rng: rand.New(rand.NewPCG(r.Seed, 2))}
+	sim.report = newReport(r)
+	sim.driver = newDriver(sim)
 	for i := range r.Deployment.Targets {
-		w.addTarget(i)
+		sim.addTarget(i)
 	}
-	w.tickAgents()
-	if s, ok := w.driver.(interface{ start() }); ok {
+	sim.tickAgents()
+	if s, ok := sim.driver.(interface{ start() }); ok {
 		s.start()
 	}
-	w.scheduleFaults()
+	sim.scheduleFaults()
 	for _, req := range r.requests() {
-		w.after(req.arrival, func() { w.offer(req) })
+		sim.after(req.arrival, func() { sim.offer(req) })
 	}
-	w.runAll()
-	w.report.finalize(w)
-	return w.report
+	sim.runAll()
+	sim.report.finalize(sim)
+	return sim.report
 }
 
-func (w *simulation) addTarget(i int) {
-	d := w.run.Deployment
+func (sim *simulation) addTarget(i int) {
+	d := sim.run.Deployment
 	t := &simTarget{
-		clock: &w.clock, rng: w.rng, id: fmt.Sprintf("t%02d", i), zone: zoneName(i % d.Zones),
+		clock: &sim.clock, rng: sim.rng, id: fmt.Sprintf("t%02d", i), zone: zoneName(i % d.Zones),
 		slots: d.Slots, connections: d.Connections, slowFactor: 1,
 	}
-	if !w.driver.queuesAtTargets() {
-		t.agent = newSimAgent(t, w.run.AgentQueue)
+	if !sim.driver.queuesAtTargets() {
+		t.agent = newSimAgent(t, sim.run.AgentQueue)
 	}
-	w.targets = append(w.targets, t)
-	w.byID[t.id] = t
+	sim.targets = append(sim.targets, t)
+	sim.byID[t.id] = t
 }
 
 func zoneName(i int) string { return fmt.Sprintf("az-%d", i) }
 
-func (w *simulation) offer(req request) {
-	c := &call{request: req, arrived: w.now, deadline: w.now + w.run.Deployment.Deadline}
-	w.report.offered++
-	w.report.unfinished++
-	w.driver.arrive(c)
+// offer passes a new request to the policy.
+func (sim *simulation) offer(req request) {
+	c := &call{request: req, arrived: sim.now, deadline: sim.now + sim.run.Deployment.Deadline}
+	sim.report.offered++
+	sim.report.unfinished++
+	sim.driver.arrive(c)
 }
 
-// oneWayLatency is the time one way from an entry to a target.
-func (w *simulation) oneWayLatency(entry int, t *simTarget) time.Duration {
-	if zoneName(entry%w.run.Deployment.Zones) == t.zone {
-		return w.run.Deployment.SameZoneLatency
+// oneWayLatency returns the network latency from an entry to a target.
+func (sim *simulation) oneWayLatency(entry int, t *simTarget) time.Duration {
+	if zoneName(entry%sim.run.Deployment.Zones) == t.zone {
+		return sim.run.Deployment.SameZoneLatency
 	}
-	return w.run.Deployment.CrossZoneLatency
+	return sim.run.Deployment.CrossZoneLatency
 }
 
-// send carries a dispatch to a target and its answer back. The result gives it up.
-func (w *simulation) send(c *call, t *simTarget, back func(reply)) (cancel func()) {
-	hop := w.oneWayLatency(c.request.entry, t)
+// send delivers a dispatch to a target and passes the reply to onReply, each after the network
+// latency. The returned function cancels the attempt.
+func (sim *simulation) send(c *call, t *simTarget, onReply func(reply)) (cancel func()) {
+	latency := sim.oneWayLatency(c.request.entry, t)
 	c.attempts++
 	d := dispatch{
 		request: c.request, key: gate.Key{RequestID: c.request.id, Attempt: uint32(c.attempts)}, deadline: c.deadline,
-		onStart: func() { w.recordStart(c) },
-		onReply: func(r reply) { w.after(hop, func() { back(r) }) },
+		onStart: func() { sim.recordStart(c) },
+		onReply: func(r reply) { sim.after(latency, func() { onReply(r) }) },
 	}
-	w.after(hop, func() {
-		if w.brownout {
+	sim.after(latency, func() {
+		if sim.brownout {
 			d.request.serviceTime *= brownoutFactor
 		}
 		t.dispatch(d)
 	})
 	return func() {
-		w.after(hop, func() {
+		sim.after(latency, func() {
 			if t.agent != nil && !t.unreachable {
 				t.agent.cancel(d.key)
 			}
@@ -126,79 +130,81 @@
 	}
 }
 
-// tickAgents does what agents do all the time, until the last deadline.
-func (w *simulation) tickAgents() {
-	for _, t := range w.targets {
+// tickAgents does the periodic work of all agents, until the deadline of the last request.
+func (sim *simulation) tickAgents() {
+	for _, t := range sim.targets {
 		if t.agent != nil {
 			t.agent.tick()
 		}
 	}
-	if w.now < w.run.Duration+w.run.Deployment.Deadline {
-		w.after(tickPeriod, w.tickAgents)
+	if sim.now < sim.run.Duration+sim.run.Deployment.Deadline {
+		sim.after(tickPeriod, sim.tickAgents)
 	}
 }
 
-// recordStart notes work that starts at a target, and counts violations of the invariant
-// that a request that is not idempotent runs at most once.
-func (w *simulation) recordStart(c *call) {
+// recordStart counts a started execution, and violations of the invariant that a request that
+// is not idempotent runs at most once.
+func (sim *simulation) recordStart(c *call) {
 	c.executions++
-	w.report.executions++
+	sim.report.executions++
 	if c.executions > 1 && !c.request.idempotent {
-		w.report.RunTwice++
+		sim.report.RunTwice++
 	}
 }
 
-func (w *simulation) scheduleFaults() {
-	if w.run.Fault != FaultFree {
-		w.moveSlowdowns()
+// scheduleFaults schedules the fault of the run and the slowdowns.
+func (sim *simulation) scheduleFaults() {
+	if sim.run.Fault != FaultFree {
+		sim.moveSlowdowns()
 	}
-	from, to := w.run.Duration/faultDivisor, 2*w.run.Duration/faultDivisor
-	victim := w.targets[w.rng.IntN(len(w.targets))]
-	switch w.run.Fault {
+	from, to := sim.run.Duration/faultDivisor, 2*sim.run.Duration/faultDivisor
+	victim := sim.targets[sim.rng.IntN(len(sim.targets))]
+	switch sim.run.Fault {
 	case Failing:
-		w.scheduleInterval(from, to, func(on bool) { victim.failing = on })
+		sim.scheduleInterval(from, to, func(on bool) { victim.failing = on })
 	case HostLost:
-		w.scheduleInterval(from, to, func(on bool) { victim.unreachable = on })
+		sim.scheduleInterval(from, to, func(on bool) { victim.unreachable = on })
 	case Leaving:
-		w.scheduleInterval(from, to, func(on bool) {
+		sim.scheduleInterval(from, to, func(on bool) {
 			victim.leaving = on
 			if on && victim.agent != nil {
 				victim.agent.withdraw()
 			}
-			w.driver.targetChanged(victim)
+			sim.driver.targetChanged(victim)
 		})
 	case ZoneLost:
-		w.scheduleInterval(from, to, func(on bool) {
-			for _, t := range w.targets {
+		sim.scheduleInterval(from, to, func(on bool) {
+			for _, t := range sim.targets {
 				t.unreachable = on && t.zone == victim.zone
 			}
 		})
 	case Brownout:
-		w.scheduleInterval(from, to, func(on bool) { w.brownout = on })
+		sim.scheduleInterval(from, to, func(on bool) { sim.brownout = on })
 	case ErrorStorm:
-		w.scheduleInterval(from, to, func(on bool) {
-			for _, t := range w.targets {
+		sim.scheduleInterval(from, to, func(on bool) {
+			for _, t := range sim.targets {
 				t.errorStorm = on
 			}
 		})
 	}
 }
 
-func (w *simulation) scheduleInterval(from, to time.Duration, set func(on bool)) {
-	w.after(from, func() { set(true) })
-	w.after(to, func() { set(false) })
+// scheduleInterval calls set(true) at one time and set(false) at a later one.
+func (sim *simulation) scheduleInterval(from, to time.Duration, set func(on bool)) {
+	sim.after(from, func() { set(true) })
+	sim.after(to, func() { set(false) })
 }
 
-// moveSlowdowns moves the hidden slow-downs to other targets.
-func (w *simulation) moveSlowdowns() {
-	if w.now >= w.run.Duration {
+// moveSlowdowns ends the slowdowns and slows down newly drawn targets, every slowPeriod.
+func (sim *simulation) moveSlowdowns() {
+	if sim.now >= sim.run.Duration {
 		return
 	}
-	for _, t := range w.targets {
+	for _, t := range sim.targets {
 		t.slowFactor = 1
 	}
-	for _, i := range w.rng.Perm(len(w.targets))[:slowTargets] {
-		w.targets[i].slowFactor = minSlowFactor + (maxSlowFactor-minSlowFactor)*w.rng.Float64()
+	for _, i := range sim.rng.Perm(len(sim.targets))[:slowTargets] {
+		sim.targets[i].slowFactor = minSlowFactor + (maxSlowFactor-minSlowFactor)*sim.rng.Float64()
 	}
-	w.after(slowPeriod, w.moveSlowdowns)
+	sim.after(slowPeriod, sim.moveSlowdowns)
 }
--- a/internal/routesim/target.go
+++ b/internal/routesim/target.go
@@ -8,14 +8,14 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// reply is what a target's agent answers to a dispatch.
+// reply is a target's reply to a dispatch.
 type reply struct {
 	outcome apiv1.Outcome
 	reason  apiv1.Reason
 	load    *apiv1.Load
 }
 
-// dispatch is one attempt as it reaches a target.
+// dispatch is one attempt of a request at a target.
 type dispatch struct {
 	request  request
 	key      gate.Key
@@ -24,7 +24,7 @@
 	onReply  func(reply)
 }
 
-// simTarget stands in for a target, behind an agent or by itself.
+// simTarget simulates a target, with an agent or without.
 type simTarget struct {
 	clock       *clock
 	rng         *rand.Rand
@@ -32,8 +32,8 @@
 	zone        string
 	slots       int
 	connections int
-	// agent is nil for a plain server, which takes up to its connections and works
-	// them off in order.
+	// agent is nil for a plain server, which accepts requests up to its connection limit and
+	// serves them in order of arrival.
 	agent *simAgent
 
 	busy       int
@@ -41,7 +41,7 @@
 	slowFactor float64
 	failing    bool
 	errorStorm bool
-	// unreachable: nothing reaches the host or comes from it.
+	// unreachable is set while no message reaches the host or leaves it.
 	unreachable bool
 	leaving     bool
 }
@@ -72,7 +72,7 @@
 	}
 }
 
-// serve works on a request as a plain server does.
+// serve executes a request on a plain server and then starts the next waiting one.
 func (t *simTarget) serve(d dispatch) {
 	t.busy++
 	t.execute(d, func(out reply) {
@@ -90,18 +90,19 @@
 	})
 }
 
-// execute spends a request's time and calls done with the outcome.
+// execute simulates the execution of a request and calls done with the outcome after the
+// service time.
 func (t *simTarget) execute(d dispatch, done func(reply)) {
 	d.onStart()
-	took := time.Duration(float64(d.request.serviceTime) * t.slowFactor)
+	serviceTime := time.Duration(float64(d.request.serviceTime) * t.slowFactor)
 	out := reply{outcome: apiv1.Outcome_OUTCOME_ANSWERED}
 	if t.failing || (t.errorStorm && t.rng.Float64() < errorStormFraction) {
 		out.outcome = apiv1.Outcome_OUTCOME_FAILED
 	}
 	if t.failing {
-		took = failureLatency
+		serviceTime = failureLatency
 	}
-	t.clock.after(took, func() { done(out) })
+	t.clock.after(serviceTime, func() { done(out) })
 }
 
 func (t *simTarget) load() *apiv1.Load {
--- a/internal/routesim/workload.go
+++ b/internal/routesim/workload.go
@@ -10,13 +10,14 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// Deployment is a user's size and traffic.
+// Deployment describes the size and traffic of a user's installation.
 type Deployment struct {
 	Name    string
 	Zones   int
 	Targets int
 	Entries int
-	// CrossZoneLatency is the time between two availability zones, Near that within one.
+	// CrossZoneLatency is the one-way network latency between two availability zones,
+	// SameZoneLatency that within one.
 	CrossZoneLatency, SameZoneLatency time.Duration
 	Slots                             int
 	Connections                       int
@@ -26,12 +27,13 @@
 	Deadline           time.Duration
 	Objective          time.Duration
 	IdempotentFraction float64
-	// BatchFraction is the share of requests with batch priority.
+	// IdempotentFraction and BatchFraction are the fractions of idempotent requests and of
+	// requests with batch priority.
 	BatchFraction float64
 }
 
-// Wrekinford is the markets office of the brief; its response times, deadlines
-// and shares are assumptions.
+// Wrekinford returns the deployment of the markets office in the requirements. Its response
+// times, deadlines and request fractions are assumptions.
 func Wrekinford() Deployment {
 	return Deployment{
 		Name: "wrekinford", Zones: 3, Targets: 11, Entries: 3,
@@ -43,7 +45,8 @@
 	}
 }
 
-// Auction is the auction house of the brief, with the same caveat.
+// Auction returns the deployment of the auction house in the requirements. Its response times,
+// deadlines and request fractions are assumptions.
 func Auction() Deployment {
 	return Deployment{
 		Name: "auction", Zones: 4, Targets: 11, Entries: 4,
@@ -55,16 +58,17 @@
 	}
 }
 
-// Capacity is the rate, requests a second, that fills every slot of a
-// deployment without faults.
+// Capacity returns the request rate per second that occupies every slot of the deployment
+// while there are no faults.
 func (d Deployment) Capacity() float64 {
 	return float64(d.Targets*d.Slots) / d.Mean.Seconds()
 }
 
-// Fault is what goes wrong in a run.
+// Fault names the fault that is injected into a run.
 type Fault string
 
-// The faults. Each run also has the hidden slow-downs, unless it is Calm.
+// The faults. Unless it is FaultFree, each run also has slowdowns of random targets, of which
+// the routers are not notified.
 const (
 	FaultFree  Fault = "calm"
 	Slow       Fault = "slow"
@@ -78,43 +82,43 @@
 )
 
 const (
-	// slowTargets targets at a time are slower by a factor from minSlowFactor to
-	// maxSlowFactor, others after each slowPeriod.
+	// slowTargets targets at a time are slowed down by a factor between minSlowFactor and
+	// maxSlowFactor. Other targets are chosen after each slowPeriod.
 	slowTargets   = 2
 	minSlowFactor = 2.0
 	maxSlowFactor = 4.0
 	slowPeriod    = 4 * time.Second
-	// failureLatency is how fast a target that fails everything does so.
+	// failureLatency is the response time of a target that fails every request.
 	failureLatency = time.Millisecond
 	// loadSpikeFactor multiplies the offered rate, and brownoutFactor all response
 	// times, in the middle third of a run.
 	loadSpikeFactor = 2
 	brownoutFactor  = 3
-	// errorStormFraction of all answers are failures during a storm.
+	// errorStormFraction is the fraction of requests that fail during an error storm.
 	errorStormFraction = 0.6
 	callerCount        = 40
-	// busiestCallerFraction of the requests come from busiestCaller.
+	// busiestCallerFraction is the fraction of requests sent by busiestCaller.
 	busiestCallerFraction = 0.2
 	busiestCaller         = "c0"
 )
 
-// Run describes one run.
+// Run describes one simulation run.
 type Run struct {
 	Deployment Deployment
 	Policy     string
 	Fault      Fault
-	// Load is the offered rate as a share of the capacity.
+	// Load is the offered rate as a fraction of the deployment's capacity.
 	Load     float64
 	Seed     uint64
 	Duration time.Duration
-	// AgentQueue is how many requests an agent lets wait for a target's slots;
-	// gate.MaxWaiting is what agents do.
+	// AgentQueue is the maximum number of requests that an agent queues for a target's slots;
+	// agents use gate.MaxWaiting.
 	AgentQueue int
-	// Config overrides the router's defaults.
+	// Config overrides the router's default settings.
 	Config route.Config
 }
 
-// request is what a caller offers, the same for every policy.
+// request is a request of a caller. Every policy gets the same requests.
 type request struct {
 	id         string
 	arrival    time.Duration
@@ -122,11 +126,11 @@
 	caller     string
 	idempotent bool
 	priority   apiv1.Priority
-	// serviceTime is the response time on an idle, unhindered target.
+	// serviceTime is the response time of an idle target without a fault.
 	serviceTime time.Duration
 }
 
-// requests draws a run's arrivals: Poisson, open loop.
+// requests generates the requests of a run: an open-loop workload with Poisson arrivals.
 func (r Run) requests() []request {
 	rng := rand.New(rand.NewPCG(r.Seed, 1))
 	d := r.Deployment
@@ -151,7 +155,7 @@
 	}
 }
 
-// loadFactor is the factor on the offered rate at a time.
+// loadFactor returns the factor by which a load spike multiplies the offered rate at a time.
 func (r Run) loadFactor(at time.Duration) float64 {
 	if r.Fault == LoadSpike && at >= r.Duration/faultDivisor && at < 2*r.Duration/faultDivisor {
 		return loadSpikeFactor
--- a/internal/slopes/assumptions.go
+++ b/internal/slopes/assumptions.go
@@ -10,8 +10,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// assumption is a number that no run gave: a size of the letter, a setting, or
-// an assumption of ours.
+// assumption is an input of the formulas that is not measured: a size from the requirements,
+// a setting, a constant of the code or an assumption.
 type assumption struct {
 	name   string
 	value  float64
@@ -20,7 +20,7 @@
 
 const secondsPerDay = 86_400
 
-// assumptions are all of them; docs/CAPACITY.md prints the table.
+// assumptions lists all inputs that are not measured. docs/CAPACITY.md contains them as a table.
 var assumptions = []assumption{
 	{"workers", 3700, "letter"},
 	{"tasks", 26_000, "letter: batch tasks running; each is a lease"},
--- a/internal/slopes/commands.go
+++ b/internal/slopes/commands.go
@@ -6,20 +6,21 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
+// submit returns a submission of configuration c as a change of version base.
 func submit(n int, base uint64, c *apiv1.Configuration) *apiv1.Command {
 	return &apiv1.Command{TimeMs: 1e12, Body: &apiv1.Command_Submit{Submit: &apiv1.Submit{
 		SubmissionId: fmt.Sprintf("submission-%08d", n), BaseVersion: base, Configuration: c, Operator: "duty",
 	}}}
 }
 
-// submitDelta is a submission of what a change changes.
+// submitDelta returns a submission that carries only the delta of a change to version base.
 func submitDelta(n int, base uint64, d *apiv1.ConfigurationDelta) *apiv1.Command {
-	moved := &apiv1.ConfigurationDelta{
+	rebased := &apiv1.ConfigurationDelta{
 		FromVersion: base, ToVersion: base + 1, Services: d.Services, Jobs: d.Jobs, Teams: d.Teams,
 		PolicyChanged: d.PolicyChanged, Policy: d.Policy, Text: d.Text, TextDigest: d.TextDigest, Digest: d.Digest,
 	}
 	cmd := submit(n, base, nil)
-	cmd.GetSubmit().Delta = moved
+	cmd.GetSubmit().Delta = rebased
 	return cmd
 }
 
@@ -43,7 +44,8 @@
 	return &apiv1.Command{TimeMs: 1e12, Body: &apiv1.Command_Place{Place: &apiv1.Place{Grants: grants}}}
 }
 
-// recordStops ends attempts of job i on its worker; they are queued anew.
+// recordStops returns a command by which worker i reports attempts of job i as stopped, so that
+// their tasks return to the queue.
 func recordStops(i, tasks int, attempt uint64) *apiv1.Command {
 	info := workerInfo(i)
 	r := &apiv1.RecordTasks{Worker: info.Name, WorkerIncarnation: info.Incarnation}
@@ -56,6 +58,7 @@
 	return &apiv1.Command{TimeMs: 1e12, Body: &apiv1.Command_RecordTasks{RecordTasks: r}}
 }
 
+// expire returns a command that ends the leases of job i's tasks.
 func expire(i, tasks int) *apiv1.Command {
 	e := &apiv1.Expire{Term: 1}
 	for n := range tasks {
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -7,7 +7,7 @@
 	"github.com/cairnlift/cairnlift/spec"
 )
 
-// Sizes at which slopes are measured; the last is the target size.
+// Sizes at which slopes are measured. The last of each list is about the target size or larger.
 var (
 	workerSizes = []int{11, 110, 1100, 3700}
 	targetSizes = []int{62, 620, 6200, 21000}
@@ -19,20 +19,20 @@
 )
 
 const (
-	// leasesPerWorker and targetsPerWorker are 26,000 batch tasks and 21,000
-	// latency-critical ones over 3,700 workers, rounded.
+	// leasesPerWorker and targetsPerWorker are 26,000 batch tasks and 21,000 latency-critical
+	// tasks divided by 3,700 workers, rounded.
 	leasesPerWorker  = 7
 	targetsPerWorker = 6
-	// entries is how many entry hosts share the agents: two per availability zone.
+	// entries is the number of entry hosts that share the agents: two per availability zone.
 	entries = 38
 	teams   = 390
-	// configurationVersion is three weeks of 4,700 changes a day.
+	// configurationVersion is the version after three weeks of 4,700 changes a day.
 	configurationVersion = 100_000
-	// configuredJobs are in the text at a time; jobsPerChange come and as many go
-	// with each change, 37,000 a day over 4,700 changes.
+	// configuredJobs is the number of jobs in the configuration at a time. Each change adds
+	// jobsPerChange jobs and removes as many: 37,000 jobs a day divided by 4,700 changes.
 	configuredJobs = 37_000 / 3
 	jobsPerChange  = 8
-	// targetsPerService is 21,000 targets over one service per team.
+	// targetsPerService is 21,000 targets divided by the number of services, one per team.
 	targetsPerService = 54
 )
 
@@ -80,7 +80,7 @@
 	}
 }
 
-// workerHeartbeat is worker i's part of a heartbeat in the steady state.
+// workerHeartbeat returns worker i's part of a heartbeat in the steady state.
 func workerHeartbeat(i, leases, targets int) *apiv1.WorkerHeartbeat {
 	hb := &apiv1.WorkerHeartbeat{Worker: workerName(i), Incarnation: workerInfo(i).Incarnation, Sequence: 1_000_000}
 	for n := range leases {
@@ -100,7 +100,8 @@
 	return hb
 }
 
-// heartbeatRequest is what agent i sends in the steady state: its announcement is known.
+// heartbeatRequest returns agent i's heartbeat in the steady state, without its announcement,
+// which the entry already has.
 func heartbeatRequest(i, leases, targets int) *apiv1.HeartbeatRequest {
 	return &apiv1.HeartbeatRequest{
 		Revision: 9, AgentName: workerName(i), AgentIncarnation: workerInfo(i).Incarnation,
@@ -141,8 +142,8 @@
 	}
 }
 
-// configuration is compiled from its text, as a submission is. Jobs bring all
-// teams along.
+// configuration returns a configuration compiled from its text, as a submission is. With
+// jobs, it contains all teams, since jobs refer to them.
 func configuration(jobs, tasksPerJob, services, teamCount int) *apiv1.Configuration {
 	if jobs > 0 {
 		teamCount = teams
@@ -161,8 +162,8 @@
 	return compile(text)
 }
 
-// jobWindow is a text in which jobs stand from one number on. Operators take finished
-// jobs out at its front and add new ones at its end.
+// jobWindow returns a configuration whose jobs are numbered consecutively from a first number.
+// It models operators who remove finished jobs at the front of the text and append new ones.
 func jobWindow(from, jobs int) *apiv1.Configuration {
 	c := &apiv1.Configuration{}
 	for i := range teams {
@@ -175,7 +176,7 @@
 	return compile(text)
 }
 
-// jobText is how an operator writes a job, defaults left out.
+// jobText returns the text of a job as an operator writes it, without default settings.
 func jobText(i, tasks int) string {
 	return fmt.Sprintf("\n[[job]]\nname = %q\nkind = \"kind-%02d\"\nteam = %q\ntasks = %d\n"+
 		"size = { processors = 2, memory = \"8GiB\" }\nexpected_run = \"26s\"\n", jobName(i), i%50, teamName(i), tasks)
@@ -184,7 +185,7 @@
 func compile(text []byte) *apiv1.Configuration {
 	c, problems := spec.Parse(text)
 	if len(problems) > 0 {
-		panic("the stand-in's text is valid: " + problems.Error())
+		panic("generated configuration is invalid: " + problems.Error())
 	}
 	return c
 }
--- a/internal/slopes/formula.go
+++ b/internal/slopes/formula.go
@@ -10,11 +10,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// values holds what formulas may name: sizes, settings and slopes.
+// values maps the names in formulas (sizes, settings, slopes and named rows) to numbers.
 type values map[string]float64
 
-// newValues joins the given sizes and settings, the slopes, and the named rows that
-// follow from them.
+// newValues returns the assumptions, the slopes and the named rows that are computed from
+// them.
 func newValues(list []*Slope) (values, error) {
 	v := values{}
 	for _, a := range assumptions {
@@ -22,13 +22,14 @@
 	}
 	for _, s := range list {
 		v[s.Name] = s.Slope
-		// A base below zero is the error of the fit: nothing costs less than nothing.
+		// A negative base is an error of the fit, since no cost is negative.
 		v[s.Name+baseSuffix] = max(0, s.Base)
 	}
 	return v, v.addRows()
 }
 
-// addRows works out the named rows in the order of the page.
+// addRows evaluates the named rows in the order of the page, since later formulas refer to
+// earlier rows.
 func (v values) addRows() error {
 	for _, rows := range [][]row{agentRows, entryRows, followerRows, leaderRows, operatorRows, timeRows, mechanismRows} {
 		for _, r := range rows {
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// evaluate works out a formula of names, numbers, + - * / and parentheses.
+// evaluate returns the value of a formula of names, numbers, + - * / and parentheses.
 func (v values) evaluate(formula string) (float64, error) {
 	e, err := parser.ParseExpr(formula)
 	if err != nil {
@@ -63,13 +64,13 @@
 	case *ast.Ident:
 		n, ok := v[e.Name]
 		if !ok {
-			return 0, errors.Newf("nothing is named %s", e.Name)
+			return 0, errors.Newf("undefined name %s", e.Name)
 		}
 		return n, nil
 	case *ast.BinaryExpr:
 		return v.evaluateBinary(e)
 	}
-	return 0, errors.New("only names, numbers, + - * / and parentheses")
+	return 0, errors.New("unsupported expression: only names, numbers, + - * / and parentheses are allowed")
 }
 
 func (v values) evaluateBinary(e *ast.BinaryExpr) (float64, error) {
@@ -91,19 +92,21 @@
 	case token.QUO:
 		return x / y, nil
 	}
-	return 0, errors.Newf("%s is no operator here", e.Op)
+	return 0, errors.Newf("unsupported operator %s", e.Op)
 }
 
 var identifier = regexp.MustCompile(`[A-Za-z][A-Za-z0-9_]*`)
 
-// substitute is the formula as a reader puts it into a calculator.
+// substitute returns the formula with its names replaced by rounded numbers, so that a reader
+// can check the result.
 func (v values) substitute(formula string) string {
 	return identifier.ReplaceAllStringFunc(formula, func(name string) string {
 		return formatShort(v[name])
 	})
 }
 
-// formatShort prints at most four significant digits and no exponent.
+// formatShort formats a number for the tables: from 1000 on as an integer, below with four
+// significant digits, and below 1 with three.
 func formatShort(n float64) string {
 	switch {
 	case n < 0:
--- a/internal/slopes/main.go
+++ b/internal/slopes/main.go
@@ -1,7 +1,7 @@
-// Command slopes measures what each role's state, messages and decisions cost at
-// several sizes, fits a line to each, and writes the measurements page and the
-// capacity page that is worked out from them. It drives the real cores and
-// encodes the real messages; stand-ins only make up the content.
+// Command slopes measures the cost of each role's state, messages and decisions at several
+// sizes and fits a line to each cost. It writes the page of measurements and the capacity page
+// that is computed from them. It runs the real cores and encodes the real messages; only their
+// content is generated.
 package main
 
 import (
@@ -13,9 +13,9 @@
 )
 
 func main() {
-	app := kingpin.New("slopes", "Measure slopes and work the capacity page out from them.")
-	root := app.Flag("root", "Folder of the module.").Default(".").String()
-	keep := app.Flag("keep", "Only write the pages anew, from the slopes measured last.").Bool()
+	app := kingpin.New("slopes", "Measures slopes and computes the capacity page from them.")
+	root := app.Flag("root", "Root folder of the module.").Default(".").String()
+	keep := app.Flag("keep", "Only rewrite the pages, from the stored slopes.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 
 	files := pages{root: *root}
@@ -23,15 +23,15 @@
 	if *keep {
 		var err error
 		list, err = files.load()
-		app.FatalIfError(err, "slopes")
+		app.FatalIfError(err, "load slopes")
 	} else {
 		list = measureAll()
-		app.FatalIfError(files.save(list), "slopes")
+		app.FatalIfError(files.save(list), "save slopes")
 	}
-	app.FatalIfError(files.write(list), "pages")
+	app.FatalIfError(files.write(list), "write pages")
 }
 
-// measureAll runs every measurement, one after the other.
+// measureAll runs all measurements one after the other.
 func measureAll() []*Slope {
 	began := time.Now()
 	r := &recorder{progress: func(s *Slope) {
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -10,21 +10,22 @@
 )
 
 const (
-	// costSamples per processor time; the median is taken. The machine may be busy:
-	// processor time leaves out waiting, but not cold caches.
+	// costSamples is the number of samples of a processor time, of which the median is taken.
+	// The machine may be busy: processor time excludes waiting, but not the effect of cold
+	// caches.
 	costSamples = 5
-	// minSampleTime is the least processor time of a sample.
+	// minSampleTime is the minimum processor time of a sample.
 	minSampleTime = 20 * time.Millisecond
 )
 
-// recorder collects what is measured.
+// recorder collects the measured slopes.
 type recorder struct {
 	slopes []*Slope
-	// progress is told of each finished slope.
+	// progress is called with each finished slope.
 	progress func(*Slope)
 }
 
-// measure runs y at each size and fits a line.
+// measure calls y with each size, fits a line to the results and records it.
 func (r *recorder) measure(name, what, unit, per string, sizes []int, y func(n int) float64) {
 	s := &Slope{Name: name, What: what, Unit: unit, Per: per}
 	for _, n := range sizes {
@@ -35,17 +36,17 @@
 	r.progress(s)
 }
 
-// processorTime is what this process has used, in user and system mode.
+// processorTime returns the processor time that this process has used in user and system mode.
 func processorTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		panic("getrusage of the own process cannot fail: " + err.Error())
+		panic("getrusage of this process failed: " + err.Error())
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// costPerCall is the processor time of one call of f in nanoseconds, garbage collection
-// included.
+// costPerCall returns the processor time of one call of f in nanoseconds, including garbage
+// collection.
 func costPerCall(f func()) float64 {
 	var all []float64
 	for range costSamples {
@@ -62,7 +63,7 @@
 	return all[costSamples/2]
 }
 
-// retainedHeap is the live heap that what build returns keeps.
+// retainedHeap returns the size of the live heap that the result of build keeps reachable.
 func retainedHeap(build func() any) float64 {
 	before := liveHeap()
 	kept := build()
@@ -72,7 +73,7 @@
 }
 
 func liveHeap() uint64 {
-	// Twice: what finalizers and pools let go of is freed by the second.
+	// Objects released by finalizers and pools in the first collection are freed in the second.
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -82,9 +83,9 @@
 
 func encodedSize(m proto.Message) float64 { return float64(proto.Size(m)) }
 
-// must is for set-up that can't fail unless this program is wrong.
+// must panics if err is not nil. It is for operations that fail only if this program has a bug.
 func must(err error) {
 	if err != nil {
-		panic("the stand-in is wrong: " + err.Error())
+		panic("unexpected error in a measurement: " + err.Error())
 	}
 }
--- a/internal/slopes/measure_agent.go
+++ b/internal/slopes/measure_agent.go
@@ -11,7 +11,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// measureAgent measures the agent's gate and its leases.
+// measureAgent measures an agent's leases and its gate, the agent's admission control.
 func (r *recorder) measureAgent() {
 	r.measure("agentLease", "agent: four looks at the worker and one heartbeat with its codec, by leases", "ns", "lease", leaseSizes, func(n int) float64 {
 		now := time.Hour
@@ -47,6 +47,7 @@
 	})
 }
 
+// measuredGate is a gate with one target and its own clock.
 type measuredGate struct {
 	*gate.Gate
 	now time.Time
@@ -64,7 +65,7 @@
 	return g
 }
 
-// admitAndFinish lets one attempt in and finishes it, a millisecond after the last.
+// admitAndFinish admits attempt i, a millisecond after the previous one, and finishes it.
 func (g *measuredGate) admitAndFinish(i int) {
 	g.now = g.now.Add(time.Millisecond)
 	if i%500 == 0 {
@@ -77,7 +78,7 @@
 		Remaining: time.Second, Version: 1, ConfirmedAge: time.Millisecond,
 	})
 	if !a.Run {
-		panic("an idle target takes an attempt: " + a.Verdict.Message)
+		panic("gate refused an attempt for an idle target: " + a.Verdict.Message)
 	}
 	g.Finish(g.now, key, gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_ANSWERED})
 }
--- a/internal/slopes/measure_control.go
+++ b/internal/slopes/measure_control.go
@@ -16,21 +16,22 @@
 )
 
 const (
-	// leaseDuration keeps leases from running out during a measurement.
+	// leaseDuration is long enough that no lease expires during a measurement.
 	leaseDuration = time.Hour
-	// shortPlanInterval is the leader's pause after a short round.
+	// shortPlanInterval is the leader's plan interval where rounds are measured.
 	shortPlanInterval = 20 * time.Millisecond
-	// minRounds rounds are waited for, and more while they are short.
+	// minRounds is the minimum number of rounds in a measurement; short rounds need more.
 	minRounds = 10
-	// warmUpHeartbeats heartbeats, warmUpInterval apart on the stand-in's clock, fill what
-	// the planner keeps of the last minutes.
+	// warmUpHeartbeats heartbeats, warmUpInterval apart on the replica's clock, fill the
+	// history of the last minutes that the planner keeps.
 	warmUpHeartbeats = 30
 	warmUpInterval   = 10 * time.Second
-	// grantsPerCommand is how many grants the leader puts into one log entry.
+	// grantsPerCommand is the number of grants that the leader puts into one log entry.
 	grantsPerCommand = 256
 )
 
-// switchedPlanner learns as the real one does, and plans once it is opened.
+// switchedPlanner records observations like the real planner, but plans nothing until it is
+// enabled.
 type switchedPlanner struct {
 	*place.Placer
 	enabled atomic.Bool
@@ -43,10 +44,10 @@
 	return p.Placer.Plan(now, s)
 }
 
-// leader is a control replica that leads a group of one, and its workers.
+// leader is a control replica that leads a group of one replica.
 type leader struct {
 	*control.Replica
-	// clockOffset is how far the replica's clock is ahead, in nanoseconds.
+	// clockOffset is added to the replica's clock, in nanoseconds.
 	clockOffset *atomic.Int64
 	planner     *switchedPlanner
 	rounds      metrics.Timer
@@ -84,29 +85,30 @@
 	must(err)
 }
 
-func (l *leader) renew(beats []*apiv1.WorkerHeartbeat) {
-	for _, hb := range beats {
+func (l *leader) renew(heartbeats []*apiv1.WorkerHeartbeat) {
+	for _, hb := range heartbeats {
 		hb.Sequence++
 	}
-	orders, err := l.RenewLocal(context.Background(), beats)
+	orders, err := l.RenewLocal(context.Background(), heartbeats)
 	must(err)
 	for _, o := range orders {
 		if !o.Renewed || len(o.Start)+len(o.Stop) > 0 {
-			panic("the stand-in's heartbeats agree with the state: " + o.String())
+			panic("leader's orders to a worker disagree with its heartbeat: " + o.String())
 		}
 	}
 }
 
-// addWorkers registers n workers that run leases each, job i on worker i.
+// addWorkers registers n workers, grants worker i the given number of tasks of job i, and
+// returns their heartbeats.
 func (l *leader) addWorkers(n, leases int) []*apiv1.WorkerHeartbeat {
 	l.propose(submit(1, 0, configuration(n, max(1, leases), (n*targetsPerWorker)/targetsPerService+1, teams)))
-	var first, beats []*apiv1.WorkerHeartbeat
+	var first, heartbeats []*apiv1.WorkerHeartbeat
 	var grants []*apiv1.Grant
 	for i := range n {
 		hb := workerHeartbeat(i, 0, targetsPerWorker)
 		hb.Info, hb.Sequence = workerInfo(i), 1
 		first = append(first, hb)
-		beats = append(beats, workerHeartbeat(i, leases, targetsPerWorker))
+		heartbeats = append(heartbeats, workerHeartbeat(i, leases, targetsPerWorker))
 		for k := range leases {
 			grants = append(grants, grant(i, i, k, 1))
 		}
@@ -117,26 +119,26 @@
 		l.propose(placeCommand(grants[:part]...))
 		grants = grants[part:]
 	}
-	for _, hb := range beats {
+	for _, hb := range heartbeats {
 		for _, st := range hb.Tasks {
 			st.Task.Attempt = 1
 		}
 	}
-	l.renew(beats)
-	return beats
+	l.renew(heartbeats)
+	return heartbeats
 }
 
-// warmUp plans and renews until the planner's memory is full.
-func (l *leader) warmUp(beats []*apiv1.WorkerHeartbeat) {
+// warmUp enables planning and renews leases until the planner's history is full.
+func (l *leader) warmUp(heartbeats []*apiv1.WorkerHeartbeat) {
 	l.planner.enabled.Store(true)
 	for range warmUpHeartbeats {
 		l.clockOffset.Add(int64(warmUpInterval))
-		l.renew(beats)
+		l.renew(heartbeats)
 	}
 	l.awaitRounds(l.rounds.Count() + 2)
 }
 
-// roundCost is the processor time of a round, the mean over whole ones.
+// roundCost returns the mean processor time of a round, over complete rounds.
 func (l *leader) roundCost() float64 {
 	runtime.GC()
 	l.awaitRounds(l.rounds.Count() + 1)
@@ -148,8 +150,8 @@
 	return float64(processorTime()-began) / float64(l.rounds.Count()-first)
 }
 
-// awaitRounds waits for a number of rounds. It looks seldom, since looking takes
-// processor time too.
+// awaitRounds waits until the leader has finished count rounds. It polls rarely, since polling
+// takes processor time too.
 func (l *leader) awaitRounds(count int64) {
 	for l.rounds.Count() < count {
 		time.Sleep(10 * time.Millisecond)
@@ -173,9 +175,9 @@
 	r.measure("round", "leader: a round that places nothing", "ns", "worker", workerSizes, func(n int) float64 {
 		l := newLeader(shortPlanInterval)
 		defer l.close()
-		beats := l.addWorkers(n, leasesPerWorker)
+		heartbeats := l.addWorkers(n, leasesPerWorker)
 		l.planner.enabled.Store(true)
-		l.renew(beats)
+		l.renew(heartbeats)
 		return l.roundCost()
 	})
 	r.measure("decide", "placer: tasks placed in one round on 3,700 workers", "ns", "task", batchSizes, func(n int) float64 {
@@ -189,6 +191,7 @@
 	})
 }
 
+// leaderHeap returns the heap of a leader with the given numbers of workers and leases of each.
 func leaderHeap(workers, leases int) float64 {
 	var l *leader
 	h := retainedHeap(func() any {
@@ -200,14 +203,16 @@
 	return h
 }
 
+// renewalCost returns the processor time of renewing the leases of all workers once.
 func renewalCost(workers, leases int) float64 {
 	l := newLeader(time.Hour)
 	defer l.close()
-	beats := l.addWorkers(workers, leases)
-	return costPerCall(func() { l.renew(beats) })
+	heartbeats := l.addWorkers(workers, leases)
+	return costPerCall(func() { l.renew(heartbeats) })
 }
 
-// planningCost is a planning round on half-full workers, queued tasks waiting.
+// planningCost returns the processor time of a planning round that places all queued tasks on
+// partly occupied workers.
 func planningCost(workers, queued int) float64 {
 	p := place.New(place.Config{Seed: 1})
 	now := time.UnixMilli(1e12)
@@ -228,7 +233,7 @@
 	return costPerCall(func() {
 		now = now.Add(time.Second)
 		if got := len(p.Plan(now, s).Grants); got != queued {
-			panic(fmt.Sprintf("the stand-in's workers have room for %d tasks, %d placed", queued, got))
+			panic(fmt.Sprintf("planner placed %d of %d tasks although there is capacity for all", got, queued))
 		}
 	})
 }
--- a/internal/slopes/measure_entry.go
+++ b/internal/slopes/measure_entry.go
@@ -24,15 +24,15 @@
 	})
 	r.measure("heard", "directory: steady heartbeats", "ns", "heartbeat", workerSizes, func(n int) float64 {
 		d := member.New(member.DefaultConfig())
-		var beats []*apiv1.HeartbeatRequest
+		var heartbeats []*apiv1.HeartbeatRequest
 		for i := range n {
 			first := heartbeatRequest(i, 0, 0)
 			first.Agent = agentInfo(i, targetsPerWorker)
 			d.RecordHeartbeat(epoch, first)
-			beats = append(beats, heartbeatRequest(i, leasesPerWorker, targetsPerWorker))
+			heartbeats = append(heartbeats, heartbeatRequest(i, leasesPerWorker, targetsPerWorker))
 		}
 		return costPerCall(func() {
-			for _, hb := range beats {
+			for _, hb := range heartbeats {
 				d.RecordHeartbeat(epoch, hb)
 			}
 		})
@@ -43,7 +43,7 @@
 	})
 }
 
-// measurePushSizes measures the messages by which entries tell each other of agents.
+// measurePushSizes measures the sync requests (pushes) by which entries exchange their agents.
 func (r *recorder) measurePushSizes() {
 	r.measure("pushSteady", "a push when nothing changed, by the sender's own agents", "B", "agent", batchSizes, func(n int) float64 {
 		return encodedSize(newHomeDirectory(n).changedPush(0))
@@ -59,7 +59,7 @@
 	})
 }
 
-// measurePushCosts measures the processor time of building and taking a push.
+// measurePushCosts measures the processor time of building and applying a push.
 func (r *recorder) measurePushCosts() {
 	r.measure("push", "directory: building a steady push, by agents known; one in 38 is the sender's", "ns", "agent", workerSizes, func(n int) float64 {
 		d := newDirectory(n)
@@ -78,19 +78,21 @@
 		req, _ := from.BuildSyncRequest(epoch, entryName(0), configurationVersion)
 		req.Entry = entryName(1)
 		if d.ApplySyncRequest(epoch, req) {
-			panic("the stand-in's directories agree")
+			panic("directory requested a resend although both directories agree")
 		}
 		return costPerCall(func() { d.ApplySyncRequest(epoch, req) })
 	})
 }
 
+// recordAnnouncement records a heartbeat of agent i that contains its announcement.
 func recordAnnouncement(d *member.Directory, i int) {
 	hb := heartbeatRequest(i, 0, 0)
 	hb.Agent = agentInfo(i, targetsPerWorker)
 	d.RecordHeartbeat(epoch, hb)
 }
 
-// newDirectory is entry 0's picture of n agents, spread over all entries.
+// newDirectory returns entry 0's directory of n agents whose home entries are spread over all
+// entries.
 func newDirectory(n int) *member.Directory {
 	d := member.New(member.DefaultConfig())
 	for i := 0; i < n; i += entries {
@@ -107,7 +109,8 @@
 	return d
 }
 
-// homeDirectory is the directory of an entry that hears n agents and told the others.
+// homeDirectory is the directory of the home entry of n agents, after another entry has
+// acknowledged them.
 type homeDirectory struct{ *member.Directory }
 
 func newHomeDirectory(n int) homeDirectory {
@@ -120,7 +123,7 @@
 	return homeDirectory{d}
 }
 
-// laggingPush is a push right after the entry adopted a newer configuration.
+// laggingPush returns a push right after the entry adopted a newer configuration.
 func (d homeDirectory) laggingPush() *apiv1.SyncRequest { return d.push(configurationVersion + 1) }
 
 func (d homeDirectory) push(version uint64) *apiv1.SyncRequest {
@@ -130,7 +133,8 @@
 	return req
 }
 
-// departurePush is what is sent once the receiver has seen that an agent is missing.
+// departurePush returns the push that names the departed agent, after the receiver has found
+// that its directory differs and requested a resend.
 func (d homeDirectory) departurePush(agents int) *apiv1.SyncRequest {
 	other := member.New(member.DefaultConfig())
 	for i := range agents {
@@ -153,7 +157,7 @@
 	}
 }
 
-// changedPush is a push after some agents announced anew.
+// changedPush returns a push after some agents sent changed announcements.
 func (d homeDirectory) changedPush(agents int) *apiv1.SyncRequest {
 	for i := range agents {
 		hb := heartbeatRequest(i, 0, 0)
@@ -195,17 +199,18 @@
 	return rt
 }
 
+// routeRequest routes one request from admission to release.
 func routeRequest(rt *route.Router, now time.Time) {
 	req := &route.Request{
 		ID: "entry-00-0000000000000001", Service: serviceName(0), Caller: "caller", Idempotent: true,
 		Deadline: now.Add(2 * time.Second), Priority: apiv1.Priority_PRIORITY_URGENT,
 	}
 	if a := rt.Admit(now, req); !a.OK {
-		panic("an idle service admits: " + a.Text)
+		panic("router refused a request for an idle service: " + a.Text)
 	}
 	choice, ok := rt.Pick(now, req)
 	if !ok {
-		panic("an idle service has a target")
+		panic("router found no target for an idle service")
 	}
 	rt.RecordSent(now, req, choice.Target.ID)
 	rt.RecordOutcome(now, route.AttemptResult{
--- a/internal/slopes/measure_log.go
+++ b/internal/slopes/measure_log.go
@@ -14,12 +14,13 @@
 
 const replicas = 5
 
-// logGroup is a log of five replicas without disks, whose messages are encoded as on
-// the wire.
+// logGroup is a group of five log replicas in memory, without disks. Their messages are encoded
+// and decoded as on the wire.
 type logGroup struct {
 	rafts  []*quorum.Raft
 	leader *quorum.Raft
-	bytes  int
+	// bytes counts the encoded messages of all replicas.
+	bytes int
 }
 
 func newLogGroup() *logGroup {
@@ -48,7 +49,7 @@
 	return g
 }
 
-// deliverAll works until no replica has anything to do.
+// deliverAll delivers messages until no replica has work left.
 func (g *logGroup) deliverAll() {
 	for busy := true; busy; {
 		busy = false
@@ -75,7 +76,7 @@
 	must(g.rafts[req.Messages[0].To-1].Step(req.Messages[0]))
 }
 
-// commit replicates n entries and drops them from memory.
+// commit replicates n entries and then compacts them away.
 func (g *logGroup) commit(n int, command []byte) {
 	for range n {
 		_, _, err := g.leader.Propose(command)
@@ -88,7 +89,7 @@
 	}
 }
 
-// measureLog measures the log.
+// measureLog measures the replicated log.
 func (r *recorder) measureLog() {
 	command, err := proto.Marshal(claim(1))
 	must(err)
@@ -114,7 +115,7 @@
 	})
 }
 
-// walGrowth is what n entries in one write take on the disk.
+// walGrowth returns the bytes on disk of n log entries saved in one write.
 func walGrowth(n int, command []byte) float64 {
 	folder, err := os.MkdirTemp("", "slopes")
 	must(err)
--- a/internal/slopes/measure_messages.go
+++ b/internal/slopes/measure_messages.go
@@ -9,7 +9,7 @@
 	"github.com/cairnlift/cairnlift/configdelta"
 )
 
-// measureMessages measures encoded sizes of the protocols' messages.
+// measureMessages measures the encoded sizes of protocol messages.
 func (r *recorder) measureMessages() {
 	r.measure("beatLease", "an agent's steady heartbeat, by leases; no targets", "B", "lease", leaseSizes,
 		func(n int) float64 { return encodedSize(heartbeatRequest(3, n, 0)) })
@@ -72,7 +72,7 @@
 	return resp
 }
 
-// measureConfigurationMessages measures what a change of configuration carries.
+// measureConfigurationMessages measures messages that carry a whole configuration.
 func (r *recorder) measureConfigurationMessages() {
 	r.measure("submitJob", "a submission: compiled jobs and text", "B", "job", jobSizes,
 		func(n int) float64 { return encodedSize(submit(1, 1, configuration(n, 1, 0, 0))) })
@@ -89,7 +89,7 @@
 		})
 }
 
-// measureDeltaMessages measures what a change carries by delta.
+// measureDeltaMessages measures messages that carry a change of configuration as a delta.
 func (r *recorder) measureDeltaMessages() {
 	old := jobWindow(0, configuredJobs)
 	deltas := map[int]*apiv1.ConfigurationDelta{}
@@ -112,7 +112,7 @@
 		old, new := &apiv1.Configuration{Version: configurationVersion}, &apiv1.Configuration{Version: configurationVersion + 1}
 		for i := range teams {
 			was, is := service(i), service(i)
-			// Far apart, so that none shares an edit with its neighbour.
+			// Changed services are far apart, so that no two share an edit.
 			if i%13 == 0 && i/13 < n {
 				is.Slots++
 			}
@@ -122,6 +122,7 @@
 	})
 }
 
+// measureCommandMessages measures commands of the log.
 func (r *recorder) measureCommandMessages() {
 	r.measure("grantEntry", "a Place command", "B", "grant", batchSizes, func(n int) float64 {
 		cmd := placeCommand()
--- a/internal/slopes/measure_state.go
+++ b/internal/slopes/measure_state.go
@@ -6,7 +6,7 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// machine drives a state machine as the log does.
+// machine is a state machine to which commands are applied in order, as the log does.
 type machine struct {
 	*state.Machine
 	index uint64
@@ -21,19 +21,19 @@
 
 func (m *machine) mustApply(cmd *apiv1.Command) {
 	if res := m.apply(cmd); res.Verdict != apiv1.Verdict_VERDICT_ACCEPTED {
-		panic("the stand-in's command is accepted: " + res.Message)
+		panic("state machine refused a valid command: " + res.Message)
 	}
 }
 
 func (m *machine) mustGrant(grants ...*apiv1.Grant) {
 	for _, g := range m.apply(placeCommand(grants...)).Grants {
 		if g.Verdict != apiv1.Verdict_VERDICT_ACCEPTED {
-			panic("the stand-in's grant is accepted: " + g.Message)
+			panic("state machine refused a valid grant: " + g.Message)
 		}
 	}
 }
 
-// fleetState holds n workers that run 7 tasks each, job i on worker i.
+// fleetState returns the state of n workers that run 7 tasks each, those of job i on worker i.
 func fleetState(n int) *machine {
 	m := newMachine()
 	m.mustApply(submit(1, 0, configuration(n, leasesPerWorker, 0, teams)))
@@ -125,7 +125,8 @@
 	})
 }
 
-// measureSubmissions measures a submission, from the operators' text to the state machine.
+// measureSubmissions measures the steps of a submission: parsing the operators' text, making
+// the delta and applying it.
 func (r *recorder) measureSubmissions() {
 	r.measure("applySubmit", "state: a submission, by jobs that stand in the text", "ns", "job", jobSizes, func(n int) float64 {
 		m := newMachine()
--- a/internal/slopes/measure_wire.go
+++ b/internal/slopes/measure_wire.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// countingListener counts all bytes of its connections, both ways.
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -40,14 +40,14 @@
 	return n, err
 }
 
-// heartbeatServer is an entry that answers heartbeats at once.
+// heartbeatServer is an entry that answers heartbeats without processing them.
 type heartbeatServer struct{ apiv1.Control }
 
 func (heartbeatServer) Heartbeat(context.Context, *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
 	return heartbeatResponse(3), nil
 }
 
-// measureWire measures twirp calls over a loopback connection that is kept open.
+// measureWire measures Twirp calls over a persistent loopback connection.
 func (r *recorder) measureWire() {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must(err)
@@ -55,7 +55,7 @@
 	server := &http.Server{Handler: apiv1.NewControlServer(heartbeatServer{})}
 	served := make(chan struct{})
 	go func() {
-		_ = server.Serve(counted) // ends by Close
+		_ = server.Serve(counted) // returns when the server is closed
 		close(served)
 	}()
 	client := apiv1.NewControlProtobufClient("http://"+listener.Addr().String(), &http.Client{Transport: &http.Transport{}})
--- a/internal/slopes/pages.go
+++ b/internal/slopes/pages.go
@@ -6,7 +6,7 @@
 	"path/filepath"
 )
 
-// pages are the files that this program reads and writes.
+// pages gives access to the files that this program reads and writes.
 type pages struct{ root string }
 
 const (
@@ -34,7 +34,7 @@
 	return os.WriteFile(p.path(slopesData), append(data, '\n'), 0o644)
 }
 
-// write renders both pages from slopes.
+// write renders both pages from the slopes and writes them.
 func (p pages) write(list []*Slope) error {
 	if err := os.WriteFile(p.path(slopesPage), renderSlopes(list), 0o644); err != nil {
 		return err
--- a/internal/slopes/pages_test.go
+++ b/internal/slopes/pages_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestPagesMatchSlopes: the pages were edited by hand, or a formula was changed and
-// the pages were not written anew, so that they state what no run gave.
+// TestPagesMatchSlopes guards against pages that state figures that no run measured, because
+// a page was edited by hand or a formula was changed without rewriting the pages.
 func TestPagesMatchSlopes(t *testing.T) {
 	p := pages{root: "../.."}
 	list, err := p.load()
@@ -15,10 +15,10 @@
 		t.Fatal(err)
 	}
 	for _, s := range list {
-		again := &Slope{Points: s.Points}
-		again.fitLine()
-		if !approxEqual(again.Slope, s.Slope) || !approxEqual(again.Base, s.Base) || !approxEqual(again.Residual, s.Residual) {
-			t.Errorf("%s: the line is not the one through its points", s.Name)
+		refitted := &Slope{Points: s.Points}
+		refitted.fitLine()
+		if !approxEqual(refitted.Slope, s.Slope) || !approxEqual(refitted.Base, s.Base) || !approxEqual(refitted.Residual, s.Residual) {
+			t.Errorf("%s: the stored line is not the fit of its points", s.Name)
 		}
 	}
 	capacity, err := renderCapacity(list)
@@ -31,10 +31,11 @@
 			t.Fatal(err)
 		}
 		if string(got) != string(want) {
-			t.Errorf("%s is not what the slopes give; run make slopes", name)
+			t.Errorf("%s differs from the page rendered from the slopes; run make slopes", name)
 		}
 	}
 }
 
-// approxEqual allows for processors that round a product and a sum in one step.
+// approxEqual compares with a tolerance, since some processors round a product and a sum in one
+// step (fused multiply-add).
 func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(a)) }
--- a/internal/slopes/render.go
+++ b/internal/slopes/render.go
@@ -14,7 +14,7 @@
 //go:embed capacity.md.tmpl
 var capacityTemplate string
 
-// renderCapacity fills the template's tables.
+// renderCapacity returns the capacity page: the template with its tables and results filled in.
 func renderCapacity(list []*Slope) ([]byte, error) {
 	v, err := newValues(list)
 	if err != nil {
@@ -26,20 +26,20 @@
 		"result":      v.formatResult,
 	}).Parse(capacityTemplate)
 	if err != nil {
-		return nil, errors.Wrap(err, "template")
+		return nil, errors.Wrap(err, "parse capacity template")
 	}
 	var b bytes.Buffer
 	if err := t.Execute(&b, nil); err != nil {
-		return nil, errors.Wrap(err, "page")
+		return nil, errors.Wrap(err, "render capacity page")
 	}
 	return b.Bytes(), nil
 }
 
-// renderTable renders one section.
+// renderTable returns the table of one section.
 func (v values) renderTable(section string) (string, error) {
 	rows, ok := sections[section]
 	if !ok {
-		return "", errors.Newf("there is no section %q", section)
+		return "", errors.Newf("unknown section %q", section)
 	}
 	var b strings.Builder
 	b.WriteString("| flow | formula | with numbers | result | bound | margin | mechanism |\n|---|---|---|---|---|---|---|\n")
@@ -58,7 +58,7 @@
 	return strings.TrimSuffix(b.String(), "\n"), nil
 }
 
-// formatResult is a named row's result for use in a sentence.
+// formatResult returns the formatted result of a named row, for use in a sentence.
 func (v values) formatResult(name string) (string, error) {
 	for _, rows := range sections {
 		for _, r := range rows {
@@ -67,7 +67,7 @@
 			}
 		}
 	}
-	return "", errors.Newf("no row is named %q", name)
+	return "", errors.Newf("unknown row %q", name)
 }
 
 func (r row) formatBound() string {
@@ -81,7 +81,7 @@
 	return text
 }
 
-// formatMargin says in words how a result stands to its bound.
+// formatMargin describes the distance between a result and its bound.
 func (r row) formatMargin(n float64) string {
 	limit := r.limit()
 	switch {
@@ -132,7 +132,7 @@
 	return formatShort(n) + " B"
 }
 
-// formatGrouped prints a number with a comma between thousands.
+// formatGrouped formats a number with commas between groups of thousands.
 func formatGrouped(n float64) string {
 	if n < 10 {
 		return formatShort(n)
--- a/internal/slopes/render_slopes.go
+++ b/internal/slopes/render_slopes.go
@@ -21,7 +21,7 @@
 |---|---|---|---|---|---|
 `
 
-// renderSlopes is the page of measurements.
+// renderSlopes returns the page of measurements.
 func renderSlopes(list []*Slope) []byte {
 	var b bytes.Buffer
 	b.WriteString(slopesHeader)
--- a/internal/slopes/rows.go
+++ b/internal/slopes/rows.go
@@ -1,21 +1,22 @@
 package main
 
-// unit says how a result is printed and which bound holds.
+// unit determines the format of a result and its default bound.
 type unit int
 
 const (
 	bytesPerSecond unit = iota
-	// coreUsage is nanoseconds of processor time a second.
+	// coreUsage is processor time per second in nanoseconds.
 	coreUsage
 	memory
 	seconds
 	count
-	// bytesTotal is an amount that comes once, in a burst.
+	// bytesTotal is the total size of a single burst.
 	bytesTotal
 	perSecond
 )
 
-// Bounds of the letter for a daemon of control.
+// Bounds that the requirements set: for the control traffic, processor time and memory of a
+// daemon, and in seconds for a change to be in effect and for an urgent task to start.
 const (
 	maxBytesPerSecond     = 6000
 	maxCoreUsage          = 1e7
@@ -24,24 +25,26 @@
 	maxUrgentStartSeconds = 9.6
 )
 
-// row is one flow of a role.
+// row is one flow or cost of a role, with its formula.
 type row struct {
-	// name, if any, stands for the result in later formulas.
+	// name, if not empty, refers to the result in later formulas.
 	name    string
 	flow    string
 	formula string
 	unit    unit
-	// bound is the largest that is allowed, 0 when the unit's own holds, and
-	// negative when there is none.
+	// bound is the largest allowed result. 0 selects the default bound of the unit, and a
+	// negative bound means that there is none.
 	bound float64
-	// lowerBound: the bound is the smallest that is allowed.
+	// lowerBound is set if bound is the smallest allowed result instead.
 	lowerBound bool
-	// note names the mechanism that carries it.
+	// note names the mechanism behind the flow, or a limit of the estimate.
 	note string
 }
 
+// noBound marks a row without a bound.
 const noBound = -1
 
+// limit returns the bound of the row, or a negative number if there is none.
 func (r row) limit() float64 {
 	if r.bound != 0 {
 		return r.bound
@@ -57,7 +60,7 @@
 	return noBound
 }
 
-// sections are the page's tables by the name the template calls them.
+// sections maps the names that the template uses to the tables of the page.
 var sections = map[string][]row{
 	"agent":      agentRows,
 	"entry":      entryRows,
@@ -72,8 +75,8 @@
 const (
 	heartbeatBytes     = "beatLease_0 + leases*beatLease + perHost*beatTarget + orders_0 + callB"
 	configurationBytes = "(standing*submitJob + teams*submitTeam)"
-	// logDeltaBytes and deltaBytes are bytes a second: each job of a day comes once, and
-	// one goes for it.
+	// logDeltaBytes and deltaBytes are formulas of bytes per second. Each job of a day is added
+	// once, and another is removed in the same change.
 	logDeltaBytes = "(changes*submitDelta_0 + jobs/86400*submitDelta)"
 	deltaBytes    = "(changes*syncDelta_0 + jobs/86400*syncDelta)"
 	roundTime     = "(round_0 + workers*round)"
--- a/internal/slopes/rows_more.go
+++ b/internal/slopes/rows_more.go
@@ -1,6 +1,6 @@
 package main
 
-// mechanismRows give what today's shape would cost after a change, by the same
+// mechanismRows estimate the cost of the present design after a further change, by the same
 // slopes. Each row's flow begins with the number that the other tables refer to.
 var mechanismRows = []row{
 	{flow: "1. an agent names tasks and targets only when they changed, usage and latency every 10 s; bytes at an entry", formula: "workers/entries*(beatLease_0 + orders_0 + callB + (leases*beatLease + perHost*beatTarget)/10)/beat", unit: bytesPerSecond,
