--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -21,9 +21,9 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// backend applies commands to a real state machine and answers the rest with
+// fakeBackend applies commands to a real state machine and answers the rest with
 // what the test put in.
-type backend struct {
+type fakeBackend struct {
 	Backend
 	machine  *state.Machine
 	index    uint64
@@ -33,11 +33,11 @@
 	err      error
 }
 
-func newBackend() *backend {
-	return &backend{machine: state.New(), changed: make(chan struct{})}
+func newFakeBackend() *fakeBackend {
+	return &fakeBackend{machine: state.New(), changed: make(chan struct{})}
 }
 
-func (b *backend) Propose(_ context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (b *fakeBackend) Propose(_ context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	if b.err != nil {
 		return nil, b.err
 	}
@@ -47,16 +47,16 @@
 	return b.machine.Apply(b.index, cmd), nil
 }
 
-func (b *backend) Configuration() *apiv1.Configuration { return b.machine.Configuration() }
-func (b *backend) Changed() <-chan struct{}            { return b.changed }
-func (b *backend) Ready() error                        { return b.err }
-func (b *backend) Status(context.Context, []string) (*Status, error) {
+func (b *fakeBackend) Configuration() *apiv1.Configuration { return b.machine.Configuration() }
+func (b *fakeBackend) Changed() <-chan struct{}            { return b.changed }
+func (b *fakeBackend) Ready() error                        { return b.err }
+func (b *fakeBackend) Status(context.Context, []string) (*Status, error) {
 	return &Status{Entry: "a"}, b.err
 }
 
-const text = "[[job]]\nname = \"renewal\"\nsize = { processors = 1, memory = \"1GB\" }\nexpected_run = \"1h\"\n"
+const testText = "[[job]]\nname = \"renewal\"\nsize = { processors = 1, memory = \"1GB\" }\nexpected_run = \"1h\"\n"
 
-func submission(id string, base uint64, text string) string {
+func submissionBody(id string, base uint64, text string) string {
 	body, err := json.Marshal(SubmitRequest{SubmissionID: id, BaseVersion: base, Text: text, Operator: "ann"})
 	if err != nil {
 		panic(err)
@@ -64,13 +64,13 @@
 	return string(body)
 }
 
-func do(t *testing.T, h http.Handler, method, path, contentType, body string) (int, *Error, http.Header) {
+func doRequest(t *testing.T, h http.Handler, method, path, contentType, body string) (int, *Error, http.Header) {
 	t.Helper()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.Header.Set("Content-Type", contentType)
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, r)
-	var answer errorBody
+	var answer errorResponse
 	_ = json.Unmarshal(w.Body.Bytes(), &answer) // text and successes hold no error
 	return w.Code, answer.Error, w.Header()
 }
@@ -78,9 +78,9 @@
 // Each bad request has its status, code and message, proposes nothing and leaves
 // the version as it was.
 func TestBadRequestsChangeNothing(t *testing.T) {
-	b := newBackend()
+	b := newFakeBackend()
 	h := Handler(b, metrics.NewRegistry())
-	if status, e, _ := do(t, h, "POST", "/v1/submissions", jsonType, submission("first", 0, text)); status != http.StatusOK {
+	if status, e, _ := doRequest(t, h, "POST", "/v1/submissions", jsonContentType, submissionBody("first", 0, testText)); status != http.StatusOK {
 		t.Fatal(status, e)
 	}
 	proposed := b.proposed
@@ -92,30 +92,30 @@
 		message                               string
 	}{
 		{"no such path", "GET", "/v1/nothing", "", "", 404, CodeNotFound, "GET"},
-		{"no such method", "PUT", "/v1/submissions", jsonType, "{}", 404, CodeNotFound, "PUT"},
-		{"content type", "POST", "/v1/submissions", "text/plain", submission("b", 1, text), 400, CodeBadRequest, "Content-Type"},
+		{"no such method", "PUT", "/v1/submissions", jsonContentType, "{}", 404, CodeNotFound, "PUT"},
+		{"content type", "POST", "/v1/submissions", "text/plain", submissionBody("b", 1, testText), 400, CodeBadRequest, "Content-Type"},
 		{"broken content type", "POST", "/v1/submissions", "application/json; =", "{}", 400, CodeBadRequest, "Content-Type"},
-		{"not JSON", "POST", "/v1/submissions", jsonType, "{", 400, CodeBadRequest, "JSON"},
-		{"unknown field", "POST", "/v1/submissions", jsonType, `{"txt":""}`, 400, CodeBadRequest, "txt"},
-		{"two values", "POST", "/v1/submissions", jsonType, submission("b", 1, text) + "{}", 400, CodeBadRequest, "goes on"},
-		{"negative version", "POST", "/v1/submissions", jsonType, `{"base_version":-1}`, 400, CodeBadRequest, "base_version"},
-		{"huge body", "POST", "/v1/submissions", jsonType, strings.Repeat(" ", maxTextBody+1), 413, CodeTooLarge, "allowed"},
-		{"huge text", "POST", "/v1/submissions", jsonType, submission("b", 1, strings.Repeat("#", spec.MaxTextBytes+1)), 413, CodeTooLarge, "text has"},
-		{"no id", "POST", "/v1/submissions", jsonType, submission("", 1, text), 422, CodeInvalid, "submission_id is required"},
-		{"long id", "POST", "/v1/submissions", jsonType, submission(strings.Repeat("x", 257), 1, text), 422, CodeInvalid, "256 bytes"},
-		{"unprintable id", "POST", "/v1/submissions", jsonType, submission("a\nb", 1, text), 422, CodeInvalid, "printed"},
-		{"bad text", "POST", "/v1/submissions", jsonType, submission("b", 1, text+"x = 1\n"), 422, CodeInvalid, "not valid"},
-		{"huge other body", "POST", "/v1/cancellations", jsonType, strings.Repeat(" ", maxBody+1), 413, CodeTooLarge, "allowed"},
-		{"no jobs", "POST", "/v1/cancellations", jsonType, `{"operator":"ann"}`, 422, CodeInvalid, "between 1"},
-		{"unknown job", "POST", "/v1/cancellations", jsonType, cancel, 404, CodeNotFound, `no job "x"`},
-		{"drain kind", "POST", "/v1/drains", jsonType, `{"name":"w","kind":"rack"}`, 422, CodeInvalid, "worker or target"},
-		{"member address", "POST", "/v1/members", jsonType, `{"name":"m","address":"m.local:7400"}`, 422, CodeInvalid, "IP number"},
+		{"not JSON", "POST", "/v1/submissions", jsonContentType, "{", 400, CodeBadRequest, "JSON"},
+		{"unknown field", "POST", "/v1/submissions", jsonContentType, `{"txt":""}`, 400, CodeBadRequest, "txt"},
+		{"two values", "POST", "/v1/submissions", jsonContentType, submissionBody("b", 1, testText) + "{}", 400, CodeBadRequest, "goes on"},
+		{"negative version", "POST", "/v1/submissions", jsonContentType, `{"base_version":-1}`, 400, CodeBadRequest, "base_version"},
+		{"huge body", "POST", "/v1/submissions", jsonContentType, strings.Repeat(" ", maxTextBodyBytes+1), 413, CodeTooLarge, "allowed"},
+		{"huge text", "POST", "/v1/submissions", jsonContentType, submissionBody("b", 1, strings.Repeat("#", spec.MaxTextBytes+1)), 413, CodeTooLarge, "text has"},
+		{"no id", "POST", "/v1/submissions", jsonContentType, submissionBody("", 1, testText), 422, CodeInvalid, "submission_id is required"},
+		{"long id", "POST", "/v1/submissions", jsonContentType, submissionBody(strings.Repeat("x", 257), 1, testText), 422, CodeInvalid, "256 bytes"},
+		{"unprintable id", "POST", "/v1/submissions", jsonContentType, submissionBody("a\nb", 1, testText), 422, CodeInvalid, "printed"},
+		{"bad text", "POST", "/v1/submissions", jsonContentType, submissionBody("b", 1, testText+"x = 1\n"), 422, CodeInvalid, "not valid"},
+		{"huge other body", "POST", "/v1/cancellations", jsonContentType, strings.Repeat(" ", maxBodyBytes+1), 413, CodeTooLarge, "allowed"},
+		{"no jobs", "POST", "/v1/cancellations", jsonContentType, `{"operator":"ann"}`, 422, CodeInvalid, "between 1"},
+		{"unknown job", "POST", "/v1/cancellations", jsonContentType, cancel, 404, CodeNotFound, `no job "x"`},
+		{"drain kind", "POST", "/v1/drains", jsonContentType, `{"name":"w","kind":"rack"}`, 422, CodeInvalid, "worker or target"},
+		{"member address", "POST", "/v1/members", jsonContentType, `{"name":"m","address":"m.local:7400"}`, 422, CodeInvalid, "IP number"},
 		{"limit", "GET", "/v1/decisions?limit=-3", "", "", 400, CodeBadRequest, "limit"},
 		{"wait", "GET", "/v1/watch?wait=1h", "", "", 400, CodeBadRequest, "wait"},
 		{"section", "GET", "/v1/status?sections=jobs,racks", "", "", 400, CodeBadRequest, "racks"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			status, e, _ := do(t, h, c.method, c.path, c.contentType, c.body)
+			status, e, _ := doRequest(t, h, c.method, c.path, c.contentType, c.body)
 			if status != c.status || e == nil || e.Code != c.code || !strings.Contains(e.Message, c.message) {
 				t.Errorf("status %d, %v", status, e)
 			}
@@ -134,8 +134,8 @@
 // text it is refused, and none of this makes a version. A text made from the
 // version here goes to the log by delta and reads back as submitted; one made from
 // a version that has passed goes as its digest, and is answered the same.
-func TestSubmissions(t *testing.T) {
-	b := newBackend()
+func TestSubmissionVersions(t *testing.T) {
+	b := newFakeBackend()
 	h := Handler(b, metrics.NewRegistry())
 	for i, c := range []struct {
 		id      string
@@ -145,14 +145,14 @@
 		version uint64
 		message string
 	}{
-		{"ann-1", 0, text, 200, 1, ""},
-		{"bob-1", 0, text + "# bob\n", 409, 1, "ann-1"},
-		{"ann-1", 0, text, 200, 1, ""},
-		{"ann-1", 1, text + "# other\n", 422, 1, "another text"},
-		{"bob-1", 0, text + "# bob\n", 409, 1, "ann-1"},
-		{"bob-2", 1, text + "# bob\n", 200, 2, ""},
+		{"ann-1", 0, testText, 200, 1, ""},
+		{"bob-1", 0, testText + "# bob\n", 409, 1, "ann-1"},
+		{"ann-1", 0, testText, 200, 1, ""},
+		{"ann-1", 1, testText + "# other\n", 422, 1, "another text"},
+		{"bob-1", 0, testText + "# bob\n", 409, 1, "ann-1"},
+		{"bob-2", 1, testText + "# bob\n", 200, 2, ""},
 	} {
-		status, e, _ := do(t, h, "POST", "/v1/submissions", jsonType, submission(c.id, c.base, c.text))
+		status, e, _ := doRequest(t, h, "POST", "/v1/submissions", jsonContentType, submissionBody(c.id, c.base, c.text))
 		if status != c.status || b.Configuration().GetVersion() != c.version {
 			t.Errorf("step %d: status %d, %v, version %d", i, status, e, b.Configuration().GetVersion())
 		}
@@ -170,7 +170,7 @@
 
 // What the control group can't do is told with the time to come back; what may
 // have been done is never called "not done".
-func TestOutcomes(t *testing.T) {
+func TestBackendErrorStatus(t *testing.T) {
 	for _, c := range []struct {
 		err        error
 		status     int
@@ -182,25 +182,25 @@
 		{io.ErrUnexpectedEOF, 504, CodeUnknownOutcome, ""},
 		{Errorf(CodeNotFound, "gone"), 404, CodeNotFound, ""},
 	} {
-		b := newBackend()
+		b := newFakeBackend()
 		b.err = c.err
 		h := Handler(b, metrics.NewRegistry())
-		status, e, header := do(t, h, "POST", "/v1/submissions", jsonType, submission("a", 0, text))
+		status, e, header := doRequest(t, h, "POST", "/v1/submissions", jsonContentType, submissionBody("a", 0, testText))
 		if status != c.status || e.Code != c.code || header.Get("Retry-After") != c.retryAfter {
 			t.Errorf("%v: status %d, %v, Retry-After %q", c.err, status, e, header.Get("Retry-After"))
 		}
-		if status, _, _ := do(t, h, "GET", "/readyz", "", ""); status != http.StatusServiceUnavailable {
+		if status, _, _ := doRequest(t, h, "GET", "/readyz", "", ""); status != http.StatusServiceUnavailable {
 			t.Errorf("%v: readyz %d", c.err, status)
 		}
 	}
 }
 
 // More requests than the bound are refused at once, and watches don't count.
-func TestConcurrencyBound(t *testing.T) {
-	h := &handler{backend: newBackend(), requests: make(chan struct{}, 1), watches: make(chan struct{}, 1)}
-	h.requests <- struct{}{}
+func TestConcurrencyLimit(t *testing.T) {
+	h := &handler{backend: newFakeBackend(), requestSlots: make(chan struct{}, 1), watchSlots: make(chan struct{}, 1)}
+	h.requestSlots <- struct{}{}
 	w := httptest.NewRecorder()
-	limited(h.requests, h.status)(w, httptest.NewRequest("GET", "/v1/status", nil), nil)
+	withLimits(h.requestSlots, h.status)(w, httptest.NewRequest("GET", "/v1/status", nil), nil)
 	if w.Code != http.StatusTooManyRequests || w.Header().Get("Retry-After") != "1" {
 		t.Errorf("status %d, %v", w.Code, w.Header())
 	}
@@ -211,7 +211,7 @@
 	}
 }
 
-func serve(t *testing.T, h http.Handler) string {
+func startServer(t *testing.T, h http.Handler) string {
 	t.Helper()
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
@@ -228,8 +228,8 @@
 	return c
 }
 
-// closedAddress refuses connections.
-func closedAddress(t *testing.T) string {
+// refusingAddress refuses connections.
+func refusingAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -243,15 +243,15 @@
 // told of a conflict with their own text. Sequence: the entry commits the
 // submission, the connection breaks before the answer, the client resends to the
 // other entry. Cause: a resend under a new submission id.
-func TestClientResendsWithSameID(t *testing.T) {
-	b := newBackend()
+func TestClientRetriesWithSameSubmissionID(t *testing.T) {
+	b := newFakeBackend()
 	api := Handler(b, metrics.NewRegistry())
-	losesAnswer := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	losesAnswer := startServer(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		api.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
 	}))
-	c := newTestClient(t, closedAddress(t), losesAnswer, serve(t, api))
-	got, err := c.Submit(t.Context(), SubmitRequest{SubmissionID: "ann-1", Text: text, Operator: "ann"})
+	c := newTestClient(t, refusingAddress(t), losesAnswer, startServer(t, api))
+	got, err := c.Submit(t.Context(), SubmitRequest{SubmissionID: "ann-1", Text: testText, Operator: "ann"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -264,8 +264,8 @@
 
 func (f roundTripFunc) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// endsAfter returns a context that ends when the client got its n-th answer.
-func endsAfter(t *testing.T, c *Client, n int) context.Context {
+// cancelAfterResponses returns a context that ends when the client got its n-th answer.
+func cancelAfterResponses(t *testing.T, c *Client, n int) context.Context {
 	ctx, cancel := context.WithCancel(t.Context())
 	transport := &http.Transport{DisableKeepAlives: true}
 	c.http.Transport = roundTripFunc(func(r *http.Request) (*http.Response, error) {
@@ -290,7 +290,7 @@
 
 // When time runs out, a change is "not done" only if no attempt can have reached
 // the system; after one lost answer it stays unknown. A read is never in doubt.
-func TestClientGivesUp(t *testing.T) {
+func TestClientTimeoutOutcome(t *testing.T) {
 	lost := http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	cut := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
@@ -314,16 +314,16 @@
 		{"leader lost", []http.Handler{unavailable, unknown}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			addresses := []string{closedAddress(t)}
+			addresses := []string{refusingAddress(t)}
 			for _, h := range c.handlers {
-				addresses = append(addresses, serve(t, h))
+				addresses = append(addresses, startServer(t, h))
 			}
 			client := newTestClient(t, addresses...)
-			_, err := client.Cancel(endsAfter(t, client, 2*len(addresses)), CancelRequest{Jobs: []string{"a"}, Operator: "ann"})
+			_, err := client.Cancel(cancelAfterResponses(t, client, 2*len(addresses)), CancelRequest{Jobs: []string{"a"}, Operator: "ann"})
 			if got := errors.HasType(err, (*UnknownOutcomeError)(nil)); got != c.unknown || err == nil {
 				t.Errorf("unknown %v: %v", got, err)
 			}
-			_, err = client.Status(endsAfter(t, client, 2*len(addresses)))
+			_, err = client.Status(cancelAfterResponses(t, client, 2*len(addresses)))
 			if !errors.HasType(err, (*UnavailableError)(nil)) {
 				t.Errorf("read: %v", err)
 			}
@@ -332,18 +332,18 @@
 }
 
 // A watcher that knows the newest version is answered by the next change.
-func TestWatch(t *testing.T) {
-	b := newBackend()
-	c := newTestClient(t, serve(t, Handler(b, metrics.NewRegistry())))
+func TestWatchReportsNewVersion(t *testing.T) {
+	b := newFakeBackend()
+	c := newTestClient(t, startServer(t, Handler(b, metrics.NewRegistry())))
 	if got, err := c.Watch(t.Context(), 0, 0); err != nil || got.Changed {
 		t.Fatal(got, err)
 	}
-	if _, err := c.Submit(t.Context(), SubmitRequest{SubmissionID: "a", Text: text, Operator: "ann"}); err != nil {
+	if _, err := c.Submit(t.Context(), SubmitRequest{SubmissionID: "a", Text: testText, Operator: "ann"}); err != nil {
 		t.Fatal(err)
 	}
 	close(b.changed)
-	got, err := c.Watch(t.Context(), 0, maxWatch)
-	if err != nil || !got.Changed || got.Version != 1 || got.Digest != spec.Digest([]byte(text)) {
+	got, err := c.Watch(t.Context(), 0, maxWatchWait)
+	if err != nil || !got.Changed || got.Version != 1 || got.Digest != spec.Digest([]byte(testText)) {
 		t.Error(got, err)
 	}
 }
@@ -351,7 +351,7 @@
 // Headers beyond the bound are refused before the handler sees the request.
 func TestServerRefusesHugeHeaders(t *testing.T) {
 	s := httptest.NewUnstartedServer(nil)
-	s.Config = NewServer("", Handler(newBackend(), metrics.NewRegistry()))
+	s.Config = NewServer("", Handler(newFakeBackend(), metrics.NewRegistry()))
 	s.Start()
 	t.Cleanup(s.Close)
 	for size, want := range map[int]int{1 << 10: http.StatusOK, 64 << 10: http.StatusRequestHeaderFieldsTooLarge} {
--- a/admin/client.go
+++ b/admin/client.go
@@ -17,7 +17,7 @@
 
 // Defaults of ClientOptions.
 const (
-	dialTimeout           = 2 * time.Second
+	defaultDialTimeout    = 2 * time.Second
 	defaultAttemptTimeout = 20 * time.Second
 	defaultMinBackoff     = 100 * time.Millisecond
 	defaultMaxBackoff     = 3 * time.Second
@@ -42,8 +42,8 @@
 type Client struct {
 	options ClientOptions
 	http    *http.Client
-	// next is the entry that answered last; it is asked first.
-	next int
+	// nextEntry is the entry that answered last; it is asked first.
+	nextEntry int
 }
 
 // NewClient makes a client. A Client must not be used concurrently.
@@ -56,7 +56,7 @@
 	o.MaxBackoff = cmp.Or(o.MaxBackoff, defaultMaxBackoff)
 	if o.Transport == nil {
 		// A host that is cut off in silence must not use up the attempt's time.
-		o.Transport = &http.Transport{DialContext: (&net.Dialer{Timeout: dialTimeout}).DialContext}
+		o.Transport = &http.Transport{DialContext: (&net.Dialer{Timeout: defaultDialTimeout}).DialContext}
 	}
 	return &Client{options: o, http: &http.Client{Transport: o.Transport}}, nil
 }
@@ -71,7 +71,7 @@
 // Submit submits a text. Every attempt carries the same submission id, so that
 // a resend after a lost answer gets the first answer and changes nothing.
 func (c *Client) Submit(ctx context.Context, r SubmitRequest) (*SubmitResponse, error) {
-	return call[SubmitResponse](ctx, c, write(http.MethodPost, "/v1/submissions", r))
+	return call[SubmitResponse](ctx, c, writeOperation(http.MethodPost, "/v1/submissions", r))
 }
 
 // Validate checks a text against the system's current configuration.
@@ -81,14 +81,14 @@
 
 // Configuration returns the newest configuration.
 func (c *Client) Configuration(ctx context.Context) (*Configuration, error) {
-	return call[Configuration](ctx, c, read("/v1/configuration", nil))
+	return call[Configuration](ctx, c, readOperation("/v1/configuration", nil))
 }
 
 // Watch waits for a configuration that is newer than a version.
 func (c *Client) Watch(ctx context.Context, after uint64, wait time.Duration) (*WatchResponse, error) {
 	q := url.Values{"after": {strconv.FormatUint(after, 10)}, "wait": {wait.String()}}
-	op := read("/v1/watch", q)
-	op.wait = wait
+	op := readOperation("/v1/watch", q)
+	op.serverWait = wait
 	return call[WatchResponse](ctx, c, op)
 }
 
@@ -98,41 +98,41 @@
 	if len(sections) > 0 {
 		q.Set("sections", strings.Join(sections, ","))
 	}
-	return call[Status](ctx, c, read("/v1/status", q))
+	return call[Status](ctx, c, readOperation("/v1/status", q))
 }
 
 // Explain tells why a job stands where it does.
 func (c *Client) Explain(ctx context.Context, job string) (*Explanation, error) {
-	return call[Explanation](ctx, c, read("/v1/jobs/"+url.PathEscape(job)+"/explanation", nil))
+	return call[Explanation](ctx, c, readOperation("/v1/jobs/"+url.PathEscape(job)+"/explanation", nil))
 }
 
 // Drain makes a worker or a target leave, or ends that.
 func (c *Client) Drain(ctx context.Context, r DrainRequest) (*DrainResponse, error) {
-	return call[DrainResponse](ctx, c, write(http.MethodPost, "/v1/drains", r))
+	return call[DrainResponse](ctx, c, writeOperation(http.MethodPost, "/v1/drains", r))
 }
 
 // Cancel ends jobs.
 func (c *Client) Cancel(ctx context.Context, r CancelRequest) (*CancelResponse, error) {
-	return call[CancelResponse](ctx, c, write(http.MethodPost, "/v1/cancellations", r))
+	return call[CancelResponse](ctx, c, writeOperation(http.MethodPost, "/v1/cancellations", r))
 }
 
 // Members returns the control group.
 func (c *Client) Members(ctx context.Context) (*MemberList, error) {
-	return call[MemberList](ctx, c, read("/v1/members", nil))
+	return call[MemberList](ctx, c, readOperation("/v1/members", nil))
 }
 
 // AddMember takes a replica into the control group.
 func (c *Client) AddMember(ctx context.Context, m Member) (*MemberList, error) {
-	return call[MemberList](ctx, c, write(http.MethodPost, "/v1/members", m))
+	return call[MemberList](ctx, c, writeOperation(http.MethodPost, "/v1/members", m))
 }
 
 // RemoveMember takes a replica out of the control group.
 func (c *Client) RemoveMember(ctx context.Context, name string) (*MemberList, error) {
-	return call[MemberList](ctx, c, write(http.MethodDelete, "/v1/members/"+url.PathEscape(name), nil))
+	return call[MemberList](ctx, c, writeOperation(http.MethodDelete, "/v1/members/"+url.PathEscape(name), nil))
 }
 
 // Decisions returns recent routing and placement decisions of the asked entry.
 func (c *Client) Decisions(ctx context.Context, q DecisionQuery) (*DecisionList, error) {
 	values := url.Values{"limit": {strconv.Itoa(q.Limit)}, "part": {q.Part}, "subject": {q.Subject}}
-	return call[DecisionList](ctx, c, read("/v1/decisions", values))
+	return call[DecisionList](ctx, c, readOperation("/v1/decisions", values))
 }
--- a/admin/client_retry.go
+++ b/admin/client_retry.go
@@ -15,8 +15,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// maxAnswer bounds what a client reads of an answer.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds what a client reads of an answer.
+const maxResponseBytes = 64 << 20
 
 // UnavailableError says that nothing was done: no entry could take the request.
 type UnavailableError struct {
@@ -49,18 +49,18 @@
 	method, path string
 	query        url.Values
 	body         any
-	// changes is false for reads, whose outcome is never in doubt.
-	changes bool
-	// wait is how long the server holds the request back on purpose.
-	wait time.Duration
+	// mutates is false for reads, whose outcome is never in doubt.
+	mutates bool
+	// serverWait is how long the server holds the request back on purpose.
+	serverWait time.Duration
 }
 
-func read(path string, query url.Values) operation {
+func readOperation(path string, query url.Values) operation {
 	return operation{method: http.MethodGet, path: path, query: query}
 }
 
-func write(method, path string, body any) operation {
-	return operation{method: method, path: path, body: body, changes: true}
+func writeOperation(method, path string, body any) operation {
+	return operation{method: method, path: path, body: body, mutates: true}
 }
 
 // call sends an operation until an entry gives a final answer or ctx ends.
@@ -72,38 +72,38 @@
 			return nil, errors.Wrap(err, "request can't be encoded")
 		}
 	}
-	answer, err := c.send(ctx, op, payload)
+	answer, err := c.sendWithRetries(ctx, op, payload)
 	if err != nil {
 		return nil, err
 	}
 	value := new(T)
 	if err := json.Unmarshal(answer, value); err != nil {
-		return nil, gaveUp(op, true, errors.Wrap(err, "the answer can't be read"))
+		return nil, outcomeError(op, true, errors.Wrap(err, "the answer can't be read"))
 	}
 	return value, nil
 }
 
 // attempt is what became of sending an operation once.
 type attempt struct {
-	answer []byte
-	err    error
+	response []byte
+	err      error
 	// final: another attempt would get the same answer.
 	final bool
-	// open: the operation may have been carried out.
-	open       bool
-	retryAfter time.Duration
+	// maybeApplied: the operation may have been carried out.
+	maybeApplied bool
+	retryAfter   time.Duration
 }
 
-func (c *Client) send(ctx context.Context, op operation, payload []byte) ([]byte, error) {
+func (c *Client) sendWithRetries(ctx context.Context, op operation, payload []byte) ([]byte, error) {
 	open := false
 	pause := c.options.MinBackoff
 	for n := 1; ; n++ {
-		a := c.try(ctx, op, payload)
+		a := c.sendOnce(ctx, op, payload)
 		if a.final {
-			return a.answer, a.err
+			return a.response, a.err
 		}
-		open = open || a.open
-		c.next = (c.next + 1) % len(c.options.Addresses)
+		open = open || a.maybeApplied
+		c.nextEntry = (c.nextEntry + 1) % len(c.options.Addresses)
 		wait := a.retryAfter
 		if n%len(c.options.Addresses) == 0 {
 			// All entries failed in turn: pause, longer each time, with jitter
@@ -111,21 +111,21 @@
 			wait = max(wait, pause/2+rand.N(pause/2+1))
 			pause = min(2*pause, c.options.MaxBackoff)
 		}
-		if !sleep(ctx, min(wait, c.options.MaxBackoff)) {
-			return nil, gaveUp(op, open, a.err)
+		if !sleepContext(ctx, min(wait, c.options.MaxBackoff)) {
+			return nil, outcomeError(op, open, a.err)
 		}
 	}
 }
 
-func gaveUp(op operation, open bool, last error) error {
-	if op.changes && open {
+func outcomeError(op operation, open bool, last error) error {
+	if op.mutates && open {
 		return &UnknownOutcomeError{Last: last}
 	}
 	return &UnavailableError{Last: last}
 }
 
-// sleep returns false when the context ends first, at once if that is certain.
-func sleep(ctx context.Context, d time.Duration) bool {
+// sleepContext returns false when the context ends first, at once if that is certain.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	if end, ok := ctx.Deadline(); ok && time.Until(end) < d {
 		return false
 	}
@@ -139,10 +139,10 @@
 	}
 }
 
-func (c *Client) try(ctx context.Context, op operation, payload []byte) attempt {
-	ctx, cancel := context.WithTimeout(ctx, c.options.AttemptTimeout+op.wait)
+func (c *Client) sendOnce(ctx context.Context, op operation, payload []byte) attempt {
+	ctx, cancel := context.WithTimeout(ctx, c.options.AttemptTimeout+op.serverWait)
 	defer cancel()
-	target := "http://" + c.options.Addresses[c.next] + op.path
+	target := "http://" + c.options.Addresses[c.nextEntry] + op.path
 	if len(op.query) > 0 {
 		target += "?" + op.query.Encode()
 	}
@@ -151,37 +151,37 @@
 		return attempt{err: errors.Wrap(err, "request can't be made"), final: true}
 	}
 	if op.body != nil {
-		req.Header.Set("Content-Type", jsonType)
+		req.Header.Set("Content-Type", jsonContentType)
 	}
 	// Without a connection nothing was sent, whatever the error says.
 	connected := false
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected = true }}
 	resp, err := c.http.Do(req.WithContext(httptrace.WithClientTrace(ctx, trace)))
 	if err != nil {
-		return attempt{err: err, open: connected}
+		return attempt{err: err, maybeApplied: connected}
 	}
 	defer resp.Body.Close() //nolint:errcheck // the body was read or given up
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return attempt{err: errors.Wrap(err, "the answer was cut off"), open: true}
+		return attempt{err: errors.Wrap(err, "the answer was cut off"), maybeApplied: true}
 	}
-	return judge(resp.StatusCode, answer)
+	return classifyResponse(resp.StatusCode, answer)
 }
 
-// judge says what an entry's answer means for further attempts.
-func judge(status int, answer []byte) attempt {
+// classifyResponse says what an entry's answer means for further attempts.
+func classifyResponse(status int, answer []byte) attempt {
 	if status == http.StatusOK {
-		return attempt{answer: answer, final: true}
+		return attempt{response: answer, final: true}
 	}
-	var body errorBody
+	var body errorResponse
 	if json.Unmarshal(answer, &body) != nil || body.Error == nil {
-		return attempt{err: fmt.Errorf("status %d without the API's error", status), open: true}
+		return attempt{err: fmt.Errorf("status %d without the API's error", status), maybeApplied: true}
 	}
 	a := attempt{err: body.Error, retryAfter: time.Duration(body.Error.RetryAfterMs) * time.Millisecond}
 	switch body.Error.Code {
 	case CodeUnavailable, CodeOverloaded:
 	case CodeUnknownOutcome:
-		a.open = true
+		a.maybeApplied = true
 	default:
 		a.final = true
 	}
--- a/admin/codec.go
+++ b/admin/codec.go
@@ -11,12 +11,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-const jsonType = "application/json"
+const jsonContentType = "application/json"
 
-// readBody decodes a JSON body of bounded length into a value.
-func readBody(r *http.Request, limit int64, into any) error {
-	if t, _, err := mime.ParseMediaType(r.Header.Get("Content-Type")); err != nil || t != jsonType {
-		return Errorf(CodeBadRequest, "the Content-Type must be %s", jsonType)
+// decodeBody decodes a JSON body of bounded length into a value.
+func decodeBody(r *http.Request, limit int64, into any) error {
+	if t, _, err := mime.ParseMediaType(r.Header.Get("Content-Type")); err != nil || t != jsonContentType {
+		return Errorf(CodeBadRequest, "the Content-Type must be %s", jsonContentType)
 	}
 	if r.ContentLength > limit {
 		return Errorf(CodeTooLarge, "the body has %d bytes, more than the %d allowed", r.ContentLength, limit)
@@ -25,7 +25,7 @@
 	dec := json.NewDecoder(body)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
-		return bodyError(err, limit)
+		return decodeError(err, limit)
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
 		return Errorf(CodeBadRequest, "the body goes on after its JSON value")
@@ -33,7 +33,7 @@
 	return nil
 }
 
-func bodyError(err error, limit int64) error {
+func decodeError(err error, limit int64) error {
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
 		return Errorf(CodeTooLarge, "the body has more than the %d bytes allowed", limit)
@@ -42,7 +42,7 @@
 }
 
 func writeJSON(w http.ResponseWriter, status int, body any) {
-	w.Header().Set("Content-Type", jsonType)
+	w.Header().Set("Content-Type", jsonContentType)
 	w.WriteHeader(status)
 	// A client that went away gets nothing; there is nobody to tell.
 	_ = json.NewEncoder(w).Encode(body)
@@ -54,7 +54,7 @@
 		seconds := (e.RetryAfterMs + 999) / 1000
 		w.Header().Set("Retry-After", strconv.FormatInt(seconds, 10))
 	}
-	writeJSON(w, statuses[e.Code], errorBody{Error: e})
+	writeJSON(w, httpStatuses[e.Code], errorResponse{Error: e})
 }
 
 // queryInt reads an integer between 0 and high from the query.
--- a/admin/errors.go
+++ b/admin/errors.go
@@ -35,7 +35,7 @@
 	CodeUnknownOutcome Code = "unknown_outcome"
 )
 
-var statuses = map[Code]int{
+var httpStatuses = map[Code]int{
 	CodeBadRequest:     http.StatusBadRequest,
 	CodeNotFound:       http.StatusNotFound,
 	CodeConflict:       http.StatusConflict,
@@ -71,16 +71,16 @@
 	return &Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
 
-// errorBody is the JSON of every answer that is not a success.
-type errorBody struct {
+// errorResponse is the JSON of every answer that is not a success.
+type errorResponse struct {
 	Error *Error `json:"error"`
 }
 
 // defaultRetryAfter is when to come back if nothing better is known.
 const defaultRetryAfter = time.Second
 
-// asError maps the errors that a Backend may return.
-func asError(err error) *Error {
+// toAPIError maps the errors that a Backend may return.
+func toAPIError(err error) *Error {
 	var own *Error
 	var unavailable *control.UnavailableError
 	var unknown *control.UnknownError
--- a/admin/handler.go
+++ b/admin/handler.go
@@ -17,20 +17,20 @@
 
 // Bounds of the API.
 const (
-	// maxTextBody leaves room for the escapes that JSON adds to a text.
-	maxTextBody = 2*spec.MaxTextBytes + 1<<16
-	maxBody     = 1 << 20
-	// maxConcurrent requests are worked on at a time, those with a text and
+	// maxTextBodyBytes leaves room for the escapes that JSON adds to a text.
+	maxTextBodyBytes = 2*spec.MaxTextBytes + 1<<16
+	maxBodyBytes     = 1 << 20
+	// maxConcurrentRequests requests are worked on at a time, those with a text and
 	// watches not counted: they have bounds of their own.
-	maxConcurrent = 64
-	maxTexts      = 4
-	maxWatches    = 256
-	requestBound  = 15 * time.Second
-	maxWatch      = 50 * time.Second
-	defaultWatch  = 30 * time.Second
-	maxNames      = 10_000
-	maxNameBytes  = 256
-	maxDecisions  = 1_000
+	maxConcurrentRequests = 64
+	maxConcurrentTexts    = 4
+	maxConcurrentWatches  = 256
+	requestTimeout        = 15 * time.Second
+	maxWatchWait          = 50 * time.Second
+	defaultWatchWait      = 30 * time.Second
+	maxCanceledJobs       = 10_000
+	maxNameBytes          = 256
+	maxDecisions          = 1_000
 )
 
 // Backend is what the API works on. Errors are *Error, *control.UnavailableError
@@ -58,38 +58,38 @@
 }
 
 type handler struct {
-	backend  Backend
-	registry metrics.Registry
-	requests chan struct{}
-	texts    chan struct{}
-	watches  chan struct{}
+	backend      Backend
+	registry     metrics.Registry
+	requestSlots chan struct{}
+	textSlots    chan struct{}
+	watchSlots   chan struct{}
 }
 
 // Handler serves the API. The registry's metrics are shown at /metrics.
 func Handler(b Backend, registry metrics.Registry) http.Handler {
 	h := &handler{
-		backend:  b,
-		registry: registry,
-		requests: make(chan struct{}, maxConcurrent),
-		texts:    make(chan struct{}, maxTexts),
-		watches:  make(chan struct{}, maxWatches),
+		backend:      b,
+		registry:     registry,
+		requestSlots: make(chan struct{}, maxConcurrentRequests),
+		textSlots:    make(chan struct{}, maxConcurrentTexts),
+		watchSlots:   make(chan struct{}, maxConcurrentWatches),
 	}
 	r := httprouter.New()
 	r.GET("/livez", h.live)
 	r.GET("/readyz", h.ready)
 	r.GET("/metrics", h.metrics)
-	r.GET("/v1/configuration", limited(h.requests, h.configuration))
+	r.GET("/v1/configuration", withLimits(h.requestSlots, h.configuration))
 	r.GET("/v1/watch", h.watch)
-	r.GET("/v1/status", limited(h.requests, h.status))
-	r.GET("/v1/jobs/:job/explanation", limited(h.requests, h.explain))
-	r.GET("/v1/members", limited(h.requests, h.members))
-	r.GET("/v1/decisions", limited(h.requests, h.decisions))
-	r.POST("/v1/submissions", limited(h.texts, h.submit))
-	r.POST("/v1/validations", limited(h.texts, h.validate))
-	r.POST("/v1/drains", limited(h.requests, h.drain))
-	r.POST("/v1/cancellations", limited(h.requests, h.cancel))
-	r.POST("/v1/members", limited(h.requests, h.addMember))
-	r.DELETE("/v1/members/:name", limited(h.requests, h.removeMember))
+	r.GET("/v1/status", withLimits(h.requestSlots, h.status))
+	r.GET("/v1/jobs/:job/explanation", withLimits(h.requestSlots, h.explain))
+	r.GET("/v1/members", withLimits(h.requestSlots, h.members))
+	r.GET("/v1/decisions", withLimits(h.requestSlots, h.decisions))
+	r.POST("/v1/submissions", withLimits(h.textSlots, h.submit))
+	r.POST("/v1/validations", withLimits(h.textSlots, h.validate))
+	r.POST("/v1/drains", withLimits(h.requestSlots, h.drain))
+	r.POST("/v1/cancellations", withLimits(h.requestSlots, h.cancel))
+	r.POST("/v1/members", withLimits(h.requestSlots, h.addMember))
+	r.DELETE("/v1/members/:name", withLimits(h.requestSlots, h.removeMember))
 	r.NotFound = http.HandlerFunc(notFound)
 	r.MethodNotAllowed = http.HandlerFunc(notFound)
 	return r
@@ -99,36 +99,36 @@
 	writeError(w, Errorf(CodeNotFound, "there is no %s %.200q", r.Method, r.URL.Path))
 }
 
-// action answers one request with a value that becomes its JSON body.
-type action func(r *http.Request, p httprouter.Params) (any, error)
+// jsonEndpoint answers one request with a value that becomes its JSON body.
+type jsonEndpoint func(r *http.Request, p httprouter.Params) (any, error)
 
-// limited bounds how many requests are worked on at a time and how long each
+// withLimits bounds how many requests are worked on at a time and how long each
 // may take. Without the first bound a burst of large texts would exhaust memory.
-func limited(places chan struct{}, do action) httprouter.Handle {
+func withLimits(places chan struct{}, do jsonEndpoint) httprouter.Handle {
 	return func(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 		select {
 		case places <- struct{}{}:
 			defer func() { <-places }()
 		default:
-			writeError(w, overloaded())
+			writeError(w, overloadedError())
 			return
 		}
-		ctx, cancel := context.WithTimeout(r.Context(), requestBound)
+		ctx, cancel := context.WithTimeout(r.Context(), requestTimeout)
 		defer cancel()
-		answer(w, r.WithContext(ctx), p, do)
+		respond(w, r.WithContext(ctx), p, do)
 	}
 }
 
-func overloaded() *Error {
+func overloadedError() *Error {
 	e := Errorf(CodeOverloaded, "too many requests at a time")
 	e.RetryAfterMs = defaultRetryAfter.Milliseconds()
 	return e
 }
 
-func answer(w http.ResponseWriter, r *http.Request, p httprouter.Params, do action) {
+func respond(w http.ResponseWriter, r *http.Request, p httprouter.Params, do jsonEndpoint) {
 	body, err := do(r, p)
 	if err != nil {
-		writeError(w, asError(err))
+		writeError(w, toAPIError(err))
 		return
 	}
 	writeJSON(w, http.StatusOK, body)
--- a/admin/read.go
+++ b/admin/read.go
@@ -13,7 +13,7 @@
 	"github.com/cairnlift/cairnlift/metricstext"
 )
 
-var sections = []string{SectionProcesses, SectionWorkers, SectionTargets, SectionJobs}
+var statusSections = []string{SectionProcesses, SectionWorkers, SectionTargets, SectionJobs}
 
 func (h *handler) live(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	writeText(w, http.StatusOK, "ok\n")
@@ -42,8 +42,8 @@
 		wanted = strings.Split(s, ",")
 	}
 	for _, s := range wanted {
-		if !slices.Contains(sections, s) {
-			return nil, Errorf(CodeBadRequest, "there is no section %.80q; there are %s", s, strings.Join(sections, ", "))
+		if !slices.Contains(statusSections, s) {
+			return nil, Errorf(CodeBadRequest, "there is no section %.80q; there are %s", s, strings.Join(statusSections, ", "))
 		}
 	}
 	return h.backend.Status(r.Context(), wanted)
@@ -72,13 +72,13 @@
 // watch must not keep others from submitting.
 func (h *handler) watch(w http.ResponseWriter, r *http.Request, p httprouter.Params) {
 	select {
-	case h.watches <- struct{}{}:
-		defer func() { <-h.watches }()
+	case h.watchSlots <- struct{}{}:
+		defer func() { <-h.watchSlots }()
 	default:
-		writeError(w, overloaded())
+		writeError(w, overloadedError())
 		return
 	}
-	answer(w, r, p, h.waitForNewer)
+	respond(w, r, p, h.waitForNewer)
 }
 
 func (h *handler) waitForNewer(r *http.Request, _ httprouter.Params) (any, error) {
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	wait, err := queryDuration(r, "wait", maxWatch, defaultWatch)
+	wait, err := queryDuration(r, "wait", maxWatchWait, defaultWatchWait)
 	if err != nil {
 		return nil, err
 	}
@@ -127,7 +127,7 @@
 		Handler:           h,
 		ReadHeaderTimeout: headerBound,
 		ReadTimeout:       readBound,
-		WriteTimeout:      maxWatch + readBound,
+		WriteTimeout:      maxWatchWait + readBound,
 		IdleTimeout:       idleBound,
 		MaxHeaderBytes:    maxHeader,
 	}
--- a/admin/write.go
+++ b/admin/write.go
@@ -17,21 +17,21 @@
 
 func (h *handler) submit(r *http.Request, _ httprouter.Params) (any, error) {
 	var req SubmitRequest
-	if err := readBody(r, maxTextBody, &req); err != nil {
+	if err := decodeBody(r, maxTextBodyBytes, &req); err != nil {
 		return nil, err
 	}
-	if err := checkName("submission_id", req.SubmissionID); err != nil {
+	if err := validateName("submission_id", req.SubmissionID); err != nil {
 		return nil, err
 	}
-	if err := checkName("operator", req.Operator); err != nil {
+	if err := validateName("operator", req.Operator); err != nil {
 		return nil, err
 	}
-	c, err := parseText(req.Text)
+	c, err := parseConfiguration(req.Text)
 	if err != nil {
 		return nil, err
 	}
 	submit := &apiv1.Submit{SubmissionId: req.SubmissionID, BaseVersion: req.BaseVersion, Operator: req.Operator}
-	h.fill(submit, c)
+	h.setContent(submit, c)
 	res, err := h.propose(r.Context(), &apiv1.Command{Body: &apiv1.Command_Submit{Submit: submit}})
 	if err != nil {
 		return nil, err
@@ -43,14 +43,14 @@
 	}, nil
 }
 
-// fill puts the change into a submission when the version that the text was made
+// setContent puts the change into a submission when the version that the text was made
 // from is the one here and that is shorter, otherwise the whole configuration.
 //
 // A version that has passed here has passed in the log: what is left to say is
 // whether this is the submission that made the next one, and its id and digest
 // tell. With the whole in it, the resend of a change to a text that no log entry
 // holds would be refused as too large, though the change is in force.
-func (h *handler) fill(s *apiv1.Submit, c *apiv1.Configuration) {
+func (h *handler) setContent(s *apiv1.Submit, c *apiv1.Configuration) {
 	base := h.backend.Configuration()
 	if base.GetVersion() > s.BaseVersion {
 		s.Delta = &apiv1.ConfigurationDelta{FromVersion: s.BaseVersion, ToVersion: s.BaseVersion + 1, TextDigest: c.TextDigest}
@@ -69,10 +69,10 @@
 
 func (h *handler) validate(r *http.Request, _ httprouter.Params) (any, error) {
 	var req ValidateRequest
-	if err := readBody(r, maxTextBody, &req); err != nil {
+	if err := decodeBody(r, maxTextBodyBytes, &req); err != nil {
 		return nil, err
 	}
-	c, err := parseText(req.Text)
+	c, err := parseConfiguration(req.Text)
 	if err != nil {
 		return nil, err
 	}
@@ -80,7 +80,7 @@
 	return &ValidateResponse{Digest: c.TextDigest, Version: current.GetVersion(), Changes: spec.Diff(current, c)}, nil
 }
 
-func parseText(text string) (*apiv1.Configuration, error) {
+func parseConfiguration(text string) (*apiv1.Configuration, error) {
 	if len(text) > spec.MaxTextBytes {
 		return nil, Errorf(CodeTooLarge, "the text has %d bytes, more than the %d allowed", len(text), spec.MaxTextBytes)
 	}
@@ -95,16 +95,16 @@
 
 func (h *handler) cancel(r *http.Request, _ httprouter.Params) (any, error) {
 	var req CancelRequest
-	if err := readBody(r, maxBody, &req); err != nil {
+	if err := decodeBody(r, maxBodyBytes, &req); err != nil {
 		return nil, err
 	}
-	if len(req.Jobs) == 0 || len(req.Jobs) > maxNames {
-		return nil, Errorf(CodeInvalid, "a cancellation names between 1 and %d jobs", maxNames)
+	if len(req.Jobs) == 0 || len(req.Jobs) > maxCanceledJobs {
+		return nil, Errorf(CodeInvalid, "a cancellation names between 1 and %d jobs", maxCanceledJobs)
 	}
-	if err := checkName("operator", req.Operator); err != nil {
+	if err := validateName("operator", req.Operator); err != nil {
 		return nil, err
 	}
-	if err := h.checkJobs(req.Jobs); err != nil {
+	if err := h.checkJobsExist(req.Jobs); err != nil {
 		return nil, err
 	}
 	res, err := h.propose(r.Context(), &apiv1.Command{Body: &apiv1.Command_Cancel{Cancel: &apiv1.Cancel{
@@ -116,9 +116,9 @@
 	return &CancelResponse{Repeated: res.GetVerdict() == apiv1.Verdict_VERDICT_REPEATED}, nil
 }
 
-// checkJobs refuses a cancellation with an unknown name as a whole: it is most
+// checkJobsExist refuses a cancellation with an unknown name as a whole: it is most
 // likely misspelt, and the operator should not have to find out which part ran.
-func (h *handler) checkJobs(names []string) error {
+func (h *handler) checkJobsExist(names []string) error {
 	known := map[string]bool{}
 	for _, j := range h.backend.Configuration().GetJobs() {
 		known[j.GetName()] = true
@@ -133,10 +133,10 @@
 
 func (h *handler) drain(r *http.Request, _ httprouter.Params) (any, error) {
 	var req DrainRequest
-	if err := readBody(r, maxBody, &req); err != nil {
+	if err := decodeBody(r, maxBodyBytes, &req); err != nil {
 		return nil, err
 	}
-	if err := checkName("name", req.Name); err != nil {
+	if err := validateName("name", req.Name); err != nil {
 		return nil, err
 	}
 	if !slices.Contains([]string{"", KindWorker, KindTarget}, req.Kind) {
@@ -147,10 +147,10 @@
 
 func (h *handler) addMember(r *http.Request, _ httprouter.Params) (any, error) {
 	var req Member
-	if err := readBody(r, maxBody, &req); err != nil {
+	if err := decodeBody(r, maxBodyBytes, &req); err != nil {
 		return nil, err
 	}
-	if err := checkName("name", req.Name); err != nil {
+	if err := validateName("name", req.Name); err != nil {
 		return nil, err
 	}
 	if _, err := netip.ParseAddrPort(req.Address); err != nil {
@@ -184,9 +184,9 @@
 	return nil, Errorf(CodeInvalid, "%s", res.GetMessage())
 }
 
-// checkName holds names of people and things to printable text of bounded
+// validateName holds names of people and things to printable text of bounded
 // length, since they end up in logs and in the replicated state.
-func checkName(field, s string) error {
+func validateName(field, s string) error {
 	if s == "" {
 		return Errorf(CodeInvalid, "%s is required", field)
 	}
--- a/agent/agent.go
+++ b/agent/agent.go
@@ -30,8 +30,8 @@
 const (
 	// maxDispatchBytes bounds a dispatch as entries send it.
 	maxDispatchBytes = 32 << 20
-	// maxAnswerBytes bounds a target's answer.
-	maxAnswerBytes = 16 << 20
+	// maxTargetResponseBytes bounds a target's answer.
+	maxTargetResponseBytes = 16 << 20
 	// expireInterval is how often targets and leases are looked over.
 	expireInterval = 100 * time.Millisecond
 	headerTimeout  = 5 * time.Second
@@ -60,24 +60,24 @@
 	bootNow  func() time.Duration
 	metrics  *agentMetrics
 
-	incarnation uint64
-	listener    net.Listener
-	local       net.Listener
-	forward     *forward.Forwarder
+	incarnation   uint64
+	entryListener net.Listener
+	localListener net.Listener
+	forwarder     *forward.Forwarder
 
-	mu      sync.Mutex // Guards gate, latency and waiting.
-	gate    *gate.Gate
-	latency *latency.Recorder
-	waiting map[gate.Key]chan gate.Admission
+	mu               sync.Mutex // Guards gate, latency and waiting.
+	gate             *gate.Gate
+	latency          *latency.Recorder
+	pendingDecisions map[gate.Key]chan gate.Admission
 
 	// worker is nil on a host that runs no platform worker.
 	worker *workerDriver
 
-	selector *home.Selector
-	entries  []apiv1.Control
-	beat     beatState
-	// wakeup asks the heartbeat loop for a heartbeat soon.
-	wakeup chan struct{}
+	selector       *home.Selector
+	entries        []apiv1.Control
+	heartbeatState heartbeatState
+	// heartbeatRequested asks the heartbeat loop for a heartbeat soon.
+	heartbeatRequested chan struct{}
 	// leaveAcknowledged is closed once an entry knows that the agent is leaving.
 	leaveAcknowledged chan struct{}
 	leaveOnce         sync.Once
@@ -90,25 +90,25 @@
 	}
 	o.setDefaults()
 	a := &Agent{
-		settings:          o.Settings,
-		log:               o.Logger.Named("agent"),
-		now:               o.Now,
-		bootNow:           o.BootNow,
-		metrics:           newAgentMetrics(o.Metrics),
-		incarnation:       newIncarnation(o.Now()),
-		forward:           forward.New(maxAnswerBytes),
-		wakeup:            make(chan struct{}, 1),
-		leaveAcknowledged: make(chan struct{}),
-		latency:           latency.New(o.Now()),
-		waiting:           make(map[gate.Key]chan gate.Admission),
+		settings:           o.Settings,
+		log:                o.Logger.Named("agent"),
+		now:                o.Now,
+		bootNow:            o.BootNow,
+		metrics:            newAgentMetrics(o.Metrics),
+		incarnation:        newIncarnation(o.Now()),
+		forwarder:          forward.New(maxTargetResponseBytes),
+		heartbeatRequested: make(chan struct{}, 1),
+		leaveAcknowledged:  make(chan struct{}),
+		latency:            latency.New(o.Now()),
+		pendingDecisions:   make(map[gate.Key]chan gate.Admission),
 	}
 	limits := gate.DefaultLimits()
 	limits.StalenessBound = o.Settings.StalenessBound.Duration
 	a.gate = gate.New(a.incarnation, limits)
-	rng := rand.New(rand.NewSource(seed(o.Settings.Name, a.incarnation)))
+	rng := rand.New(rand.NewSource(rngSeed(o.Settings.Name, a.incarnation)))
 	interval := o.Settings.HeartbeatInterval.Duration
 	timeouts := home.TimeoutBounds{
-		Min: max(interval, minBeatTimeout),
+		Min: max(interval, minHeartbeatTimeout),
 		// What an answer confirms counts from when its heartbeat was sent: a later one confirms nothing.
 		Max: o.Settings.StalenessBound.Duration,
 	}
@@ -152,28 +152,28 @@
 // is current.
 func newIncarnation(now time.Time) uint64 { return uint64(now.UnixNano()) }
 
-func seed(name string, incarnation uint64) int64 {
+func rngSeed(name string, incarnation uint64) int64 {
 	h := fnv.New64a()
 	h.Write([]byte(name))
 	return int64(h.Sum64() ^ incarnation)
 }
 
 func (a *Agent) listen() (err error) {
-	if a.listener, err = net.Listen("tcp", a.settings.Address); err != nil {
+	if a.entryListener, err = net.Listen("tcp", a.settings.Address); err != nil {
 		return errors.Wrap(err, "address for entries")
 	}
-	if a.local, err = net.Listen("tcp", a.settings.LocalAddress); err != nil {
-		_ = a.listener.Close()
+	if a.localListener, err = net.Listen("tcp", a.settings.LocalAddress); err != nil {
+		_ = a.entryListener.Close()
 		return errors.Wrap(err, "local address")
 	}
 	return nil
 }
 
 // Address returns the IP and port that entries dispatch to.
-func (a *Agent) Address() string { return a.listener.Addr().String() }
+func (a *Agent) Address() string { return a.entryListener.Addr().String() }
 
 // LocalAddress returns the IP and port that targets announce themselves at.
-func (a *Agent) LocalAddress() string { return a.local.Addr().String() }
+func (a *Agent) LocalAddress() string { return a.localListener.Addr().String() }
 
 // Incarnation returns what tells this start of the agent from others.
 func (a *Agent) Incarnation() uint64 { return a.incarnation }
@@ -185,8 +185,8 @@
 	a.log.Info("serving", zap.String("address", a.Address()), zap.String("local_address", a.LocalAddress()),
 		zap.Uint64("incarnation", a.incarnation))
 	twirp := http.MaxBytesHandler(apiv1.NewAgentServer(&service{a}), maxDispatchBytes)
-	gateServer := a.server(a.closeWhenRetiring(twirp))
-	localServer := a.server(a.localHandler())
+	gateServer := a.newServer(a.closeWhenRetiring(twirp))
+	localServer := a.newServer(a.localHandler())
 	localServer.ReadTimeout = headerTimeout
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
 	group := failstop.New()
@@ -194,12 +194,12 @@
 	localServer.Handler = group.Handler("local", localServer.Handler)
 	if a.worker != nil {
 		a.worker.group = group
-		group.Go("worker", func() { a.worker.poll(background) })
+		group.Go("worker", func() { a.worker.pollLoop(background) })
 	}
-	group.Go("gate", func() { serve(gateServer, a.listener, group) })
-	group.Go("local", func() { serve(localServer, a.local, group) })
-	group.Go("heartbeats", func() { a.heartbeats(background) })
-	group.Go("expiry", func() { a.expire(background) })
+	group.Go("gate", func() { serve(gateServer, a.entryListener, group) })
+	group.Go("local", func() { serve(localServer, a.localListener, group) })
+	group.Go("heartbeats", func() { a.heartbeatLoop(background) })
+	group.Go("expiry", func() { a.expiryLoop(background) })
 
 	var err error
 	select {
@@ -211,11 +211,11 @@
 	}
 	stop()
 	group.Wait()
-	a.forward.Close()
+	a.forwarder.Close()
 	return err
 }
 
-func (a *Agent) server(h http.Handler) *http.Server {
+func (a *Agent) newServer(h http.Handler) *http.Server {
 	protocols := new(http.Protocols)
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
@@ -234,8 +234,8 @@
 	}
 }
 
-// expire lets announcements run out and closes connections to targets that are gone.
-func (a *Agent) expire(ctx context.Context) {
+// expiryLoop lets announcements run out and closes connections to targets that are gone.
+func (a *Agent) expiryLoop(ctx context.Context) {
 	tick := time.NewTicker(expireInterval)
 	defer tick.Stop()
 	for {
@@ -244,16 +244,16 @@
 			return
 		case <-tick.C:
 		}
-		a.changeGate(func(g *gate.Gate) { g.Expire(a.now()) })
-		a.measure()
+		a.updateGate(func(g *gate.Gate) { g.Expire(a.now()) })
+		a.updateGauges()
 	}
 }
 
-// measure sets the gauges.
-func (a *Agent) measure() {
+// updateGauges sets the gauges.
+func (a *Agent) updateGauges() {
 	a.mu.Lock()
 	inFlight, waiting := a.gate.InFlight(), a.gate.Waiting()
-	records, tombstones := a.gate.Records()
+	records, tombstones := a.gate.RecordCounts()
 	addresses := a.gate.Addresses()
 	a.mu.Unlock()
 	a.metrics.inFlight.Update(int64(inFlight))
@@ -261,12 +261,12 @@
 	a.metrics.records.Update(int64(records))
 	a.metrics.tombstones.Update(int64(tombstones))
 	a.metrics.targets.Update(int64(len(addresses)))
-	a.forward.Retain(addresses)
+	a.forwarder.Retain(addresses)
 }
 
-// changeGate runs f on the gate, delivers what it decided about waiting attempts, and
+// updateGate runs f on the gate, delivers what it decided about waiting attempts, and
 // wakes the heartbeat when entries have to hear of the change.
-func (a *Agent) changeGate(f func(*gate.Gate)) {
+func (a *Agent) updateGate(f func(*gate.Gate)) {
 	a.mu.Lock()
 	before := a.gate.Revision()
 	f(a.gate)
@@ -274,14 +274,14 @@
 	changed := a.gate.Revision() != before
 	a.mu.Unlock()
 	if changed {
-		a.wake()
+		a.requestHeartbeat()
 	}
 }
 
-// wake asks for a heartbeat soon. Requests that come together make one heartbeat.
-func (a *Agent) wake() {
+// requestHeartbeat asks for a heartbeat soon. Requests that come together make one heartbeat.
+func (a *Agent) requestHeartbeat() {
 	select {
-	case a.wakeup <- struct{}{}:
+	case a.heartbeatRequested <- struct{}{}:
 	default:
 	}
 }
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -22,18 +22,18 @@
 // target that was withdrawn. Sequence: a target announces itself, is sent a request,
 // is withdrawn, and is sent another. Cause: one of the parts in between, which the
 // tests of each part can't show, does not pass on what it got.
-func TestWholePath(t *testing.T) {
+func TestDispatchEndToEnd(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, &entry{}, nil, echoID)
+	r := newHarness(t, &fakeEntry{}, nil, echoID)
 	r.awaitSlots()
 	resp, err := r.dispatch(t.Context(), "a", "GET")
 	if err != nil || string(resp.Response.GetBody()) != "/pitch?n=1 a" || resp.Load.GetSlots() != 4 {
 		t.Fatalf("unexpected reply: %v %v", resp, err)
 	}
-	if status, text := r.local("GET", "../../readyz", ""); status != http.StatusOK {
+	if status, text := r.callLocal("GET", "../../readyz", ""); status != http.StatusOK {
 		t.Errorf("not ready: %d %s", status, text)
 	}
-	r.local("DELETE", "t1", "")
+	r.callLocal("DELETE", "t1", "")
 	if resp, err := r.dispatch(t.Context(), "b", "GET"); err != nil || resp.Reason != apiv1.Reason_REASON_TARGET_LEAVING {
 		t.Errorf("leaving target: %v %v", resp, err)
 	}
@@ -48,14 +48,14 @@
 	t.Parallel()
 	var ran sync.Map
 	var told atomic.Bool
-	e := &entry{answer: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
+	e := &fakeEntry{respond: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		if req.GetAgent().GetLeaving() {
 			time.Sleep(100 * time.Millisecond) // Long enough to be caught refusing too early.
 			told.Store(true)
 		}
 		return &apiv1.HeartbeatResponse{Configuration: testConfiguration, ConfigurationVersion: 1}
 	}}
-	r := newRig(t, e, nil, func(w http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, e, nil, func(w http.ResponseWriter, req *http.Request) {
 		ran.Store(req.Header.Get("Cairnlift-Request-Id"), true)
 		time.Sleep(20 * time.Millisecond)
 		echoID(w, req)
@@ -100,7 +100,7 @@
 func TestShutdownBound(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}), make(chan struct{})
-	r := newRig(t, &entry{shutdownBound: 200 * time.Millisecond}, nil, func(http.ResponseWriter, *http.Request) {
+	r := newHarness(t, &fakeEntry{shutdownBound: 200 * time.Millisecond}, nil, func(http.ResponseWriter, *http.Request) {
 		close(arrived)
 		<-release
 	})
@@ -108,7 +108,7 @@
 	resp, err := r.dispatch(t.Context(), "a", "POST")
 	<-r.done
 	close(release)
-	cut := metrics.GetOrRegisterCounter("agent.shutdown.cut_requests", r.meters).Count()
+	cut := metrics.GetOrRegisterCounter("agent.shutdown.cut_requests", r.metrics).Count()
 	if err == nil || r.err != nil || cut != 1 {
 		t.Fatalf("cut %d, reply %v %v, Run returned %v", cut, resp, err, r.err)
 	}
@@ -118,10 +118,10 @@
 // Sequence: the entry that sent a request dies while the target works on it. A
 // request with a safe method is given up; any other finishes and its answer can be
 // asked for. Cause: the attempt ends with the connection that its dispatch came on.
-func TestEntryGoesAway(t *testing.T) {
+func TestEntryDisconnects(t *testing.T) {
 	t.Parallel()
 	arrived, release := make(chan struct{}, 1), make(chan struct{})
-	r := newRig(t, &entry{}, nil, func(w http.ResponseWriter, req *http.Request) {
+	r := newHarness(t, &fakeEntry{}, nil, func(w http.ResponseWriter, req *http.Request) {
 		arrived <- struct{}{}
 		select {
 		case <-release:
@@ -163,26 +163,26 @@
 // comes free, its time runs out, it is revoked, its entry goes away, the target
 // leaves, or the agent stops. Cause: the decision is not handed to the dispatch
 // that waits for it.
-func TestWaitingEndsAtOnce(t *testing.T) {
+func TestWaitingDispatchIsAnsweredAtOnce(t *testing.T) {
 	t.Parallel()
-	list := func(r *rig) string { _, text := r.local("GET", "", ""); return text }
+	list := func(r *harness) string { _, text := r.callLocal("GET", "", ""); return text }
 	tests := map[string]struct {
 		remaining time.Duration
-		end       func(r *rig, release chan struct{}, cancel func())
+		end       func(r *harness, release chan struct{}, cancel func())
 		reason    apiv1.Reason
 	}{
-		"slot":    {time.Minute, func(_ *rig, release chan struct{}, _ func()) { release <- struct{}{} }, apiv1.Reason_REASON_UNSPECIFIED},
-		"lapse":   {time.Second, func(*rig, chan struct{}, func()) {}, apiv1.Reason_REASON_SLOTS_FULL},
-		"revoke":  {time.Minute, func(r *rig, _ chan struct{}, _ func()) { r.revoke("w") }, apiv1.Reason_REASON_REVOKED},
-		"cancel":  {time.Minute, func(_ *rig, _ chan struct{}, cancel func()) { cancel() }, apiv1.Reason_REASON_CANCELED},
-		"leaving": {time.Minute, func(r *rig, _ chan struct{}, _ func()) { r.local("DELETE", "t1", "") }, apiv1.Reason_REASON_TARGET_LEAVING},
-		"stop":    {time.Minute, func(r *rig, _ chan struct{}, _ func()) { r.stop() }, apiv1.Reason_REASON_SHUTTING_DOWN},
+		"slot":    {time.Minute, func(_ *harness, release chan struct{}, _ func()) { release <- struct{}{} }, apiv1.Reason_REASON_UNSPECIFIED},
+		"lapse":   {time.Second, func(*harness, chan struct{}, func()) {}, apiv1.Reason_REASON_SLOTS_FULL},
+		"revoke":  {time.Minute, func(r *harness, _ chan struct{}, _ func()) { r.revoke("w") }, apiv1.Reason_REASON_REVOKED},
+		"cancel":  {time.Minute, func(_ *harness, _ chan struct{}, cancel func()) { cancel() }, apiv1.Reason_REASON_CANCELED},
+		"leaving": {time.Minute, func(r *harness, _ chan struct{}, _ func()) { r.callLocal("DELETE", "t1", "") }, apiv1.Reason_REASON_TARGET_LEAVING},
+		"stop":    {time.Minute, func(r *harness, _ chan struct{}, _ func()) { r.stop() }, apiv1.Reason_REASON_SHUTTING_DOWN},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			release := make(chan struct{})
-			r := newRig(t, &entry{}, nil, func(w http.ResponseWriter, req *http.Request) { <-release; echoID(w, req) })
+			r := newHarness(t, &fakeEntry{}, nil, func(w http.ResponseWriter, req *http.Request) { <-release; echoID(w, req) })
 			var running conc.WaitGroup
 			for i := range 4 {
 				running.Go(func() { _, _ = r.dispatch(context.Background(), fmt.Sprint("run-", i), "POST") })
@@ -222,9 +222,9 @@
 // Symptom: requests go to a target that nobody can reach, or that has no slots.
 // Sequence: a target announces itself with a mistake. Cause: the mistake is taken over
 // or passed over; it has to be refused with an error that names it, and change nothing.
-func TestLocalInput(t *testing.T) {
+func TestInvalidAnnouncements(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, &entry{}, nil, echoID)
+	r := newHarness(t, &fakeEntry{}, nil, echoID)
 	before := r.awaitSlots()
 	good := `{"service":"bookings","address":"127.0.0.1:9","ttl_ms":1000}`
 	tests := []struct{ name, body, text string }{
@@ -240,18 +240,18 @@
 		{"x", `{"service":"` + strings.Repeat("s", 1<<20) + `"}`, "too large"},
 	}
 	for _, test := range tests {
-		if status, text := r.local("PUT", test.name, test.body); status != 400 || !strings.Contains(text, test.text) {
+		if status, text := r.callLocal("PUT", test.name, test.body); status != 400 || !strings.Contains(text, test.text) {
 			t.Errorf("%s %.80s: %d %s", test.name, test.body, status, text)
 		}
 	}
-	if status, _ := r.local("DELETE", "x", ""); status != http.StatusNotFound {
+	if status, _ := r.callLocal("DELETE", "x", ""); status != http.StatusNotFound {
 		t.Errorf("unknown target leaves: %d", status)
 	}
-	if _, after := r.local("GET", "", ""); after != before {
+	if _, after := r.callLocal("GET", "", ""); after != before {
 		t.Errorf("targets changed from %s to %s", before, after)
 	}
-	leaves, _ := r.local("DELETE", "t1", "")
-	returns, _ := r.local("PUT", "t1", good)
+	leaves, _ := r.callLocal("DELETE", "t1", "")
+	returns, _ := r.callLocal("PUT", "t1", good)
 	if leaves != http.StatusOK || returns != http.StatusConflict {
 		t.Errorf("leaving answers %d, a renewal that crosses it %d", leaves, returns)
 	}
@@ -263,14 +263,14 @@
 // and answers with an older configuration than the agent has.
 // Cause: the request to send the announcement again is passed over, or the last
 // configuration that came is taken in place of the one with the highest version.
-func TestHeartbeats(t *testing.T) {
+func TestHeartbeatFailover(t *testing.T) {
 	t.Parallel()
 	forget := true
 	versions := []uint64{2, 1}
-	e := &entry{dead: []settings.Peer{{Name: "dead", Address: "127.0.0.1:1"}}}
+	e := &fakeEntry{unreachable: []settings.Peer{{Name: "dead", Address: "127.0.0.1:1"}}}
 	// One letter per heartbeat: W with the whole announcement, - without.
 	shape := ""
-	e.answer = func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
+	e.respond = func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		resp := &apiv1.HeartbeatResponse{ResendAgent: req.Agent == nil && forget}
 		forget = forget && !resp.ResendAgent
 		shape += map[bool]string{true: "-", false: "W"}[req.Agent == nil]
@@ -283,7 +283,7 @@
 		}
 		return resp
 	}
-	r := newRig(t, e, nil, echoID)
+	r := newHarness(t, e, nil, echoID)
 	r.eventually("announced whole again after it was forgotten, and then not", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
@@ -295,10 +295,10 @@
 // are refused although its targets are fine.
 // Sequence: the only entry takes 600 ms for each answer, as on a host short of processors.
 // Cause: a timeout of a quarter of a second for every heartbeat, however many have failed.
-func TestEntryThatAnswersLate(t *testing.T) {
+func TestSlowEntry(t *testing.T) {
 	t.Parallel()
-	r := newRig(t, &entry{delay: 600 * time.Millisecond}, nil, nil)
+	r := newHarness(t, &fakeEntry{responseDelay: 600 * time.Millisecond}, nil, nil)
 	r.eventually("the configuration that a late answer brings is in force", func() bool {
-		return r.entry.heard(func(b *apiv1.HeartbeatRequest) bool { return b.ConfigurationVersion == 1 })
+		return r.entry.received(func(b *apiv1.HeartbeatRequest) bool { return b.ConfigurationVersion == 1 })
 	})
 }
--- a/agent/bench_test.go
+++ b/agent/bench_test.go
@@ -12,18 +12,18 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// BenchmarkPath compares a request straight to a target with the same through the
+// BenchmarkDispatch compares a request straight to a target with the same through the
 // agent's Dispatch, with 1 and 32 in flight per processor.
-func BenchmarkPath(b *testing.B) {
+func BenchmarkDispatch(b *testing.B) {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write(make([]byte, 256))
 	}))
 	defer target.Close()
-	e := &entry{answer: func(*apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
+	e := &fakeEntry{respond: func(*apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		return &apiv1.HeartbeatResponse{ConfirmedAgeMs: -1}
 	}}
-	r := newRig(b, e, nil, nil)
-	r.local("PUT", "t1", fmt.Sprintf(
+	r := newHarness(b, e, nil, nil)
+	r.callLocal("PUT", "t1", fmt.Sprintf(
 		`{"service":"bookings","address":%q,"ttl_ms":600000,"slots":4096,"connections":4096}`, addressOf(target)))
 	transport := &http.Transport{MaxIdleConnsPerHost: 4096}
 	client := &http.Client{Transport: transport}
--- a/agent/configuration_test.go
+++ b/agent/configuration_test.go
@@ -14,7 +14,7 @@
 // delta, then one is lost on the way, then they arrive whole.
 // Cause: a delta applied without comparing its digest, or a request for the whole
 // that is never taken back.
-func TestConfigurationByDelta(t *testing.T) {
+func TestConfigurationDeltas(t *testing.T) {
 	t.Parallel()
 	version := func(v uint64) *apiv1.Configuration {
 		return &apiv1.Configuration{Version: v, Services: []*apiv1.Service{{Name: "bookings", Slots: int32(v)}}}
@@ -32,7 +32,7 @@
 	}
 	// Version that each heartbeat names, and a w when it asks for the whole.
 	asked := ""
-	e := &entry{answer: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
+	e := &fakeEntry{respond: func(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 		resp := &apiv1.HeartbeatResponse{}
 		if len(answers) > 0 {
 			resp, answers = answers[0], answers[1:]
@@ -43,7 +43,7 @@
 		}
 		return resp
 	}}
-	r := newRig(t, e, nil, nil)
+	r := newHarness(t, e, nil, nil)
 	r.eventually("the last version is in force", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
--- a/agent/forward/forward.go
+++ b/agent/forward/forward.go
@@ -29,9 +29,9 @@
 	dialTimeout = time.Second
 	// maxHeaderBytes bounds the header of an answer.
 	maxHeaderBytes = 1 << 20
-	// maxFreshTries bounds how many dead connections one attempt may meet before a
+	// maxUnsentTries bounds how many dead connections one attempt may meet before a
 	// byte of it is written.
-	maxFreshTries = 3
+	maxUnsentTries = 3
 )
 
 // Attempt is one request to forward.
@@ -44,14 +44,14 @@
 
 // Forwarder holds the connections to the targets of one host.
 type Forwarder struct {
-	maxAnswerBytes int64
-	mu             sync.Mutex
-	transports     map[string]*http.Transport
+	maxResponseBytes int64
+	mu               sync.Mutex
+	transports       map[string]*http.Transport
 }
 
-// New returns a Forwarder that takes answers of up to maxAnswerBytes.
+// New returns a Forwarder that takes answers of up to maxResponseBytes.
 func New(maxAnswerBytes int64) *Forwarder {
-	return &Forwarder{maxAnswerBytes: maxAnswerBytes, transports: make(map[string]*http.Transport)}
+	return &Forwarder{maxResponseBytes: maxAnswerBytes, transports: make(map[string]*http.Transport)}
 }
 
 // Retain closes the idle connections to every address that is not listed. Requests
@@ -95,7 +95,7 @@
 			if err != nil {
 				return nil, err
 			}
-			return &countedConn{Conn: c}, nil
+			return &countingConn{Conn: c}, nil
 		},
 		MaxConnsPerHost:        connections,
 		MaxIdleConnsPerHost:    connections,
@@ -113,48 +113,48 @@
 	}
 	t := f.transport(a.Address, a.Connections)
 	var err error
-	for range maxFreshTries {
+	for range maxUnsentTries {
 		var v gate.Verdict
 		var written bool
-		if v, written, err = f.once(ctx, t, a); err == nil {
+		if v, written, err = f.tryOnce(ctx, t, a); err == nil {
 			return v
 		}
 		if written {
-			return broken(ctx, err)
+			return brokenVerdict(ctx, err)
 		}
 		if ctx.Err() != nil || isDialError(err) {
 			break
 		}
 	}
-	return unsent(ctx, err)
+	return unsentVerdict(ctx, err)
 }
 
-// once makes one try. The error is nil when the verdict stands; otherwise written
+// tryOnce makes one try. The error is nil when the verdict stands; otherwise written
 // says whether any byte of the request left.
-func (f *Forwarder) once(ctx context.Context, t *http.Transport, a Attempt) (v gate.Verdict, written bool, err error) {
-	track := &sent{}
+func (f *Forwarder) tryOnce(ctx context.Context, t *http.Transport, a Attempt) (v gate.Verdict, written bool, err error) {
+	track := &writeTracker{}
 	req, err := newRequest(track.trace(ctx), a)
 	if err != nil {
-		return notRun(apiv1.Reason_REASON_BAD_REQUEST, err.Error()), false, nil
+		return notRunVerdict(apiv1.Reason_REASON_BAD_REQUEST, err.Error()), false, nil
 	}
 	resp, err := t.RoundTrip(req)
-	if err != nil && track.none() && ctx.Err() == nil && !isDialError(err) {
-		return notRun(apiv1.Reason_REASON_BAD_REQUEST, err.Error()), false, nil
+	if err != nil && track.noConnection() && ctx.Err() == nil && !isDialError(err) {
+		return notRunVerdict(apiv1.Reason_REASON_BAD_REQUEST, err.Error()), false, nil
 	}
 	if err != nil {
-		return v, track.any(), err
+		return v, track.anyWritten(), err
 	}
 	defer resp.Body.Close()
 	if echo := resp.Header.Get(RequestIDHeader); echo != "" && echo != a.Key.RequestID {
 		track.discard()
-		return unknown(apiv1.Reason_REASON_WRONG_ANSWER, "target answered request "+echo), true, nil
+		return unknownVerdict(apiv1.Reason_REASON_WRONG_ANSWER, "target answered request "+echo), true, nil
 	}
-	body, err := f.readWhole(resp)
+	body, err := f.readBody(resp)
 	if err != nil {
 		track.discard()
 		return v, true, err
 	}
-	return verdict(a.Request.Method, resp, body), true, nil
+	return responseVerdict(a.Request.Method, resp, body), true, nil
 }
 
 // newRequest builds a request that net/http can't send again by itself. When a
@@ -172,27 +172,27 @@
 		Method:        a.Request.Method,
 		URL:           u,
 		Header:        requestHeader(a.Key.RequestID, a.Key.Attempt, a.Request.Headers),
-		Host:          hostOf(a.Request.Headers),
+		Host:          hostHeader(a.Request.Headers),
 		Proto:         "HTTP/1.1",
 		ProtoMajor:    1,
 		ProtoMinor:    1,
 		ContentLength: int64(len(a.Request.Body)),
 	}
-	if len(a.Request.Body) > 0 || usuallyLacksBody(a.Request.Method) {
-		req.Body = onceBody{bytes.NewReader(a.Request.Body)}
+	if len(a.Request.Body) > 0 || usuallyHasNoBody(a.Request.Method) {
+		req.Body = nonRewindableBody{bytes.NewReader(a.Request.Body)}
 	}
 	return req.WithContext(ctx), nil
 }
 
-// onceBody hides the reader's type, by which net/http would know how to rewind it.
-type onceBody struct{ io.Reader }
+// nonRewindableBody hides the reader's type, by which net/http would know how to rewind it.
+type nonRewindableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonRewindableBody) Close() error { return nil }
 
-// usuallyLacksBody names the methods that net/http repeats when they have no body.
+// usuallyHasNoBody names the methods that net/http repeats when they have no body.
 // For the others an empty body stays nil, so that "Content-Length: 0" is sent.
-func usuallyLacksBody(method string) bool {
+func usuallyHasNoBody(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodOptions:
 		return true
@@ -200,34 +200,34 @@
 	return false
 }
 
-// readWhole reads the body to its stated end. An answer whose length is not stated
+// readBody reads the body to its stated end. An answer whose length is not stated
 // ends with its connection, so a cut one looks whole: it is refused.
-func (f *Forwarder) readWhole(resp *http.Response) ([]byte, error) {
+func (f *Forwarder) readBody(resp *http.Response) ([]byte, error) {
 	if resp.StatusCode == http.StatusSwitchingProtocols {
 		return nil, errors.New("target switched protocols")
 	}
 	if resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
 		return nil, errors.New("answer does not state its length")
 	}
-	body, err := io.ReadAll(io.LimitReader(resp.Body, f.maxAnswerBytes+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, f.maxResponseBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "answer broke off")
 	}
-	if int64(len(body)) > f.maxAnswerBytes {
-		return nil, errors.Newf("answer is larger than %d bytes", f.maxAnswerBytes)
+	if int64(len(body)) > f.maxResponseBytes {
+		return nil, errors.Newf("answer is larger than %d bytes", f.maxResponseBytes)
 	}
 	return body, nil
 }
 
-func verdict(method string, resp *http.Response, body []byte) gate.Verdict {
+func responseVerdict(method string, resp *http.Response, body []byte) gate.Verdict {
 	v := gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_ANSWERED}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		v.Outcome = apiv1.Outcome_OUTCOME_FAILED
 		v.Message = "target answered " + resp.Status
 	}
-	v.Answer = &apiv1.HttpResponse{
+	v.Response = &apiv1.HttpResponse{
 		Status:       int32(resp.StatusCode),
-		Headers:      answerHeaders(method, resp.Header),
+		Headers:      responseHeaders(method, resp.Header),
 		Body:         body,
 		BodyChecksum: xxhash.Sum64(body),
 	}
@@ -238,9 +238,9 @@
 func checkRequest(r *apiv1.HttpRequest) (gate.Verdict, bool) {
 	switch {
 	case r.GetMethod() == "" || !strings.HasPrefix(r.GetUri(), "/"):
-		return notRun(apiv1.Reason_REASON_BAD_REQUEST, "request lacks a method or a path"), false
+		return notRunVerdict(apiv1.Reason_REASON_BAD_REQUEST, "request lacks a method or a path"), false
 	case r.Method == http.MethodConnect || r.Method == http.MethodTrace:
-		return notRun(apiv1.Reason_REASON_BAD_REQUEST, "method "+r.Method+" is not forwarded"), false
+		return notRunVerdict(apiv1.Reason_REASON_BAD_REQUEST, "method "+r.Method+" is not forwarded"), false
 	}
 	return gate.Verdict{}, true
 }
@@ -250,32 +250,32 @@
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// unsent is the verdict when no byte of the request was written.
-func unsent(ctx context.Context, err error) gate.Verdict {
+// unsentVerdict is the verdict when no byte of the request was written.
+func unsentVerdict(ctx context.Context, err error) gate.Verdict {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return notRun(apiv1.Reason_REASON_DEADLINE, "deadline passed before anything was sent")
+		return notRunVerdict(apiv1.Reason_REASON_DEADLINE, "deadline passed before anything was sent")
 	case ctx.Err() != nil:
-		return notRun(apiv1.Reason_REASON_CANCELED, "caller went away before anything was sent")
+		return notRunVerdict(apiv1.Reason_REASON_CANCELED, "caller went away before anything was sent")
 	}
-	return notRun(apiv1.Reason_REASON_TARGET_UNREACHABLE, err.Error())
+	return notRunVerdict(apiv1.Reason_REASON_TARGET_UNREACHABLE, err.Error())
 }
 
-// broken is the verdict when the request may have reached the target.
-func broken(ctx context.Context, err error) gate.Verdict {
+// brokenVerdict is the verdict when the request may have reached the target.
+func brokenVerdict(ctx context.Context, err error) gate.Verdict {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return unknown(apiv1.Reason_REASON_DEADLINE, "deadline passed while the target worked")
+		return unknownVerdict(apiv1.Reason_REASON_DEADLINE, "deadline passed while the target worked")
 	case ctx.Err() != nil:
-		return unknown(apiv1.Reason_REASON_CANCELED, "caller went away while the target worked")
+		return unknownVerdict(apiv1.Reason_REASON_CANCELED, "caller went away while the target worked")
 	}
-	return unknown(apiv1.Reason_REASON_BROKEN_ANSWER, err.Error())
+	return unknownVerdict(apiv1.Reason_REASON_BROKEN_ANSWER, err.Error())
 }
 
-func notRun(reason apiv1.Reason, message string) gate.Verdict {
+func notRunVerdict(reason apiv1.Reason, message string) gate.Verdict {
 	return gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_NOT_RUN, Reason: reason, Message: message}
 }
 
-func unknown(reason apiv1.Reason, message string) gate.Verdict {
+func unknownVerdict(reason apiv1.Reason, message string) gate.Verdict {
 	return gate.Verdict{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Reason: reason, Message: message}
 }
--- a/agent/forward/forward_test.go
+++ b/agent/forward/forward_test.go
@@ -16,24 +16,24 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// target is a raw server: it reads requests, counts them by id, and lets a script
+// scriptedTarget is a raw server: it reads requests, counts them by id, and lets a script
 // write whatever bytes it likes.
-type target struct {
-	address string
-	mu      sync.Mutex
-	seen    map[string]int
-	conns   int
+type scriptedTarget struct {
+	address       string
+	mu            sync.Mutex
+	requestCounts map[string]int
+	conns         int
 }
 
-// newTarget answers the nth request of a connection with script(n); an empty
+// newScriptedTarget answers the nth request of a connection with script(n); an empty
 // string closes the connection without a word, "wait" keeps silent.
-func newTarget(t *testing.T, script func(n int) string) *target {
+func newScriptedTarget(t *testing.T, script func(n int) string) *scriptedTarget {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = l.Close() })
-	tg := &target{address: l.Addr().String(), seen: map[string]int{}}
+	tg := &scriptedTarget{address: l.Addr().String(), requestCounts: map[string]int{}}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -49,7 +49,7 @@
 	return tg
 }
 
-func (tg *target) serve(c net.Conn, script func(n int) string) {
+func (tg *scriptedTarget) serve(c net.Conn, script func(n int) string) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for n := 1; ; n++ {
@@ -59,31 +59,31 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		tg.mu.Lock()
-		tg.seen[req.Header.Get(RequestIDHeader)]++
+		tg.requestCounts[req.Header.Get(RequestIDHeader)]++
 		tg.mu.Unlock()
 		answer := script(n)
 		if answer == "wait" {
 			_, _ = r.Peek(1)
 			return
 		}
-		if _, err := io.WriteString(c, answer); err != nil || answer != good && answer != others {
+		if _, err := io.WriteString(c, answer); err != nil || answer != completeResponse && answer != mismatchedResponse {
 			return
 		}
 	}
 }
 
-func (tg *target) runs(id string) int {
+func (tg *scriptedTarget) requestCount(id string) int {
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
-	return tg.seen[id]
+	return tg.requestCounts[id]
 }
 
 const (
-	good   = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
-	others = "HTTP/1.1 200 OK\r\nCairnlift-Request-Id: other\r\nContent-Length: 0\r\n\r\n"
+	completeResponse   = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+	mismatchedResponse = "HTTP/1.1 200 OK\r\nCairnlift-Request-Id: other\r\nContent-Length: 0\r\n\r\n"
 )
 
-func attemptFor(address, id, method, body string) Attempt {
+func newAttempt(address, id, method, body string) Attempt {
 	return Attempt{Key: gate.Key{RequestID: id, Attempt: 1}, Address: address, Connections: 4, Request: &apiv1.HttpRequest{
 		Method: method, Uri: "/x", Body: []byte(body),
 		Headers: []*apiv1.Header{{Name: "idempotency-key", Values: []string{"k"}}},
@@ -98,18 +98,18 @@
 	for _, test := range []struct{ method, body string }{
 		{"GET", ""}, {"HEAD", ""}, {"OPTIONS", ""}, {"POST", ""}, {"DELETE", ""}, {"PUT", "b"}, {"GET", "b"},
 	} {
-		tg := newTarget(t, func(n int) string {
+		tg := newScriptedTarget(t, func(n int) string {
 			if n == 1 {
-				return good
+				return completeResponse
 			}
 			return ""
 		})
 		f := New(1 << 20)
-		if v := f.Do(t.Context(), attemptFor(tg.address, "first", "GET", "")); v.Outcome != apiv1.Outcome_OUTCOME_ANSWERED {
+		if v := f.Do(t.Context(), newAttempt(tg.address, "first", "GET", "")); v.Outcome != apiv1.Outcome_OUTCOME_ANSWERED {
 			t.Fatalf("%v: first request: %v", test, v)
 		}
-		v := f.Do(t.Context(), attemptFor(tg.address, "second", test.method, test.body))
-		if n := tg.runs("second"); n != 1 {
+		v := f.Do(t.Context(), newAttempt(tg.address, "second", test.method, test.body))
+		if n := tg.requestCount("second"); n != 1 {
 			t.Errorf("%v: target got the attempt %d times", test, n)
 		}
 		if v.Outcome != apiv1.Outcome_OUTCOME_UNKNOWN {
@@ -129,28 +129,28 @@
 		outcome apiv1.Outcome
 		reason  apiv1.Reason
 	}{
-		"whole":           {good, apiv1.Outcome_OUTCOME_ANSWERED, 0},
+		"whole":           {completeResponse, apiv1.Outcome_OUTCOME_ANSWERED, 0},
 		"failed":          {"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nok", apiv1.Outcome_OUTCOME_FAILED, 0},
 		"truncated":       {"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"chunk cut":       {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"chunks whole":    {"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n", apiv1.Outcome_OUTCOME_ANSWERED, 0},
 		"length unstated": {"HTTP/1.1 200 OK\r\n\r\nok", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"too large":       {"HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\n" + strings.Repeat("x", 200), apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
-		"other's answer":  {others, apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_WRONG_ANSWER},
+		"other's answer":  {mismatchedResponse, apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_WRONG_ANSWER},
 		"not HTTP":        {"hello", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"switching":       {"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_BROKEN_ANSWER},
 		"silent":          {"wait", apiv1.Outcome_OUTCOME_UNKNOWN, apiv1.Reason_REASON_DEADLINE},
 	}
 	for name, test := range tests {
-		tg := newTarget(t, func(int) string { return test.answer })
+		tg := newScriptedTarget(t, func(int) string { return test.answer })
 		f := New(100)
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		if test.answer == "wait" {
 			ctx, cancel = context.WithTimeout(t.Context(), 50*time.Millisecond)
 		}
-		v := f.Do(ctx, attemptFor(tg.address, "r", "POST", "b"))
+		v := f.Do(ctx, newAttempt(tg.address, "r", "POST", "b"))
 		cancel()
-		if v.Outcome != test.outcome || v.Reason != test.reason || (v.Answer != nil) != (test.reason == 0) {
+		if v.Outcome != test.outcome || v.Reason != test.reason || (v.Response != nil) != (test.reason == 0) {
 			t.Errorf("%s: %v %v %s", name, v.Outcome, v.Reason, v.Message)
 		}
 		f.Close()
@@ -172,17 +172,17 @@
 	defer cancel()
 	gone, giveUp := context.WithCancel(t.Context())
 	giveUp()
-	bad := attemptFor(closed, "r", "POST", "b")
+	bad := newAttempt(closed, "r", "POST", "b")
 	bad.Request.Headers = []*apiv1.Header{{Name: "x", Values: []string{"a\nb"}}}
 	tests := map[string]struct {
 		ctx     context.Context
 		attempt Attempt
 		reason  apiv1.Reason
 	}{
-		"refused":    {t.Context(), attemptFor(closed, "r", "POST", "b"), apiv1.Reason_REASON_TARGET_UNREACHABLE},
-		"late":       {past, attemptFor(closed, "r", "POST", "b"), apiv1.Reason_REASON_DEADLINE},
-		"canceled":   {gone, attemptFor(closed, "r", "GET", ""), apiv1.Reason_REASON_CANCELED},
-		"trace":      {t.Context(), attemptFor(closed, "r", "TRACE", ""), apiv1.Reason_REASON_BAD_REQUEST},
+		"refused":    {t.Context(), newAttempt(closed, "r", "POST", "b"), apiv1.Reason_REASON_TARGET_UNREACHABLE},
+		"late":       {past, newAttempt(closed, "r", "POST", "b"), apiv1.Reason_REASON_DEADLINE},
+		"canceled":   {gone, newAttempt(closed, "r", "GET", ""), apiv1.Reason_REASON_CANCELED},
+		"trace":      {t.Context(), newAttempt(closed, "r", "TRACE", ""), apiv1.Reason_REASON_BAD_REQUEST},
 		"bad header": {t.Context(), bad, apiv1.Reason_REASON_BAD_REQUEST},
 	}
 	for name, test := range tests {
@@ -197,11 +197,11 @@
 // the answer of the one before it. Sequence: each answer names another request.
 // Cause: the connection whose answers are out of step is used again.
 func TestConnectionAfterWrongAnswer(t *testing.T) {
-	tg := newTarget(t, func(int) string { return others })
+	tg := newScriptedTarget(t, func(int) string { return mismatchedResponse })
 	f := New(100)
 	defer f.Close()
 	for i := range 3 {
-		f.Do(t.Context(), attemptFor(tg.address, fmt.Sprint(i), "POST", "b"))
+		f.Do(t.Context(), newAttempt(tg.address, fmt.Sprint(i), "POST", "b"))
 	}
 	tg.mu.Lock()
 	defer tg.mu.Unlock()
--- a/agent/forward/headers.go
+++ b/agent/forward/headers.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func hostOf(fields []*apiv1.Header) string {
+func hostHeader(fields []*apiv1.Header) string {
 	for _, f := range fields {
 		if strings.EqualFold(f.Name, "Host") && len(f.Values) > 0 {
 			return f.Values[0]
@@ -76,9 +76,9 @@
 	return ""
 }
 
-// answerHeaders drops what concerned the connection to the target. The length is
+// responseHeaders drops what concerned the connection to the target. The length is
 // kept for HEAD only, where it says what GET would have answered.
-func answerHeaders(method string, h http.Header) []*apiv1.Header {
+func responseHeaders(method string, h http.Header) []*apiv1.Header {
 	stripHopByHop(h)
 	if method != http.MethodHead {
 		h.Del("Content-Length")
--- a/agent/gate/filters.go
+++ b/agent/gate/filters.go
@@ -19,8 +19,8 @@
 	latestStart time.Time
 	// wait says that the attempt is to wait for a slot.
 	wait bool
-	// known says that the attempt was seen before and is remembered already.
-	known bool
+	// remembered says that the attempt was seen before and is remembered already.
+	remembered bool
 }
 
 func (a *admission) notRun(reason apiv1.Reason, message string) pipeline.Status {
@@ -28,47 +28,47 @@
 	return pipeline.Rejected(message)
 }
 
-// fence refuses attempts meant for another incarnation of the agent. This process
+// checkIncarnation refuses attempts meant for another incarnation of the agent. This process
 // has no record of what that one ran, so it could not tell a duplicate.
-func (g *Gate) fence(_ context.Context, a *admission) pipeline.Status {
+func (g *Gate) checkIncarnation(_ context.Context, a *admission) pipeline.Status {
 	if a.dispatch.Incarnation != g.incarnation {
-		a.known = true // Refused for good: incarnations never come back.
+		a.remembered = true // Refused for good: incarnations never come back.
 		return a.notRun(apiv1.Reason_REASON_STALE_INCARNATION, "dispatch names another incarnation of the agent")
 	}
 	return pipeline.Status{}
 }
 
-// deduplicate refuses attempts that were seen before. It comes before every filter
+// checkDuplicate refuses attempts that were seen before. It comes before every filter
 // whose reply could differ from what became of the first dispatch.
-func (g *Gate) deduplicate(_ context.Context, a *admission) pipeline.Status {
+func (g *Gate) checkDuplicate(_ context.Context, a *admission) pipeline.Status {
 	k := a.dispatch.Key
 	if r := g.records.get(a.now, k); r != nil {
-		a.known = true
-		a.verdict = r.repeated()
+		a.remembered = true
+		a.verdict = r.duplicateVerdict()
 		return pipeline.Rejected("attempt was dispatched before")
 	}
 	if g.tombstones.has(a.now, k) {
-		a.known = true
+		a.remembered = true
 		return a.notRun(apiv1.Reason_REASON_REVOKED, "attempt was revoked")
 	}
 	if g.refused.has(a.now, k) {
-		a.known = true
+		a.remembered = true
 		return a.notRun(apiv1.Reason_REASON_REVOKED, "attempt was refused before")
 	}
 	return pipeline.Status{}
 }
 
-// fresh refuses work when neither side of the hop knows that the configuration is
+// checkFreshness refuses work when neither side of the hop knows that the configuration is
 // still in force. One fresh side suffices: the entry routed by what it confirmed, or the
 // agent knows the newest configuration itself.
-func (g *Gate) fresh(_ context.Context, a *admission) pipeline.Status {
+func (g *Gate) checkFreshness(_ context.Context, a *admission) pipeline.Status {
 	if g.closing {
 		return a.notRun(apiv1.Reason_REASON_SHUTTING_DOWN, "agent is shutting down")
 	}
 	if g.stalled(a.now) {
 		return a.notRun(apiv1.Reason_REASON_DEADLINE, "agent stood still, the dispatch may be late")
 	}
-	if g.entryFresh(a.dispatch) || g.selfFresh(a.now) {
+	if g.entryFresh(a.dispatch) || g.agentFresh(a.now) {
 		return pipeline.Status{}
 	}
 	return a.notRun(apiv1.Reason_REASON_STALE_CONFIGURATION, "configuration was not confirmed within the staleness bound")
@@ -77,56 +77,56 @@
 // stalled reports whether the agent stood still until a moment ago. Without it, a
 // request whose caller gave up long ago would be run after all when a frozen agent wakes.
 func (g *Gate) stalled(now time.Time) bool {
-	return now.Before(g.stalledUntil) || g.overdue(now)
+	return now.Before(g.stalledUntil) || g.expireOverdue(now)
 }
 
-// overdue reports whether Expire was not called for too long.
-func (g *Gate) overdue(now time.Time) bool {
-	return !g.ticked.IsZero() && now.Sub(g.ticked) > g.limits.StallBound
+// expireOverdue reports whether Expire was not called for too long.
+func (g *Gate) expireOverdue(now time.Time) bool {
+	return !g.lastExpireAt.IsZero() && now.Sub(g.lastExpireAt) > g.limits.StallBound
 }
 
 func (g *Gate) entryFresh(d Dispatch) bool {
 	if d.ConfirmedAge < 0 || d.ConfirmedAge > g.limits.StalenessBound {
 		return false
 	}
-	return d.Version > 0 && d.Version >= g.version
+	return d.ConfigurationVersion > 0 && d.ConfigurationVersion >= g.configurationVersion
 }
 
-func (g *Gate) selfFresh(now time.Time) bool {
-	return g.version > 0 && now.Sub(g.confirmedAt) <= g.limits.StalenessBound
+func (g *Gate) agentFresh(now time.Time) bool {
+	return g.configurationVersion > 0 && now.Sub(g.confirmedAt) <= g.limits.StalenessBound
 }
 
-// serving finds the target, and refuses what it must not or can't answer.
-func (g *Gate) serving(_ context.Context, a *admission) pipeline.Status {
+// checkTarget finds the target, and refuses what it must not or can't answer.
+func (g *Gate) checkTarget(_ context.Context, a *admission) pipeline.Status {
 	t := g.targets[a.dispatch.Target]
 	if t == nil || t.Service != a.dispatch.Service {
 		return a.notRun(apiv1.Reason_REASON_NO_TARGET, "no such target of that service on this host")
 	}
-	if g.leaving(t, a.now) {
+	if g.isLeaving(t, a.now) {
 		return a.notRun(apiv1.Reason_REASON_TARGET_LEAVING, "target is leaving")
 	}
 	a.target = t
-	return t.deadline(a)
+	return t.checkDeadline(a)
 }
 
-// slot takes a slot, lets the attempt wait for one, or refuses it at once.
-func (g *Gate) slot(_ context.Context, a *admission) pipeline.Status {
-	if !g.records.room(a.now) {
-		return g.overloaded(a)
+// checkSlot takes a slot, lets the attempt wait for one, or refuses it at once.
+func (g *Gate) checkSlot(_ context.Context, a *admission) pipeline.Status {
+	if !g.records.hasCapacity(a.now) {
+		return g.refuseOverloaded(a)
 	}
 	t := a.target
-	g.review(a.now, t) // A new configuration may have granted more slots.
-	if g.free(t) {
+	g.reviewWaiting(a.now, t) // A new configuration may have granted more slots.
+	if g.hasFreeSlot(t) {
 		return pipeline.Status{}
 	}
-	if a.wait = g.mayWait(a); a.wait {
+	if a.wait = g.canWait(a); a.wait {
 		return pipeline.Status{}
 	}
-	return g.full(a)
+	return g.refuseFull(a)
 }
 
-// full refuses for lack of a slot or connection.
-func (g *Gate) full(a *admission) pipeline.Status {
+// refuseFull refuses for lack of a slot or connection.
+func (g *Gate) refuseFull(a *admission) pipeline.Status {
 	t := a.target
 	slots, conns := g.slots(t), g.connections(t)
 	reason, message := apiv1.Reason_REASON_SLOTS_FULL, fmt.Sprintf("all %d slots are taken", slots)
@@ -134,18 +134,18 @@
 		reason, message = apiv1.Reason_REASON_CONNECTIONS_FULL, fmt.Sprintf("all %d connections are taken", conns)
 	}
 	st := a.notRun(reason, message)
-	a.verdict.RetryAfter = t.nextFree(g.places(t))
+	a.verdict.RetryAfter = t.nextFreeSlot(g.maxInFlight(t))
 	return st
 }
 
-func (g *Gate) overloaded(a *admission) pipeline.Status {
+func (g *Gate) refuseOverloaded(a *admission) pipeline.Status {
 	st := a.notRun(apiv1.Reason_REASON_OVERLOADED, "no room to remember another attempt")
 	a.verdict.RetryAfter = g.limits.MinRetention
 	return st
 }
 
-// deadline refuses what has no time left, or less than the quickest answer of late took.
-func (t *target) deadline(a *admission) pipeline.Status {
+// checkDeadline refuses what has no time left, or less than the quickest answer of late took.
+func (t *target) checkDeadline(a *admission) pipeline.Status {
 	left := a.dispatch.Remaining
 	if left <= 0 {
 		return a.notRun(apiv1.Reason_REASON_DEADLINE, "deadline has passed")
--- a/agent/gate/gate.go
+++ b/agent/gate/gate.go
@@ -30,8 +30,8 @@
 	Incarnation uint64
 	// Remaining is the time left until the caller's deadline.
 	Remaining time.Duration
-	// Version is the configuration the entry routed by.
-	Version uint64
+	// ConfigurationVersion is the configuration the entry routed by.
+	ConfigurationVersion uint64
 	// ConfirmedAge is how long ago a quorum confirmed Version to the entry;
 	// negative when it never did.
 	ConfirmedAge time.Duration
@@ -44,8 +44,8 @@
 	Outcome apiv1.Outcome
 	Reason  apiv1.Reason
 	Message string
-	// Answer is the target's whole answer, nil when there is none or it is no longer kept.
-	Answer *apiv1.HttpResponse
+	// Response is the target's whole answer, nil when there is none or it is no longer kept.
+	Response *apiv1.HttpResponse
 	// RetryAfter says when the target may take the request; zero when unknown.
 	RetryAfter time.Duration
 }
@@ -72,12 +72,12 @@
 
 // Limits bounds what a gate keeps and accepts.
 type Limits struct {
-	// Slots and Connections of a target when neither its service nor its
+	// DefaultSlots and Connections of a target when neither its service nor its
 	// announcement names them.
-	Slots       int
-	Connections int
-	// Waiting bounds the attempts that wait for slots of one target.
-	Waiting int
+	DefaultSlots       int
+	DefaultConnections int
+	// MaxWaiting bounds the attempts that wait for slots of one target.
+	MaxWaiting int
 	// StalenessBound is how long ago a configuration may have been confirmed.
 	StalenessBound time.Duration
 	// MaxRemaining caps the deadline of an attempt.
@@ -88,8 +88,8 @@
 	// younger, new work is refused rather than a young record dropped.
 	MinRetention time.Duration
 	MaxRecords   int
-	// MaxAnswerBytes bounds the answers kept for Revoke, all together.
-	MaxAnswerBytes int
+	// MaxResponseBytes bounds the answers kept for Revoke, all together.
+	MaxResponseBytes int
 	// RevokeMargin is how long a revocation may be on its way; its age is counted
 	// from its sending.
 	RevokeMargin time.Duration
@@ -103,29 +103,29 @@
 	StallBound time.Duration
 	// StallGrace is how long they are refused after the agent goes on.
 	StallGrace time.Duration
-	// Linger is how long a target that left is remembered, so that a renewal that
+	// DepartedTargetRetention is how long a target that left is remembered, so that a renewal that
 	// crossed its leaving does not bring it back.
-	Linger time.Duration
+	DepartedTargetRetention time.Duration
 }
 
 // DefaultLimits returns the limits an agent runs with.
 func DefaultLimits() Limits {
 	return Limits{
-		Slots:           8,
-		Connections:     64,
-		Waiting:         MaxWaiting,
-		StalenessBound:  3 * time.Second,
-		MaxRemaining:    5 * time.Minute,
-		Retention:       2 * time.Minute,
-		MinRetention:    10 * time.Second,
-		MaxRecords:      1 << 18,
-		MaxAnswerBytes:  32 << 20,
-		RevokeMargin:    5 * time.Second,
-		TombstoneWindow: 16 * time.Minute,
-		MaxTombstones:   1 << 17,
-		StallBound:      2 * time.Second,
-		StallGrace:      250 * time.Millisecond,
-		Linger:          2 * time.Second,
+		DefaultSlots:            8,
+		DefaultConnections:      64,
+		MaxWaiting:              MaxWaiting,
+		StalenessBound:          3 * time.Second,
+		MaxRemaining:            5 * time.Minute,
+		Retention:               2 * time.Minute,
+		MinRetention:            10 * time.Second,
+		MaxRecords:              1 << 18,
+		MaxResponseBytes:        32 << 20,
+		RevokeMargin:            5 * time.Second,
+		TombstoneWindow:         16 * time.Minute,
+		MaxTombstones:           1 << 17,
+		StallBound:              2 * time.Second,
+		StallGrace:              250 * time.Millisecond,
+		DepartedTargetRetention: 2 * time.Second,
 	}
 }
 
@@ -137,14 +137,14 @@
 	closing     bool
 	drainAll    bool
 
-	// ticked is the time of the last Expire, stalledUntil the end of the refusals
+	// lastExpireAt is the time of the last Expire, stalledUntil the end of the refusals
 	// after one that came too late.
-	ticked       time.Time
+	lastExpireAt time.Time
 	stalledUntil time.Time
 
-	version     uint64
-	confirmedAt time.Time
-	services    map[string]*apiv1.Service
+	configurationVersion uint64
+	confirmedAt          time.Time
+	services             map[string]*apiv1.Service
 
 	targets  map[string]*target
 	revision uint64
@@ -153,9 +153,9 @@
 	tombstones tombstones
 	refused    refusedFilter
 
-	filters   pipeline.Pipeline[admission]
-	startable pipeline.Pipeline[admission]
-	decisions []Decision
+	admissionFilters pipeline.Pipeline[admission]
+	startFilters     pipeline.Pipeline[admission]
+	decisions        []Decision
 }
 
 // New returns a gate for one incarnation of an agent.
@@ -168,17 +168,17 @@
 		records:     newRecords(limits),
 		tombstones:  newTombstones(limits),
 	}
-	g.filters = pipeline.Pipeline[admission]{
-		{Name: "fence", Apply: g.fence},
-		{Name: "deduplicate", Apply: g.deduplicate},
-		{Name: "fresh", Apply: g.fresh},
-		{Name: "target", Apply: g.serving},
-		{Name: "slot", Apply: g.slot},
+	g.admissionFilters = pipeline.Pipeline[admission]{
+		{Name: "fence", Apply: g.checkIncarnation},
+		{Name: "deduplicate", Apply: g.checkDuplicate},
+		{Name: "fresh", Apply: g.checkFreshness},
+		{Name: "target", Apply: g.checkTarget},
+		{Name: "slot", Apply: g.checkSlot},
 	}
-	g.startable = pipeline.Pipeline[admission]{
-		{Name: "fresh", Apply: g.fresh},
-		{Name: "wait", Apply: g.inTime},
-		{Name: "target", Apply: g.serving},
+	g.startFilters = pipeline.Pipeline[admission]{
+		{Name: "fresh", Apply: g.checkFreshness},
+		{Name: "wait", Apply: g.checkLatestStart},
+		{Name: "target", Apply: g.checkTarget},
 	}
 	return g
 }
@@ -186,10 +186,10 @@
 // Configure takes over a configuration. A version at or below the one in force
 // changes nothing: a late message never makes a configuration revert.
 func (g *Gate) Configure(c *apiv1.Configuration) bool {
-	if c.GetVersion() <= g.version {
+	if c.GetVersion() <= g.configurationVersion {
 		return false
 	}
-	g.version = c.Version
+	g.configurationVersion = c.Version
 	g.revision++ // Slots may differ.
 	g.services = make(map[string]*apiv1.Service, len(c.Services))
 	for _, s := range c.Services {
@@ -201,13 +201,13 @@
 // Confirm notes that version was the newest of the whole group at a time. It is
 // ignored unless it is about the version in force.
 func (g *Gate) Confirm(version uint64, at time.Time) {
-	if version == g.version && at.After(g.confirmedAt) {
+	if version == g.configurationVersion && at.After(g.confirmedAt) {
 		g.confirmedAt = at
 	}
 }
 
-// Version returns the configuration version in force, 0 when none is.
-func (g *Gate) Version() uint64 { return g.version }
+// ConfigurationVersion returns the configuration version in force, 0 when none is.
+func (g *Gate) ConfigurationVersion() uint64 { return g.configurationVersion }
 
 // ConfirmedAt returns the latest time at which Version is known to have been the newest.
 func (g *Gate) ConfirmedAt() time.Time { return g.confirmedAt }
@@ -224,32 +224,32 @@
 // Close makes the gate refuse everything new, and what waits.
 func (g *Gate) Close(now time.Time) {
 	g.closing = true
-	g.reviewAll(now)
+	g.reviewAllWaiting(now)
 }
 
 // Admit decides about a dispatch. When it returns Run, the slot is taken and the
 // caller must call Finish exactly once.
 func (g *Gate) Admit(now time.Time, d Dispatch) Admission {
 	a := admission{now: now, dispatch: d}
-	if st := g.filters.Run(context.Background(), &a); !st.Passed() {
+	if st := g.admissionFilters.Run(context.Background(), &a); !st.Passed() {
 		return g.refuse(&a, st)
 	}
 	r := g.records.add(now, d.Key, a.target)
-	deadline := g.deadline(now, d)
+	deadline := g.attemptDeadline(now, d)
 	if a.wait {
-		return g.hold(r, d, deadline)
+		return g.enqueue(r, d, deadline)
 	}
-	return g.start(now, r, deadline)
+	return g.startAttempt(now, r, deadline)
 }
 
-func (g *Gate) deadline(now time.Time, d Dispatch) time.Time {
+func (g *Gate) attemptDeadline(now time.Time, d Dispatch) time.Time {
 	return now.Add(min(d.Remaining, g.limits.MaxRemaining))
 }
 
-// start takes a slot for an attempt.
-func (g *Gate) start(now time.Time, r *record, deadline time.Time) Admission {
+// startAttempt takes a slot for an attempt.
+func (g *Gate) startAttempt(now time.Time, r *record, deadline time.Time) Admission {
 	t := r.target
-	t.begin()
+	t.requestStarted()
 	g.records.start(now, r)
 	return Admission{
 		Run:         true,
@@ -263,7 +263,7 @@
 // refuse turns a rejection into a reply. A refused attempt is remembered: if it
 // came once more and were then run, the first reply "not run" would become false.
 func (g *Gate) refuse(a *admission, st pipeline.Status) Admission {
-	if a.verdict.Outcome == apiv1.Outcome_OUTCOME_NOT_RUN && !a.known {
+	if a.verdict.Outcome == apiv1.Outcome_OUTCOME_NOT_RUN && !a.remembered {
 		g.refused.add(a.now, a.dispatch.Key)
 	}
 	r := Admission{Verdict: a.verdict, Filter: st.Filter}
@@ -277,13 +277,13 @@
 // that waits.
 func (g *Gate) Finish(now time.Time, k Key, v Verdict) *apiv1.Load {
 	r := g.records.finish(now, k, v)
-	r.target.end(now, now.Sub(r.started), answered(v.Outcome))
-	g.review(now, r.target)
+	r.target.requestEnded(now, now.Sub(r.startedAt), isTargetResponse(v.Outcome))
+	g.reviewWaiting(now, r.target)
 	return g.load(r.target)
 }
 
-// answered reports whether an attempt's response time says something about the target.
-func answered(o apiv1.Outcome) bool {
+// isTargetResponse reports whether an attempt's response time says something about the target.
+func isTargetResponse(o apiv1.Outcome) bool {
 	return o == apiv1.Outcome_OUTCOME_ANSWERED || o == apiv1.Outcome_OUTCOME_FAILED
 }
 
@@ -293,7 +293,7 @@
 // Waiting returns the number of attempts that wait for a slot.
 func (g *Gate) Waiting() int { return g.records.waiting }
 
-// Records returns how many attempts and tombstones are remembered.
-func (g *Gate) Records() (attempts, tombstones int) {
+// RecordCounts returns how many attempts and tombstones are remembered.
+func (g *Gate) RecordCounts() (attempts, tombstones int) {
 	return len(g.records.byKey), len(g.tombstones.set)
 }
--- a/agent/gate/gate_test.go
+++ b/agent/gate/gate_test.go
@@ -14,19 +14,19 @@
 // of room. Some wait for a slot, and meanwhile are revoked, canceled, too late, or
 // their target leaves, the agent stands still or closes.
 // Cause: the gate forgets or trusts something that it should not.
-func TestRepliesAreTrue(t *testing.T) {
+func TestRepliesMatchRuns(t *testing.T) {
 	runs, waited := 0, map[apiv1.Reason]int{}
 	for seed := range int64(seeds) {
-		w := newWorld(t, seed)
+		w := newSimulation(t, seed)
 		for range steps {
 			w.step()
 		}
 		w.gate.Close(w.now)
-		w.collect()
+		w.collectDecisions()
 		if n := w.gate.Waiting(); n > 0 {
 			t.Fatalf("%d wait at a gate that is closed", n)
 		}
-		for reason, n := range w.waited {
+		for reason, n := range w.waitResults {
 			waited[reason] += n
 		}
 		for _, a := range w.attempts {
@@ -53,7 +53,7 @@
 func TestRefusals(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	base := Dispatch{Key: Key{"r", 1}, Service: "s", Target: "t", Incarnation: 1,
-		Remaining: time.Second, Version: 1, ConfirmedAge: 0}
+		Remaining: time.Second, ConfigurationVersion: 1, ConfirmedAge: 0}
 	tests := map[string]struct {
 		set    func(g *Gate, d *Dispatch)
 		reason apiv1.Reason
@@ -68,18 +68,18 @@
 		"never fresh":    {func(_ *Gate, d *Dispatch) { d.ConfirmedAge = -1 }, apiv1.Reason_REASON_STALE_CONFIGURATION, false},
 		"older than own": {func(g *Gate, _ *Dispatch) { g.Configure(&apiv1.Configuration{Version: 2}) }, apiv1.Reason_REASON_STALE_CONFIGURATION, false},
 		"slots": {func(g *Gate, d *Dispatch) {
-			fill(g, now, *d, 8+MaxWaiting)
+			fillTarget(g, now, *d, 8+MaxWaiting)
 		}, apiv1.Reason_REASON_SLOTS_FULL, true},
 		"connections": {func(g *Gate, d *Dispatch) {
 			g.targets["t"].Connections = 2
-			fill(g, now, *d, 2+MaxWaiting)
+			fillTarget(g, now, *d, 2+MaxWaiting)
 		}, apiv1.Reason_REASON_CONNECTIONS_FULL, true},
 		"no time to wait": {func(g *Gate, d *Dispatch) {
-			fill(g, now, *d, 8)
+			fillTarget(g, now, *d, 8)
 			g.targets["t"].stats.mean = 900 * time.Millisecond // The first wait is an eighth of it.
 		}, apiv1.Reason_REASON_SLOTS_FULL, true},
 		"can't finish": {func(g *Gate, d *Dispatch) {
-			for range fastestSamples {
+			for range minFastestSamples {
 				g.targets["t"].stats.observe(now, 2*time.Second)
 			}
 		}, apiv1.Reason_REASON_DEADLINE, false},
@@ -104,12 +104,12 @@
 // they are. Sequence: an attempt waits, is revoked, and a copy of it comes when its
 // record is gone; another one waits as long as it runs. Cause: what waits leaves no
 // tombstone, or its wait is counted.
-func TestWaitLeavesNoTrace(t *testing.T) {
+func TestRevokedWaitIsNotRunAndWaitIsNotMeasured(t *testing.T) {
 	now := time.Unix(1e9, 0)
 	g := New(1, DefaultLimits())
 	g.Announce(now, Announcement{Name: "t", Service: "s", Address: "127.0.0.1:1", Slots: 1, TTL: time.Hour})
-	d := Dispatch{Key: Key{"revoked", 1}, Service: "s", Target: "t", Incarnation: 1, Remaining: time.Minute, Version: 1}
-	fill(g, now, d, 2)
+	d := Dispatch{Key: Key{"revoked", 1}, Service: "s", Target: "t", Incarnation: 1, Remaining: time.Minute, ConfigurationVersion: 1}
+	fillTarget(g, now, d, 2)
 	if !g.Admit(now, d).Wait {
 		t.Fatal("the attempt does not wait")
 	}
@@ -126,18 +126,18 @@
 	}
 }
 
-func fill(g *Gate, now time.Time, d Dispatch, n int) {
+func fillTarget(g *Gate, now time.Time, d Dispatch, n int) {
 	for i := range n {
 		d.Key.RequestID = fmt.Sprint("fill-", i)
 		g.Admit(now, d)
 	}
 }
 
-func BenchmarkDecision(b *testing.B) {
+func BenchmarkAdmit(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	g := New(1, DefaultLimits())
 	g.Announce(now, Announcement{Name: "t", Service: "s", Address: "127.0.0.1:1", TTL: 24 * time.Hour})
-	v := Verdict{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Answer: &apiv1.HttpResponse{Body: make([]byte, 256)}}
+	v := Verdict{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: &apiv1.HttpResponse{Body: make([]byte, 256)}}
 	keys := make([]Key, b.N)
 	for i := range keys {
 		keys[i] = Key{fmt.Sprintf("request-%020d", i), 1}
@@ -146,7 +146,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		now = now.Add(50 * time.Microsecond)
-		d := Dispatch{Key: keys[i], Service: "s", Target: "t", Incarnation: 1, Remaining: time.Second, Version: 1}
+		d := Dispatch{Key: keys[i], Service: "s", Target: "t", Incarnation: 1, Remaining: time.Second, ConfigurationVersion: 1}
 		if !g.Admit(now, d).Run {
 			b.Fatal("refused")
 		}
@@ -154,8 +154,8 @@
 	}
 }
 
-// BenchmarkWait is a decision about an attempt that waits before it runs.
-func BenchmarkWait(b *testing.B) {
+// BenchmarkAdmitWaiting is a decision about an attempt that waits before it runs.
+func BenchmarkAdmitWaiting(b *testing.B) {
 	now := time.Unix(1e9, 0)
 	g := New(1, DefaultLimits())
 	g.Announce(now, Announcement{Name: "t", Service: "s", Address: "127.0.0.1:1", Slots: 8, TTL: 24 * time.Hour})
@@ -167,7 +167,7 @@
 	b.ResetTimer()
 	for i := range keys {
 		now = now.Add(50 * time.Microsecond)
-		g.Admit(now, Dispatch{Key: keys[i], Service: "s", Target: "t", Incarnation: 1, Remaining: time.Second, Version: 1})
+		g.Admit(now, Dispatch{Key: keys[i], Service: "s", Target: "t", Incarnation: 1, Remaining: time.Second, ConfigurationVersion: 1})
 		if i >= 8 {
 			g.Finish(now, keys[i-8], Verdict{Outcome: apiv1.Outcome_OUTCOME_ANSWERED})
 		}
--- a/agent/gate/records.go
+++ b/agent/gate/records.go
@@ -11,24 +11,24 @@
 
 // record is what the gate remembers about an attempt that it let through.
 type record struct {
-	key     Key
-	target  *target
-	arrived time.Time
-	// started is zero while the attempt waits for a slot, and for good when it never ran.
-	started time.Time
-	// finished is zero while the attempt waits or runs.
-	finished    time.Time
-	verdict     Verdict
-	answerBytes int
+	key       Key
+	target    *target
+	arrivedAt time.Time
+	// startedAt is zero while the attempt waits for a slot, and for good when it never ran.
+	startedAt time.Time
+	// finishedAt is zero while the attempt waits or runs.
+	finishedAt    time.Time
+	verdict       Verdict
+	responseBytes int
 }
 
-func (r *record) waiting() bool { return r.finished.IsZero() && r.started.IsZero() }
-func (r *record) running() bool { return r.finished.IsZero() && !r.started.IsZero() }
-func (r *record) ended() bool   { return !r.finished.IsZero() }
+func (r *record) waiting() bool { return r.finishedAt.IsZero() && r.startedAt.IsZero() }
+func (r *record) running() bool { return r.finishedAt.IsZero() && !r.startedAt.IsZero() }
+func (r *record) ended() bool   { return !r.finishedAt.IsZero() }
 
-// repeated is the reply to a second dispatch of the same attempt.
-func (r *record) repeated() Verdict {
-	if r.ended() && (r.verdict.Answer != nil || !answered(r.verdict.Outcome)) {
+// duplicateVerdict is the reply to a second dispatch of the same attempt.
+func (r *record) duplicateVerdict() Verdict {
+	if r.ended() && (r.verdict.Response != nil || !isTargetResponse(r.verdict.Outcome)) {
 		return r.verdict
 	}
 	message := "attempt is running or waiting under an earlier dispatch"
@@ -47,14 +47,14 @@
 // Every attempt that arrived after horizon is in byKey. That is what makes a
 // "not run" about an attempt without a record true; see Gate.Revoke.
 type records struct {
-	limits      Limits
-	byKey       map[Key]*record
-	running     int
-	waiting     int
-	horizon     time.Time
-	finished    queue[*record]
-	withAnswer  queue[*record]
-	answerBytes int
+	limits        Limits
+	byKey         map[Key]*record
+	running       int
+	waiting       int
+	horizon       time.Time
+	finished      queue[*record]
+	withResponse  queue[*record]
+	responseBytes int
 }
 
 func newRecords(limits Limits) records {
@@ -66,15 +66,15 @@
 	return rs.byKey[k]
 }
 
-// room reports whether another attempt can be remembered. Under a high rate old
+// hasCapacity reports whether another attempt can be remembered. Under a high rate old
 // records go early, yet none before MinRetention.
-func (rs *records) room(now time.Time) bool {
+func (rs *records) hasCapacity(now time.Time) bool {
 	rs.expire(now)
 	if len(rs.byKey) < rs.limits.MaxRecords {
 		return true
 	}
 	oldest, ok := rs.finished.peek()
-	if !ok || now.Sub(oldest.finished) < rs.limits.MinRetention {
+	if !ok || now.Sub(oldest.finishedAt) < rs.limits.MinRetention {
 		return false
 	}
 	rs.dropOldest()
@@ -84,7 +84,7 @@
 func (rs *records) expire(now time.Time) {
 	for {
 		oldest, ok := rs.finished.peek()
-		if !ok || now.Sub(oldest.finished) < rs.limits.Retention {
+		if !ok || now.Sub(oldest.finishedAt) < rs.limits.Retention {
 			return
 		}
 		rs.dropOldest()
@@ -93,19 +93,19 @@
 
 func (rs *records) dropOldest() {
 	r := rs.finished.pop()
-	rs.dropAnswer(r)
-	if first, ok := rs.withAnswer.peek(); ok && first == r {
-		rs.withAnswer.pop()
+	rs.dropResponse(r)
+	if first, ok := rs.withResponse.peek(); ok && first == r {
+		rs.withResponse.pop()
 	}
 	delete(rs.byKey, r.key)
-	if r.arrived.After(rs.horizon) {
-		rs.horizon = r.arrived
+	if r.arrivedAt.After(rs.horizon) {
+		rs.horizon = r.arrivedAt
 	}
 }
 
 // add remembers an attempt that waits, if only until start is called.
 func (rs *records) add(now time.Time, k Key, t *target) *record {
-	r := &record{key: k, target: t, arrived: now}
+	r := &record{key: k, target: t, arrivedAt: now}
 	rs.byKey[k] = r
 	rs.waiting++
 	return r
@@ -114,13 +114,13 @@
 func (rs *records) start(now time.Time, r *record) {
 	rs.waiting--
 	rs.running++
-	r.started = now
+	r.startedAt = now
 }
 
-// unstarted ends an attempt that never got a slot.
-func (rs *records) unstarted(now time.Time, r *record, v Verdict) {
+// finishUnstarted ends an attempt that never got a slot.
+func (rs *records) finishUnstarted(now time.Time, r *record, v Verdict) {
 	rs.waiting--
-	rs.end(now, r, v)
+	rs.finishRecord(now, r, v)
 }
 
 func (rs *records) finish(now time.Time, k Key, v Verdict) *record {
@@ -130,33 +130,33 @@
 		panic(fmt.Sprintf("invariant: an admitted attempt finishes exactly once: %s/%d", k.RequestID, k.Attempt))
 	}
 	rs.running--
-	rs.end(now, r, v)
+	rs.finishRecord(now, r, v)
 	return r
 }
 
-func (rs *records) end(now time.Time, r *record, v Verdict) {
-	r.finished = now
+func (rs *records) finishRecord(now time.Time, r *record, v Verdict) {
+	r.finishedAt = now
 	r.verdict = v
 	rs.finished.push(r)
-	rs.keepAnswer(r)
+	rs.keepResponse(r)
 }
 
-// keepAnswer counts an answer and drops the oldest ones beyond the bound.
-func (rs *records) keepAnswer(r *record) {
-	if r.verdict.Answer == nil {
+// keepResponse counts an answer and drops the oldest ones beyond the bound.
+func (rs *records) keepResponse(r *record) {
+	if r.verdict.Response == nil {
 		return
 	}
-	r.answerBytes = proto.Size(r.verdict.Answer)
-	rs.answerBytes += r.answerBytes
-	rs.withAnswer.push(r)
-	for rs.answerBytes > rs.limits.MaxAnswerBytes {
-		rs.dropAnswer(rs.withAnswer.pop())
+	r.responseBytes = proto.Size(r.verdict.Response)
+	rs.responseBytes += r.responseBytes
+	rs.withResponse.push(r)
+	for rs.responseBytes > rs.limits.MaxResponseBytes {
+		rs.dropResponse(rs.withResponse.pop())
 	}
 }
 
-// dropAnswer forgets a record's answer, not its outcome.
-func (rs *records) dropAnswer(r *record) {
-	rs.answerBytes -= r.answerBytes
-	r.answerBytes = 0
-	r.verdict.Answer = nil
+// dropResponse forgets a record's answer, not its outcome.
+func (rs *records) dropResponse(r *record) {
+	rs.responseBytes -= r.responseBytes
+	r.responseBytes = 0
+	r.verdict.Response = nil
 }
--- a/agent/gate/refused.go
+++ b/agent/gate/refused.go
@@ -13,7 +13,7 @@
 // A false positive refuses an innocent attempt; the reply "not run" stays true.
 type refusedFilter struct {
 	current, previous []uint64
-	rotated           time.Time
+	rotatedAt         time.Time
 }
 
 const (
@@ -26,7 +26,7 @@
 	if f.current == nil {
 		f.current = make([]uint64, refusedBits/64)
 		f.previous = make([]uint64, refusedBits/64)
-		f.rotated = now
+		f.rotatedAt = now
 	}
 	f.rotate(now)
 	for _, bit := range refusedPositions(k) {
@@ -54,11 +54,11 @@
 // rotate forgets the older generation, so that a refusal is remembered for one to
 // two generations.
 func (f *refusedFilter) rotate(now time.Time) {
-	if now.Sub(f.rotated) < refusedGeneration {
+	if now.Sub(f.rotatedAt) < refusedGeneration {
 		return
 	}
-	stale := now.Sub(f.rotated) >= 2*refusedGeneration
-	f.rotated = now
+	stale := now.Sub(f.rotatedAt) >= 2*refusedGeneration
+	f.rotatedAt = now
 	f.current, f.previous = f.previous, f.current
 	clear(f.current)
 	if stale {
--- a/agent/gate/revoke.go
+++ b/agent/gate/revoke.go
@@ -33,7 +33,7 @@
 		g.revokeWaiting(now, rec)
 		return rec.revokeResult()
 	}
-	if !g.reachesBack(now, r.Age) {
+	if !g.recordsCover(now, r.Age) {
 		return unknownResult(apiv1.Reason_REASON_UNSPECIFIED, "records do not reach back that far")
 	}
 	if !g.tombstones.add(now, r.Key) {
@@ -46,10 +46,10 @@
 	}}
 }
 
-// reachesBack reports whether an attempt first sent that long ago would have a
+// recordsCover reports whether an attempt first sent that long ago would have a
 // record if it had been let through. Without this check an attempt that ran and
 // whose record was dropped since would be called "not run", and be run again.
-func (g *Gate) reachesBack(now time.Time, age time.Duration) bool {
+func (g *Gate) recordsCover(now time.Time, age time.Duration) bool {
 	if g.records.horizon.IsZero() {
 		return true // No record was ever dropped.
 	}
@@ -63,7 +63,7 @@
 		return
 	}
 	g.tombstones.add(now, r.key)
-	g.dismiss(now, r, apiv1.Reason_REASON_REVOKED, "revoked while it waited for a slot")
+	g.refuseWaiting(now, r, apiv1.Reason_REASON_REVOKED, "revoked while it waited for a slot")
 }
 
 func (r *record) revokeResult() RevokeResult {
--- a/agent/gate/stats.go
+++ b/agent/gate/stats.go
@@ -3,18 +3,18 @@
 import "time"
 
 const (
-	// meanWeight is the weight of the newest response time in the moving average, as a
+	// meanDivisor is the weight of the newest response time in the moving average, as a
 	// divisor.
-	meanWeight = 8
+	meanDivisor = 8
 	// fastestWindow is how long a quickest answer counts, at least.
 	fastestWindow = 10 * time.Second
-	// fastestSamples is how many answers a window needs to be believed.
-	fastestSamples = 20
-	minRetryAfter  = time.Millisecond
+	// minFastestSamples is how many answers a window needs to be believed.
+	minFastestSamples = 20
+	minRetryAfter     = time.Millisecond
 )
 
-// stats is what the gate learns of a target's response times.
-type stats struct {
+// responseStats is what the gate learns of a target's response times.
+type responseStats struct {
 	mean    time.Duration
 	current window
 	last    window
@@ -26,19 +26,19 @@
 	fastest time.Duration
 }
 
-func (s *stats) observe(now time.Time, took time.Duration) {
+func (s *responseStats) observe(now time.Time, took time.Duration) {
 	if s.mean == 0 {
 		s.mean = took
 	}
-	s.mean += (took - s.mean) / meanWeight
-	s.roll(now)
+	s.mean += (took - s.mean) / meanDivisor
+	s.rollWindow(now)
 	if s.current.samples == 0 || took < s.current.fastest {
 		s.current.fastest = took
 	}
 	s.current.samples++
 }
 
-func (s *stats) roll(now time.Time) {
+func (s *responseStats) rollWindow(now time.Time) {
 	age := now.Sub(s.current.start)
 	if age < fastestWindow {
 		return
@@ -52,9 +52,9 @@
 
 // fastest is the quickest answer of late, zero when too few are known. Old windows
 // are dropped, so refusals for want of time end by themselves.
-func (s *stats) fastest(now time.Time) time.Duration {
-	s.roll(now)
-	if s.current.samples+s.last.samples < fastestSamples {
+func (s *responseStats) fastest(now time.Time) time.Duration {
+	s.rollWindow(now)
+	if s.current.samples+s.last.samples < minFastestSamples {
 		return 0
 	}
 	if s.last.samples == 0 {
@@ -66,18 +66,18 @@
 	return min(s.current.fastest, s.last.fastest)
 }
 
-func (t *target) begin() { t.inFlight++ }
+func (t *target) requestStarted() { t.inFlight++ }
 
-func (t *target) end(now time.Time, took time.Duration, counts bool) {
+func (t *target) requestEnded(now time.Time, took time.Duration, counts bool) {
 	t.inFlight--
 	if counts {
 		t.stats.observe(now, took)
 	}
 }
 
-// nextFree estimates when one of n slots becomes free that nobody waits for: with n
+// nextFreeSlot estimates when one of n slots becomes free that nobody waits for: with n
 // independent requests in progress one ends every mean/n.
-func (t *target) nextFree(n int) time.Duration {
+func (t *target) nextFreeSlot(n int) time.Duration {
 	ends := time.Duration(1 + len(t.waiting))
 	return max(ends*t.stats.mean/time.Duration(n), minRetryAfter)
 }
--- a/agent/gate/targets.go
+++ b/agent/gate/targets.go
@@ -20,11 +20,11 @@
 	TTL         time.Duration
 }
 
-// leave says why a target is leaving.
-type leave int
+// leaveState says why a target is leaving.
+type leaveState int
 
 const (
-	staying leave = iota
+	staying leaveState = iota
 	// withdrawn: the target said that it leaves.
 	withdrawn
 	// drained: an operator made it leave; renewals don't bring it back.
@@ -33,12 +33,12 @@
 
 type target struct {
 	Announcement
-	expires  time.Time
-	leave    leave
-	left     time.Time
-	inFlight int
-	waiting  []*waiter
-	stats    stats
+	expiresAt  time.Time
+	leaveState leaveState
+	leftAt     time.Time
+	inFlight   int
+	waiting    []*waiter
+	stats      responseStats
 }
 
 // AnnounceResult is what became of an announcement.
@@ -67,23 +67,23 @@
 		}
 		t = &target{}
 		if g.drainAll {
-			t.leave, t.left = drained, now
+			t.leaveState, t.leftAt = drained, now
 		}
 		g.targets[a.Name] = t
 	}
-	if t.leave == withdrawn {
+	if t.leaveState == withdrawn {
 		// A renewal that crossed the withdrawal would bring back a target that is
 		// about to stop, and its next requests would be lost.
 		return RefusedLeaving
 	}
 	result := Renewed
-	if t.Announcement != a || now.After(t.expires) {
+	if t.Announcement != a || now.After(t.expiresAt) {
 		result = Announced
 		g.revision++
 	}
 	t.Announcement = a
-	t.expires = now.Add(a.TTL)
-	g.review(now, t) // There may be more slots, or another service.
+	t.expiresAt = now.Add(a.TTL)
+	g.reviewWaiting(now, t) // There may be more slots, or another service.
 	return result
 }
 
@@ -94,7 +94,7 @@
 	if t == nil {
 		return 0, false
 	}
-	g.setLeave(t, withdrawn, now)
+	g.setLeaveState(t, withdrawn, now)
 	return t.inFlight, true
 }
 
@@ -104,7 +104,7 @@
 	if name == "" {
 		g.drainAll = true
 		for _, t := range g.targets {
-			g.setLeave(t, drained, now)
+			g.setLeaveState(t, drained, now)
 			inFlight += t.inFlight
 		}
 		return inFlight, true
@@ -113,72 +113,72 @@
 	if t == nil {
 		return 0, false
 	}
-	g.setLeave(t, drained, now)
+	g.setLeaveState(t, drained, now)
 	return t.inFlight, true
 }
 
-func (g *Gate) setLeave(t *target, l leave, now time.Time) {
-	if t.leave >= l {
+func (g *Gate) setLeaveState(t *target, l leaveState, now time.Time) {
+	if t.leaveState >= l {
 		return
 	}
-	if t.leave == staying {
-		t.left = now
+	if t.leaveState == staying {
+		t.leftAt = now
 		g.revision++
 	}
-	t.leave = l
-	g.review(now, t)
+	t.leaveState = l
+	g.reviewWaiting(now, t)
 }
 
 // Expire removes targets that have left with nothing in progress, and notes those
 // whose announcement ran out. What waits is looked at again. Call it several times
 // per second: a gap is taken as a sign that the process stood still.
 func (g *Gate) Expire(now time.Time) {
-	if g.overdue(now) {
+	if g.expireOverdue(now) {
 		g.stalledUntil = now.Add(g.limits.StallGrace)
 	}
-	g.ticked = now
+	g.lastExpireAt = now
 	for name, t := range g.targets {
-		if t.leave == staying && now.After(t.expires) && t.left.Before(t.expires) {
-			t.left = now // The revision below tells the entries once.
+		if t.leaveState == staying && now.After(t.expiresAt) && t.leftAt.Before(t.expiresAt) {
+			t.leftAt = now // The revision below tells the entries once.
 			g.revision++
 		}
-		g.review(now, t)
-		if g.gone(t, now) {
+		g.reviewWaiting(now, t)
+		if g.isRemovable(t, now) {
 			delete(g.targets, name)
 			g.revision++
 		}
 	}
 }
 
-// gone reports whether a leaving target can be forgotten. A drained one that still
+// isRemovable reports whether a leaving target can be forgotten. A drained one that still
 // renews stays known, so that it stays drained.
-func (g *Gate) gone(t *target, now time.Time) bool {
-	if t.inFlight > 0 || now.Sub(t.left) < g.limits.Linger {
+func (g *Gate) isRemovable(t *target, now time.Time) bool {
+	if t.inFlight > 0 || now.Sub(t.leftAt) < g.limits.DepartedTargetRetention {
 		return false
 	}
-	switch t.leave {
+	switch t.leaveState {
 	case withdrawn:
 		return true
 	case staying, drained:
-		return now.Sub(t.expires) >= g.limits.Linger
+		return now.Sub(t.expiresAt) >= g.limits.DepartedTargetRetention
 	}
 	return false
 }
 
-func (g *Gate) leaving(t *target, now time.Time) bool {
-	return t.leave != staying || now.After(t.expires)
+func (g *Gate) isLeaving(t *target, now time.Time) bool {
+	return t.leaveState != staying || now.After(t.expiresAt)
 }
 
 // slots is the smaller of what the service grants and what the target announced.
 func (g *Gate) slots(t *target) int {
-	return bound(t.Slots, int(g.services[t.Service].GetSlots()), g.limits.Slots)
+	return effectiveLimit(t.Slots, int(g.services[t.Service].GetSlots()), g.limits.DefaultSlots)
 }
 
 func (g *Gate) connections(t *target) int {
-	return bound(t.Connections, int(g.services[t.Service].GetConnections()), g.limits.Connections)
+	return effectiveLimit(t.Connections, int(g.services[t.Service].GetConnections()), g.limits.DefaultConnections)
 }
 
-func bound(announced, declared, byDefault int) int {
+func effectiveLimit(announced, declared, byDefault int) int {
 	switch {
 	case announced > 0 && declared > 0:
 		return min(announced, declared)
@@ -212,7 +212,7 @@
 			Service:     t.Service,
 			Slots:       int32(g.slots(t)),
 			Connections: int32(g.connections(t)),
-			Leaving:     g.leaving(t, now),
+			Leaving:     g.isLeaving(t, now),
 			Load:        g.load(t),
 		})
 	}
--- a/agent/gate/tombstones.go
+++ b/agent/gate/tombstones.go
@@ -14,8 +14,8 @@
 }
 
 type tombstone struct {
-	hash    uint64
-	expires time.Time
+	hash      uint64
+	expiresAt time.Time
 }
 
 func newTombstones(limits Limits) tombstones {
@@ -34,7 +34,7 @@
 		return false
 	}
 	ts.set[h] = struct{}{}
-	ts.order.push(tombstone{hash: h, expires: now.Add(ts.limits.TombstoneWindow)})
+	ts.order.push(tombstone{hash: h, expiresAt: now.Add(ts.limits.TombstoneWindow)})
 	return true
 }
 
@@ -50,7 +50,7 @@
 func (ts *tombstones) expire(now time.Time) {
 	for {
 		oldest, ok := ts.order.peek()
-		if !ok || now.Before(oldest.expires) {
+		if !ok || now.Before(oldest.expiresAt) {
 			return
 		}
 		delete(ts.set, ts.order.pop().hash)
--- a/agent/gate/waiting.go
+++ b/agent/gate/waiting.go
@@ -30,9 +30,9 @@
 	latestStart time.Time
 }
 
-// before orders urgent attempts ahead of batch ones, and those of a kind by deadline. One
+// compare orders urgent attempts ahead of batch ones, and those of a kind by deadline. One
 // target has one response time, so that is also the order of slack.
-func (w *waiter) before(other *waiter) int {
+func (w *waiter) compare(other *waiter) int {
 	if w.dispatch.Batch != other.dispatch.Batch {
 		if other.dispatch.Batch {
 			return -1
@@ -50,128 +50,128 @@
 	return made
 }
 
-// Lapse refuses an attempt that waits, because its latest start has come. It
+// TimeOut refuses an attempt that waits, because its latest start has come. It
 // changes nothing for an attempt that was decided about before.
-func (g *Gate) Lapse(now time.Time, k Key) {
+func (g *Gate) TimeOut(now time.Time, k Key) {
 	r := g.records.byKey[k]
 	if r == nil || !r.waiting() {
 		return
 	}
 	// There may be time for a quicker target: the entry judges that.
-	g.dismiss(now, r, apiv1.Reason_REASON_SLOTS_FULL, noSlotInTime)
+	g.refuseWaiting(now, r, apiv1.Reason_REASON_SLOTS_FULL, noSlotInTimeMessage)
 }
 
-const noSlotInTime = "no slot came free in time"
+const noSlotInTimeMessage = "no slot came free in time"
 
 // Cancel refuses an attempt that waits, because its entry went away. It changes
 // nothing for an attempt that was decided about before.
 func (g *Gate) Cancel(now time.Time, k Key) {
 	if r := g.records.byKey[k]; r != nil && r.waiting() {
-		g.dismiss(now, r, apiv1.Reason_REASON_CANCELED, "entry went away while it waited for a slot")
+		g.refuseWaiting(now, r, apiv1.Reason_REASON_CANCELED, "entry went away while it waited for a slot")
 	}
 }
 
-// places is how many attempts a target may have in progress.
-func (g *Gate) places(t *target) int { return min(g.slots(t), g.connections(t)) }
+// maxInFlight is how many attempts a target may have in progress.
+func (g *Gate) maxInFlight(t *target) int { return min(g.slots(t), g.connections(t)) }
 
-// free reports whether a new attempt may start: nothing overtakes what waits.
-func (g *Gate) free(t *target) bool {
-	return len(t.waiting) == 0 && t.inFlight < g.places(t)
+// hasFreeSlot reports whether a new attempt may start: nothing overtakes what waits.
+func (g *Gate) hasFreeSlot(t *target) bool {
+	return len(t.waiting) == 0 && t.inFlight < g.maxInFlight(t)
 }
 
-// mayWait reports whether an attempt may join the queue. What can't finish within its
+// canWait reports whether an attempt may join the queue. What can't finish within its
 // deadline by the mean response time is refused now, while its entry can still try
 // another target.
-func (g *Gate) mayWait(a *admission) bool {
+func (g *Gate) canWait(a *admission) bool {
 	t := a.target
-	if len(t.waiting) >= g.limits.Waiting {
+	if len(t.waiting) >= g.limits.MaxWaiting {
 		return false
 	}
-	w := t.waiter(nil, a.dispatch, g.deadline(a.now, a.dispatch))
+	w := t.newWaiter(nil, a.dispatch, g.attemptDeadline(a.now, a.dispatch))
 	ahead := 0
 	for _, other := range t.waiting {
-		if other.before(w) <= 0 {
+		if other.compare(w) <= 0 {
 			ahead++
 		}
 	}
-	start := a.now.Add(time.Duration(ahead+1) * t.stats.mean / time.Duration(g.places(t)))
+	start := a.now.Add(time.Duration(ahead+1) * t.stats.mean / time.Duration(g.maxInFlight(t)))
 	return !start.After(w.latestStart)
 }
 
-func (t *target) waiter(r *record, d Dispatch, deadline time.Time) *waiter {
+func (t *target) newWaiter(r *record, d Dispatch, deadline time.Time) *waiter {
 	return &waiter{record: r, dispatch: d, deadline: deadline, latestStart: deadline.Add(-t.stats.mean)}
 }
 
-// hold lets an attempt wait.
-func (g *Gate) hold(r *record, d Dispatch, deadline time.Time) Admission {
+// enqueue lets an attempt wait.
+func (g *Gate) enqueue(r *record, d Dispatch, deadline time.Time) Admission {
 	t := r.target
-	w := t.waiter(r, d, deadline)
+	w := t.newWaiter(r, d, deadline)
 	at, _ := slices.BinarySearchFunc(t.waiting, w, func(other, w *waiter) int {
-		return cmp.Or(other.before(w), -1)
+		return cmp.Or(other.compare(w), -1)
 	})
 	t.waiting = slices.Insert(t.waiting, at, w)
 	return Admission{Wait: true, LatestStart: w.latestStart, Load: g.load(t)}
 }
 
-// dismiss refuses an attempt that waits. Its record answers a copy of it; the filter
+// refuseWaiting refuses an attempt that waits. Its record answers a copy of it; the filter
 // of refused attempts does so when the record has to go early.
-func (g *Gate) dismiss(now time.Time, r *record, reason apiv1.Reason, message string) {
+func (g *Gate) refuseWaiting(now time.Time, r *record, reason apiv1.Reason, message string) {
 	t := r.target
 	t.waiting = slices.DeleteFunc(t.waiting, func(w *waiter) bool { return w.record == r })
 	v := Verdict{Outcome: apiv1.Outcome_OUTCOME_NOT_RUN, Reason: reason, Message: message}
-	v.RetryAfter = t.nextFree(g.places(t))
-	g.records.unstarted(now, r, v)
+	v.RetryAfter = t.nextFreeSlot(g.maxInFlight(t))
+	g.records.finishUnstarted(now, r, v)
 	g.refused.add(now, r.key)
-	g.decide(r.key, Admission{Verdict: v, Filter: "wait", Load: g.load(t)})
+	g.addDecision(r.key, Admission{Verdict: v, Filter: "wait", Load: g.load(t)})
 }
 
-func (g *Gate) decide(k Key, a Admission) {
+func (g *Gate) addDecision(k Key, a Admission) {
 	g.decisions = append(g.decisions, Decision{Key: k, Admission: a})
 }
 
-func (g *Gate) reviewAll(now time.Time) {
+func (g *Gate) reviewAllWaiting(now time.Time) {
 	for _, t := range g.targets {
-		g.review(now, t)
+		g.reviewWaiting(now, t)
 	}
 }
 
-// review looks at what waits at a target: what must not start any more is refused
+// reviewWaiting looks at what waits at a target: what must not start any more is refused
 // at once, the rest starts as far as there are slots.
 //
 // A leaving target, an agent that closes or stood still, or a configuration that
 // went stale would refuse the attempt if it came now. Held back until its slot it would
 // be refused too late to go elsewhere, or be run after all.
-func (g *Gate) review(now time.Time, t *target) {
+func (g *Gate) reviewWaiting(now time.Time, t *target) {
 	if len(t.waiting) == 0 {
 		return
 	}
 	for _, w := range slices.Clone(t.waiting) {
-		a := &admission{now: now, dispatch: w.aged(now), latestStart: w.latestStart}
-		if st := g.startable.Run(context.Background(), a); !st.Passed() {
-			g.dismiss(now, w.record, a.verdict.Reason, a.verdict.Message)
+		a := &admission{now: now, dispatch: w.dispatchAt(now), latestStart: w.latestStart}
+		if st := g.startFilters.Run(context.Background(), a); !st.Passed() {
+			g.refuseWaiting(now, w.record, a.verdict.Reason, a.verdict.Message)
 			continue
 		}
-		if t.inFlight < g.places(t) {
+		if t.inFlight < g.maxInFlight(t) {
 			t.waiting = slices.Delete(t.waiting, 0, 1) // All before it have started or are gone.
-			g.decide(w.record.key, g.start(now, w.record, w.deadline))
+			g.addDecision(w.record.key, g.startAttempt(now, w.record, w.deadline))
 		}
 	}
 }
 
-// aged is the dispatch as it would read if it came now.
-func (w *waiter) aged(now time.Time) Dispatch {
+// dispatchAt is the dispatch as it would read if it came now.
+func (w *waiter) dispatchAt(now time.Time) Dispatch {
 	d := w.dispatch
 	d.Remaining = w.deadline.Sub(now)
 	if d.ConfirmedAge >= 0 {
-		d.ConfirmedAge += now.Sub(w.record.arrived)
+		d.ConfirmedAge += now.Sub(w.record.arrivedAt)
 	}
 	return d
 }
 
-// inTime refuses an attempt that waited past its latest start.
-func (g *Gate) inTime(_ context.Context, a *admission) pipeline.Status {
+// checkLatestStart refuses an attempt that waited past its latest start.
+func (g *Gate) checkLatestStart(_ context.Context, a *admission) pipeline.Status {
 	if a.now.After(a.latestStart) {
-		return a.notRun(apiv1.Reason_REASON_SLOTS_FULL, noSlotInTime)
+		return a.notRun(apiv1.Reason_REASON_SLOTS_FULL, noSlotInTimeMessage)
 	}
 	return pipeline.Status{}
 }
--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -16,24 +16,24 @@
 )
 
 const (
-	// minBeatSpacing bounds the rate of heartbeats when much changes at once.
-	minBeatSpacing = 20 * time.Millisecond
-	// minBeatTimeout is well above the time that an entry takes between distant
+	// minHeartbeatSpacing bounds the rate of heartbeats when much changes at once.
+	minHeartbeatSpacing = 20 * time.Millisecond
+	// minHeartbeatTimeout is well above the time that an entry takes between distant
 	// availability zones, and short beside the time without news after which a target is left out.
-	minBeatTimeout = 250 * time.Millisecond
+	minHeartbeatTimeout = 250 * time.Millisecond
 )
 
-// beatState is what the heartbeat loop remembers between two heartbeats; only
+// heartbeatState is what the heartbeat loop remembers between two heartbeats; only
 // that loop uses it.
-type beatState struct {
-	// entry and revision name the announcement that an entry acknowledged; entry
+type heartbeatState struct {
+	// acknowledgedBy and revision name the announcement that an entry acknowledged; entry
 	// is -1 when none did.
-	entry    int
-	revision uint64
+	acknowledgedBy       int
+	acknowledgedRevision uint64
 	// configuration is the one in force; deltas are applied to it.
 	configuration *apiv1.Configuration
-	// whole asks for the configuration whole, after deltas that did not fit.
-	whole bool
+	// needWholeConfiguration asks for the configuration whole, after deltas that did not fit.
+	needWholeConfiguration bool
 }
 
 func entryClients(peers []settings.Peer) []apiv1.Control {
@@ -50,9 +50,9 @@
 	return clients
 }
 
-// heartbeats sends one message per interval, and one soon after each change.
-func (a *Agent) heartbeats(ctx context.Context) {
-	a.beat.entry = -1
+// heartbeatLoop sends one message per interval, and one soon after each change.
+func (a *Agent) heartbeatLoop(ctx context.Context) {
+	a.heartbeatState.acknowledgedBy = -1
 	interval := a.settings.HeartbeatInterval.Duration
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -60,17 +60,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.wakeup:
+		case <-a.heartbeatRequested:
 		case <-timer.C:
 		}
 		wait, err := a.sendHeartbeat(ctx)
 		if err == nil {
 			wait = interval
 		}
-		if !sleep(ctx, minBeatSpacing) {
+		if !sleep(ctx, minHeartbeatSpacing) {
 			return
 		}
-		timer.Reset(max(wait-minBeatSpacing, 0))
+		timer.Reset(max(wait-minHeartbeatSpacing, 0))
 	}
 }
 
@@ -96,7 +96,7 @@
 	resp, err := a.entries[entry].Heartbeat(callCtx, req)
 	if err != nil {
 		a.metrics.lostHeartbeats.Inc(1)
-		a.beat.entry = -1
+		a.heartbeatState.acknowledgedBy = -1
 		wait := a.selector.RecordFailure(a.now(), entry)
 		a.log.Warn("heartbeat not answered", zap.String("entry", a.settings.Entries[entry].Name),
 			zap.Duration("next_try", wait), zap.Error(err))
@@ -105,15 +105,15 @@
 	a.metrics.heartbeats.Inc(1)
 	answered := a.now()
 	a.selector.RecordSuccess(answered, entry, answered.Sub(sent))
-	a.beat.entry, a.beat.revision = entry, req.Revision
+	a.heartbeatState.acknowledgedBy, a.heartbeatState.acknowledgedRevision = entry, req.Revision
 	if req.Agent.GetLeaving() {
 		a.leaveOnce.Do(func() { close(a.leaveAcknowledged) })
 	}
 	if resp.ResendAgent {
-		a.beat.entry = -1
-		a.wake()
+		a.heartbeatState.acknowledgedBy = -1
+		a.requestHeartbeat()
 	}
-	a.adopt(sent, resp)
+	a.applyConfiguration(sent, resp)
 	a.followOrders(ctx, req, resp)
 	return 0, nil
 }
@@ -127,13 +127,13 @@
 		Revision:             a.gate.Revision(),
 		AgentName:            a.settings.Name,
 		AgentIncarnation:     a.incarnation,
-		ConfigurationVersion: a.gate.Version(),
-		WholeConfiguration:   a.beat.whole,
+		ConfigurationVersion: a.gate.ConfigurationVersion(),
+		WholeConfiguration:   a.heartbeatState.needWholeConfiguration,
 	}
 	if a.worker != nil {
-		req.Worker = a.workerPart(now)
+		req.Worker = a.workerHeartbeat(now)
 	}
-	if a.beat.entry != entry || a.beat.revision != req.Revision {
+	if a.heartbeatState.acknowledgedBy != entry || a.heartbeatState.acknowledgedRevision != req.Revision {
 		req.Agent = a.agentInfo(now)
 	}
 	return req
@@ -154,37 +154,37 @@
 		},
 		Targets:              a.gate.Targets(now),
 		Leaving:              a.gate.Retiring(),
-		ConfigurationVersion: a.gate.Version(),
+		ConfigurationVersion: a.gate.ConfigurationVersion(),
 	}
 }
 
-// adopt takes over configuration and its confirmation. The age in the reply counts
+// applyConfiguration takes over configuration and its confirmation. The age in the reply counts
 // from when the entry answered; counted from when the heartbeat was sent, it can only come
 // out too old, never too fresh.
-func (a *Agent) adopt(sent time.Time, resp *apiv1.HeartbeatResponse) {
-	c := a.received(resp)
-	a.changeGate(func(g *gate.Gate) {
+func (a *Agent) applyConfiguration(sent time.Time, resp *apiv1.HeartbeatResponse) {
+	c := a.receivedConfiguration(resp)
+	a.updateGate(func(g *gate.Gate) {
 		if c != nil && g.Configure(c) {
-			a.beat.configuration = c
+			a.heartbeatState.configuration = c
 			a.log.Info("configuration in force", zap.Uint64("version", c.Version))
 		}
 		if resp.ConfirmedAgeMs >= 0 {
-			g.Confirm(resp.ConfigurationVersion, sent.Add(-millis(resp.ConfirmedAgeMs)))
+			g.Confirm(resp.ConfigurationVersion, sent.Add(-millisToDuration(resp.ConfirmedAgeMs)))
 		}
 	})
 }
 
-// received returns the configuration that an answer brings, nil when none. Deltas
+// receivedConfiguration returns the configuration that an answer brings, nil when none. Deltas
 // that don't lead from the one in force to one of their digest are left, and the
 // next heartbeat asks for the whole: were they applied as far as they fit, targets
 // would run with slots that no version declares.
-func (a *Agent) received(resp *apiv1.HeartbeatResponse) *apiv1.Configuration {
+func (a *Agent) receivedConfiguration(resp *apiv1.HeartbeatResponse) *apiv1.Configuration {
 	if len(resp.Deltas) == 0 {
-		a.beat.whole = a.beat.whole && resp.Configuration == nil
+		a.heartbeatState.needWholeConfiguration = a.heartbeatState.needWholeConfiguration && resp.Configuration == nil
 		return resp.Configuration
 	}
-	c, err := configdelta.ApplyChain(a.beat.configuration, resp.Deltas)
-	a.beat.whole = err != nil
+	c, err := configdelta.ApplyChain(a.heartbeatState.configuration, resp.Deltas)
+	a.heartbeatState.needWholeConfiguration = err != nil
 	if err != nil {
 		a.log.Warn("changes of the configuration don't fit, asking for all of it", zap.Error(err))
 		return nil
@@ -192,8 +192,8 @@
 	return c
 }
 
-// workerPart is called with mu held.
-func (a *Agent) workerPart(now time.Time) *apiv1.WorkerHeartbeat {
+// workerHeartbeat is called with mu held.
+func (a *Agent) workerHeartbeat(now time.Time) *apiv1.WorkerHeartbeat {
 	hb := a.worker.heartbeat()
 	if hb != nil {
 		hb.Targets = a.gate.Targets(now)
@@ -211,5 +211,5 @@
 	a.mu.Lock()
 	a.latency.DropSent(len(req.Worker.GetLatency()))
 	a.mu.Unlock()
-	a.worker.followSoon(ctx, resp.Orders)
+	a.worker.followOrdersAsync(ctx, resp.Orders)
 }
--- a/agent/local.go
+++ b/agent/local.go
@@ -57,7 +57,7 @@
 	r.PUT("/v1/targets/:name", a.putTarget)
 	r.DELETE("/v1/targets/:name", a.deleteTarget)
 	r.GET("/v1/targets", a.getTargets)
-	r.GET("/livez", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { answer(w, http.StatusOK, "ok") })
+	r.GET("/livez", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) { writeJSON(w, http.StatusOK, "ok") })
 	r.GET("/readyz", a.getReady)
 	r.GET("/metrics", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 		_, _ = io.WriteString(w, metricstext.Format(a.metrics.registry)) // a client that left gets nothing
@@ -68,17 +68,17 @@
 func (a *Agent) putTarget(w http.ResponseWriter, req *http.Request, p httprouter.Params) {
 	ann, err := readAnnouncement(w, req, p.ByName("name"))
 	if err != nil {
-		refuse(w, http.StatusBadRequest, err.Error())
+		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	var result gate.AnnounceResult
-	a.changeGate(func(g *gate.Gate) { result = g.Announce(a.now(), ann) })
+	a.updateGate(func(g *gate.Gate) { result = g.Announce(a.now(), ann) })
 	switch result {
 	case gate.RefusedLeaving:
 		w.Header().Set("Retry-After", "1")
-		refuse(w, http.StatusConflict, "target "+ann.Name+" is leaving; announce it again once it is gone")
+		writeError(w, http.StatusConflict, "target "+ann.Name+" is leaving; announce it again once it is gone")
 	case gate.RefusedFull:
-		refuse(w, http.StatusInsufficientStorage, fmt.Sprintf("host has %d targets already", gate.MaxTargets))
+		writeError(w, http.StatusInsufficientStorage, fmt.Sprintf("host has %d targets already", gate.MaxTargets))
 	case gate.Announced:
 		a.log.Info("target announced", zap.String("target", ann.Name), zap.String("service", ann.Service),
 			zap.String("address", ann.Address))
@@ -134,9 +134,9 @@
 	name := p.ByName("name")
 	var inFlight int
 	var known bool
-	a.changeGate(func(g *gate.Gate) { inFlight, known = g.Withdraw(a.now(), name) })
+	a.updateGate(func(g *gate.Gate) { inFlight, known = g.Withdraw(a.now(), name) })
 	if !known {
-		refuse(w, http.StatusNotFound, "no target "+name)
+		writeError(w, http.StatusNotFound, "no target "+name)
 		return
 	}
 	a.log.Info("target leaving", zap.String("target", name), zap.Int("in_flight", inFlight))
@@ -144,7 +144,7 @@
 	if inFlight > 0 {
 		status = http.StatusAccepted
 	}
-	answer(w, status, struct {
+	writeJSON(w, status, struct {
 		InFlight int `json:"in_flight"`
 	}{inFlight})
 }
@@ -157,7 +157,7 @@
 	for _, t := range infos {
 		list = append(list, targetStatus{t.Name, t.Service, t.Slots, t.Connections, t.Leaving, t.Load.InFlight})
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 // getReady says whether the agent would take a dispatch: it must not be shutting down
@@ -168,19 +168,19 @@
 	a.mu.Unlock()
 	switch {
 	case retiring:
-		refuse(w, http.StatusServiceUnavailable, "shutting down")
+		writeError(w, http.StatusServiceUnavailable, "shutting down")
 	case age > a.settings.StalenessBound.Duration:
-		refuse(w, http.StatusServiceUnavailable, "configuration was not confirmed within the staleness bound")
+		writeError(w, http.StatusServiceUnavailable, "configuration was not confirmed within the staleness bound")
 	default:
-		answer(w, http.StatusOK, "ready")
+		writeJSON(w, http.StatusOK, "ready")
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, message string) {
-	answer(w, status, errorBody{Error: message})
+func writeError(w http.ResponseWriter, status int, message string) {
+	writeJSON(w, status, errorBody{Error: message})
 }
 
-func answer(w http.ResponseWriter, status int, body any) {
+func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(body)
--- a/agent/metrics.go
+++ b/agent/metrics.go
@@ -12,13 +12,13 @@
 // agentMetrics are the agent's metrics. Names end up in /metrics as they stand here.
 type agentMetrics struct {
 	registry       metrics.Registry
-	response       metrics.Timer
-	waited         metrics.Timer
+	responseTime   metrics.Timer
+	waitTime       metrics.Timer
 	outcomes       map[apiv1.Outcome]metrics.Counter
 	refusals       map[apiv1.Reason]metrics.Counter
 	heartbeats     metrics.Counter
 	lostHeartbeats metrics.Counter
-	cut            metrics.Counter
+	cutRequests    metrics.Counter
 	inFlight       metrics.Gauge
 	waiting        metrics.Gauge
 	records        metrics.Gauge
@@ -29,13 +29,13 @@
 func newAgentMetrics(r metrics.Registry) *agentMetrics {
 	m := &agentMetrics{
 		registry:       r,
-		response:       metrics.GetOrRegisterTimer("agent.dispatch.response", r),
-		waited:         metrics.GetOrRegisterTimer("agent.dispatch.waited", r),
+		responseTime:   metrics.GetOrRegisterTimer("agent.dispatch.response", r),
+		waitTime:       metrics.GetOrRegisterTimer("agent.dispatch.waited", r),
 		outcomes:       make(map[apiv1.Outcome]metrics.Counter),
 		refusals:       make(map[apiv1.Reason]metrics.Counter),
 		heartbeats:     metrics.GetOrRegisterCounter("agent.heartbeat.answered", r),
 		lostHeartbeats: metrics.GetOrRegisterCounter("agent.heartbeat.lost", r),
-		cut:            metrics.GetOrRegisterCounter("agent.shutdown.cut_requests", r),
+		cutRequests:    metrics.GetOrRegisterCounter("agent.shutdown.cut_requests", r),
 		inFlight:       metrics.GetOrRegisterGauge("agent.gate.in_flight", r),
 		waiting:        metrics.GetOrRegisterGauge("agent.gate.waiting", r),
 		records:        metrics.GetOrRegisterGauge("agent.gate.records", r),
@@ -51,15 +51,15 @@
 	return m
 }
 
-func (m *agentMetrics) refused(reason apiv1.Reason) {
+func (m *agentMetrics) recordRefusal(reason apiv1.Reason) {
 	if c := m.refusals[reason]; c != nil {
 		c.Inc(1)
 	}
 }
 
-func (m *agentMetrics) finished(v gate.Verdict, took time.Duration) {
+func (m *agentMetrics) recordOutcome(v gate.Verdict, took time.Duration) {
 	if c := m.outcomes[v.Outcome]; c != nil {
 		c.Inc(1)
 	}
-	m.response.Update(took)
+	m.responseTime.Update(took)
 }
--- a/agent/rig_test.go
+++ b/agent/rig_test.go
@@ -20,32 +20,32 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// entry stands in for an entry host: it records heartbeats and answers each.
-type entry struct {
+// fakeEntry stands in for an entry host: it records heartbeats and answers each.
+type fakeEntry struct {
 	apiv1.Control
-	dead          []settings.Peer // Entries before this one that do not answer.
+	unreachable   []settings.Peer // Entries before this one that do not answer.
 	shutdownBound time.Duration   // Of the agent, 10 s when zero.
-	delay         time.Duration   // Of each answer.
-	answer        func(*apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse
+	responseDelay time.Duration   // Of each answer.
+	respond       func(*apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse
 	mu            sync.Mutex
-	beats         []*apiv1.HeartbeatRequest
+	heartbeats    []*apiv1.HeartbeatRequest
 }
 
-func (e *entry) Heartbeat(_ context.Context, req *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
-	time.Sleep(e.delay)
+func (e *fakeEntry) Heartbeat(_ context.Context, req *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
+	time.Sleep(e.responseDelay)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.beats = append(e.beats, req)
-	if e.answer != nil {
-		return e.answer(req), nil
+	e.heartbeats = append(e.heartbeats, req)
+	if e.respond != nil {
+		return e.respond(req), nil
 	}
 	return &apiv1.HeartbeatResponse{Configuration: testConfiguration, ConfigurationVersion: 1}, nil
 }
 
-func (e *entry) heard(f func(*apiv1.HeartbeatRequest) bool) bool {
+func (e *fakeEntry) received(f func(*apiv1.HeartbeatRequest) bool) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, b := range e.beats {
+	for _, b := range e.heartbeats {
 		if f(b) {
 			return true
 		}
@@ -55,31 +55,31 @@
 
 var testConfiguration = &apiv1.Configuration{Version: 1, Services: []*apiv1.Service{{Name: "bookings", Slots: 4}}}
 
-// rig is an agent between one entry and one target.
-type rig struct {
-	t      testing.TB
-	entry  *entry
-	meters metrics.Registry
-	agent  *agent.Agent
-	client apiv1.Agent
-	stop   context.CancelFunc
-	done   chan struct{} // Closed once Run has returned err.
-	err    error
+// harness is an agent between one entry and one target.
+type harness struct {
+	t       testing.TB
+	entry   *fakeEntry
+	metrics metrics.Registry
+	agent   *agent.Agent
+	client  apiv1.Agent
+	stop    context.CancelFunc
+	done    chan struct{} // Closed once Run has returned err.
+	err     error
 }
 
-func newRig(t testing.TB, e *entry, worker worker.Worker, target http.HandlerFunc) *rig {
-	r := &rig{t: t, entry: e, meters: metrics.NewRegistry(), done: make(chan struct{})}
+func newHarness(t testing.TB, e *fakeEntry, worker worker.Worker, target http.HandlerFunc) *harness {
+	r := &harness{t: t, entry: e, metrics: metrics.NewRegistry(), done: make(chan struct{})}
 	control := httptest.NewServer(apiv1.NewControlServer(r.entry))
 	t.Cleanup(control.Close)
 	s := &settings.Agent{
 		Name: "host-1", Address: "127.0.0.1:0", LocalAddress: "127.0.0.1:0",
-		Entries:           append(e.dead, settings.Peer{Name: "entry-1", Address: addressOf(control)}),
+		Entries:           append(e.unreachable, settings.Peer{Name: "entry-1", Address: addressOf(control)}),
 		HeartbeatInterval: settings.Duration{Duration: 50 * time.Millisecond},
 		StalenessBound:    settings.Duration{Duration: 3 * time.Second},
 		ShutdownBound:     settings.Duration{Duration: cmp.Or(e.shutdownBound, 10*time.Second)},
 	}
 	var err error
-	if r.agent, err = agent.New(agent.Options{Settings: s, Worker: worker, Metrics: r.meters}); err != nil {
+	if r.agent, err = agent.New(agent.Options{Settings: s, Worker: worker, Metrics: r.metrics}); err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -95,31 +95,31 @@
 
 func addressOf(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-func (r *rig) announce(h http.Handler) {
+func (r *harness) announce(h http.Handler) {
 	s := httptest.NewServer(h)
 	r.t.Cleanup(s.Close)
 	body := fmt.Sprintf(`{"service":"bookings","address":%q,"ttl_ms":60000}`, addressOf(s))
-	if status, text := r.local("PUT", "t1", body); status != http.StatusNoContent {
+	if status, text := r.callLocal("PUT", "t1", body); status != http.StatusNoContent {
 		r.t.Fatalf("announcement refused: %d %s", status, text)
 	}
 	r.eventually("announcement reaches the entry", func() bool {
-		return r.entry.heard(func(b *apiv1.HeartbeatRequest) bool { return len(b.GetAgent().GetTargets()) > 0 })
+		return r.entry.received(func(b *apiv1.HeartbeatRequest) bool { return len(b.GetAgent().GetTargets()) > 0 })
 	})
 }
 
 // awaitSlots waits until the slots of the first configuration are in force, and
 // returns what the agent then says of its targets.
-func (r *rig) awaitSlots() (targets string) {
+func (r *harness) awaitSlots() (targets string) {
 	r.t.Helper()
 	r.eventually("the configuration's slots are in force", func() bool {
-		_, targets = r.local("GET", "", "")
+		_, targets = r.callLocal("GET", "", "")
 		return strings.Contains(targets, `"slots":4`)
 	})
 	return targets
 }
 
-// local calls the agent's local interface about one target, or all when name is empty.
-func (r *rig) local(method, name, body string) (int, string) {
+// callLocal calls the agent's local interface about one target, or all when name is empty.
+func (r *harness) callLocal(method, name, body string) (int, string) {
 	path := strings.TrimSuffix("/v1/targets/"+name, "/")
 	req, _ := http.NewRequest(method, "http://"+r.agent.LocalAddress()+path, strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
@@ -131,7 +131,7 @@
 	return resp.StatusCode, string(text)
 }
 
-func (r *rig) eventually(what string, f func() bool) {
+func (r *harness) eventually(what string, f func() bool) {
 	r.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if f() {
@@ -141,11 +141,11 @@
 	r.t.Fatal("never: " + what)
 }
 
-func (r *rig) dispatch(ctx context.Context, id, method string) (*apiv1.DispatchResponse, error) {
+func (r *harness) dispatch(ctx context.Context, id, method string) (*apiv1.DispatchResponse, error) {
 	return r.dispatchWithin(ctx, id, method, time.Minute)
 }
 
-func (r *rig) revoke(id string) *apiv1.RevokeResponse {
+func (r *harness) revoke(id string) *apiv1.RevokeResponse {
 	resp, err := r.client.Revoke(r.t.Context(), &apiv1.RevokeRequest{RequestId: id, Attempt: 1, AgentIncarnation: r.agent.Incarnation()})
 	if err != nil {
 		r.t.Error(err)
@@ -153,7 +153,7 @@
 	return resp
 }
 
-func (r *rig) dispatchWithin(ctx context.Context, id, method string, remaining time.Duration) (*apiv1.DispatchResponse, error) {
+func (r *harness) dispatchWithin(ctx context.Context, id, method string, remaining time.Duration) (*apiv1.DispatchResponse, error) {
 	return r.client.Dispatch(ctx, &apiv1.DispatchRequest{
 		RequestId: id, Attempt: 1, Service: "bookings", Target: "t1",
 		AgentIncarnation: r.agent.Incarnation(), RemainingMs: remaining.Milliseconds(), ConfigurationVersion: 1,
--- a/agent/runs/driver.go
+++ b/agent/runs/driver.go
@@ -107,7 +107,7 @@
 func (d *Driver) Announce(a Announcement) error {
 	id := a.Worker.Id
 	if !d.confirm(id) {
-		event.AnnouncementFalse.Write(d.logger, event.Worker(id))
+		event.AnnouncementUnconfirmed.Write(d.logger, event.Worker(id))
 		return nil
 	}
 	d.mu.Lock()
@@ -119,7 +119,7 @@
 	case s != nil && s.incarnation == id:
 		return s.updateAnnouncement(a)
 	default:
-		event.WorkerFound.Write(d.logger, event.Worker(id), event.Before(incarnationOf(s)))
+		event.WorkerFound.Write(d.logger, event.Worker(id), event.PreviousWorker(incarnationOf(s)))
 		d.session = d.newSession(a)
 		d.session.previousIncarnations = d.recordServed(id)
 		if s != nil {
@@ -228,7 +228,7 @@
 		now := d.opts.Now()
 		absent := now.Sub(since)
 		if absent >= logDelay {
-			event.WorkerAbsent.Write(d.logger, event.Silent(absent))
+			event.WorkerAbsent.Write(d.logger, event.UnresponsiveFor(absent))
 			logDelay *= 2
 		}
 		wait := min(logDelay-absent, d.lease.untilCheck(now))
--- a/agent/runs/driver_test.go
+++ b/agent/runs/driver_test.go
@@ -244,8 +244,8 @@
 func TestUnreadableRunIsNotRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leader{epoch: 1, orders: startOrders(1, 1)}
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &partialWorker{countingWorker: &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
 		defer runDriver(d)()
--- a/agent/runs/expiry.go
+++ b/agent/runs/expiry.go
@@ -115,7 +115,7 @@
 		err = errLeaseRenewed
 	}
 	sinceAnswer, starts := d.unconfirmedStarts(counted.LeaseWorker)
-	event.WorkersLeaseRanOut.Write(d.logger, event.Worker(counted.LeaseWorker), event.Silent(sinceAnswer), event.OrderCount(starts),
+	event.WorkerLeaseExpired.Write(d.logger, event.Worker(counted.LeaseWorker), event.UnresponsiveFor(sinceAnswer), event.OrderCount(starts),
 		event.Err(err))
 	return err
 }
--- a/agent/runs/fencedstop_test.go
+++ b/agent/runs/fencedstop_test.go
@@ -59,8 +59,8 @@
 					}
 				}
 				l := &leader{epoch: 1, orders: orders(term, 1)}
-				watch := fakes.NewRunWatch()
-				watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+				watch := fakes.NewRunChecker()
+				watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 				w := &fencingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 				d := runs.New(runs.Options{Worker: w, Leader: promptLeader{l}})
 				defer runDriver(d)()
--- a/agent/runs/harness_test.go
+++ b/agent/runs/harness_test.go
@@ -189,8 +189,8 @@
 // withDriver runs a driver with a fake worker in virtual time.
 func withDriver(t *testing.T, l *leader, f func(d *runs.Driver, w *countingWorker)) {
 	synctest.Test(t, func(t *testing.T) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
 		d := runs.New(runs.Options{Worker: w, Leader: l})
--- a/agent/runs/hostlease_test.go
+++ b/agent/runs/hostlease_test.go
@@ -23,8 +23,8 @@
 func TestLeaseExpiryIsReportedToLeaderOfPreviousRelease(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
 		other := &leader{epoch: 1, orders: startOrders(1, 1)}
@@ -59,8 +59,8 @@
 func TestHostLeaseIsCheckedAgain(t *testing.T) {
 	l := &leader{epoch: 1, orders: startOrders(1, 1)}
 	withDriver(t, l, func(_ *runs.Driver, _ *countingWorker) {
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), watch)}
 		w.Fault = w.fault
 		other := &leader{epoch: 1, orders: startOrders(1, 1)}
--- a/agent/runs/incarnation_test.go
+++ b/agent/runs/incarnation_test.go
@@ -73,7 +73,7 @@
 // time.
 func withFencingWorker(t *testing.T, l *leader, f func(*runs.Driver)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := fencesBeforeIncarnation{&countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1@2"), fakes.NewRunWatch())}}
+		w := fencesBeforeIncarnation{&countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1@2"), fakes.NewRunChecker())}}
 		d := runs.New(runs.Options{Worker: w, Leader: l})
 		defer runDriver(d)()
 		f(d)
@@ -149,8 +149,8 @@
 func TestAgentOfRunningWorkerFindsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &leader{epoch: 1, orders: &apiv1.JobsOrdersResponse{Term: term, Sequence: 1, Epoch: 1}, ordersNeedFound: true}
-		watch := fakes.NewRunWatch()
-		watch.Submitted(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
+		watch := fakes.NewRunChecker()
+		watch.AddJob(&apiv1.JobSpec{Id: "j", Steps: []*apiv1.JobStep{{Count: 2}}})
 		w := fakes.NewRunWorker(workerSpec("w1"), watch)
 		id := jobqueue.RunID{Task: firstTask, Number: 1}
 		answer, err := w.Start(t.Context(), runs.Order{Incarnation: "w1"}, runs.Start{Run: id, DeadlineMs: 1_000_000 + leaseMs})
--- a/agent/runs/lease.go
+++ b/agent/runs/lease.go
@@ -27,7 +27,7 @@
 		// A worker's clock never goes back, so a different process is answering under its name,
 		// and numbers its ends from the start again.
 		event.WorkerClockWentBack.Write(s.d.logger, event.Worker(s.incarnation), event.ClockMs(status.ClockMs),
-			event.ClockBeforeMs(before), event.Acknowledged(s.acknowledged))
+			event.PreviousClockMs(before), event.Acknowledged(s.acknowledged))
 	}
 	s.clock = clockReading{status.ClockMs, received}
 	s.status = status
--- a/agent/runs/log_test.go
+++ b/agent/runs/log_test.go
@@ -20,7 +20,7 @@
 func TestUnreachableWorkerIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunWatch())}
+		w := &countingWorker{RunWorker: fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker())}
 		w.Fault = w.fault
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
@@ -51,14 +51,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
 		w := &replaceableWorker{}
-		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunWatch()))
+		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker()))
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
 		ctx, cancel := context.WithCancel(t.Context())
 		var running sync.WaitGroup
 		running.Go(func() { d.Run(ctx) })
 		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
 		time.Sleep(3 * time.Second)
-		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunWatch()))
+		w.replace(fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker()))
 		time.Sleep(3 * time.Second)
 		if n := lines.FilterMessage("worker's clock went back").Len(); n != 1 {
 			t.Errorf("logged %d times", n)
@@ -73,7 +73,7 @@
 func TestStoppingAgentLogsNoWorkerDeparture(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		core, lines := observer.New(zapcore.InfoLevel)
-		w := fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunWatch())
+		w := fakes.NewRunWorker(workerSpec("w1"), fakes.NewRunChecker())
 		d := runs.New(runs.Options{Worker: w, Leader: &leader{epoch: 1, orders: startOrders(0, 1)}, Logger: zap.New(core)})
 		stop := runDriver(d)
 		announce(t, d, runs.Announcement{Worker: workerSpec("w1"), Sequence: 1})
--- a/agent/runs/orders.go
+++ b/agent/runs/orders.go
@@ -369,8 +369,8 @@
 			reason = "stopped before it began"
 		}
 		if _, known := s.refusals[id]; !known {
-			event.RunGivenBack.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Reason(reason),
-				event.After(requestedAt.Sub(o.stoppedAt)))
+			event.RunReturned.Write(s.d.logger, event.Task(id.Task), event.Run(id.Number), event.Reason(reason),
+				event.Delay(requestedAt.Sub(o.stoppedAt)))
 		}
 		s.refusals[id] = reason
 	}
--- a/agent/runs/report.go
+++ b/agent/runs/report.go
@@ -114,7 +114,7 @@
 		return false
 	}
 	if resp.Outcome == apiv1.JobOutcome_JOB_OUTCOME_STALE {
-		event.WorkerTakenForOther.Write(s.d.logger, event.Worker(s.incarnation))
+		event.WorkerMisidentified.Write(s.d.logger, event.Worker(s.incarnation))
 		s.resolveIncarnationOrder(ctx)
 		return false
 	}
--- a/agent/runs/session.go
+++ b/agent/runs/session.go
@@ -213,7 +213,7 @@
 	ctx, cancel := context.WithTimeout(s.alive, wait+callTimeout)
 	defer cancel()
 	status, answer, err := s.d.opts.Worker.Renew(ctx, o, r)
-	s.d.workerWatch.Note(err)
+	s.d.workerWatch.Record(err)
 	s.recordCall("renew", answer, err)
 	return status, answer, err
 }
--- a/agent/shutdown.go
+++ b/agent/shutdown.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// drainPoll is how often a closing agent looks whether everything has finished.
-	drainPoll = 10 * time.Millisecond
+	// drainPollInterval is how often a closing agent looks whether everything has finished.
+	drainPollInterval = 10 * time.Millisecond
 	// leaveTimeout is how long a closing agent still takes work while it tries to tell
 	// an entry that it leaves.
 	leaveTimeout = time.Second
-	// refuseTime is how long a closing agent goes on refusing after its last request
+	// refusalPeriod is how long a closing agent goes on refusing after its last request
 	// ended. A dispatch that finds its connection closed may have been read or not, and
 	// its outcome is unknown; one that is refused is tried elsewhere. By then the
 	// entries have heard.
-	refuseTime = time.Second
+	refusalPeriod = time.Second
 )
 
 // shutDown tells the home entry that the agent leaves, then refuses new work and
@@ -31,16 +31,16 @@
 	ctx, cancel := context.WithTimeout(ctx, a.settings.ShutdownBound.Duration)
 	defer cancel()
 	started := a.now()
-	a.changeGate((*gate.Gate).Retire)
+	a.updateGate((*gate.Gate).Retire)
 	a.log.Info("shutting down", zap.Int("in_flight", a.inFlight()))
 	a.awaitLeaveAcknowledged(ctx)
-	a.changeGate(func(g *gate.Gate) { g.Close(a.now()) })
-	for a.inFlight() > 0 && sleep(ctx, drainPoll) {
+	a.updateGate(func(g *gate.Gate) { g.Close(a.now()) })
+	for a.inFlight() > 0 && sleep(ctx, drainPollInterval) {
 	}
 	cut := a.inFlight()
-	a.metrics.cut.Inc(int64(cut))
+	a.metrics.cutRequests.Inc(int64(cut))
 	if cut == 0 {
-		sleep(ctx, refuseTime)
+		sleep(ctx, refusalPeriod)
 		_ = gateServer.Shutdown(ctx) // Waits for the last replies to be written.
 	}
 	_ = gateServer.Close()
--- a/agent/waiting.go
+++ b/agent/waiting.go
@@ -17,7 +17,7 @@
 	var decided chan gate.Admission
 	if ad.Wait {
 		decided = make(chan gate.Admission, 1)
-		a.waiting[key] = decided
+		a.pendingDecisions[key] = decided
 	}
 	a.deliverDecisions()
 	return ad, decided
@@ -28,22 +28,22 @@
 // left lying would keep its slot taken and its caller without an answer.
 func (a *Agent) deliverDecisions() {
 	for _, d := range a.gate.Decisions() {
-		decided := a.waiting[d.Key]
+		decided := a.pendingDecisions[d.Key]
 		if decided == nil {
 			panic("invariant: the gate decides once about each attempt that waits")
 		}
 		decided <- d.Admission
-		delete(a.waiting, d.Key)
+		delete(a.pendingDecisions, d.Key)
 	}
 }
 
-// await returns what the gate decided about an attempt that waits. It ends at the
+// awaitDecision returns what the gate decided about an attempt that waits. It ends at the
 // latest start, or when the entry goes away: unlike a request that runs, one that waits
 // has nothing to lose, and a resend is told that it was not run.
-func (a *Agent) await(ctx context.Context, key gate.Key, latest time.Time, decided <-chan gate.Admission) gate.Admission {
+func (a *Agent) awaitDecision(ctx context.Context, key gate.Key, latest time.Time, decided <-chan gate.Admission) gate.Admission {
 	timer := time.NewTimer(latest.Sub(a.now()))
 	defer timer.Stop()
-	end := (*gate.Gate).Lapse
+	end := (*gate.Gate).TimeOut
 	select {
 	case ad := <-decided:
 		return ad
@@ -51,6 +51,6 @@
 		end = (*gate.Gate).Cancel
 	case <-timer.C:
 	}
-	a.changeGate(func(g *gate.Gate) { end(g, a.now(), key) })
+	a.updateGate(func(g *gate.Gate) { end(g, a.now(), key) })
 	return <-decided // There is one now, or was one already.
 }
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -22,36 +22,36 @@
 	// being stopped is not renewed.
 	checkpointTimeout = 3 * time.Second
 	maxParallelStarts = 8
-	// pollsPerBeat is how often per heartbeat interval the worker is asked for ended tasks.
-	pollsPerBeat   = 4
-	minPollSpacing = 20 * time.Millisecond
-	bootIDPath     = "/proc/sys/kernel/random/boot_id"
+	// pollsPerHeartbeat is how often per heartbeat interval the worker is asked for ended tasks.
+	pollsPerHeartbeat = 4
+	minPollSpacing    = 20 * time.Millisecond
+	bootIDPath        = "/proc/sys/kernel/random/boot_id"
 )
 
 // workerDriver carries the decisions of a lease.Manager out at the platform's worker.
 type workerDriver struct {
-	a      *Agent
+	agent  *Agent
 	worker worker.Worker
 	log    *zap.Logger
 
 	mu      sync.Mutex // Guards manager, usage and observed.
 	manager *lease.Manager
 	usage   []*apiv1.UsageReport
-	// observed is when the worker last answered.
-	observed time.Duration
+	// observedAt is when the worker last answered.
+	observedAt time.Duration
 
-	following sync.Mutex // Held while orders are carried out.
-	group     *failstop.Group
+	ordersMu sync.Mutex // Held while orders are carried out.
+	group    *failstop.Group
 }
 
 func newWorkerDriver(a *Agent, w worker.Worker, log *zap.Logger) *workerDriver {
-	return &workerDriver{a: a, worker: w, log: log.Named("lease"), manager: lease.New(a.bootNow())}
+	return &workerDriver{agent: a, worker: w, log: log.Named("lease"), manager: lease.New(a.bootNow())}
 }
 
-// poll looks at the worker several times per heartbeat, so that a heartbeat never
+// pollLoop looks at the worker several times per heartbeat, so that a heartbeat never
 // waits for a worker that hangs, and wakes the heartbeat when a task has ended.
-func (d *workerDriver) poll(ctx context.Context) {
-	spacing := max(d.a.settings.HeartbeatInterval.Duration/pollsPerBeat, minPollSpacing)
+func (d *workerDriver) pollLoop(ctx context.Context) {
+	spacing := max(d.agent.settings.HeartbeatInterval.Duration/pollsPerHeartbeat, minPollSpacing)
 	for {
 		d.observe(ctx)
 		if !sleep(ctx, spacing) {
@@ -65,8 +65,8 @@
 func (d *workerDriver) observe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, workerCallTimeout)
 	defer cancel()
-	asked := d.a.bootNow()
-	o, err := d.read(ctx)
+	asked := d.agent.bootNow()
+	o, err := d.readObservation(ctx)
 	if err != nil {
 		d.log.Warn("worker does not answer", zap.Error(err))
 		return
@@ -77,13 +77,13 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.usage, d.observed = usage, asked
+	d.usage, d.observedAt = usage, asked
 	if d.manager.Observe(asked, o) {
-		d.a.wake()
+		d.agent.requestHeartbeat()
 	}
 }
 
-func (d *workerDriver) read(ctx context.Context) (o lease.Observation, err error) {
+func (d *workerDriver) readObservation(ctx context.Context) (o lease.Observation, err error) {
 	if o.Info, err = d.worker.Info(ctx); err != nil {
 		return o, errors.Wrap(err, "worker's info")
 	}
@@ -93,8 +93,8 @@
 	if o.Tasks, err = d.worker.Tasks(ctx); err != nil {
 		return o, errors.Wrap(err, "worker's tasks")
 	}
-	o.Reserved = d.a.reserved()
-	o.WallClock = uint64(d.a.now().UnixNano())
+	o.Reserved = d.agent.reserved()
+	o.WallClock = uint64(d.agent.now().UnixNano())
 	return o, nil
 }
 
@@ -121,9 +121,9 @@
 func (d *workerDriver) heartbeat() *apiv1.WorkerHeartbeat {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	now := d.a.bootNow()
-	age := now - d.observed
-	if age > max(d.a.settings.HeartbeatInterval.Duration, workerCallTimeout) {
+	now := d.agent.bootNow()
+	age := now - d.observedAt
+	if age > max(d.agent.settings.HeartbeatInterval.Duration, workerCallTimeout) {
 		return nil
 	}
 	hb := d.manager.Heartbeat(now)
@@ -136,24 +136,24 @@
 	return hb
 }
 
-// followSoon carries out orders without holding up the heartbeats: while the worker
+// followOrdersAsync carries out orders without holding up the heartbeats: while the worker
 // hangs, they still keep the host's targets announced. Orders that come while
 // earlier ones are still being carried out are skipped: the leader repeats what it
 // does not see done.
-func (d *workerDriver) followSoon(ctx context.Context, o *apiv1.WorkerOrders) {
-	if !d.following.TryLock() {
+func (d *workerDriver) followOrdersAsync(ctx context.Context, o *apiv1.WorkerOrders) {
+	if !d.ordersMu.TryLock() {
 		d.log.Warn("orders skipped, the worker is slow", zap.Uint64("sequence", o.Sequence))
 		return
 	}
 	d.group.Go("orders", func() {
-		defer d.following.Unlock()
-		d.follow(ctx, o)
+		defer d.ordersMu.Unlock()
+		d.followOrders(ctx, o)
 	})
 }
 
-func (d *workerDriver) follow(ctx context.Context, o *apiv1.WorkerOrders) {
+func (d *workerDriver) followOrders(ctx context.Context, o *apiv1.WorkerOrders) {
 	d.mu.Lock()
-	actions := d.manager.ApplyOrders(d.a.bootNow(), o)
+	actions := d.manager.ApplyOrders(d.agent.bootNow(), o)
 	d.mu.Unlock()
 	if actions.DropReason != "" {
 		d.log.Warn("orders dropped", zap.Uint64("sequence", o.Sequence), zap.String("reason", actions.DropReason))
@@ -173,7 +173,7 @@
 	d.forget(ctx, actions.Forget)
 	if len(actions.Refused)+len(actions.Start) > 0 {
 		d.observe(ctx)
-		d.a.wake()
+		d.agent.requestHeartbeat()
 	}
 }
 
--- a/agent/worker_test.go
+++ b/agent/worker_test.go
@@ -14,17 +14,17 @@
 	"github.com/cairnlift/cairnlift/worker"
 )
 
-// leader stands in for the control group: it wants one task to run, and later to stop.
-type leader struct {
-	mu      sync.Mutex
-	evict   bool
-	attempt uint64
-	seen    []*apiv1.TaskStatus // Reports on the task, in order.
-	usage   int
-	first   map[uint64]int // Tasks in the first heartbeat of each agent incarnation.
+// fakeLeader stands in for the control group: it wants one task to run, and later to stop.
+type fakeLeader struct {
+	mu              sync.Mutex
+	evict           bool
+	attempt         uint64
+	statuses        []*apiv1.TaskStatus // Reports on the task, in order.
+	usageReports    int
+	firstTaskCounts map[uint64]int // Tasks in the first heartbeat of each agent incarnation.
 }
 
-func (l *leader) answer(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
+func (l *fakeLeader) respond(req *apiv1.HeartbeatRequest) *apiv1.HeartbeatResponse {
 	resp := &apiv1.HeartbeatResponse{Configuration: testConfiguration, ConfigurationVersion: 1}
 	hb := req.Worker
 	if hb == nil {
@@ -32,15 +32,15 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if _, ok := l.first[req.AgentIncarnation]; !ok {
-		l.first[req.AgentIncarnation] = len(hb.Tasks)
+	if _, ok := l.firstTaskCounts[req.AgentIncarnation]; !ok {
+		l.firstTaskCounts[req.AgentIncarnation] = len(hb.Tasks)
 	}
-	l.usage += len(hb.Usage)
+	l.usageReports += len(hb.Usage)
 	o := &apiv1.WorkerOrders{Sequence: hb.Sequence, Renewed: true, LeaseMs: 5000}
 	resp.Orders = o
 	task := &apiv1.TaskAttempt{Task: "renewals", Attempt: l.attempt}
 	for _, st := range hb.Tasks {
-		l.seen = append(l.seen, st)
+		l.statuses = append(l.statuses, st)
 		if st.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING {
 			o.Acknowledged = append(o.Acknowledged, st.Task)
 			return resp
@@ -56,11 +56,11 @@
 	return resp
 }
 
-func (l *leader) last(phase apiv1.TaskPhase) *apiv1.TaskStatus {
+func (l *fakeLeader) lastStatus(phase apiv1.TaskPhase) *apiv1.TaskStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if n := len(l.seen); n > 0 && l.seen[n-1].Phase == phase {
-		return l.seen[n-1]
+	if n := len(l.statuses); n > 0 && l.statuses[n-1].Phase == phase {
+		return l.statuses[n-1]
 	}
 	return nil
 }
@@ -84,7 +84,7 @@
 	return worker.NewClient(l.Addr().String()), record, l.Addr().String()
 }
 
-func lose(t *testing.T, address, path string) {
+func loseReplies(t *testing.T, address, path string) {
 	body := fmt.Sprintf(`{"path":%q,"mode":"lost","times":1}`, path)
 	req, _ := http.NewRequest("PUT", "http://"+address+fakes.PathFaults, strings.NewReader(body))
 	resp, err := http.DefaultClient.Do(req)
@@ -101,12 +101,12 @@
 // its checkpoint is lost.
 // Cause: a lost reply is taken for a refusal, or a new agent starts from nothing
 // without a look at what its worker runs.
-func TestLeaseAtWorker(t *testing.T) {
+func TestLeaseSurvivesLostRepliesAndRestart(t *testing.T) {
 	t.Parallel()
 	hostWorker, record, address := newWorker(t)
-	l := &leader{attempt: 1, first: map[uint64]int{}}
-	lose(t, address, worker.PathStart)
-	r := newRig(t, &entry{answer: l.answer}, hostWorker, nil)
+	l := &fakeLeader{attempt: 1, firstTaskCounts: map[uint64]int{}}
+	loseReplies(t, address, worker.PathStart)
+	r := newHarness(t, &fakeEntry{respond: l.respond}, hostWorker, nil)
 	count := func(kind fakes.EventKind) (n int) {
 		for _, e := range record.Values() {
 			if e.Kind == kind {
@@ -116,22 +116,22 @@
 		return n
 	}
 	r.eventually("task runs and is renewed", func() bool {
-		return l.last(apiv1.TaskPhase_TASK_PHASE_RUNNING) != nil && count(fakes.EventRenew) > 5 && l.usage > 0
+		return l.lastStatus(apiv1.TaskPhase_TASK_PHASE_RUNNING) != nil && count(fakes.EventRenew) > 5 && l.usageReports > 0
 	})
 	r.stop()
 	<-r.done
-	r = newRig(t, &entry{answer: l.answer}, hostWorker, nil)
+	r = newHarness(t, &fakeEntry{respond: l.respond}, hostWorker, nil)
 	r.eventually("the next agent reports what runs", func() bool {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		return l.first[r.agent.Incarnation()] == 1
+		return l.firstTaskCounts[r.agent.Incarnation()] == 1
 	})
-	lose(t, address, worker.PathCheckpoint)
+	loseReplies(t, address, worker.PathCheckpoint)
 	l.mu.Lock()
 	l.evict = true
 	l.mu.Unlock()
-	r.eventually("eviction is reported", func() bool { return l.last(apiv1.TaskPhase_TASK_PHASE_STOPPED) != nil })
-	if st := l.last(apiv1.TaskPhase_TASK_PHASE_STOPPED); st.Checkpoint == "" {
+	r.eventually("eviction is reported", func() bool { return l.lastStatus(apiv1.TaskPhase_TASK_PHASE_STOPPED) != nil })
+	if st := l.lastStatus(apiv1.TaskPhase_TASK_PHASE_STOPPED); st.Checkpoint == "" {
 		t.Errorf("checkpoint lost: %v", st)
 	}
 	r.eventually("the acknowledged end is forgotten", func() bool {
@@ -154,16 +154,16 @@
 // Symptom: targets vanish from the entries, although only the worker's process hangs.
 // Sequence: the worker answers no call until its caller gives up.
 // Cause: heartbeats that wait for the worker. They go on, and renew nothing.
-func TestWorkerHangs(t *testing.T) {
+func TestHangingWorker(t *testing.T) {
 	t.Parallel()
-	e := &entry{}
-	r := newRig(t, e, hangingWorker{}, nil)
+	e := &fakeEntry{}
+	r := newHarness(t, e, hangingWorker{}, nil)
 	r.eventually("heartbeats go on without the worker", func() bool {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		return len(e.beats) >= 10
+		return len(e.heartbeats) >= 10
 	})
-	if e.heard(func(b *apiv1.HeartbeatRequest) bool { return b.Worker != nil }) {
+	if e.received(func(b *apiv1.HeartbeatRequest) bool { return b.Worker != nil }) {
 		t.Error("leases were renewed for a worker that nobody has heard")
 	}
 }
--- a/cli/app.go
+++ b/cli/app.go
@@ -49,20 +49,20 @@
 	a := &App{Stdout: os.Stdout, Stderr: os.Stderr}
 	a.kingpin = kingpin.New("cairnlift", "Operates cairnlift, a scheduler for latency-critical and batch work on shared hosts.")
 	a.kingpin.HelpFlag.Short('h')
-	a.kingpin.Terminate(func(code int) { panic(terminated{code}) })
+	a.kingpin.Terminate(func(code int) { panic(kingpinExit{code}) })
 	a.kingpin.Flag("address", "Admin address of an entry, IP:port; repeat it for several. Also from "+AddressVariable+".").
 		Short('a').StringsVar(&a.addresses)
 	a.kingpin.Flag("timeout", "How long to go on trying.").Default(defaultTimeout.String()).DurationVar(&a.timeout)
 	a.kingpin.Flag("operator", "Name that goes into the log of changes.").Default(defaultOperator()).StringVar(&a.operator)
 	a.addTextCommands()
 	a.addReadCommands()
-	a.addWatch()
+	a.addWatchCommand()
 	a.addChangeCommands()
-	a.addMembers()
-	a.addJobs()
-	a.addTrace()
-	a.addRecord()
-	a.addVersion()
+	a.addMemberCommands()
+	a.addJobCommands()
+	a.addTraceCommand()
+	a.addRecordCommand()
+	a.addVersionCommand()
 	return a
 }
 
@@ -97,15 +97,15 @@
 		return code
 	}
 	if a.err != nil {
-		a.complain("%s", describe(a.err))
+		a.printError("%s", describeError(a.err))
 	}
 	return exitCode(a.err)
 }
 
-// terminated is the panic that stands for an exit by kingpin, after it has
+// kingpinExit is the panic that stands for an exit by kingpin, after it has
 // answered --help or --version by itself. Without it kingpin goes on parsing: the
 // help is printed twice, and a command may run.
-type terminated struct{ code int }
+type kingpinExit struct{ code int }
 
 // parse reads the arguments and runs the command; done when there is nothing
 // more to report.
@@ -113,20 +113,20 @@
 	defer func() {
 		switch v := recover().(type) {
 		case nil:
-		case terminated:
+		case kingpinExit:
 			code, done = v.code, true
 		default:
 			panic(v)
 		}
 	}()
 	if _, err := a.kingpin.Parse(args); err != nil {
-		a.complain("%v; see cairnlift --help", err)
+		a.printError("%v; see cairnlift --help", err)
 		return ExitUsage, true
 	}
 	return ExitOK, false
 }
 
-func (a *App) complain(format string, args ...any) {
+func (a *App) printError(format string, args ...any) {
 	_, _ = fmt.Fprintf(a.Stderr, "cairnlift: "+format+"\n", args...) // nobody is left to tell
 }
 
@@ -134,8 +134,8 @@
 	_, _ = fmt.Fprintf(a.Stdout, format, args...) // as above
 }
 
-// entries are the entries' admin addresses.
-func (a *App) entries() ([]string, error) {
+// entryAddresses are the entries' admin addresses.
+func (a *App) entryAddresses() ([]string, error) {
 	addresses := a.addresses
 	if len(addresses) == 0 {
 		addresses = strings.FieldsFunc(os.Getenv(AddressVariable), func(r rune) bool { return r == ',' || r == ' ' })
@@ -148,7 +148,7 @@
 
 // client makes the client and a context that ends with the timeout.
 func (a *App) client(ctx context.Context) (*admin.Client, context.Context, context.CancelFunc, error) {
-	addresses, err := a.entries()
+	addresses, err := a.entryAddresses()
 	if err != nil {
 		return nil, nil, nil, err
 	}
--- a/cli/change.go
+++ b/cli/change.go
@@ -54,7 +54,7 @@
 	})
 }
 
-func (a *App) addMembers() {
+func (a *App) addMemberCommands() {
 	members := a.kingpin.Command("members", "Show or change the control group.")
 	a.Command(members, "list", "Show the replicas.", a.listMembers)
 	a.Command(members, "add", "Take a replica in, as a learner until it has caught up.", a.addMember)
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() { a.printMembers(got) })
+		return a.printResult(*asJSON, got, func() { a.printMembers(got) })
 	})
 }
 
--- a/cli/cli_test.go
+++ b/cli/cli_test.go
@@ -35,13 +35,13 @@
 func TestScripts(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
-		Cmds:  map[string]func(ts *testscript.TestScript, neg bool, args []string){"exits": exits},
+		Cmds:  map[string]func(ts *testscript.TestScript, neg bool, args []string){"exits": expectExitCode},
 		Setup: startEntries,
 	})
 }
 
 func startEntries(env *testscript.Env) error {
-	api := admin.Handler(&backend{machine: state.New()}, metrics.NewRegistry())
+	api := admin.Handler(&fakeBackend{machine: state.New()}, metrics.NewRegistry())
 	loses := func(_ http.ResponseWriter, r *http.Request) {
 		api.ServeHTTP(httptest.NewRecorder(), r)
 		panic(http.ErrAbortHandler)
@@ -49,7 +49,7 @@
 	for name, h := range map[string]http.Handler{
 		"ENTRY":    api,
 		"LOSES":    http.HandlerFunc(loses),
-		"NOQUORUM": admin.Handler(&backend{machine: state.New(), noQuorum: true}, metrics.NewRegistry()),
+		"NOQUORUM": admin.Handler(&fakeBackend{machine: state.New(), noQuorum: true}, metrics.NewRegistry()),
 	} {
 		s := httptest.NewServer(h)
 		env.Defer(s.Close)
@@ -63,8 +63,8 @@
 	return closed.Close()
 }
 
-// exits runs a command and checks its exit code.
-func exits(ts *testscript.TestScript, _ bool, args []string) {
+// expectExitCode runs a command and checks its exit code.
+func expectExitCode(ts *testscript.TestScript, _ bool, args []string) {
 	code := 0
 	var exit *exec.ExitError
 	if err := ts.Exec(args[1], args[2:]...); errors.As(err, &exit) {
@@ -77,7 +77,7 @@
 	}
 }
 
-type backend struct {
+type fakeBackend struct {
 	admin.Backend
 	mu       sync.Mutex
 	machine  *state.Machine
@@ -86,7 +86,7 @@
 	noQuorum bool
 }
 
-func (b *backend) Propose(_ context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (b *fakeBackend) Propose(_ context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	if b.noQuorum {
 		return nil, &control.UnavailableError{RetryAfter: time.Hour, Cause: "no leader"}
 	}
@@ -96,17 +96,17 @@
 	return b.machine.Apply(b.index, cmd), nil
 }
 
-func (b *backend) Configuration() *apiv1.Configuration {
+func (b *fakeBackend) Configuration() *apiv1.Configuration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.machine.Configuration()
 }
 
-func (b *backend) Changed() <-chan struct{} { return nil }
+func (b *fakeBackend) Changed() <-chan struct{} { return nil }
 
 // Status has a process that is behind in its first answer only, and one that is
 // long lost.
-func (b *backend) Status(context.Context, []string) (*admin.Status, error) {
+func (b *fakeBackend) Status(context.Context, []string) (*admin.Status, error) {
 	version := b.Configuration().GetVersion()
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -123,7 +123,7 @@
 	}, nil
 }
 
-func (b *backend) Explain(_ context.Context, job string) (*admin.Explanation, error) {
+func (b *fakeBackend) Explain(_ context.Context, job string) (*admin.Explanation, error) {
 	if job != "renewal" {
 		return nil, admin.Errorf(admin.CodeNotFound, "there is no job %q", job)
 	}
@@ -137,19 +137,19 @@
 	}, nil
 }
 
-func (b *backend) Drain(_ context.Context, r admin.DrainRequest) (*admin.DrainResponse, error) {
+func (b *fakeBackend) Drain(_ context.Context, r admin.DrainRequest) (*admin.DrainResponse, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.drained = !r.Undo
 	return &admin.DrainResponse{Kind: admin.KindWorker, Draining: b.drained, InFlight: 2}, nil
 }
 
-func (b *backend) Members(context.Context) (*admin.MemberList, error) {
+func (b *fakeBackend) Members(context.Context) (*admin.MemberList, error) {
 	return &admin.MemberList{Members: []admin.Member{{Name: "entry-a", Role: "leader", Address: "10.0.0.1:7400", ID: 0xab}}, Term: 3}, nil
 }
 
-func (b *backend) AddMember(context.Context, admin.Member) error { return nil }
-func (b *backend) RemoveMember(context.Context, string) error    { return nil }
-func (b *backend) Decisions(context.Context, admin.DecisionQuery) (*admin.DecisionList, error) {
+func (b *fakeBackend) AddMember(context.Context, admin.Member) error { return nil }
+func (b *fakeBackend) RemoveMember(context.Context, string) error    { return nil }
+func (b *fakeBackend) Decisions(context.Context, admin.DecisionQuery) (*admin.DecisionList, error) {
 	return &admin.DecisionList{Decisions: []admin.Decision{{Part: "route", Subject: "r-1", Attempt: 1, Chosen: "t-1", Candidates: 2, Reason: "lower load"}}}, nil
 }
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -31,18 +31,18 @@
 // Error implements error.
 func (e *usageError) Error() string { return e.message }
 
-// invalidText holds the mistakes of a file.
-type invalidText struct {
+// invalidTextError holds the mistakes of a file.
+type invalidTextError struct {
 	file     string
 	problems spec.Problems
 }
 
 // Error implements error with one line per mistake: file:line: field: message.
-func (e *invalidText) Error() string {
+func (e *invalidTextError) Error() string {
 	return fmt.Sprintf("%s is not valid; nothing was changed\n%s", e.file, e.problems.In(e.file))
 }
 
-var exitOfCode = map[admin.Code]int{
+var exitCodes = map[admin.Code]int{
 	admin.CodeBadRequest:     ExitInvalid,
 	admin.CodeTooLarge:       ExitInvalid,
 	admin.CodeInvalid:        ExitInvalid,
@@ -57,7 +57,7 @@
 // an unknown outcome also holds the error of its last attempt.
 func exitCode(err error) int {
 	var usage *usageError
-	var invalid *invalidText
+	var invalid *invalidTextError
 	var unknown *admin.UnknownOutcomeError
 	var unavailable *admin.UnavailableError
 	var api *admin.Error
@@ -73,13 +73,13 @@
 	case errors.As(err, &unavailable):
 		return ExitUnavailable
 	case errors.As(err, &api):
-		return exitOfCode[api.Code]
+		return exitCodes[api.Code]
 	}
 	return ExitFailure
 }
 
-// describe adds to an error what the operator can do about it.
-func describe(err error) string {
+// describeError adds to an error what the operator can do about it.
+func describeError(err error) string {
 	var api *admin.Error
 	switch {
 	case exitCode(err) == ExitUnknown:
--- a/cli/hosts_test.go
+++ b/cli/hosts_test.go
@@ -11,29 +11,29 @@
 	"github.com/cairnlift/cairnlift/jobapi"
 )
 
-// hostsGroup lists two hosts and takes moves to the pool batch.
-type hostsGroup struct {
+// fakeControlGroup lists two hosts and takes moves to the pool batch.
+type fakeControlGroup struct {
 	jobapi.Backend
-	asked []string
+	requestedMoves []string
 }
 
-func (g *hostsGroup) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
+func (g *fakeControlGroup) Read(context.Context, *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	return &apiv1.JobsReadResponse{Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK, Hosts: []*apiv1.HostRecord{
 		{Host: "h1", Pool: "web", Up: true, Worker: "w1", Move: &apiv1.HostMove{Pool: "web", State: apiv1.MoveState_MOVE_STATE_DONE}},
 		{Host: "h2", Pool: "reserve"},
 	}}, nil
 }
 
-func (g *hostsGroup) RequestMove(_ context.Context, r *apiv1.RequestMove) (apiv1.JobOutcome, error) {
-	g.asked = append(g.asked, r.Host+" to "+r.Pool)
+func (g *fakeControlGroup) RequestMove(_ context.Context, r *apiv1.RequestMove) (apiv1.JobOutcome, error) {
+	g.requestedMoves = append(g.requestedMoves, r.Host+" to "+r.Pool)
 	if r.Pool != "batch" {
 		return apiv1.JobOutcome_JOB_OUTCOME_NO_POOL, nil
 	}
 	return apiv1.JobOutcome_JOB_OUTCOME_OK, nil
 }
 
-func TestHostCommands(t *testing.T) {
-	g := &hostsGroup{}
+func TestHostListAndMove(t *testing.T) {
+	g := &fakeControlGroup{}
 	s := httptest.NewServer(jobapi.Handler(g))
 	defer s.Close()
 	for _, c := range []struct {
@@ -55,7 +55,7 @@
 			t.Errorf("%s: code %d, %q, %q", c.args, code, out.String(), complaint.String())
 		}
 	}
-	if got := strings.Join(g.asked, ", "); got != "h1 to batch, h1 to nosuch" {
+	if got := strings.Join(g.requestedMoves, ", "); got != "h1 to batch, h1 to nosuch" {
 		t.Errorf("asked for %s", got)
 	}
 }
--- a/cli/jobs.go
+++ b/cli/jobs.go
@@ -16,8 +16,8 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// addJobs adds the commands of queues and of the jobs that callers submit.
-func (a *App) addJobs() {
+// addJobCommands adds the commands of queues and of the jobs that callers submit.
+func (a *App) addJobCommands() {
 	queues := a.kingpin.Command("queues", "Show or change the queues that callers submit jobs to.")
 	a.Command(queues, "apply", "Submit the queues, a JSON file; the highest version is in force.", a.applyQueues)
 	a.Command(queues, "pending", "Show how many jobs of a queue wait for their first start.", a.pendingJobs)
@@ -34,9 +34,9 @@
 	a.Command(hosts, "move", "Move a host to a pool, once what runs there is elsewhere.", a.moveHost)
 }
 
-// withJobs runs f with a client until the timeout.
-func (a *App) withJobs(ctx context.Context, f func(context.Context, *jobapi.Client) error) error {
-	addresses, err := a.entries()
+// withJobClient runs f with a client until the timeout.
+func (a *App) withJobClient(ctx context.Context, f func(context.Context, *jobapi.Client) error) error {
+	addresses, err := a.entryAddresses()
 	if err != nil {
 		return err
 	}
@@ -48,23 +48,23 @@
 func (a *App) applyQueues(c *kingpin.CmdClause) Runner {
 	file := c.Arg("file", "The queues, as JSON.").Required().String()
 	return func(ctx context.Context) error {
-		return a.withFile(ctx, *file, (*jobapi.Client).PutQueues)
+		return a.submitFile(ctx, *file, (*jobapi.Client).PutQueues)
 	}
 }
 
 func (a *App) submitJob(c *kingpin.CmdClause) Runner {
 	file := c.Arg("file", "The job, as JSON.").Required().String()
 	return func(ctx context.Context) error {
-		return a.withFile(ctx, *file, (*jobapi.Client).Submit)
+		return a.submitFile(ctx, *file, (*jobapi.Client).Submit)
 	}
 }
 
-func (a *App) withFile(ctx context.Context, file string, f func(*jobapi.Client, context.Context, []byte) error) error {
+func (a *App) submitFile(ctx context.Context, file string, f func(*jobapi.Client, context.Context, []byte) error) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return errors.Wrap(err, "file")
 	}
-	return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+	return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 		if err := f(c, ctx, text); err != nil {
 			return err
 		}
@@ -73,15 +73,15 @@
 	})
 }
 
-// placeOf declares the arguments that name a job or a queue.
-func placeOf(c *kingpin.CmdClause) (host, path *string) {
+// hostAndPathArgs declares the arguments that name a job or a queue.
+func hostAndPathArgs(c *kingpin.CmdClause) (host, path *string) {
 	return c.Arg("host", "The queue's host.").Required().String(), c.Arg("path", "The path, with the job's id.").Required().String()
 }
 
 func (a *App) jobState(c *kingpin.CmdClause) Runner {
-	host, path := placeOf(c)
+	host, path := hostAndPathArgs(c)
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			s, err := c.Read(ctx, *host, *path)
 			if err == nil {
 				a.printf("%s\n", s.State)
@@ -92,9 +92,9 @@
 }
 
 func (a *App) pendingJobs(c *kingpin.CmdClause) Runner {
-	host, path := placeOf(c)
+	host, path := hostAndPathArgs(c)
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			s, err := c.Read(ctx, *host, *path)
 			if err != nil {
 				return err
@@ -109,9 +109,9 @@
 }
 
 func (a *App) cancelJob(c *kingpin.CmdClause) Runner {
-	host, path := placeOf(c)
+	host, path := hostAndPathArgs(c)
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			if err := c.Cancel(ctx, *host, *path); err != nil {
 				return err
 			}
@@ -124,22 +124,22 @@
 func (a *App) explainJob(c *kingpin.CmdClause) Runner {
 	id := c.Arg("id", "The job's id.").Required().String()
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			e, err := c.Explain(ctx, *id)
 			if err == nil {
-				a.printJob(e)
+				a.printJobExplanation(e)
 			}
 			return err
 		})
 	}
 }
 
-// printJob prints a line for each step, each run and each wait.
-func (a *App) printJob(e *apiv1.JobExplanation) {
+// printJobExplanation prints a line for each step, each run and each wait.
+func (a *App) printJobExplanation(e *apiv1.JobExplanation) {
 	a.printf("%s%s\n", strings.ToLower(strings.TrimPrefix(e.Job.GetState().String(), "JOB_STATE_")), failureText(e.Job))
 	for k, o := range e.Job.GetOccurrences() {
 		for i, s := range o.Steps {
-			a.printStep(k, i, s)
+			a.printJobStep(k, i, s)
 		}
 	}
 	for _, w := range e.Waits {
@@ -159,7 +159,7 @@
 	return ""
 }
 
-func (a *App) printStep(occurrence, number int, s *apiv1.JobStepRecord) {
+func (a *App) printJobStep(occurrence, number int, s *apiv1.JobStepRecord) {
 	done, failed := 0, uint32(0)
 	for _, t := range s.Tasks {
 		if t.Done {
@@ -188,55 +188,55 @@
 func (a *App) startWave(c *kingpin.CmdClause) Runner {
 	file := c.Arg("file", "The wave, as JSON.").Required().String()
 	return func(ctx context.Context) error {
-		return a.withFile(ctx, *file, (*jobapi.Client).PutWave)
+		return a.submitFile(ctx, *file, (*jobapi.Client).PutWave)
 	}
 }
 
 func (a *App) waveState(c *kingpin.CmdClause) Runner {
 	number := c.Arg("number", "The wave's number.").Required().Uint64()
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			w, err := c.Wave(ctx, *number)
 			if err != nil {
 				return err
 			}
 			for _, h := range w.Hosts {
-				a.printf("%s\t%s\n", h.Host, maintenanceName(h.State))
+				a.printf("%s\t%s\n", h.Host, maintenanceStateText(h.State))
 			}
 			return nil
 		})
 	}
 }
 
-// maintenanceName is a state's name for operators.
-func maintenanceName(s apiv1.MaintenanceState) string {
+// maintenanceStateText is a state's name for operators.
+func maintenanceStateText(s apiv1.MaintenanceState) string {
 	return strings.ToLower(strings.TrimPrefix(s.String(), "MAINTENANCE_STATE_"))
 }
 
 func (a *App) listHosts(*kingpin.CmdClause) Runner {
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			hosts, err := c.Hosts(ctx)
 			if err != nil {
 				return err
 			}
 			for _, h := range hosts {
-				a.printf("%s\t%s\t%s\t%s\t%s\n", h.Host, h.Pool, upName(h.Up), cmp.Or(h.Worker, "-"), moveName(h.Move))
+				a.printf("%s\t%s\t%s\t%s\t%s\n", h.Host, h.Pool, hostStateText(h.Up), cmp.Or(h.Worker, "-"), moveText(h.Move))
 			}
 			return nil
 		})
 	}
 }
 
-func upName(up bool) string {
+func hostStateText(up bool) string {
 	if up {
 		return "up"
 	}
 	return "away"
 }
 
-// moveName is a move's state for operators.
-func moveName(m *apiv1.HostMove) string {
+// moveText is a move's state for operators.
+func moveText(m *apiv1.HostMove) string {
 	if m == nil {
 		return "-"
 	}
@@ -247,7 +247,7 @@
 	host := c.Arg("host", "The host, as the platform names it.").Required().String()
 	pool := c.Arg("pool", "The pool of workers that it is to join.").Required().String()
 	return func(ctx context.Context) error {
-		return a.withJobs(ctx, func(ctx context.Context, c *jobapi.Client) error {
+		return a.withJobClient(ctx, func(ctx context.Context, c *jobapi.Client) error {
 			if err := c.MoveHost(ctx, *host, *pool); err != nil {
 				return err
 			}
--- a/cli/read.go
+++ b/cli/read.go
@@ -16,8 +16,8 @@
 	return c.Flag("json", "Print JSON, as the API gives it.").Bool()
 }
 
-// show prints a value as JSON or as text.
-func (a *App) show(asJSON bool, value any, text func()) error {
+// printResult prints a value as JSON or as text.
+func (a *App) printResult(asJSON bool, value any, text func()) error {
 	if !asJSON {
 		text()
 		return nil
@@ -41,7 +41,7 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() { a.printf("%s", got.Text) })
+		return a.printResult(*asJSON, got, func() { a.printf("%s", got.Text) })
 	})
 }
 
@@ -54,7 +54,7 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() { a.printStatus(got) })
+		return a.printResult(*asJSON, got, func() { a.printStatus(got) })
 	})
 }
 
@@ -66,7 +66,7 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() { a.printExplanation(got) })
+		return a.printResult(*asJSON, got, func() { a.printExplanation(got) })
 	})
 }
 
@@ -82,11 +82,11 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() { a.printDecisions(got.Decisions) })
+		return a.printResult(*asJSON, got, func() { a.printDecisions(got.Decisions) })
 	})
 }
 
-func (a *App) addWatch() {
+func (a *App) addWatchCommand() {
 	a.Command(a.Root(), "watch", "Print each new configuration version until interrupted.", a.watch)
 }
 
@@ -110,7 +110,7 @@
 			}
 			n++
 			seen = got.Version
-			if err := a.show(*asJSON, got, func() { a.printf("version %d, digest %s\n", got.Version, got.Digest) }); err != nil {
+			if err := a.printResult(*asJSON, got, func() { a.printf("version %d, digest %s\n", got.Version, got.Digest) }); err != nil {
 				return err
 			}
 		}
@@ -130,7 +130,7 @@
 	return client.Watch(ctx, after, wait)
 }
 
-func (a *App) addVersion() {
+func (a *App) addVersionCommand() {
 	a.Command(a.Root(), "version", "Print the program's version.", func(*kingpin.CmdClause) Runner {
 		return func(context.Context) error {
 			a.printf("cairnlift %s\n", buildVersion())
