--- a/cli/record.go
+++ b/cli/record.go
@@ -12,8 +12,8 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// addRecord adds the command that sums logs up; it needs no entry.
-func (a *App) addRecord() {
+// addRecordCommand adds the command that sums logs up; it needs no entry.
+func (a *App) addRecordCommand() {
 	a.Command(a.Root(), "record", "Sum up what logs say of lost time, by queue, zone, second and cause.", a.record)
 }
 
@@ -29,7 +29,7 @@
 		if err != nil {
 			return err
 		}
-		r := record.Of(trace.Order(lines).Lines, record.Options{Window: *window})
+		r := record.Summarize(trace.Order(lines).Lines, record.Options{Window: *window})
 		a.printRecord(r)
 		if *picture == "" {
 			return nil
@@ -39,7 +39,7 @@
 }
 
 func (a *App) printRecord(r *record.Record) {
-	a.printf("%s of lines; without a leader %s\n", seconds(r.Last.Sub(r.First)), seconds(r.LeaderAway))
+	a.printf("%s of lines; without a leader %s\n", secondsText(r.Last.Sub(r.First)), secondsText(r.LeaderlessTime))
 	a.printQueues(r)
 	a.printLongRunning(r)
 	a.printIntervals(r)
@@ -53,10 +53,10 @@
 		for _, o := range record.Outcomes() {
 			cells = append(cells, q.Outcomes[o])
 		}
-		cells = append(cells, q.Canceled, q.Refused, costsText(q.Late))
-		rows = append(rows, row(cells...))
+		cells = append(cells, q.Canceled, q.Refused, costsText(q.LateBreakdown))
+		rows = append(rows, joinCells(cells...))
 	}
-	a.printTable(row("QUEUE", "ZONE", "IN TIME", "LATE", "TOO LATE", "FAILED", "OPEN", "CANCELED", "REFUSED", "SECONDS OF THE LATE ONES, BY CAUSE"), rows)
+	a.printTable(joinCells("QUEUE", "ZONE", "IN TIME", "LATE", "TOO LATE", "FAILED", "OPEN", "CANCELED", "REFUSED", "SECONDS OF THE LATE ONES, BY CAUSE"), rows)
 }
 
 // printLongRunning prints what long-running jobs lost.
@@ -65,27 +65,27 @@
 	for _, l := range r.LongRunning {
 		var lost []string
 		for _, c := range record.Causes() {
-			if l.LostBy[c] > 0 {
-				lost = append(lost, fmt.Sprintf("%v %d", c, l.LostBy[c]))
+			if l.LostWindows[c] > 0 {
+				lost = append(lost, fmt.Sprintf("%v %d", c, l.LostWindows[c]))
 			}
 		}
-		rows = append(rows, row(l.Path, orDash(l.Zone), l.Windows, orDash(strings.Join(lost, ", ")), costsText(l.Costs)))
+		rows = append(rows, joinCells(l.Path, orDash(l.Zone), l.Windows, orDash(strings.Join(lost, ", ")), costsText(l.Breakdown)))
 	}
-	a.printTable(row("LONG-RUNNING", "ZONE", "WINDOWS", "HALF OR MORE LOST", "SECONDS OF ITS TASKS, BY CAUSE"), rows)
+	a.printTable(joinCells("LONG-RUNNING", "ZONE", "WINDOWS", "HALF OR MORE LOST", "SECONDS OF ITS TASKS, BY CAUSE"), rows)
 }
 
 // printIntervals prints the intervals in which something happened.
 func (a *App) printIntervals(r *record.Record) {
 	var rows []string
 	for _, i := range r.Intervals {
-		late := i.Ended[record.Late] + i.Ended[record.TooLate]
-		rows = append(rows, row(seconds(i.From.Sub(r.First)), i.HandedIn, i.Ended[record.InTime], late, i.Ended[record.FailedJob],
+		late := i.Finished[record.Late] + i.Finished[record.TooLate]
+		rows = append(rows, joinCells(secondsText(i.From.Sub(r.First)), i.Submitted, i.Finished[record.InTime], late, i.Finished[record.FailedJob],
 			countsText(i.LostWindows[:]), countsText(i.Events[:])))
 	}
-	a.printTable(row("AT", "HANDED IN", "IN TIME", "LATE", "FAILED", "WINDOWS LOST", "SIGNS OF TROUBLE"), rows)
+	a.printTable(joinCells("AT", "HANDED IN", "IN TIME", "LATE", "FAILED", "WINDOWS LOST", "SIGNS OF TROUBLE"), rows)
 }
 
-func costsText(costs record.Costs) string {
+func costsText(costs record.Breakdown) string {
 	var parts []string
 	for _, c := range record.Causes() {
 		if costs[c] >= time.Second/10 {
@@ -105,4 +105,4 @@
 	return orDash(strings.Join(parts, ", "))
 }
 
-func seconds(d time.Duration) string { return fmt.Sprintf("%.1fs", d.Seconds()) }
+func secondsText(d time.Duration) string { return fmt.Sprintf("%.1fs", d.Seconds()) }
--- a/cli/text.go
+++ b/cli/text.go
@@ -16,11 +16,11 @@
 )
 
 const (
-	// waitInterval is the time between looks at the versions in force.
-	waitInterval = 200 * time.Millisecond
-	// lostAfter is when apply --wait stops waiting for a process that is not
+	// statusPollInterval is the time between looks at the versions in force.
+	statusPollInterval = 200 * time.Millisecond
+	// unresponsiveAfter is when apply --wait stops waiting for a process that is not
 	// heard of: by then it has gone past its staleness bound and serves nothing.
-	lostAfter = 5 * time.Second
+	unresponsiveAfter = 5 * time.Second
 )
 
 func (a *App) addTextCommands() {
@@ -46,7 +46,7 @@
 		return "", errors.Wrap(err, "the text can't be read")
 	}
 	if _, problems := spec.Parse(text); len(problems) > 0 {
-		return "", &invalidText{file: file, problems: problems}
+		return "", &invalidTextError{file: file, problems: problems}
 	}
 	return string(text), nil
 }
@@ -75,7 +75,7 @@
 		if err != nil {
 			return err
 		}
-		return a.show(*asJSON, got, func() {
+		return a.printResult(*asJSON, got, func() {
 			for _, change := range got.Changes {
 				a.printf("%s\n", change)
 			}
@@ -128,7 +128,7 @@
 		a.printf("version %d is accepted\n", got.Version)
 	}
 	if *f.wait {
-		return a.waitInForce(ctx, client, got.Version)
+		return a.waitUntilInForce(ctx, client, got.Version)
 	}
 	return nil
 }
@@ -144,15 +144,15 @@
 	return c.Version, nil
 }
 
-// waitInForce waits until every process that is heard of has the version.
-func (a *App) waitInForce(ctx context.Context, client *admin.Client, version uint64) error {
+// waitUntilInForce waits until every process that is heard of has the version.
+func (a *App) waitUntilInForce(ctx context.Context, client *admin.Client, version uint64) error {
 	for {
 		s, err := client.Status(ctx, admin.SectionProcesses)
 		if err != nil {
 			// Not wrapped: err alone would tell a script that nothing was done.
 			return errors.Newf("version %d is accepted, but the processes' versions can't be read: %v", version, err)
 		}
-		behind := processesBehind(s.Processes, version)
+		behind := outdatedProcesses(s.Processes, version)
 		if len(behind) == 0 {
 			a.printProcesses(s.Processes)
 			a.printf("version %d is in force\n", version)
@@ -162,15 +162,15 @@
 		case <-ctx.Done():
 			a.printProcesses(s.Processes)
 			return errors.Newf("version %d is accepted, but not yet in force at %s", version, strings.Join(behind, ", "))
-		case <-time.After(waitInterval):
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
 
-func processesBehind(processes []admin.Process, version uint64) []string {
+func outdatedProcesses(processes []admin.Process, version uint64) []string {
 	var names []string
 	for _, p := range processes {
-		lost := p.LastHeardMs > lostAfter.Milliseconds()
+		lost := p.LastHeardMs > unresponsiveAfter.Milliseconds()
 		if p.ConfigurationVersion < version && !lost {
 			names = append(names, p.Name)
 		}
--- a/cli/trace.go
+++ b/cli/trace.go
@@ -16,8 +16,8 @@
 	"github.com/cairnlift/cairnlift/trace"
 )
 
-// addTrace adds the command that reads logs; it needs no entry.
-func (a *App) addTrace() {
+// addTraceCommand adds the command that reads logs; it needs no entry.
+func (a *App) addTraceCommand() {
 	a.Command(a.Root(), "trace", "Print what logs say of a job or request as one timeline.", a.trace)
 }
 
@@ -70,11 +70,11 @@
 	began := t.Lines[0].At
 	a.printf("# seconds since %s\n", began.Format("2006-01-02T15:04:05.000Z07:00"))
 	for _, l := range t.Lines {
-		a.printf("%9.3f  %-28s %-10s %s%s\n", l.At.Sub(began).Seconds(), l.Process, l.Part, l.Event, fieldsOf(l))
+		a.printf("%9.3f  %-28s %-10s %s%s\n", l.At.Sub(began).Seconds(), l.Process, l.Part, l.Event, fieldsText(l))
 	}
 }
 
-func fieldsOf(l trace.Line) string {
+func fieldsText(l trace.Line) string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(l.Fields)) {
 		fmt.Fprintf(&b, "  %s=%v", name, l.Fields[name])
--- a/cmd/cairnlift-soak/main.go
+++ b/cmd/cairnlift-soak/main.go
@@ -19,11 +19,11 @@
 	"github.com/cairnlift/cairnlift/soak"
 )
 
-// programWord stands before the words of cairnlift-platform.
-const programWord = "program"
+// programArgument stands before the words of cairnlift-platform.
+const programArgument = "program"
 
 func main() {
-	if len(os.Args) > 1 && os.Args[1] == programWord {
+	if len(os.Args) > 1 && os.Args[1] == programArgument {
 		os.Exit(platform.Main(os.Args[2:]))
 	}
 	app := kingpin.New("cairnlift-soak", "Plays real processes under faults.")
@@ -58,7 +58,7 @@
 	case worker.FullCommand():
 		err = runWorker(ctx, *settings)
 	case judge.FullCommand():
-		err = judgePlays(*played)
+		err = checkFolders(*played)
 	default:
 		o := soak.Options{Folder: *folder, Workers: *workers, Controls: *controls, Disks: *disks}
 		if *program != "" {
@@ -66,7 +66,7 @@
 		}
 		p := soak.Profile{Agents: *agents, Fronts: *fronts, Links: *links, Outages: *outages, Configurations: *configurations, Callers: *callers, Failing: *failing, Sick: *sick, Uneven: *uneven, BatchShare: *batch}
 		if p.Plan, err = readPlan(*plan); err == nil {
-			err = playSeeds(ctx, o, p, *first, *seeds)
+			err = runSeeds(ctx, o, p, *first, *seeds)
 		}
 	}
 	if err != nil {
@@ -91,17 +91,17 @@
 	return string(text), errors.Wrap(err, "plan")
 }
 
-// addressNumbers is how many values a number of an address has for networks.
-const addressNumbers = 250
+// networkNumbers is how many values a number of an address has for networks.
+const networkNumbers = 250
 
-func playSeeds(ctx context.Context, o soak.Options, p soak.Profile, first, seeds uint64) error {
+func runSeeds(ctx context.Context, o soak.Options, p soak.Profile, first, seeds uint64) error {
 	self, err := os.Executable()
 	if err != nil {
 		return errors.Wrap(err, "own path")
 	}
 	o.Worker = []string{self, "worker"}
 	if o.Program == nil {
-		o.Program = []string{self, programWord}
+		o.Program = []string{self, programArgument}
 	}
 	under, disks, findings := o.Folder, o.Disks, []error{}
 	for seed := first; seed < first+seeds && ctx.Err() == nil; seed++ {
@@ -109,29 +109,29 @@
 		if disks != "" {
 			o.Disks = filepath.Join(disks, fmt.Sprintf("seed-%d-%d", seed, os.Getpid()))
 		}
-		o.Network = fmt.Sprintf("%d.%d", 1+os.Getpid()%addressNumbers, 1+seed%addressNumbers)
-		if err := soak.PlayLives(ctx, o, p, seed); err != nil {
+		o.Network = fmt.Sprintf("%d.%d", 1+os.Getpid()%networkNumbers, 1+seed%networkNumbers)
+		if err := soak.Run(ctx, o, p, seed); err != nil {
 			return err
 		}
-		if err := judgePlay(o.Folder); err != nil {
+		if err := checkFolder(o.Folder); err != nil {
 			findings = append(findings, err)
 		}
 	}
 	return errors.Join(findings...)
 }
 
-func judgePlays(folders []string) error {
+func checkFolders(folders []string) error {
 	var findings []error
 	for _, folder := range folders {
-		if err := judgePlay(folder); err != nil {
+		if err := checkFolder(folder); err != nil {
 			findings = append(findings, err)
 		}
 	}
 	return errors.Join(findings...)
 }
 
-func judgePlay(folder string) error {
-	found, err := soak.Judge(folder, os.Stdout)
+func checkFolder(folder string) error {
+	found, err := soak.Check(folder, os.Stdout)
 	if err == nil && found > 0 {
 		err = errors.Newf("%d findings in %s", found, folder)
 	}
--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -17,8 +17,8 @@
 
 const benchTasksPerWorker = 8
 
-// fullBench is a coordinator whose workers each run benchTasksPerWorker tasks.
-func fullBench(workers int) (*coordinator, *state.Machine, []*apiv1.WorkerHeartbeat, time.Time) {
+// newLoadedCoordinator is a coordinator whose workers each run benchTasksPerWorker tasks.
+func newLoadedCoordinator(workers int) (*coordinator, *state.Machine, []*apiv1.WorkerHeartbeat, time.Time) {
 	now := time.UnixMilli(1e12)
 	m := state.New()
 	c := newCoordinator(1, newLeases(time.Minute, 1000, now), &firstFit{}, map[string]throttle{})
@@ -57,7 +57,7 @@
 // planning, against the number of workers.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{11, 110, 1100, 3700} {
-		c, m, beats, now := fullBench(n)
+		c, m, beats, now := newLoadedCoordinator(n)
 		b.Run(fmt.Sprintf("heartbeat/workers=%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			sent, answered := 0, 0
@@ -74,7 +74,7 @@
 		})
 		b.Run(fmt.Sprintf("due/workers=%d", n), func(b *testing.B) {
 			for range b.N {
-				c.due(now, m)
+				c.dueCommands(now, m)
 			}
 		})
 		b.Run(fmt.Sprintf("snapshot/workers=%d", n), func(b *testing.B) {
@@ -97,9 +97,9 @@
 		_, err := entry.Propose(context.Background(), &apiv1.Command{Body: &apiv1.Command_Claim{Claim: c}})
 		return err
 	}
-	until(b, "a leader", func() bool { return claim() == nil })
+	waitUntil(b, "a leader", func() bool { return claim() == nil })
 	for _, h := range hosts {
-		until(b, "a confirmed configuration", func() bool { return !h.ConfirmedAt().IsZero() })
+		waitUntil(b, "a confirmed configuration", func() bool { return !h.ConfirmedAt().IsZero() })
 	}
 	for _, inFlight := range []int{1, 16, 128} {
 		b.Run(fmt.Sprintf("in-flight=%d", inFlight), func(b *testing.B) {
--- a/control/clock.go
+++ b/control/clock.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// takeOverLeap is how far a new leader may move the log's time at once.
-	takeOverLeap = time.Minute
-	// catchUpRate is how much faster than its own monotonic clock a leader may move
+	// maxTakeOverJump is how far a new leader may move the log's time at once.
+	maxTakeOverJump = time.Minute
+	// maxCatchUpRate is how much faster than its own monotonic clock a leader may move
 	// the log's time.
-	catchUpRate = 2
+	maxCatchUpRate = 2
 )
 
 // logClock stamps a leader's commands. What goes wrong without it: a host whose
 // wall clock was set far ahead comes to lead, the log's time leaps with its first
 // command and never returns, every claim is past its two windows at once, and a
 // resend under a forgotten key runs again. The log's time therefore follows the
-// wall clock no faster than catchUpRate, counted on the monotonic clock. After a
+// wall clock no faster than maxCatchUpRate, counted on the monotonic clock. After a
 // long stop of the whole group it lags behind for as long again, which only makes
 // claims live longer.
 //
@@ -28,9 +28,9 @@
 type logClock struct {
 	mu   sync.Mutex
 	term uint64
-	// base is the log's time in Unix milliseconds at the monotonic reading began.
-	base  int64
-	began time.Duration
+	// baseMs is the log's time in Unix milliseconds at the monotonic reading began.
+	baseMs      int64
+	baseReading time.Duration
 }
 
 // stamp returns the time for a command of a term, in Unix milliseconds, from the
@@ -42,9 +42,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.term != term {
-		c.term, c.base, c.began = term, logTime, monotonic
+		c.term, c.baseMs, c.baseReading = term, logTime, monotonic
 	}
-	limit := c.base + (takeOverLeap + catchUpRate*(monotonic-c.began)).Milliseconds()
-	least := c.base + (monotonic - c.began).Milliseconds()
+	limit := c.baseMs + (maxTakeOverJump + maxCatchUpRate*(monotonic-c.baseReading)).Milliseconds()
+	least := c.baseMs + (monotonic - c.baseReading).Milliseconds()
 	return max(min(wall, limit), least)
 }
--- a/control/controltest/log.go
+++ b/control/controltest/log.go
@@ -68,8 +68,8 @@
 // LeaderAddress returns no address: there is no other replica.
 func (l *Log) LeaderAddress() string { return "" }
 
-// Lose ends the leadership; after a while another term begins.
-func (l *Log) Lose(without time.Duration) {
+// LoseLeadership ends the leadership; after a while another term begins.
+func (l *Log) LoseLeadership(without time.Duration) {
 	l.mu.Lock()
 	l.leading = false
 	l.mu.Unlock()
@@ -81,10 +81,10 @@
 }
 
 const (
-	// proposeTries and proposePause bound the time without a leader that Propose bears: longer
+	// proposeTries and proposeInterval bound the time without a leader that Propose bears: longer
 	// than any simulation goes without one.
-	proposeTries = 10_000
-	proposePause = 10 * time.Millisecond
+	proposeTries    = 10_000
+	proposeInterval = 10 * time.Millisecond
 )
 
 // Propose commits a command about submitted jobs, whoever leads by then. One that is not
@@ -101,7 +101,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(proposePause):
+		case <-time.After(proposeInterval):
 		}
 	}
 	t.Fatal("nobody ever leads")
--- a/control/coordinator.go
+++ b/control/coordinator.go
@@ -29,7 +29,7 @@
 	term    uint64
 	leases  *leases
 	planner Planner
-	reports map[string]*report
+	reports map[string]*workerReport
 	// throttles holds the shares in force, by task.
 	throttles map[string]throttle
 	cache     map[string]cachedWorker
@@ -37,20 +37,20 @@
 	served map[string]bool
 }
 
-// report is what a worker said last in this term.
-type report struct {
+// workerReport is what a worker said last in this term.
+type workerReport struct {
 	incarnation uint64
 	sequence    uint64
 	info        *apiv1.WorkerInfo
-	at          time.Time
+	handledAt   time.Time
 	tasks       map[string]*taskReport
 	services    []string
 	reserved    state.Resources
-	// earlier holds checkpoints that an earlier incarnation reported, until the
+	// previousCheckpoints holds checkpoints that an earlier incarnation reported, until the
 	// present one is registered.
-	earlier []*apiv1.TaskCheckpoint
-	// answered: orders went out, so that throttles of an earlier leader are lifted.
-	answered bool
+	previousCheckpoints []*apiv1.TaskCheckpoint
+	// ordersSent: orders went out, so that throttles of an earlier leader are lifted.
+	ordersSent bool
 }
 
 type taskReport struct {
@@ -70,7 +70,7 @@
 		term:      term,
 		leases:    l,
 		planner:   p,
-		reports:   map[string]*report{},
+		reports:   map[string]*workerReport{},
 		throttles: throttles,
 		cache:     map[string]cachedWorker{},
 	}
@@ -83,43 +83,43 @@
 	if last != nil && outdated(last, hb) {
 		return nil, nil
 	}
-	r := newReport(now, last, hb, m)
+	r := newWorkerReport(now, last, hb, m)
 	c.reports[hb.Worker] = r
 	w, known := m.Worker(hb.Worker)
 	if known && hb.Incarnation < w.Incarnation {
 		return nil, nil
 	}
 	c.planner.Observe(now, hb)
-	return c.registration(hb, r, w, known), ends(hb, m)
+	return c.registration(hb, r, w, known), recordEndsCommand(hb, m)
 }
 
 // outdated reports whether a later heartbeat of the worker was handled before:
 // the network delivered this one late or twice, and nobody waits for its answer.
-func outdated(last *report, hb *apiv1.WorkerHeartbeat) bool {
+func outdated(last *workerReport, hb *apiv1.WorkerHeartbeat) bool {
 	if last.incarnation != hb.Incarnation {
 		return hb.Incarnation < last.incarnation
 	}
 	return hb.Sequence < last.sequence
 }
 
-func newReport(now time.Time, last *report, hb *apiv1.WorkerHeartbeat, m *state.Machine) *report {
-	r := &report{
+func newWorkerReport(now time.Time, last *workerReport, hb *apiv1.WorkerHeartbeat, m *state.Machine) *workerReport {
+	r := &workerReport{
 		incarnation: hb.Incarnation,
 		sequence:    hb.Sequence,
 		info:        hb.Info,
-		at:          now,
+		handledAt:   now,
 		tasks:       make(map[string]*taskReport, len(hb.Tasks)),
 	}
 	same := last != nil && last.incarnation == hb.Incarnation
 	switch {
 	case same:
-		r.answered = last.answered
-		r.earlier = last.earlier
+		r.ordersSent = last.ordersSent
+		r.previousCheckpoints = last.previousCheckpoints
 		if r.info == nil {
 			r.info = last.info
 		}
 	case last != nil:
-		r.earlier = last.checkpoints()
+		r.previousCheckpoints = last.checkpoints()
 	}
 	for _, st := range hb.Tasks {
 		t := &taskReport{status: st}
@@ -131,7 +131,7 @@
 		}
 		r.tasks[st.Task.GetTask()] = t
 	}
-	r.takeTargets(hb.Targets, m)
+	r.addTargets(hb.Targets, m)
 	return r
 }
 
@@ -141,8 +141,8 @@
 	}
 }
 
-// takeTargets sums up what the worker's targets take, by the declared sizes.
-func (r *report) takeTargets(targets []*apiv1.TargetInfo, m *state.Machine) {
+// addTargets sums up what the worker's targets take, by the declared sizes.
+func (r *workerReport) addTargets(targets []*apiv1.TargetInfo, m *state.Machine) {
 	for _, t := range targets {
 		if !slices.Contains(r.services, t.Service) {
 			r.services = append(r.services, t.Service)
@@ -156,7 +156,7 @@
 
 // registration is needed at the first contact with an incarnation and when what
 // the worker has, or what its targets take, has changed.
-func (c *coordinator) registration(hb *apiv1.WorkerHeartbeat, r *report, w state.Worker, known bool) *apiv1.Command {
+func (c *coordinator) registration(hb *apiv1.WorkerHeartbeat, r *workerReport, w state.Worker, known bool) *apiv1.Command {
 	if r.info == nil && (!known || hb.Incarnation != w.Incarnation) {
 		return nil
 	}
@@ -176,8 +176,8 @@
 		reg.Capacity = r.info.Capacity
 	}
 	if known && hb.Incarnation == w.Incarnation {
-		r.earlier = nil
-		if matches(reg, w) {
+		r.previousCheckpoints = nil
+		if matchesWorker(reg, w) {
 			return nil
 		}
 	}
@@ -185,19 +185,19 @@
 		// Ended ones too: their ends are recorded next, by their own reports.
 		reg.Running = append(reg.Running, st.Task)
 	}
-	reg.Checkpoints = r.earlier
+	reg.Checkpoints = r.previousCheckpoints
 	return &apiv1.Command{Body: &apiv1.Command_RegisterWorker{RegisterWorker: reg}}
 }
 
-// matches reports whether a registration would change nothing.
-func matches(r *apiv1.RegisterWorker, w state.Worker) bool {
+// matchesWorker reports whether a registration would change nothing.
+func matchesWorker(r *apiv1.RegisterWorker, w state.Worker) bool {
 	return r.Region == w.Region && r.AvailabilityZone == w.AvailabilityZone && r.Rack == w.Rack &&
 		state.ResourcesOf(r.Capacity) == w.Capacity && state.ResourcesOf(r.Reserved) == w.Reserved
 }
 
 // checkpoints lists the last durable checkpoints that the worker reported.
-func (r *report) checkpoints() []*apiv1.TaskCheckpoint {
-	list := slices.Clone(r.earlier)
+func (r *workerReport) checkpoints() []*apiv1.TaskCheckpoint {
+	list := slices.Clone(r.previousCheckpoints)
 	for _, t := range r.tasks {
 		if t.status.Checkpoint != "" {
 			list = append(list, &apiv1.TaskCheckpoint{Task: t.status.Task, Checkpoint: t.status.Checkpoint})
@@ -207,13 +207,13 @@
 	return list
 }
 
-// ends records the reported ends of attempts that the state counts as live, or
+// recordEndsCommand records the reported ends of attempts that the state counts as live, or
 // as over without a successor yet.
-func ends(hb *apiv1.WorkerHeartbeat, m *state.Machine) *apiv1.Command {
+func recordEndsCommand(hb *apiv1.WorkerHeartbeat, m *state.Machine) *apiv1.Command {
 	rec := &apiv1.RecordTasks{Worker: hb.Worker, WorkerIncarnation: hb.Incarnation}
 	for _, st := range hb.Tasks {
 		kind := endKind(st.Phase)
-		if kind == apiv1.EndKind_END_KIND_UNSPECIFIED || !awaited(m, hb.Worker, st) {
+		if kind == apiv1.EndKind_END_KIND_UNSPECIFIED || !endExpected(m, hb.Worker, st) {
 			continue
 		}
 		rec.Ends = append(rec.Ends, &apiv1.TaskEnd{
@@ -229,8 +229,8 @@
 	return &apiv1.Command{Body: &apiv1.Command_RecordTasks{RecordTasks: rec}}
 }
 
-// awaited reports whether the state has a use for a reported end.
-func awaited(m *state.Machine, worker string, st *apiv1.TaskStatus) bool {
+// endExpected reports whether the state has a use for a reported end.
+func endExpected(m *state.Machine, worker string, st *apiv1.TaskStatus) bool {
 	t, ok := m.Task(st.Task.GetTask())
 	if !ok || t.LastWorker != worker || t.Attempt != st.Task.GetAttempt() {
 		return false
@@ -250,7 +250,7 @@
 	return apiv1.EndKind_END_KIND_UNSPECIFIED
 }
 
-func liveAt(m *state.Machine, worker string, a *apiv1.TaskAttempt) bool {
+func isLiveOn(m *state.Machine, worker string, a *apiv1.TaskAttempt) bool {
 	t, ok := m.Task(a.GetTask())
 	return ok && t.Worker == worker && t.Attempt == a.GetAttempt()
 }
@@ -269,8 +269,8 @@
 	return c.leases.renew(hb.Worker, hb.Incarnation, now)
 }
 
-// task returns what the worker said about a task, nil when it did not mention it.
-func (r *report) task(id string) *apiv1.TaskStatus {
+// taskStatus returns what the worker said about a task, nil when it did not mention it.
+func (r *workerReport) taskStatus(id string) *apiv1.TaskStatus {
 	if t := r.tasks[id]; t != nil {
 		return t.status
 	}
--- a/control/coordinator_test.go
+++ b/control/coordinator_test.go
@@ -8,8 +8,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// bench drives a coordinator and a state machine step by step.
-type bench struct {
+// coordinatorHarness drives a coordinator and a state machine step by step.
+type coordinatorHarness struct {
 	t     *testing.T
 	c     *coordinator
 	m     *state.Machine
@@ -18,9 +18,9 @@
 	hb    *apiv1.WorkerHeartbeat
 }
 
-func newBench(t *testing.T, jobs ...*apiv1.Job) *bench {
+func newCoordinatorHarness(t *testing.T, jobs ...*apiv1.Job) *coordinatorHarness {
 	now := time.UnixMilli(1e12)
-	b := &bench{
+	b := &coordinatorHarness{
 		t: t, m: state.New(), now: now,
 		c:  newCoordinator(1, newLeases(time.Second, 1000, now), &firstFit{}, map[string]throttle{}),
 		hb: &apiv1.WorkerHeartbeat{Worker: "w", Incarnation: 1, Info: info("w", 1000)},
@@ -30,7 +30,7 @@
 	return b
 }
 
-func (b *bench) apply(cmds ...*apiv1.Command) {
+func (b *coordinatorHarness) apply(cmds ...*apiv1.Command) {
 	for _, cmd := range cmds {
 		if cmd == nil {
 			continue
@@ -43,23 +43,23 @@
 	}
 }
 
-// beat handles a heartbeat that reports the given attempts.
-func (b *bench) beat(tasks ...*apiv1.TaskStatus) *apiv1.WorkerOrders {
+// heartbeat handles a heartbeat that reports the given attempts.
+func (b *coordinatorHarness) heartbeat(tasks ...*apiv1.TaskStatus) *apiv1.WorkerOrders {
 	b.hb.Sequence++
 	b.hb.Tasks = tasks
 	b.apply(b.c.observe(b.now, b.hb, b.m))
 	if !b.c.renew(b.now, b.hb, b.m) {
-		return notRenewed(b.hb)
+		return notRenewedOrders(b.hb)
 	}
 	return b.c.orders(b.hb, b.m)
 }
 
-func (b *bench) plan() {
+func (b *coordinatorHarness) plan() {
 	cmds, _ := b.c.plan(b.now, b.c.snapshot(b.now, b.m))
 	b.apply(cmds...)
 }
 
-func running1(id string) *apiv1.TaskStatus {
+func runningAttempt(id string) *apiv1.TaskStatus {
 	return &apiv1.TaskStatus{Task: &apiv1.TaskAttempt{Task: id, Attempt: 1}, Phase: apiv1.TaskPhase_TASK_PHASE_RUNNING, Checkpoint: "c1"}
 }
 
@@ -68,13 +68,13 @@
 // its leases run out; while the Expire is on its way, in this log or delayed until
 // after another leader's term, the worker is back. Cause: a renewal, or a later
 // leader's, lets the attempt start that the Expire then ends.
-func TestExpiryInFlight(t *testing.T) {
-	b := newBench(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
-	b.beat()
+func TestNoRenewalWhileExpiryIsInFlight(t *testing.T) {
+	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
+	b.heartbeat()
 	b.plan()
-	b.now = b.now.Add(leaderWait(time.Second, 1000) + 1)
-	expiries, _ := b.c.due(b.now, b.m)
-	if o := b.beat(); o.Renewed || len(o.Start) > 0 {
+	b.now = b.now.Add(leaderExpiryWait(time.Second, 1000) + 1)
+	expiries, _ := b.c.dueCommands(b.now, b.m)
+	if o := b.heartbeat(); o.Renewed || len(o.Start) > 0 {
 		t.Fatalf("renewed while the attempt expires: %v", o)
 	}
 	late := expiries["w"]
@@ -83,14 +83,14 @@
 		t.Fatal("an earlier leader's Expire was followed")
 	}
 	b.c.term = 2
-	again, _ := b.c.due(b.now, b.m)
+	again, _ := b.c.dueCommands(b.now, b.m)
 	b.apply(again["w"])
 	b.c.leases.endExpiry("w")
-	if o := b.beat(); !o.Renewed || len(o.Start) > 0 {
+	if o := b.heartbeat(); !o.Renewed || len(o.Start) > 0 {
 		t.Fatalf("after the expiry: %v", o)
 	}
 	b.plan()
-	if o := b.beat(); len(o.Start) != 1 || o.Start[0].Task.Attempt != 2 {
+	if o := b.heartbeat(); len(o.Start) != 1 || o.Start[0].Task.Attempt != 2 {
 		t.Fatalf("the next attempt: %v", o)
 	}
 }
@@ -100,21 +100,21 @@
 // Cause: only the worker's own word that it stopped proves that no start is on its
 // way, so the stop is ordered though the worker never reported the attempt.
 func TestCanceledBeforeStartNeverStarts(t *testing.T) {
-	b := newBench(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
-	b.beat()
+	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
+	b.heartbeat()
 	b.plan()
 	b.apply(&apiv1.Command{Body: &apiv1.Command_Cancel{Cancel: &apiv1.Cancel{Jobs: []string{"j"}}}})
-	if o := b.beat(); len(o.Start) != 0 || len(o.Stop) != 1 || o.Stop[0].Checkpoint {
+	if o := b.heartbeat(); len(o.Start) != 0 || len(o.Stop) != 1 || o.Stop[0].Checkpoint {
 		t.Fatalf("orders %v", o)
 	}
 	b.hb.Sequence -= 2
-	if o := b.beat(); o.Renewed {
+	if o := b.heartbeat(); o.Renewed {
 		t.Fatalf("an older heartbeat was answered: %v", o)
 	}
 	b.hb.Sequence++
-	stopped := running1("j@1/0")
+	stopped := runningAttempt("j@1/0")
 	stopped.Phase = apiv1.TaskPhase_TASK_PHASE_STOPPED
-	o := b.beat(stopped)
+	o := b.heartbeat(stopped)
 	if task, _ := b.m.Task("j@1/0"); len(o.Acknowledged) != 1 || task.State != apiv1.TaskState_TASK_STATE_CANCELED {
 		t.Fatalf("orders %v, task %v", o, task.State)
 	}
@@ -123,40 +123,40 @@
 // Symptom: a host carries more than it has after it came back smaller. Sequence:
 // two attempts run; the worker announces half its processors. Cause: grants that
 // were right when they were made. The cheaper one goes, and nothing new comes.
-func TestShrunkWorkerGivesBackTheExcess(t *testing.T) {
-	b := newBench(t,
+func TestShrunkWorkerEvictsTheExcess(t *testing.T) {
+	b := newCoordinatorHarness(t,
 		&apiv1.Job{Name: "cheap", Tasks: 1, Size: processors(400), EvictionCost: 1},
 		&apiv1.Job{Name: "dear", Tasks: 1, Size: processors(400), EvictionCost: 9},
 		&apiv1.Job{Name: "tiny", Tasks: 1, Size: processors(300)})
-	b.beat()
+	b.heartbeat()
 	b.plan()
-	cheap, dear := running1("cheap@1/0"), running1("dear@1/0")
-	b.beat(cheap, dear)
+	cheap, dear := runningAttempt("cheap@1/0"), runningAttempt("dear@1/0")
+	b.heartbeat(cheap, dear)
 	b.hb.Info = info("w", 500)
-	b.beat(cheap, dear)
+	b.heartbeat(cheap, dear)
 	b.plan()
-	o := b.beat(cheap, dear)
+	o := b.heartbeat(cheap, dear)
 	if len(o.Stop) != 1 || o.Stop[0].Task.Task != "cheap@1/0" || !o.Stop[0].Checkpoint || len(o.Start) != 0 {
 		t.Fatalf("orders %v", o)
 	}
 	cheap.Phase = apiv1.TaskPhase_TASK_PHASE_STOPPED
-	b.beat(cheap, dear)
-	if w, _ := b.m.Worker("w"); exceeded(w) || w.Granted.MilliProcessors != 400 {
+	b.heartbeat(cheap, dear)
+	if w, _ := b.m.Worker("w"); overCapacity(w) || w.Granted.MilliProcessors != 400 {
 		t.Fatalf("worker %+v", w)
 	}
 }
 
 // Symptom: a job that nothing could hold keeps others waiting, or never runs
 // though a host came that could. Cause: it stays in the queue, or stays parked.
-func TestParkedJobWakesOnALargerWorker(t *testing.T) {
-	b := newBench(t, &apiv1.Job{Name: "large", Tasks: 1, Size: processors(2000)})
-	b.beat()
+func TestParkedJobWakesForALargerWorker(t *testing.T) {
+	b := newCoordinatorHarness(t, &apiv1.Job{Name: "large", Tasks: 1, Size: processors(2000)})
+	b.heartbeat()
 	b.apply(parkCommands(map[string]string{"large": "no worker could hold it"})...)
 	queued := func() int { return len(b.c.snapshot(b.now, b.m).Queued) }
-	if queued() != 0 || wake(state.Resources{MilliProcessors: 1999}, b.m) != nil {
+	if queued() != 0 || wakeCommand(state.Resources{MilliProcessors: 1999}, b.m) != nil {
 		t.Fatal("a parked job waits in the queue")
 	}
-	b.apply(wake(state.Resources{MilliProcessors: 2000}, b.m))
+	b.apply(wakeCommand(state.Resources{MilliProcessors: 2000}, b.m))
 	if queued() != 1 {
 		t.Fatal("the job was not woken")
 	}
@@ -166,24 +166,24 @@
 // Sequence: the worker's host starts anew and does not list an attempt; the leader
 // saw its checkpoint before. The old incarnation's late heartbeat changes nothing.
 func TestRestartedWorkerResumesFromLastCheckpoint(t *testing.T) {
-	b := newBench(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
-	b.beat()
+	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
+	b.heartbeat()
 	b.plan()
-	b.beat(running1("j@1/0"))
+	b.heartbeat(runningAttempt("j@1/0"))
 	old := b.hb
 	b.hb = &apiv1.WorkerHeartbeat{Worker: "w", Incarnation: 2, Info: info("w", 1000)}
 	b.c.observe(b.now, b.hb, b.m)
 	if b.c.renew(b.now, b.hb, b.m) {
 		t.Error("renewed before its registration was applied")
 	}
-	b.beat() // The commands of the heartbeat before are lost.
+	b.heartbeat() // The commands of the heartbeat before are lost.
 	b.plan()
-	o := b.beat()
+	o := b.heartbeat()
 	if len(o.Start) != 1 || o.Start[0].Task.Attempt != 2 || o.Start[0].Checkpoint != "c1" {
 		t.Fatalf("orders %v", o)
 	}
 	b.hb = old
-	if o := b.beat(running1("j@1/0")); o.Renewed {
+	if o := b.heartbeat(runningAttempt("j@1/0")); o.Renewed {
 		t.Fatalf("the old incarnation was renewed: %v", o)
 	}
 }
@@ -191,7 +191,7 @@
 // Symptom: a charge runs again under a key that is a minute old. Sequence: a
 // leader's wall clock is set days ahead, then a host with such a clock comes to
 // lead. Cause: the log's time leaps past every claim's windows.
-func TestLogTimeFollowsNoLeapingClock(t *testing.T) {
+func TestLogTimeIgnoresWallClockJumps(t *testing.T) {
 	const start, day = int64(1e12), int64(86_400_000)
 	c := &logClock{}
 	for i, step := range []struct {
@@ -218,18 +218,18 @@
 // Symptom: a job starts before the service that it needs. Cause: whether a service
 // has a target is known from live workers' heartbeats alone.
 func TestJobWaitsForServiceWithLiveTarget(t *testing.T) {
-	b := newBench(t)
+	b := newCoordinatorHarness(t)
 	submit := submission("s2", 1, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1), DependsOn: []string{"auction"}})
 	submit.GetSubmit().Configuration.Services = []*apiv1.Service{{Name: "auction", Size: processors(600)}}
 	b.apply(submit)
-	b.beat()
+	b.heartbeat()
 	queued := func() int { return len(b.c.snapshot(b.now, b.m).Queued) }
 	if queued() != 0 {
 		t.Fatal("queued without a target")
 	}
 	b.hb.Targets = []*apiv1.TargetInfo{{Service: "auction"}, {Service: "auction"}}
-	b.beat()
-	if w, _ := b.m.Worker("w"); queued() != 1 || w.Reserved.MilliProcessors != 1200 || !exceeded(w) {
+	b.heartbeat()
+	if w, _ := b.m.Worker("w"); queued() != 1 || w.Reserved.MilliProcessors != 1200 || !overCapacity(w) {
 		t.Fatalf("%d queued, worker %+v", queued(), w)
 	}
 	b.now = b.now.Add(time.Second)
@@ -242,15 +242,15 @@
 // Sequence: the planner throttles a task, leadership goes away and comes back; the
 // leader in between, who knew of no throttle, lifted it. Cause: the planner keeps
 // its view over terms and orders only what changes.
-func TestThrottlesGoOnInALaterTerm(t *testing.T) {
-	b := newBench(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
-	b.beat()
+func TestThrottlesPersistAcrossTerms(t *testing.T) {
+	b := newCoordinatorHarness(t, &apiv1.Job{Name: "j", Tasks: 1, Size: processors(1)})
+	b.heartbeat()
 	b.plan()
-	b.beat(running1("j@1/0"))
+	b.heartbeat(runningAttempt("j@1/0"))
 	mine := map[string]throttle{"j@1/0": {attempt: 1, share: 500}}
 	for share, known := range map[int32]map[string]throttle{fullShare: {}, 500: mine} {
 		b.c = newCoordinator(2, newLeases(time.Second, 1000, b.now), &firstFit{}, known)
-		if o := b.beat(running1("j@1/0")); len(o.Throttle) != 1 || o.Throttle[0].ShareMilli != share {
+		if o := b.heartbeat(runningAttempt("j@1/0")); len(o.Throttle) != 1 || o.Throttle[0].ShareMilli != share {
 			t.Errorf("throttle %v, want %d", o.Throttle, share)
 		}
 	}
--- a/control/decisions.go
+++ b/control/decisions.go
@@ -10,11 +10,11 @@
 	"github.com/cairnlift/cairnlift/place"
 )
 
-// keptDecisions is how many planning decisions are kept for operators.
-const keptDecisions = 1024
+// decisionRingSize is how many planning decisions are kept for operators.
+const decisionRingSize = 1024
 
-// Decided is a planning decision and when it was made.
-type Decided struct {
+// RecordedDecision is a planning decision and when it was made.
+type RecordedDecision struct {
 	At time.Time
 	place.Decision
 }
@@ -23,35 +23,35 @@
 type decisionRing struct {
 	logger *zap.Logger
 	mu     sync.Mutex
-	ring   []Decided
+	ring   []RecordedDecision
 	next   int
 	// waiting holds what the last round said about each task that stays queued: a
 	// task that waits is logged when the reason changes, not in each round.
-	waiting map[string]Decided
+	waiting map[string]RecordedDecision
 }
 
 func (d *decisionRing) add(at time.Time, decisions []place.Decision) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	waiting := make(map[string]Decided, len(d.waiting))
+	waiting := make(map[string]RecordedDecision, len(d.waiting))
 	for _, dec := range decisions {
 		if dec.Worker == "" {
-			waiting[dec.Task] = Decided{At: at, Decision: dec}
+			waiting[dec.Task] = RecordedDecision{At: at, Decision: dec}
 			if last, known := d.waiting[dec.Task]; known && last.Reason == dec.Reason {
 				continue
 			}
 		}
-		d.keep(Decided{At: at, Decision: dec})
+		d.keep(RecordedDecision{At: at, Decision: dec})
 		d.log(dec)
 	}
 	d.waiting = waiting
 }
 
-// of returns the kept decisions on some tasks, oldest first, and last what the
+// forTasks returns the kept decisions on some tasks, oldest first, and last what the
 // newest round said of those that wait. The kept ones alone would tell an operator
 // why a task waited at first: the same reason sums up refusals that change.
-func (d *decisionRing) of(tasks map[string]bool) []Decided {
-	var list []Decided
+func (d *decisionRing) forTasks(tasks map[string]bool) []RecordedDecision {
+	var list []RecordedDecision
 	for _, dec := range d.list() {
 		if tasks[dec.Task] {
 			list = append(list, dec)
@@ -67,19 +67,19 @@
 	return list
 }
 
-func (d *decisionRing) keep(dec Decided) {
-	if len(d.ring) < keptDecisions {
+func (d *decisionRing) keep(dec RecordedDecision) {
+	if len(d.ring) < decisionRingSize {
 		d.ring = append(d.ring, dec)
 		return
 	}
 	d.ring[d.next] = dec
-	d.next = (d.next + 1) % keptDecisions
+	d.next = (d.next + 1) % decisionRingSize
 }
 
 func (d *decisionRing) log(dec place.Decision) {
 	kind := event.TaskPlaced
 	if dec.Worker == "" {
-		kind = event.TaskWaits
+		kind = event.TaskWaiting
 	}
 	kind.Write(d.logger, event.TaskName(dec.Task), event.Attempt(dec.Attempt), event.Worker(dec.Worker),
 		event.Reason(dec.Reason), event.Candidates(dec.Candidates), event.Score(dec.Score), event.Refused(dec.Refused))
@@ -102,8 +102,8 @@
 }
 
 // list returns the kept decisions, oldest first.
-func (d *decisionRing) list() []Decided {
+func (d *decisionRing) list() []RecordedDecision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append(append([]Decided{}, d.ring[d.next:]...), d.ring[:d.next]...)
+	return append(append([]RecordedDecision{}, d.ring[d.next:]...), d.ring[:d.next]...)
 }
--- a/control/fixtures_test.go
+++ b/control/fixtures_test.go
@@ -27,7 +27,7 @@
 		for _, t := range w.Running {
 			free[w.Name] -= t.Size.MilliProcessors
 		}
-		f.relieve(w, free[w.Name])
+		f.evictExcess(w, free[w.Name])
 	}
 	p := place.Plan{Evictions: f.evict, Unplaceable: map[string]string{}}
 	f.evict = nil
@@ -47,7 +47,7 @@
 	return p
 }
 
-func (f *firstFit) relieve(w *place.Worker, free int64) {
+func (f *firstFit) evictExcess(w *place.Worker, free int64) {
 	cheapest := slices.Clone(w.Running)
 	slices.SortFunc(cheapest, func(a, b *place.Task) int { return cmp.Compare(a.EvictionCost, b.EvictionCost) })
 	for _, t := range cheapest {
@@ -71,5 +71,5 @@
 	return &apiv1.WorkerInfo{Name: name, Location: &apiv1.Location{Region: "r", AvailabilityZone: "a"}, Capacity: processors(milli)}
 }
 
-// exceeded reports whether a worker holds more than it has.
-func exceeded(w state.Worker) bool { return !w.Granted.Within(w.Capacity.Minus(w.Reserved)) }
+// overCapacity reports whether a worker holds more than it has.
+func overCapacity(w state.Worker) bool { return !w.Granted.Within(w.Capacity.Minus(w.Reserved)) }
--- a/control/forwarder.go
+++ b/control/forwarder.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	firstPause = 20 * time.Millisecond
-	maxPause   = 250 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 250 * time.Millisecond
 	// triesPerDeadline divides the time left among tries that may be repeated, so
 	// that one frozen host does not use it all up.
 	triesPerDeadline = 3
-	minTry           = 100 * time.Millisecond
-	// maxHints is how many hints are followed without a pause: two hosts that each
+	minTryTimeout    = 100 * time.Millisecond
+	// maxHintsFollowed is how many hints are followed without a pause: two hosts that each
 	// take the other for the leader must not be asked in a busy loop.
-	maxHints = 3
+	maxHintsFollowed = 3
 	// defaultDeadline holds for callers that set none.
 	defaultDeadline = 5 * time.Second
 )
@@ -76,17 +76,17 @@
 // maybeSent says that an earlier try, elsewhere, may have committed it. A try
 // that may have committed is repeated only where resendable says so.
 func (f *Forwarder) propose(ctx context.Context, cmd *apiv1.Command, hint string, maybeSent bool) (*apiv1.Result, error) {
-	again := resendable(cmd)
+	again := safeToResend(cmd)
 	cause := "no control host is known"
 	var result *apiv1.Result
-	f.each(ctx, hint, again, func(ctx context.Context, c apiv1.Control) (string, bool) {
+	f.tryControl(ctx, hint, again, func(ctx context.Context, c apiv1.Control) (string, bool) {
 		resp, err := c.Propose(ctx, &apiv1.ProposeRequest{Command: cmd})
 		if err != nil {
 			cause = err.Error()
-			maybeSent = maybeSent || !unsent(err)
-			return "", !unsent(err) && !again
+			maybeSent = maybeSent || !failedBeforeSending(err)
+			return "", !failedBeforeSending(err) && !again
 		}
-		res, err := proposeResult(resp)
+		res, err := decodeProposeResponse(resp)
 		if err == nil {
 			result = res
 			return "", true
@@ -119,7 +119,7 @@
 	cause := "no control host is known"
 	var orders []*apiv1.WorkerOrders
 	done := false
-	f.each(ctx, hint, true, func(ctx context.Context, c apiv1.Control) (string, bool) {
+	f.tryControl(ctx, hint, true, func(ctx context.Context, c apiv1.Control) (string, bool) {
 		resp, err := c.Renew(ctx, &apiv1.RenewRequest{Workers: beats})
 		if err != nil {
 			cause = err.Error()
@@ -138,27 +138,27 @@
 	return orders, nil
 }
 
-// each calls try with one control host after another, the leader as far as it is
+// tryControl calls try with one control host after another, the leader as far as it is
 // known first, until try says stop or ctx ends. try returns a hint of the leader.
-func (f *Forwarder) each(ctx context.Context, hint string, divide bool, try func(context.Context, apiv1.Control) (hint string, stop bool)) {
-	f.ask(ctx, hint, divide, true, func(ctx context.Context, address string) (string, bool) {
+func (f *Forwarder) tryControl(ctx context.Context, hint string, divide bool, try func(context.Context, apiv1.Control) (hint string, stop bool)) {
+	f.tryHosts(ctx, hint, divide, true, func(ctx context.Context, address string) (string, bool) {
 		return try(ctx, f.clientOf(address))
 	})
 }
 
-// Ask calls try with the address of one control host after another, the leader as
+// TryHosts calls try with the address of one control host after another, the leader as
 // far as it is known first, until try says stop or ctx ends. try returns a hint of
 // the leader and is repeatable. leads says that only the leader stops it.
-func (f *Forwarder) Ask(ctx context.Context, leads bool, try func(ctx context.Context, address string) (hint string, stop bool)) {
-	f.ask(ctx, "", true, leads, try)
+func (f *Forwarder) TryHosts(ctx context.Context, leads bool, try func(ctx context.Context, address string) (hint string, stop bool)) {
+	f.tryHosts(ctx, "", true, leads, try)
 }
 
-func (f *Forwarder) ask(ctx context.Context, hint string, divide, leads bool, try func(context.Context, string) (hint string, stop bool)) {
+func (f *Forwarder) tryHosts(ctx context.Context, hint string, divide, leads bool, try func(context.Context, string) (hint string, stop bool)) {
 	ctx, cancel := withDeadline(ctx)
 	defer cancel()
-	wait, followed := firstPause, 0
+	wait, followed := initialBackoff, 0
 	for ctx.Err() == nil {
-		address := f.pick(hint)
+		address := f.nextAddress(hint)
 		if address == "" {
 			return
 		}
@@ -167,20 +167,20 @@
 		cancelTry()
 		if stop {
 			if leads {
-				f.learn(address)
+				f.setLeader(address)
 			}
 			return
 		}
-		f.unlearn(address)
-		if next != "" && next != address && followed < maxHints {
+		f.clearLeader(address)
+		if next != "" && next != address && followed < maxHintsFollowed {
 			hint = next
 			followed++
 			continue
 		}
 		hint = ""
 		followed = 0
-		pause(ctx, wait)
-		wait = min(2*wait, maxPause)
+		sleep(ctx, wait)
+		wait = min(2*wait, maxBackoff)
 	}
 }
 
@@ -196,15 +196,15 @@
 	if !divide {
 		return context.WithDeadline(ctx, deadline)
 	}
-	timeout := max(minTry, time.Until(deadline)/triesPerDeadline)
+	timeout := max(minTryTimeout, time.Until(deadline)/triesPerDeadline)
 	if f.TryTimeout > 0 {
 		timeout = min(timeout, f.TryTimeout)
 	}
 	return context.WithTimeout(ctx, timeout)
 }
 
-// pick returns the hinted host, else the last known leader, else the next peer.
-func (f *Forwarder) pick(hint string) string {
+// nextAddress returns the hinted host, else the last known leader, else the next peer.
+func (f *Forwarder) nextAddress(hint string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	address := hint
@@ -232,13 +232,13 @@
 	return c
 }
 
-func (f *Forwarder) learn(address string) {
+func (f *Forwarder) setLeader(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.leader = address
 }
 
-func (f *Forwarder) unlearn(address string) {
+func (f *Forwarder) clearLeader(address string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leader == address {
@@ -246,9 +246,9 @@
 	}
 }
 
-// unsent reports whether a call failed before anything was sent: no connection
+// failedBeforeSending reports whether a call failed before anything was sent: no connection
 // came about.
-func unsent(err error) bool {
+func failedBeforeSending(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/control/forwarder_test.go
+++ b/control/forwarder_test.go
@@ -13,15 +13,15 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// peer is a control host that answers each Propose with the next of its answers,
+// scriptedPeer is a control host that answers each Propose with the next of its answers,
 // then with the last one again. A nil answer cuts the connection instead.
-type peer struct {
+type scriptedPeer struct {
 	apiv1.Control
 	calls   int
 	answers []*apiv1.ProposeResponse
 }
 
-func (p *peer) Propose(context.Context, *apiv1.ProposeRequest) (*apiv1.ProposeResponse, error) {
+func (p *scriptedPeer) Propose(context.Context, *apiv1.ProposeRequest) (*apiv1.ProposeResponse, error) {
 	a := p.answers[min(p.calls, len(p.answers)-1)]
 	p.calls++
 	if a == nil {
@@ -30,14 +30,14 @@
 	return a, nil
 }
 
-func (p *peer) serve(t *testing.T) string {
+func (p *scriptedPeer) serve(t *testing.T) string {
 	s := httptest.NewServer(apiv1.NewControlServer(p))
 	t.Cleanup(s.Close)
 	return s.Listener.Addr().String()
 }
 
-// refusing returns an address where nothing listens.
-func refusing(t *testing.T) string {
+// closedAddress returns an address where nothing listens.
+func closedAddress(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -51,7 +51,7 @@
 // the answer is lost, the leader can't tell, hosts name each other as leader.
 // Cause: a command sent again that has no identity of its own, or not sent again
 // though nothing was proposed.
-func TestForwarderResendsOnlyWhatItMay(t *testing.T) {
+func TestForwarderResendsOnlySafeCommands(t *testing.T) {
 	submit := submission("s", 0)
 	cancel := &apiv1.Command{Body: &apiv1.Command_Cancel{Cancel: &apiv1.Cancel{Jobs: []string{"j"}}}}
 	done := &apiv1.ProposeResponse{Result: accepted()}
@@ -72,10 +72,10 @@
 		"cancellation, leader comes later": {cancel, []*apiv1.ProposeResponse{notLeader, done}, 2, nil},
 	} {
 		t.Run(name, func(t *testing.T) {
-			leader := &peer{answers: c.answers}
+			leader := &scriptedPeer{answers: c.answers}
 			address := leader.serve(t)
-			hinting := &peer{answers: []*apiv1.ProposeResponse{{NotLeader: true, LeaderAddress: address}}}
-			f := NewForwarder([]string{refusing(t), hinting.serve(t)}, &http.Client{})
+			hinting := &scriptedPeer{answers: []*apiv1.ProposeResponse{{NotLeader: true, LeaderAddress: address}}}
+			f := NewForwarder([]string{closedAddress(t), hinting.serve(t)}, &http.Client{})
 			ctx, stop := context.WithTimeout(context.Background(), 10*time.Second)
 			if c.calls == 0 {
 				ctx, stop = context.WithTimeout(context.Background(), 500*time.Millisecond)
--- a/control/group_test.go
+++ b/control/group_test.go
@@ -85,8 +85,8 @@
 	return hosts, addresses
 }
 
-// until repeats f until it reports success.
-func until(t testing.TB, what string, f func() bool) {
+// waitUntil repeats f until it reports success.
+func waitUntil(t testing.TB, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !f(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -100,13 +100,13 @@
 // killed, the entry resends both through the hosts that are left; meanwhile a
 // worker's heartbeats go to any host. Cause: a follower that answers by itself, or
 // a leader that lacks what the one before it acknowledged.
-func TestGroupKeepsClaimsOverALostLeader(t *testing.T) {
+func TestGroupKeepsClaimsAfterLeaderFailure(t *testing.T) {
 	hosts, addresses := startGroup(t, 3)
 	entry := NewForwarder(addresses, &http.Client{})
 	ctx, cancel := context.WithTimeout(context.Background(), 40*time.Second)
 	defer cancel()
 	propose := func(cmd *apiv1.Command) (res *apiv1.Result) {
-		until(t, "a result", func() bool {
+		waitUntil(t, "a result", func() bool {
 			var err error
 			res, err = entry.Propose(ctx, cmd)
 			var unavailable *UnavailableError
@@ -137,7 +137,7 @@
 		orders, err := hosts[next%3].Replica.Renew(ctx, []*apiv1.WorkerHeartbeat{hb})
 		return err == nil && len(orders[0].Start) == 2
 	}
-	until(t, "start orders", started)
+	waitUntil(t, "start orders", started)
 
 	for _, h := range hosts {
 		if _, leads := (NodeLog{h.node}).Leading(); leads {
@@ -153,9 +153,9 @@
 	if res := propose(other); res.Claim.Granted || res.Claim.Standing.RequestId != "r" {
 		t.Fatal(res)
 	}
-	until(t, "the same start orders from the new leader", started)
+	waitUntil(t, "the same start orders from the new leader", started)
 	killed := time.Now()
-	until(t, "a fresh configuration on both", func() bool {
+	waitUntil(t, "a fresh configuration on both", func() bool {
 		fresh := 0
 		for _, h := range hosts {
 			if h.ConfirmedAt().After(killed) && h.Configuration().Version == 1 {
--- a/control/keep.go
+++ b/control/keep.go
@@ -22,9 +22,9 @@
 	Replica func(context.Context) error
 	// Directory serves without a replica until the context ends.
 	Directory func(context.Context) error
-	// Writable returns an error while the disk takes no writes.
-	Writable func() error
-	Logger   *zap.Logger
+	// CheckWritable returns an error while the disk takes no writes.
+	CheckWritable func() error
+	Logger        *zap.Logger
 }
 
 // Run runs the host until ctx ends or something else than the disk fails.
@@ -41,11 +41,11 @@
 		if ctx.Err() != nil || !errors.As(err, &refused) {
 			return err
 		}
-		event.DiskRefuses.Write(h.Logger, event.Err(err))
+		event.DiskUnwritable.Write(h.Logger, event.Err(err))
 		if err := h.waitForDisk(ctx); err != nil || ctx.Err() != nil {
 			return err
 		}
-		event.DiskTakesWrites.Write(h.Logger)
+		event.DiskWritable.Write(h.Logger)
 	}
 }
 
@@ -67,7 +67,7 @@
 func (h Host) awaitWritable(ctx context.Context) {
 	ticker := time.NewTicker(diskCheckInterval)
 	defer ticker.Stop()
-	for h.Writable() != nil {
+	for h.CheckWritable() != nil {
 		select {
 		case <-ctx.Done():
 			return
--- a/control/keep_test.go
+++ b/control/keep_test.go
@@ -20,7 +20,7 @@
 // Cause: the process ends with its replica.
 // Evidence: on a day with a full disk one control process ended seven times, each
 // time with "no space left on device" for the file of the log.
-func TestFullDiskDoesNotEndTheHost(t *testing.T) {
+func TestFullDiskDoesNotStopTheHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		var did []string
@@ -40,7 +40,7 @@
 				<-ctx.Done()
 				return nil
 			},
-			Writable: func() error {
+			CheckWritable: func() error {
 				full--
 				if full > 0 {
 					return syscall.ENOSPC
@@ -60,7 +60,7 @@
 // Symptom: a host whose log is damaged goes on as if it were well.
 // Sequence: the replica finds damage in the middle of its log.
 // Cause: every failure is taken for a disk that is full.
-func TestOtherFailuresEndTheHost(t *testing.T) {
+func TestOtherFailuresStopTheHost(t *testing.T) {
 	damage := &wal.DamageError{File: "1.log"}
 	h := control.Host{Logger: zap.NewNop(), Replica: func(context.Context) error { return damage }}
 	if err := h.Run(t.Context()); !errors.Is(err, damage) {
@@ -71,7 +71,7 @@
 // Symptom: a host that is stopped while its disk is full never ends.
 // Sequence: the disk is full; the process is told to stop.
 // Cause: the look at the disk does not end with the process.
-func TestStopWhileTheDiskIsFull(t *testing.T) {
+func TestHostStopsWhileTheDiskIsFull(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		h := control.Host{
@@ -82,7 +82,7 @@
 				<-ctx.Done()
 				return nil
 			},
-			Writable: func() error { return syscall.ENOSPC },
+			CheckWritable: func() error { return syscall.ENOSPC },
 		}
 		if err := h.Run(ctx); err != nil {
 			t.Error(err)
--- a/control/leader.go
+++ b/control/leader.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// proposalsAtOnce bounds the commands of one step that wait for their commit
+	// maxConcurrentProposals bounds the commands of one step that wait for their commit
 	// together; the log groups them.
-	proposalsAtOnce = 64
-	// roundShare and maxRoundPause space rounds out: a round takes at most one part
-	// in roundShare of the time, unless that is longer than maxRoundPause.
-	roundShare    = 50
-	maxRoundPause = time.Second
+	maxConcurrentProposals = 64
+	// roundTimeDivisor and maxRoundPause space rounds out: a round takes at most one part
+	// in roundTimeDivisor of the time, unless that is longer than maxRoundPause.
+	roundTimeDivisor = 50
+	maxRoundPause    = time.Second
 	// proposalTimeout bounds the leader's own commands.
 	proposalTimeout = 5 * time.Second
 )
@@ -29,18 +29,18 @@
 func (r *Replica) leadLoop(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := r.cfg.PlanInterval
-		if c := r.coordinate(ctx); c != nil {
-			took := r.round(ctx, c)
+		if c := r.coordinatorOfTerm(ctx); c != nil {
+			took := r.runRound(ctx, c)
 			// Rounds cost more with more workers; their share of a core stays bounded.
-			wait = max(wait, min(took*roundShare, maxRoundPause))
+			wait = max(wait, min(took*roundTimeDivisor, maxRoundPause))
 		}
-		pause(ctx, wait)
+		sleep(ctx, wait)
 	}
 }
 
-// coordinate returns the coordinator of the term that this replica leads in, nil
+// coordinatorOfTerm returns the coordinator of the term that this replica leads in, nil
 // when it does not lead or is not ready to.
-func (r *Replica) coordinate(ctx context.Context) *coordinator {
+func (r *Replica) coordinatorOfTerm(ctx context.Context) *coordinator {
 	term, ok := r.log().Leading()
 	current := r.currentCoordinator()
 	if ok && current != nil && current.term == term {
@@ -58,7 +58,7 @@
 // its leases is accepted any more. The leases count from then.
 func (r *Replica) takeOver(ctx context.Context, term uint64) *coordinator {
 	lead := &apiv1.Command{Body: &apiv1.Command_Lead{Lead: &apiv1.Lead{Term: term}}}
-	res, err := r.proposeOwn(ctx, lead)
+	res, err := r.proposeAsLeader(ctx, lead)
 	if err != nil || res.Verdict != apiv1.Verdict_VERDICT_ACCEPTED {
 		return nil
 	}
@@ -71,18 +71,18 @@
 }
 
 func (r *Replica) currentCoordinator() *coordinator {
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	return r.coordinator
 }
 
 func (r *Replica) setCoordinator(c *coordinator) {
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	r.coordinator = c
 }
 
-func (r *Replica) proposeOwn(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (r *Replica) proposeAsLeader(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	return r.ProposeLocal(ctx, cmd)
@@ -96,10 +96,10 @@
 	if len(cmds) == 0 {
 		return results
 	}
-	p := pool.New().WithMaxGoroutines(proposalsAtOnce)
+	p := pool.New().WithMaxGoroutines(maxConcurrentProposals)
 	for i, cmd := range cmds {
 		p.Go(func() {
-			res, err := r.proposeOwn(ctx, cmd)
+			res, err := r.proposeAsLeader(ctx, cmd)
 			if err != nil {
 				event.CommandFailed.Write(r.logger, event.Command(commandName(cmd)), event.Err(err))
 				return
@@ -111,12 +111,12 @@
 	return results
 }
 
-// round does what is due and plans once. It returns the time that the leader
+// runRound does what is due and plans once. It returns the time that the leader
 // worked on it itself, waiting for commits left out.
-func (r *Replica) round(ctx context.Context, c *coordinator) time.Duration {
+func (r *Replica) runRound(ctx context.Context, c *coordinator) time.Duration {
 	began := time.Now()
 	now := r.cfg.Now()
-	expiries, forget := r.due(c, now)
+	expiries, forget := r.dueCommands(c, now)
 	took := time.Since(began)
 	r.expire(ctx, c, expiries)
 	r.proposeAll(ctx, appendCommand(nil, forget))
@@ -131,9 +131,9 @@
 	return took
 }
 
-// due returns what the passing of time asks for; see coordinator.due.
-func (r *Replica) due(c *coordinator, now time.Time) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
-	r.withState(func(m *state.Machine) { expiries, forget = c.due(now, m) })
+// dueCommands returns what the passing of time asks for; see coordinator.due.
+func (r *Replica) dueCommands(c *coordinator, now time.Time) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
+	r.withState(func(m *state.Machine) { expiries, forget = c.dueCommands(now, m) })
 	return expiries, forget
 }
 
@@ -144,11 +144,11 @@
 	cmds := make([]*apiv1.Command, len(workers))
 	for i, w := range workers {
 		cmds[i] = expiries[w]
-		event.LeasesRanOut.Write(r.logger, event.Worker(w), event.AttemptCount(len(cmds[i].GetExpire().Tasks)))
+		event.LeasesExpired.Write(r.logger, event.Worker(w), event.AttemptCount(len(cmds[i].GetExpire().Tasks)))
 	}
 	results := r.proposeAll(ctx, cmds)
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	for i, w := range workers {
 		if results[i] != nil {
 			c.leases.endExpiry(w)
@@ -159,8 +159,8 @@
 // plan lets go of the applied state before it plans: a round takes long, and
 // commands have to be applied meanwhile.
 func (r *Replica) plan(c *coordinator, now time.Time) ([]*apiv1.Command, place.Plan) {
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	r.mu.RLock()
 	s := c.snapshot(now, r.machine)
 	r.mu.RUnlock()
@@ -217,7 +217,7 @@
 	// Ends name the incarnation that the registration brings.
 	results := r.proposeAll(ctx, registrations)
 	r.proposeAll(ctx, ends)
-	r.proposeAll(ctx, r.wakes(registrations, results))
+	r.proposeAll(ctx, r.wakeCommands(registrations, results))
 }
 
 func appendCommand(list []*apiv1.Command, cmd *apiv1.Command) []*apiv1.Command {
@@ -229,15 +229,15 @@
 
 // withState runs f with the coordinator and the applied state locked.
 func (r *Replica) withState(f func(m *state.Machine)) {
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	f(r.machine)
 }
 
-// wakes returns commands for parked jobs that a registered worker could hold.
-func (r *Replica) wakes(registrations []*apiv1.Command, results []*apiv1.Result) []*apiv1.Command {
+// wakeCommands returns commands for parked jobs that a registered worker could hold.
+func (r *Replica) wakeCommands(registrations []*apiv1.Command, results []*apiv1.Result) []*apiv1.Command {
 	r.mu.RLock()
 	defer r.mu.RUnlock()
 	var cmds []*apiv1.Command
@@ -245,7 +245,7 @@
 		if results[i].GetVerdict() != apiv1.Verdict_VERDICT_ACCEPTED {
 			continue
 		}
-		cmds = appendCommand(cmds, wake(state.ResourcesOf(cmd.GetRegisterWorker().Capacity), r.machine))
+		cmds = appendCommand(cmds, wakeCommand(state.ResourcesOf(cmd.GetRegisterWorker().Capacity), r.machine))
 	}
 	return cmds
 }
@@ -266,7 +266,7 @@
 	r.withState(func(m *state.Machine) {
 		for i, hb := range beats {
 			if !renewed[i] {
-				orders[i] = notRenewed(hb)
+				orders[i] = notRenewedOrders(hb)
 				continue
 			}
 			orders[i] = c.orders(hb, m)
--- a/control/leases.go
+++ b/control/leases.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	million = 1_000_000
+	partsPerMillion = 1_000_000
 	// stopMargin is how late a worker may be at ending a task whose deadline has
 	// passed: a timer that fires late, a signal that takes its time.
 	stopMargin = 250 * time.Millisecond
-	// aliveShare divides a lease: after so long a silence nothing new is placed on
+	// aliveDivisor divides a lease: after so long a silence nothing new is placed on
 	// a worker.
-	aliveShare = 2
+	aliveDivisor = 2
 )
 
 // leases is the leader's count of how long each worker may still run what it was
@@ -38,10 +38,10 @@
 // hour finds its barrier refused when it wakes. Election timeouts and the time
 // until check-quorum makes a cut-off leader step down do not enter into it.
 type leases struct {
-	duration time.Duration
-	wait     time.Duration
-	readyAt  time.Time
-	held     map[string]*lease
+	duration   time.Duration
+	expiryWait time.Duration
+	readyAt    time.Time
+	byWorker   map[string]*lease
 }
 
 type lease struct {
@@ -52,9 +52,9 @@
 	expiring bool
 }
 
-// leaderWait is how long a leader counts a lease of a duration, by its own clock.
-func leaderWait(duration time.Duration, rateErrorPPM int64) time.Duration {
-	e := float64(rateErrorPPM) / million
+// leaderExpiryWait is how long a leader counts a lease of a duration, by its own clock.
+func leaderExpiryWait(duration time.Duration, rateErrorPPM int64) time.Duration {
+	e := float64(rateErrorPPM) / partsPerMillion
 	w := float64(duration) * (1 + e) / (1 - e)
 	return time.Duration(math.Ceil(w)) + stopMargin
 }
@@ -63,20 +63,20 @@
 // every lease that an earlier leader may have renewed from then on.
 func newLeases(duration time.Duration, rateErrorPPM int64, readyAt time.Time) *leases {
 	return &leases{
-		duration: duration,
-		wait:     leaderWait(duration, rateErrorPPM),
-		readyAt:  readyAt,
-		held:     map[string]*lease{},
+		duration:   duration,
+		expiryWait: leaderExpiryWait(duration, rateErrorPPM),
+		readyAt:    readyAt,
+		byWorker:   map[string]*lease{},
 	}
 }
 
 // renew counts the worker's leases from now. False: they are being expired, or
 // the incarnation is behind.
 func (l *leases) renew(worker string, incarnation uint64, now time.Time) bool {
-	h := l.held[worker]
+	h := l.byWorker[worker]
 	if h == nil {
 		h = &lease{}
-		l.held[worker] = h
+		l.byWorker[worker] = h
 	}
 	if h.expiring || incarnation < h.incarnation {
 		return false
@@ -86,40 +86,40 @@
 	return true
 }
 
-// lapsed reports whether every lease of the worker has surely run out.
-func (l *leases) lapsed(worker string, now time.Time) bool {
-	return l.silence(worker, now) > l.wait
+// expired reports whether every lease of the worker has surely run out.
+func (l *leases) expired(worker string, now time.Time) bool {
+	return l.sinceRenewal(worker, now) > l.expiryWait
 }
 
 // alive reports whether the worker renewed lately enough to be given more.
 func (l *leases) alive(worker string, now time.Time) bool {
-	h := l.held[worker]
-	return h != nil && !h.expiring && now.Sub(h.handledAt) < l.duration/aliveShare
+	h := l.byWorker[worker]
+	return h != nil && !h.expiring && now.Sub(h.handledAt) < l.duration/aliveDivisor
 }
 
-// silence returns how long the worker has renewed nothing in this term.
-func (l *leases) silence(worker string, now time.Time) time.Duration {
-	if h := l.held[worker]; h != nil && h.handledAt.After(l.readyAt) {
+// sinceRenewal returns how long the worker has renewed nothing in this term.
+func (l *leases) sinceRenewal(worker string, now time.Time) time.Duration {
+	if h := l.byWorker[worker]; h != nil && h.handledAt.After(l.readyAt) {
 		return now.Sub(h.handledAt)
 	}
 	return now.Sub(l.readyAt)
 }
 
 // forget drops a worker that the state is about to forget.
-func (l *leases) forget(worker string) { delete(l.held, worker) }
+func (l *leases) forget(worker string) { delete(l.byWorker, worker) }
 
 // beginExpiry keeps the worker's leases from being renewed until endExpiry.
 func (l *leases) beginExpiry(worker string) {
-	h := l.held[worker]
+	h := l.byWorker[worker]
 	if h == nil {
 		h = &lease{}
-		l.held[worker] = h
+		l.byWorker[worker] = h
 	}
 	h.expiring = true
 }
 
 func (l *leases) endExpiry(worker string) {
-	if h := l.held[worker]; h != nil {
+	if h := l.byWorker[worker]; h != nil {
 		h.expiring = false
 	}
 }
--- a/control/log.go
+++ b/control/log.go
@@ -19,15 +19,15 @@
 	LeaderAddress() string
 }
 
-// noLog stands for a log that is not there yet.
-type noLog struct{}
+// unattachedLog stands for a log that is not there yet.
+type unattachedLog struct{}
 
-func (noLog) Propose(context.Context, []byte) ([]byte, uint64, error) {
+func (unattachedLog) Propose(context.Context, []byte) ([]byte, uint64, error) {
 	return nil, 0, &NotLeaderError{}
 }
 
-func (noLog) ReadBarrier(context.Context) (uint64, error) { return 0, &NotLeaderError{} }
+func (unattachedLog) ReadBarrier(context.Context) (uint64, error) { return 0, &NotLeaderError{} }
 
-func (noLog) Leading() (uint64, bool) { return 0, false }
+func (unattachedLog) Leading() (uint64, bool) { return 0, false }
 
-func (noLog) LeaderAddress() string { return "" }
+func (unattachedLog) LeaderAddress() string { return "" }
--- a/control/nodelog.go
+++ b/control/nodelog.go
@@ -17,12 +17,12 @@
 // Propose implements Log.
 func (l NodeLog) Propose(ctx context.Context, command []byte) ([]byte, uint64, error) {
 	result, index, err := l.Node.Propose(ctx, command)
-	return result, index, translate(err)
+	return result, index, translateError(err)
 }
 
-// translate turns the node's errors into those that Log names. Only those that
+// translateError turns the node's errors into those that Log names. Only those that
 // say that nothing was committed become others than UnknownError.
-func translate(err error) error {
+func translateError(err error) error {
 	if err == nil {
 		return nil
 	}
--- a/control/orders.go
+++ b/control/orders.go
@@ -22,21 +22,21 @@
 		LeaseMs:  c.leases.duration.Milliseconds(),
 	}
 	r := c.reports[hb.Worker]
-	m.EachTaskOf(hb.Worker, func(t state.Task) { c.orderLive(o, r, &t) })
+	m.EachTaskOf(hb.Worker, func(t state.Task) { c.orderForLiveTask(o, r, &t) })
 	for _, st := range hb.Tasks {
-		if !liveAt(m, hb.Worker, st.Task) {
-			orderGone(o, st)
+		if !isLiveOn(m, hb.Worker, st.Task) {
+			orderForUnknownAttempt(o, st)
 		}
 	}
-	r.answered = true
+	r.ordersSent = true
 	sortOrders(o)
 	return o
 }
 
-// orderLive orders what an attempt that the state counts on this worker needs.
-func (c *coordinator) orderLive(o *apiv1.WorkerOrders, r *report, t *state.Task) {
+// orderForLiveTask orders what an attempt that the state counts on this worker needs.
+func (c *coordinator) orderForLiveTask(o *apiv1.WorkerOrders, r *workerReport, t *state.Task) {
 	attempt := &apiv1.TaskAttempt{Task: t.ID, Attempt: t.Attempt}
-	st := r.task(t.ID)
+	st := r.taskStatus(t.ID)
 	reported := st != nil && st.Task.Attempt == t.Attempt
 	switch {
 	case reported && st.Phase != apiv1.TaskPhase_TASK_PHASE_RUNNING:
@@ -60,21 +60,21 @@
 	}
 }
 
-func (c *coordinator) orderThrottle(o *apiv1.WorkerOrders, r *report, a *apiv1.TaskAttempt) {
+func (c *coordinator) orderThrottle(o *apiv1.WorkerOrders, r *workerReport, a *apiv1.TaskAttempt) {
 	th, ok := c.throttles[a.Task]
 	if ok && th.attempt == a.Attempt {
 		o.Throttle = append(o.Throttle, &apiv1.ThrottleTask{Task: a, ShareMilli: th.share})
 		return
 	}
-	if !r.answered {
+	if !r.ordersSent {
 		// An earlier leader may have throttled it; this one has no reason to.
 		o.Throttle = append(o.Throttle, &apiv1.ThrottleTask{Task: a, ShareMilli: fullShare})
 	}
 }
 
-// orderGone answers a report on an attempt that the state counts no longer, or
+// orderForUnknownAttempt answers a report on an attempt that the state counts no longer, or
 // never counted here.
-func orderGone(o *apiv1.WorkerOrders, st *apiv1.TaskStatus) {
+func orderForUnknownAttempt(o *apiv1.WorkerOrders, st *apiv1.TaskStatus) {
 	if st.Phase == apiv1.TaskPhase_TASK_PHASE_RUNNING {
 		o.Stop = append(o.Stop, &apiv1.StopTask{Task: st.Task, Reason: "the attempt is not granted to this worker"})
 		return
@@ -92,7 +92,7 @@
 	return cmp.Or(cmp.Compare(a.Task, b.Task), cmp.Compare(a.Attempt, b.Attempt))
 }
 
-// notRenewed answers a heartbeat that renews nothing.
-func notRenewed(hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
+// notRenewedOrders answers a heartbeat that renews nothing.
+func notRenewedOrders(hb *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
 	return &apiv1.WorkerOrders{Worker: hb.Worker, Sequence: hb.Sequence}
 }
--- a/control/planning.go
+++ b/control/planning.go
@@ -13,8 +13,8 @@
 const (
 	// grantsPerCommand bounds the size of one log entry.
 	grantsPerCommand = 256
-	// forgetAfter is how long a worker that holds nothing may be silent.
-	forgetAfter = 24 * time.Hour
+	// forgetWorkerAfter is how long a worker that holds nothing may be silent.
+	forgetWorkerAfter = 24 * time.Hour
 )
 
 // plan runs one planning round on a snapshot and returns the commands that carry
@@ -83,9 +83,9 @@
 	return cmds
 }
 
-// wake returns a command for the parked jobs that a worker of a new shape could
+// wakeCommand returns a command for the parked jobs that a worker of a new shape could
 // hold when it is empty, nil when there are none.
-func wake(capacity state.Resources, m *state.Machine) *apiv1.Command {
+func wakeCommand(capacity state.Resources, m *state.Machine) *apiv1.Command {
 	p := &apiv1.Park{Wake: true}
 	m.EachParked(func(d *apiv1.Job) {
 		if state.ResourcesOf(d.Size).Within(capacity) {
@@ -99,17 +99,17 @@
 	return &apiv1.Command{Body: &apiv1.Command_Park{Park: p}}
 }
 
-// due returns the commands that the passing of time asks for: ends of attempts
+// dueCommands returns the commands that the passing of time asks for: ends of attempts
 // whose leases ran out, by worker, and the workers to forget, nil when none.
-func (c *coordinator) due(now time.Time, m *state.Machine) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
+func (c *coordinator) dueCommands(now time.Time, m *state.Machine) (expiries map[string]*apiv1.Command, forget *apiv1.Command) {
 	expiries = map[string]*apiv1.Command{}
 	silent := &apiv1.ForgetWorkers{}
 	m.EachWorker(func(w state.Worker) {
 		switch {
-		case w.Tasks > 0 && c.leases.lapsed(w.Name, now):
+		case w.Tasks > 0 && c.leases.expired(w.Name, now):
 			c.leases.beginExpiry(w.Name)
-			expiries[w.Name] = c.expiry(w.Name, m)
-		case w.Tasks == 0 && !w.Draining && c.leases.silence(w.Name, now) > forgetAfter:
+			expiries[w.Name] = c.expireCommand(w.Name, m)
+		case w.Tasks == 0 && !w.Draining && c.leases.sinceRenewal(w.Name, now) > forgetWorkerAfter:
 			silent.Workers = append(silent.Workers, &apiv1.SilentWorker{Worker: w.Name, Incarnation: w.Incarnation})
 		}
 	})
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *coordinator) expiry(worker string, m *state.Machine) *apiv1.Command {
+func (c *coordinator) expireCommand(worker string, m *state.Machine) *apiv1.Command {
 	e := &apiv1.Expire{Term: c.term}
 	m.EachTaskOf(worker, func(t state.Task) {
 		e.Tasks = append(e.Tasks, &apiv1.TaskAttempt{Task: t.ID, Attempt: t.Attempt})
--- a/control/replica.go
+++ b/control/replica.go
@@ -26,8 +26,8 @@
 	retryAfter = time.Second
 	// confirmationsPerBound is how often the configuration is confirmed within the
 	// staleness bound, so that one lost round does not make this host stale.
-	confirmationsPerBound = 6
-	confirmationTimeouts  = 2
+	confirmationsPerBound      = 6
+	confirmationTimeoutDivisor = 2
 )
 
 // Defaults of Config; the settings of a daemon have the same.
@@ -98,10 +98,10 @@
 	changed     chan struct{}
 	confirmedAt time.Time
 
-	// leading guards the coordinator and its planner. It is taken before mu.
-	leading     sync.Mutex
-	coordinator *coordinator
-	throttles   map[string]throttle
+	// coordinatorMu guards the coordinator and its planner. It is taken before mu.
+	coordinatorMu sync.Mutex
+	coordinator   *coordinator
+	throttles     map[string]throttle
 }
 
 var _ Service = (*Replica)(nil)
@@ -130,7 +130,7 @@
 	if l := r.attached.Load(); l != nil {
 		return *l
 	}
-	return noLog{}
+	return unattachedLog{}
 }
 
 // Run confirms the configuration and leads when elected, until ctx ends. It
@@ -247,7 +247,7 @@
 }
 
 func (r *Replica) confirm(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, r.cfg.StalenessBound/confirmationTimeouts)
+	ctx, cancel := context.WithTimeout(ctx, r.cfg.StalenessBound/confirmationTimeoutDivisor)
 	defer cancel()
 	began := r.cfg.Now()
 	if _, err := r.log().ReadBarrier(ctx); err != nil {
@@ -270,7 +270,7 @@
 		return r.cfg.Forwarder.propose(ctx, cmd, notLeader.LeaderAddress, false)
 	}
 	var unknown *UnknownError
-	if errors.As(err, &unknown) && resendable(cmd) {
+	if errors.As(err, &unknown) && safeToResend(cmd) {
 		return r.cfg.Forwarder.propose(ctx, cmd, r.log().LeaderAddress(), true)
 	}
 	return nil, err
@@ -311,7 +311,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.metrics.commit.Since(began)
+	r.metrics.commit.ObserveSince(began)
 	res := &apiv1.Result{}
 	if err := proto.Unmarshal(out, res); err != nil {
 		return nil, &UnknownError{Cause: "result can't be decoded: " + err.Error()}
--- a/control/replica_test.go
+++ b/control/replica_test.go
@@ -16,14 +16,14 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// running starts a replica over a log of its own.
-func running(t *testing.T) *Replica {
+// startReplica starts a replica over a log of its own.
+func startReplica(t *testing.T) *Replica {
 	r := NewReplica(Config{Planner: &firstFit{}, PlanInterval: time.Millisecond, StalenessBound: 60 * time.Millisecond})
-	start(t, r, NewMemoryLog(r, "127.0.0.1:1"))
+	startReplicaWithLog(t, r, NewMemoryLog(r, "127.0.0.1:1"))
 	return r
 }
 
-func start(t *testing.T, r *Replica, log Log) {
+func startReplicaWithLog(t *testing.T, r *Replica, log Log) {
 	r.Attach(log)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
@@ -34,8 +34,8 @@
 	})
 }
 
-// beat sends a heartbeat until the orders satisfy done.
-func beat(t *testing.T, r *Replica, hb *apiv1.WorkerHeartbeat, done func(*apiv1.WorkerOrders) bool) *apiv1.WorkerOrders {
+// heartbeatUntil sends a heartbeat until the orders satisfy done.
+func heartbeatUntil(t *testing.T, r *Replica, hb *apiv1.WorkerHeartbeat, done func(*apiv1.WorkerOrders) bool) *apiv1.WorkerOrders {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	for ctx.Err() == nil {
@@ -44,7 +44,7 @@
 		if err == nil && done(orders[0]) {
 			return orders[0]
 		}
-		pause(ctx, time.Millisecond)
+		sleep(ctx, time.Millisecond)
 	}
 	t.Fatalf("no such orders for %v", hb)
 	return nil
@@ -52,8 +52,8 @@
 
 // A job is submitted, placed, started, evicted with a checkpoint, resumed from it
 // under the next attempt, and finished; the worker's reports are acknowledged.
-func TestReplicaCarriesTaskThroughItsLife(t *testing.T) {
-	r := running(t)
+func TestReplicaTaskLifecycle(t *testing.T) {
+	r := startReplica(t)
 	ctx := context.Background()
 	changed := r.Changed()
 	large := submission("s0", 0)
@@ -68,7 +68,7 @@
 	<-changed
 	hb := &apiv1.WorkerHeartbeat{Worker: "w1", Incarnation: 7, Info: info("w1", 1000)}
 	started := func(attempt uint64) *apiv1.StartTask {
-		o := beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Start) == 1 && o.Start[0].Task.Attempt == attempt })
+		o := heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Start) == 1 && o.Start[0].Task.Attempt == attempt })
 		return o.Start[0]
 	}
 	report := func(a *apiv1.TaskAttempt, p apiv1.TaskPhase, checkpoint string) {
@@ -76,13 +76,13 @@
 	}
 	first := started(1).Task
 	report(first, apiv1.TaskPhase_TASK_PHASE_RUNNING, "")
-	beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return o.Renewed && len(o.Start) == 0 })
+	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return o.Renewed && len(o.Start) == 0 })
 	if _, err := r.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Drain{Drain: &apiv1.Drain{Worker: "w1"}}}); err != nil {
 		t.Fatal(err)
 	}
-	beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Stop) == 1 && o.Stop[0].Checkpoint })
+	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Stop) == 1 && o.Stop[0].Checkpoint })
 	report(first, apiv1.TaskPhase_TASK_PHASE_STOPPED, "c1")
-	beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Acknowledged) == 1 && len(o.Start) == 0 })
+	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Acknowledged) == 1 && len(o.Start) == 0 })
 	hb.Tasks = nil
 	if _, err := r.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Drain{Drain: &apiv1.Drain{Worker: "w1", Off: true}}}); err != nil {
 		t.Fatal(err)
@@ -92,7 +92,7 @@
 		t.Fatalf("resumed as %v", second)
 	}
 	report(second.Task, apiv1.TaskPhase_TASK_PHASE_SUCCEEDED, "")
-	beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Acknowledged) == 1 })
+	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return len(o.Acknowledged) == 1 })
 	e, ok := r.Explain("renewals")
 	if !ok || e.Job.Tasks[apiv1.TaskState_TASK_STATE_SUCCEEDED] != 1 || len(e.Decisions) == 0 {
 		t.Fatalf("explained as %+v", e)
@@ -123,7 +123,7 @@
 // to be fresh, by a host that leads no more. Sequence: the leader is cut off; or
 // it loses and regains leadership while it waits for its barrier. Cause: an answer
 // that was not confirmed after the renewal was handled, in the same term.
-func TestDeposedLeaderAnswersNothing(t *testing.T) {
+func TestDeposedLeaderAnswersNoRequests(t *testing.T) {
 	r := NewReplica(Config{Planner: &firstFit{}, PlanInterval: time.Millisecond, StalenessBound: 6 * time.Millisecond})
 	log := &scriptedLog{MemoryLog: NewMemoryLog(r, "127.0.0.1:1")}
 	log.term.Store(1)
@@ -131,8 +131,8 @@
 	if _, err := r.Renew(context.Background(), []*apiv1.WorkerHeartbeat{hb}); err == nil || r.Status().Leading {
 		t.Error("answered before there is a log")
 	}
-	start(t, r, log)
-	beat(t, r, hb, func(o *apiv1.WorkerOrders) bool { return o.Renewed })
+	startReplicaWithLog(t, r, log)
+	heartbeatUntil(t, r, hb, func(o *apiv1.WorkerOrders) bool { return o.Renewed })
 
 	refused := make(chan struct{})
 	cutOff := func() error {
@@ -177,13 +177,13 @@
 // Symptom: explain says for minutes that no worker's leases were renewed, while all
 // are alive. Sequence: a new leader plans before the workers renew; later rounds refuse
 // the task for other causes. Cause: only changes of the summed-up reason were kept.
-func TestExplainTellsTheNewestRefusals(t *testing.T) {
+func TestExplainReportsTheNewestRefusals(t *testing.T) {
 	d := decisionRing{logger: zap.NewNop()}
 	for _, filter := range []string{"alive", "room"} {
 		dec := place.Decision{Task: "a@1/0", Reason: "no worker can take it", Refused: map[string]int{filter: 1}}
 		d.add(time.Time{}, []place.Decision{dec})
 	}
-	list := d.of(map[string]bool{"a@1/0": true})
+	list := d.forTasks(map[string]bool{"a@1/0": true})
 	if last := list[len(list)-1]; last.Refused["room"] != 1 {
 		t.Fatalf("explained with %v", last.Refused)
 	}
--- a/control/sim_test.go
+++ b/control/sim_test.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	simLease    = 2 * time.Second
-	simRatePPM  = 200_000 // 20 %, so that the bound outweighs stopMargin.
-	simBeat     = 300 * time.Millisecond
-	simRound    = 100 * time.Millisecond
-	simFaults   = 60 * time.Second
-	simEnd      = 200 * time.Second
-	simCapacity = 1000
+	simLease             = 2 * time.Second
+	simRateErrorPPM      = 200_000 // 20 %, so that the bound outweighs stopMargin.
+	simHeartbeatInterval = 300 * time.Millisecond
+	simRoundInterval     = 100 * time.Millisecond
+	simFaultPeriod       = 60 * time.Second
+	simEnd               = 200 * time.Second
+	simCapacity          = 1000
 )
 
 // simClock is a host's clock: real time at a rate within the bound. A suspended
@@ -62,7 +62,7 @@
 	coordinator *coordinator
 	view        *state.Machine
 	planner     *simPlanner
-	frozen      time.Duration // until
+	frozenUntil time.Duration // until
 }
 
 // simPlanner is the placer in every second run, else first fit; either with
@@ -102,13 +102,13 @@
 	index   uint64
 	nodes   []*simNode
 	leader  *simNode
-	// former is the leader before the last one: leadership often bounces back.
-	former  *simNode
-	term    uint64
-	workers []*simWorker
-	runs    map[string]*simRun
-	fault   string
-	noGuard string // names the guard that a run goes without
+	// previousLeader is the leader before the last one: leadership often bounces back.
+	previousLeader *simNode
+	term           uint64
+	workers        []*simWorker
+	runs           map[string]*simRun
+	violation      string
+	disabledCheck  string // names the guard that a run goes without
 }
 
 func newSim(seed int64) *sim {
@@ -124,7 +124,7 @@
 
 // newClock is at either bound of the rate, or between them.
 func (s *sim) newClock() simClock {
-	const e = simRatePPM / 1e6
+	const e = simRateErrorPPM / 1e6
 	return simClock{rate: []float64{1 - e, 1, 1 + e}[s.rng.Intn(3)]}
 }
 
@@ -133,13 +133,13 @@
 	heap.Push(&s.queue, simEvent{s.now + d, s.seq, f})
 }
 
-func (s *sim) between(lo, hi time.Duration) time.Duration {
+func (s *sim) randomDuration(lo, hi time.Duration) time.Duration {
 	return lo + time.Duration(s.rng.Int63n(int64(hi-lo)))
 }
 
 func (s *sim) chance(percent int) bool { return s.faulty() && s.rng.Intn(100) < percent }
 
-func (s *sim) faulty() bool { return s.now < simFaults }
+func (s *sim) faulty() bool { return s.now < simFaultPeriod }
 
 // deliver sends a message: soon, late, twice or never.
 func (s *sim) deliver(f func()) {
@@ -147,17 +147,17 @@
 		return
 	}
 	if s.chance(5) {
-		s.after(s.between(time.Millisecond, 8*time.Second), f)
+		s.after(s.randomDuration(time.Millisecond, 8*time.Second), f)
 	}
 	if s.chance(5) {
-		s.after(s.between(time.Millisecond, 8*time.Second), f)
+		s.after(s.randomDuration(time.Millisecond, 8*time.Second), f)
 		return
 	}
-	s.after(s.between(time.Millisecond, 20*time.Millisecond), f)
+	s.after(s.randomDuration(time.Millisecond, 20*time.Millisecond), f)
 }
 
 func (s *sim) run(until time.Duration) {
-	for s.queue.Len() > 0 && s.queue[0].at < until && s.fault == "" {
+	for s.queue.Len() > 0 && s.queue[0].at < until && s.violation == "" {
 		e := heap.Pop(&s.queue).(simEvent)
 		s.now = e.at
 		for _, w := range s.workers {
@@ -168,8 +168,8 @@
 }
 
 func (s *sim) fail(format string, args ...any) {
-	if s.fault == "" {
-		s.fault = fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, args...)
+	if s.violation == "" {
+		s.violation = fmt.Sprintf("at %v: ", s.now) + fmt.Sprintf(format, args...)
 	}
 }
 
@@ -183,7 +183,7 @@
 	case s.chance(2):
 		return nil
 	case s.chance(2), cmd.GetExpire() != nil && s.chance(30):
-		s.after(s.between(time.Millisecond, 5*time.Second), func() {
+		s.after(s.randomDuration(time.Millisecond, 5*time.Second), func() {
 			if n == s.leader {
 				s.apply(n, cmd)
 			}
@@ -200,7 +200,7 @@
 
 func (s *sim) apply(n *simNode, cmd *apiv1.Command) *apiv1.Result {
 	s.index++
-	s.reported(cmd)
+	s.noteStopCheckpoints(cmd)
 	// A copy: a command that waited or was repeated shares nothing.
 	return s.machine.Apply(s.index, &apiv1.Command{TimeMs: n.clock.read(s.now).Milliseconds(), Body: cmd.Body})
 }
@@ -218,17 +218,17 @@
 			old.coordinator = nil
 		}
 		for _, w := range s.workers {
-			w.home, w.homeUntil = old, s.now+time.Duration(s.rng.Intn(2))*s.between(0, 8*time.Second)
+			w.deposedLeader, w.deposedUntil = old, s.now+time.Duration(s.rng.Intn(2))*s.randomDuration(0, 8*time.Second)
 		}
 	}
 	s.term++
 	next := s.nodes[s.rng.Intn(len(s.nodes))]
-	if s.former != nil && s.rng.Intn(2) == 0 {
-		next = s.former
+	if s.previousLeader != nil && s.rng.Intn(2) == 0 {
+		next = s.previousLeader
 	}
-	s.former, s.leader = s.leader, next
+	s.previousLeader, s.leader = s.leader, next
 	n, term := s.leader, s.term
-	s.after(s.between(time.Millisecond, 50*time.Millisecond), func() { s.takeOver(n, term) })
+	s.after(s.randomDuration(time.Millisecond, 50*time.Millisecond), func() { s.takeOver(n, term) })
 }
 
 func (s *sim) takeOver(n *simNode, term uint64) {
@@ -240,11 +240,11 @@
 	if res.Verdict != apiv1.Verdict_VERDICT_ACCEPTED {
 		s.fail("the leader of term %d was refused", term)
 	}
-	l := newLeases(simLease, simRatePPM, s.time(n))
-	if s.noGuard == "wait" {
-		l.wait = simLease + stopMargin
+	l := newLeases(simLease, simRateErrorPPM, s.time(n))
+	if s.disabledCheck == "wait" {
+		l.expiryWait = simLease + stopMargin
 	}
-	if s.noGuard == "ready" {
+	if s.disabledCheck == "ready" {
 		l.readyAt = l.readyAt.Add(-simLease)
 	}
 	n.coordinator = newCoordinator(term, l, n.planner, map[string]throttle{})
@@ -258,12 +258,12 @@
 	if n.coordinator != c {
 		return
 	}
-	if s.now < n.frozen {
-		s.after(n.frozen-s.now, func() { s.round(n, c) })
+	if s.now < n.frozenUntil {
+		s.after(n.frozenUntil-s.now, func() { s.round(n, c) })
 		return
 	}
-	s.after(simRound, func() { s.round(n, c) })
-	expiries, forget := c.due(s.time(n), n.view)
+	s.after(simRoundInterval, func() { s.round(n, c) })
+	expiries, forget := c.dueCommands(s.time(n), n.view)
 	for _, w := range sortedKeys(expiries) {
 		if s.commit(n, expiries[w]) != nil {
 			c.leases.endExpiry(w)
@@ -280,8 +280,8 @@
 
 // renew is RenewLocal: the barrier comes some time after the leases were counted.
 func (s *sim) renew(n *simNode, hb *apiv1.WorkerHeartbeat, answer func(*apiv1.WorkerOrders)) {
-	if s.now < n.frozen {
-		s.after(n.frozen-s.now, func() { s.renew(n, hb, answer) })
+	if s.now < n.frozenUntil {
+		s.after(n.frozenUntil-s.now, func() { s.renew(n, hb, answer) })
 		return
 	}
 	c := n.coordinator
@@ -295,16 +295,16 @@
 		}
 	}
 	renewed := c.renew(s.time(n), hb, n.view)
-	confirm := s.between(time.Millisecond, 10*time.Millisecond)
+	confirm := s.randomDuration(time.Millisecond, 10*time.Millisecond)
 	if s.chance(2) {
-		confirm = s.between(time.Millisecond, 10*time.Second)
+		confirm = s.randomDuration(time.Millisecond, 10*time.Second)
 	}
 	s.after(confirm, func() {
 		sole := n == s.leader && n.term == s.term && n.coordinator == c
-		if !sole && s.noGuard != "barrier" {
+		if !sole && s.disabledCheck != "barrier" {
 			return
 		}
-		o := notRenewed(hb)
+		o := notRenewedOrders(hb)
 		if renewed && n.coordinator == c {
 			o = c.orders(hb, n.view)
 		}
@@ -312,30 +312,30 @@
 	})
 }
 
-// chaos injects faults until simFaults.
-func (s *sim) chaos() {
+// injectFaults injects faults until simFaultPeriod.
+func (s *sim) injectFaults() {
 	if !s.faulty() {
 		return
 	}
-	s.after(s.between(100*time.Millisecond, 1500*time.Millisecond), s.chaos)
+	s.after(s.randomDuration(100*time.Millisecond, 1500*time.Millisecond), s.injectFaults)
 	w := s.workers[s.rng.Intn(len(s.workers))]
 	switch s.rng.Intn(6) {
 	case 0:
 		s.elect()
 	case 1: // A control host is suspended, its clock with it or not, and may be deposed meanwhile.
 		n := s.nodes[s.rng.Intn(len(s.nodes))]
-		d := s.between(100*time.Millisecond, 8*time.Second)
-		n.frozen = max(n.frozen, s.now+d)
+		d := s.randomDuration(100*time.Millisecond, 8*time.Second)
+		n.frozenUntil = max(n.frozenUntil, s.now+d)
 		if s.rng.Intn(2) == 0 {
-			s.after(n.frozen-s.now, func() { n.clock.lost += d / 2 })
+			s.after(n.frozenUntil-s.now, func() { n.clock.lost += d / 2 })
 		}
 		if s.rng.Intn(2) == 0 {
 			s.elect()
 		}
 	case 2:
-		w.frozen = max(w.frozen, s.now+s.between(100*time.Millisecond, 8*time.Second))
+		w.frozenUntil = max(w.frozenUntil, s.now+s.randomDuration(100*time.Millisecond, 8*time.Second))
 	case 3:
-		w.cut = max(w.cut, s.now+s.between(100*time.Millisecond, 8*time.Second))
+		w.partitionedUntil = max(w.partitionedUntil, s.now+s.randomDuration(100*time.Millisecond, 8*time.Second))
 	case 4:
 		w.restartAgent()
 	case 5:
@@ -348,10 +348,10 @@
 	}
 }
 
-// play runs a seed and returns what went wrong.
-func play(seed int64, noGuard string) string {
+// runSeed runs a seed and returns what went wrong.
+func runSeed(seed int64, noGuard string) string {
 	s := newSim(seed)
-	s.noGuard = noGuard
+	s.disabledCheck = noGuard
 	s.elect()
 	jobs := []*apiv1.Job{
 		{Name: "renewals", Tasks: 3, Size: processors(400), MaxFailures: 100},
@@ -359,16 +359,16 @@
 	}
 	s.after(60*time.Millisecond, func() {
 		s.apply(s.nodes[0], submission("s", 0, jobs...))
-		s.chaos()
+		s.injectFaults()
 	})
 	for _, w := range s.workers {
-		s.after(s.between(0, simBeat), w.beat)
+		s.after(s.randomDuration(0, simHeartbeatInterval), w.sendHeartbeat)
 	}
 	unfinished := ""
-	for end := simFaults; end <= simEnd; end += 10 * time.Second {
+	for end := simFaultPeriod; end <= simEnd; end += 10 * time.Second {
 		s.run(end)
-		if s.fault != "" {
-			return s.fault
+		if s.violation != "" {
+			return s.violation
 		}
 		if err := s.machine.Check(); err != nil {
 			return err.Error()
@@ -397,7 +397,7 @@
 // own record judges.
 func TestTasksNeverRunTwiceAndResumeOnce(t *testing.T) {
 	for seed := range int64(400) {
-		if fault := play(seed, ""); fault != "" {
+		if fault := runSeed(seed, ""); fault != "" {
 			t.Fatalf("seed %d: %s", seed, fault)
 		}
 	}
@@ -405,10 +405,10 @@
 
 // The simulation notices when a guard is missing: some seed then shows a task
 // that runs twice.
-func TestSimulationNoticesMissingGuards(t *testing.T) {
+func TestSimulationDetectsMissingChecks(t *testing.T) {
 	for _, guard := range []string{"wait", "ready", "barrier"} {
 		seed := int64(0)
-		for seed < 400 && play(seed, guard) == "" {
+		for seed < 400 && runSeed(seed, guard) == "" {
 			seed++
 		}
 		if seed == 400 {
--- a/control/simworker_test.go
+++ b/control/simworker_test.go
@@ -18,37 +18,37 @@
 
 // simTask is an attempt at a worker. Work done counts up to need.
 type simTask struct {
-	order    *apiv1.StartTask
-	phase    apiv1.TaskPhase
-	deadline time.Duration // on the host's clock
-	ends     time.Duration // when its work is done, real time
-	saved    int
+	order      *apiv1.StartTask
+	phase      apiv1.TaskPhase
+	deadline   time.Duration // on the host's clock
+	endsAt     time.Duration // when its work is done, real time
+	checkpoint int
 }
 
 // simWorker is a host: the worker that runs tasks until their deadlines, and the
 // agent's lease manager.
 type simWorker struct {
-	sim      *sim
-	name     string
-	clock    simClock
-	capacity int64
-	tasks    map[string]*simTask
-	newest   map[string]uint64
+	sim           *sim
+	name          string
+	clock         simClock
+	capacity      int64
+	tasks         map[string]*simTask
+	newestAttempt map[string]uint64
 	// boots counts the starts of the worker; told says that it names them.
-	boots uint64
-	told  bool
+	boots              uint64
+	reportsIncarnation bool
 	// The agent loses its part when it restarts.
-	life   int
-	frozen time.Duration
-	cut    time.Duration
-	agent  *agentlease.Manager
-	// home is the deposed leader that the worker's heartbeats still reach.
-	home      *simNode
-	homeUntil time.Duration
+	agentIncarnation int
+	frozenUntil      time.Duration
+	partitionedUntil time.Duration
+	agent            *agentlease.Manager
+	// deposedLeader is the deposed leader that the worker's heartbeats still reach.
+	deposedLeader *simNode
+	deposedUntil  time.Duration
 }
 
 func newSimWorker(s *sim, name string) *simWorker {
-	w := &simWorker{sim: s, name: name, clock: s.newClock(), capacity: simCapacity, newest: map[string]uint64{}, told: s.rng.Intn(2) == 0}
+	w := &simWorker{sim: s, name: name, clock: s.newClock(), capacity: simCapacity, newestAttempt: map[string]uint64{}, reportsIncarnation: s.rng.Intn(2) == 0}
 	w.reboot()
 	return w
 }
@@ -64,7 +64,7 @@
 }
 
 func (w *simWorker) restartAgent() {
-	w.life++
+	w.agentIncarnation++
 	w.agent = agentlease.New(w.now())
 }
 
@@ -76,19 +76,19 @@
 		t := w.tasks[id]
 		switch {
 		case t.phase != apiv1.TaskPhase_TASK_PHASE_RUNNING:
-		case w.sim.now >= t.ends:
+		case w.sim.now >= t.endsAt:
 			w.stop(t, apiv1.TaskPhase_TASK_PHASE_SUCCEEDED)
 		case w.now() >= t.deadline:
 			w.stop(t, apiv1.TaskPhase_TASK_PHASE_STOPPED)
 		default:
-			t.saved = w.saved(t)
+			t.checkpoint = w.periodicCheckpoint(t)
 		}
 	}
 }
 
-// saved is the last periodic checkpoint: one per second of work.
-func (w *simWorker) saved(t *simTask) int {
-	return max(t.saved, int((simWork-(t.ends-w.sim.now))/time.Second))
+// periodicCheckpoint is the last periodic checkpoint: one per second of work.
+func (w *simWorker) periodicCheckpoint(t *simTask) int {
+	return max(t.checkpoint, int((simWork-(t.endsAt-w.sim.now))/time.Second))
 }
 
 const simWork = 6 * time.Second
@@ -105,22 +105,22 @@
 	switch {
 	case deadline <= w.now():
 		return agentlease.StartExpired
-	case o.Task.Attempt <= w.newest[id]:
+	case o.Task.Attempt <= w.newestAttempt[id]:
 		return agentlease.StartRefused
 	}
-	w.newest[id] = o.Task.Attempt
+	w.newestAttempt[id] = o.Task.Attempt
 	from := 0
 	fmt.Sscanf(o.Checkpoint, "c%d", &from)
-	t := &simTask{order: o, phase: apiv1.TaskPhase_TASK_PHASE_RUNNING, deadline: deadline, saved: from}
-	t.ends = w.sim.now + simWork - time.Duration(from)*time.Second
+	t := &simTask{order: o, phase: apiv1.TaskPhase_TASK_PHASE_RUNNING, deadline: deadline, checkpoint: from}
+	t.endsAt = w.sim.now + simWork - time.Duration(from)*time.Second
 	w.tasks[id] = t
-	w.sim.begin(w, o, from)
+	w.sim.checkStart(w, o, from)
 	return agentlease.StartDone
 }
 
-// begin judges a start: nothing of the task runs anywhere, the attempt never ran
+// checkStart judges a start: nothing of the task runs anywhere, the attempt never ran
 // before, the checkpoint is not behind, the worker can hold it.
-func (s *sim) begin(w *simWorker, o *apiv1.StartTask, from int) {
+func (s *sim) checkStart(w *simWorker, o *apiv1.StartTask, from int) {
 	id := o.Task.Task
 	r := s.runs[id]
 	if r == nil {
@@ -163,21 +163,21 @@
 		Instance:  fmt.Sprint(w.boots),
 		WallClock: uint64(w.now()) + 1,
 	}
-	if w.told {
+	if w.reportsIncarnation {
 		o.Info.Incarnation = w.boots
 	}
 	for _, id := range sortedKeys(w.tasks) {
 		t := w.tasks[id]
-		o.Tasks = append(o.Tasks, &apiv1.TaskStatus{Task: t.order.Task, Phase: t.phase, Checkpoint: fmt.Sprint("c", t.saved), Grant: t.order.Grant})
+		o.Tasks = append(o.Tasks, &apiv1.TaskStatus{Task: t.order.Task, Phase: t.phase, Checkpoint: fmt.Sprint("c", t.checkpoint), Grant: t.order.Grant})
 	}
 	w.agent.Observe(w.now(), o)
 }
 
-// beat is the agent's heartbeat, to the leader or to a host that was deposed.
-func (w *simWorker) beat() {
+// sendHeartbeat is the agent's heartbeat, to the leader or to a host that was deposed.
+func (w *simWorker) sendHeartbeat() {
 	s := w.sim
-	s.after(simBeat, w.beat)
-	if s.now < w.frozen || s.now < w.cut {
+	s.after(simHeartbeatInterval, w.sendHeartbeat)
+	if s.now < w.frozenUntil || s.now < w.partitionedUntil {
 		return
 	}
 	w.observe()
@@ -186,23 +186,23 @@
 		return
 	}
 	n := s.leader
-	if s.faulty() && s.now < w.homeUntil {
-		n = w.home
+	if s.faulty() && s.now < w.deposedUntil {
+		n = w.deposedLeader
 	}
-	life := w.life
+	life := w.agentIncarnation
 	s.deliver(func() {
-		s.renew(n, hb, func(o *apiv1.WorkerOrders) { s.deliver(func() { w.orders(life, o) }) })
+		s.renew(n, hb, func(o *apiv1.WorkerOrders) { s.deliver(func() { w.followOrders(life, o) }) })
 	})
 }
 
-// orders lets the agent follow the leader's answer.
-func (w *simWorker) orders(life int, o *apiv1.WorkerOrders) {
+// followOrders lets the agent follow the leader's answer.
+func (w *simWorker) followOrders(life int, o *apiv1.WorkerOrders) {
 	s := w.sim
-	if life != w.life || s.now < w.cut {
+	if life != w.agentIncarnation || s.now < w.partitionedUntil {
 		return
 	}
-	if s.now < w.frozen {
-		s.after(w.frozen-s.now, func() { w.orders(life, o) })
+	if s.now < w.frozenUntil {
+		s.after(w.frozenUntil-s.now, func() { w.followOrders(life, o) })
 		return
 	}
 	a := w.agent.ApplyOrders(w.now(), o)
@@ -215,7 +215,7 @@
 		w.agent.RecordStop(st.Task, checkpoint, true)
 	}
 	for _, st := range a.Start {
-		w.carryStart(st, a)
+		w.deliverStart(st, a)
 	}
 	for _, t := range a.Forget {
 		if held := w.tasks[t.Task]; held != nil && held.order.Task.Attempt == t.Attempt && held.phase != apiv1.TaskPhase_TASK_PHASE_RUNNING {
@@ -224,12 +224,12 @@
 	}
 }
 
-// carryStart asks the worker to start an attempt; the call may be late, and its
+// deliverStart asks the worker to start an attempt; the call may be late, and its
 // reply lost, also because the agent dies. A late one may reach a worker that has
 // restarted since: it took the connection before the agent knew of the restart.
-func (w *simWorker) carryStart(st *apiv1.StartTask, a agentlease.Actions) {
+func (w *simWorker) deliverStart(st *apiv1.StartTask, a agentlease.Actions) {
 	if w.sim.chance(10) {
-		w.sim.after(w.sim.between(0, 3*time.Second), func() { w.start(st, a.StartDeadline) })
+		w.sim.after(w.sim.randomDuration(0, 3*time.Second), func() { w.start(st, a.StartDeadline) })
 		w.agent.RecordStart(st, agentlease.StartUnknown, "", a.Deadline)
 		return
 	}
@@ -253,15 +253,15 @@
 		return ""
 	}
 	if st.Checkpoint {
-		t.saved = w.saved(t)
+		t.checkpoint = w.periodicCheckpoint(t)
 	}
 	w.stop(t, apiv1.TaskPhase_TASK_PHASE_STOPPED)
-	return fmt.Sprint("c", t.saved)
+	return fmt.Sprint("c", t.checkpoint)
 }
 
-// reported notes the checkpoints of the stops that a command is about to record.
+// noteStopCheckpoints notes the checkpoints of the stops that a command is about to record.
 // One that comes before its worker's registration, which was lost, records nothing.
-func (s *sim) reported(cmd *apiv1.Command) {
+func (s *sim) noteStopCheckpoints(cmd *apiv1.Command) {
 	rec := cmd.GetRecordTasks()
 	if w, _ := s.machine.Worker(rec.GetWorker()); w.Incarnation != rec.GetWorkerIncarnation() {
 		return
--- a/control/snapshot.go
+++ b/control/snapshot.go
@@ -22,13 +22,13 @@
 	for _, t := range m.Teams() {
 		s.Teams[t.Name] = &place.Team{Name: t.Name, Quota: place.Resources(t.Quota), Weight: max(1, t.Weight)}
 	}
-	m.EachWorker(func(w state.Worker) { s.Workers = append(s.Workers, c.placeWorker(now, w, m)) })
+	m.EachWorker(func(w state.Worker) { s.Workers = append(s.Workers, c.snapshotWorker(now, w, m)) })
 	slices.SortFunc(s.Workers, func(a, b *place.Worker) int { return cmp.Compare(a.Name, b.Name) })
 	served := servedServices(s.Workers)
 	c.served = served
 	m.EachQueued(func(t state.Task) {
 		if missingService(t.Definition, m, served) == "" {
-			s.Queued = append(s.Queued, c.placeTask(t))
+			s.Queued = append(s.Queued, c.snapshotTask(t))
 		}
 	})
 	slices.SortFunc(s.Queued, func(a, b *place.Task) int { return cmp.Compare(a.ID, b.ID) })
@@ -40,16 +40,16 @@
 type cachedWorker struct {
 	changed       uint64
 	configuration uint64
-	report        *report
+	report        *workerReport
 	worker        *place.Worker
 }
 
-func (c *coordinator) placeWorker(now time.Time, w state.Worker, m *state.Machine) *place.Worker {
+func (c *coordinator) snapshotWorker(now time.Time, w state.Worker, m *state.Machine) *place.Worker {
 	r := c.reports[w.Name]
 	version := m.Configuration().Version
 	cached, ok := c.cache[w.Name]
 	if !ok || cached.changed != w.Changed || cached.configuration != version || cached.report != r {
-		cached = cachedWorker{w.Changed, version, r, c.newWorker(w, m)}
+		cached = cachedWorker{w.Changed, version, r, c.newSnapshotWorker(w, m)}
 	}
 	alive := r != nil && r.incarnation == w.Incarnation && c.leases.alive(w.Name, now)
 	if cached.worker.Alive != alive {
@@ -62,7 +62,7 @@
 	return cached.worker
 }
 
-func (c *coordinator) newWorker(w state.Worker, m *state.Machine) *place.Worker {
+func (c *coordinator) newSnapshotWorker(w state.Worker, m *state.Machine) *place.Worker {
 	p := &place.Worker{
 		Name:             w.Name,
 		Incarnation:      w.Incarnation,
@@ -76,12 +76,12 @@
 	if r := c.reports[w.Name]; r != nil && r.incarnation == w.Incarnation {
 		p.Services = r.services
 	}
-	m.EachTaskOf(w.Name, func(t state.Task) { p.Running = append(p.Running, c.placeTask(t)) })
+	m.EachTaskOf(w.Name, func(t state.Task) { p.Running = append(p.Running, c.snapshotTask(t)) })
 	slices.SortFunc(p.Running, func(a, b *place.Task) int { return cmp.Compare(a.ID, b.ID) })
 	return p
 }
 
-func (c *coordinator) placeTask(t state.Task) *place.Task {
+func (c *coordinator) snapshotTask(t state.Task) *place.Task {
 	d := t.Definition
 	p := &place.Task{
 		ID:            t.ID,
--- a/control/status.go
+++ b/control/status.go
@@ -39,7 +39,7 @@
 	MissingService string
 	// Decisions are the kept planning decisions about its tasks, oldest first;
 	// only the leader has them.
-	Decisions []Decided
+	Decisions []RecordedDecision
 }
 
 // Status returns the replica's view.
@@ -64,14 +64,14 @@
 }
 
 func (r *Replica) reportTimes() map[string]time.Time {
-	r.leading.Lock()
-	defer r.leading.Unlock()
+	r.coordinatorMu.Lock()
+	defer r.coordinatorMu.Unlock()
 	times := map[string]time.Time{}
 	if r.coordinator == nil {
 		return times
 	}
 	for name, rep := range r.coordinator.reports {
-		times[name] = rep.at
+		times[name] = rep.handledAt
 	}
 	return times
 }
@@ -93,12 +93,12 @@
 	for _, t := range e.Tasks {
 		own[t.ID] = true
 	}
-	e.Decisions = r.decisions.of(own)
+	e.Decisions = r.decisions.forTasks(own)
 	return e, true
 }
 
 // Decisions returns the last planning decisions made here, oldest first.
-func (r *Replica) Decisions() []Decided { return r.decisions.list() }
+func (r *Replica) Decisions() []RecordedDecision { return r.decisions.list() }
 
 // replicaMetrics are the replica's metrics in the registry of its daemon.
 type replicaMetrics struct {
--- a/control/wire.go
+++ b/control/wire.go
@@ -13,31 +13,31 @@
 // wrong is in the response. Only the leader commits; what the leader alone may
 // judge is not taken from others.
 func (r *Replica) ServePropose(ctx context.Context, req *apiv1.ProposeRequest) (*apiv1.ProposeResponse, error) {
-	if !proposable(req.GetCommand()) {
+	if !proposableByPeers(req.GetCommand()) {
 		return &apiv1.ProposeResponse{Result: &apiv1.Result{
 			Verdict: apiv1.Verdict_VERDICT_REFUSED,
 			Message: "only the leader makes this command",
 		}}, nil
 	}
 	res, err := r.ProposeLocal(ctx, req.Command)
-	return proposeResponse(res, err), nil
+	return encodeProposeResponse(res, err), nil
 }
 
-// proposable reports whether a command may come from another host.
-func proposable(cmd *apiv1.Command) bool {
+// proposableByPeers reports whether a command may come from another host.
+func proposableByPeers(cmd *apiv1.Command) bool {
 	switch cmd.GetBody().(type) {
 	case *apiv1.Command_Submit, *apiv1.Command_Cancel, *apiv1.Command_Drain,
 		*apiv1.Command_Claim, *apiv1.Command_Settle:
 		return true
 	case *apiv1.Command_Jobs:
-		return proposableJobs(cmd.GetJobs())
+		return jobsProposableByPeers(cmd.GetJobs())
 	}
 	return false
 }
 
-// proposableJobs: what agents report and what runs where the leader alone commits,
+// jobsProposableByPeers: what agents report and what runs where the leader alone commits,
 // since it counts leases by them.
-func proposableJobs(cmd *apiv1.JobsCommand) bool {
+func jobsProposableByPeers(cmd *apiv1.JobsCommand) bool {
 	switch cmd.GetBody().(type) {
 	case *apiv1.JobsCommand_PutQueues, *apiv1.JobsCommand_Submit, *apiv1.JobsCommand_Cancel:
 		return true
@@ -45,7 +45,7 @@
 	return false
 }
 
-func proposeResponse(res *apiv1.Result, err error) *apiv1.ProposeResponse {
+func encodeProposeResponse(res *apiv1.Result, err error) *apiv1.ProposeResponse {
 	var notLeader *NotLeaderError
 	var unavailable *UnavailableError
 	switch {
@@ -59,8 +59,8 @@
 	return &apiv1.ProposeResponse{Unknown: true}
 }
 
-// proposeResult reads a response back into what ProposeLocal returned.
-func proposeResult(resp *apiv1.ProposeResponse) (*apiv1.Result, error) {
+// decodeProposeResponse reads a response back into what ProposeLocal returned.
+func decodeProposeResponse(resp *apiv1.ProposeResponse) (*apiv1.Result, error) {
 	switch {
 	case resp.Unknown:
 		return nil, &UnknownError{Cause: "the leader can't tell"}
@@ -85,12 +85,12 @@
 	return &apiv1.RenewResponse{}, nil
 }
 
-// resendable reports whether a command may be proposed again when the first
+// safeToResend reports whether a command may be proposed again when the first
 // proposal may have been committed. A submission is bound to its id, a claim and
 // its settlement to key, request and attempt: the state machine answers a second
 // one like the first. A cancellation or a drain has no such identity: applied
 // late, it would undo what an operator did in between.
-func resendable(cmd *apiv1.Command) bool {
+func safeToResend(cmd *apiv1.Command) bool {
 	switch cmd.GetBody().(type) {
 	case *apiv1.Command_Submit, *apiv1.Command_Claim, *apiv1.Command_Settle:
 		return true
@@ -111,8 +111,8 @@
 	return string(f.Name())
 }
 
-// pause waits for a while or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a while or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/daemon/gc_test.go
+++ b/daemon/gc_test.go
@@ -4,7 +4,7 @@
 
 // Symptom: a daemon takes gigabytes, or spends half its time collecting. Sequence:
 // its tables fill up. Cause: a growth target that does not look at what is live.
-func TestHeapStaysNearItsTarget(t *testing.T) {
+func TestHeapStaysNearTarget(t *testing.T) {
 	for live := uint64(1 << 20); live <= 1<<30; live *= 2 {
 		percent := gcPercent(live)
 		peak := live + live*uint64(percent)/100
--- a/dev/dev.go
+++ b/dev/dev.go
@@ -24,19 +24,19 @@
 )
 
 const (
-	region          = "local"
-	zone            = "local-a"
-	rack            = "rack-1"
-	host            = "host-1"
-	milliProcessors = 8000
-	memoryBytes     = 16 << 30
-	targetSlots     = 8
-	connections     = 64
-	announceTTL     = 3 * time.Second
-	targetWork      = 5 * time.Millisecond
-	usageLag        = 5 * time.Second
-	drainDelay      = 100 * time.Millisecond
-	shutdownBound   = 10 * time.Second
+	region            = "local"
+	zone              = "local-a"
+	rack              = "rack-1"
+	host              = "host-1"
+	milliProcessors   = 8000
+	memoryBytes       = 16 << 30
+	targetSlots       = 8
+	targetConnections = 64
+	announceTTL       = 3 * time.Second
+	targetWork        = 5 * time.Millisecond
+	usageLag          = 5 * time.Second
+	drainDelay        = 100 * time.Millisecond
+	shutdownBound     = 10 * time.Second
 )
 
 // Addresses are where the parts answer, each an IP number and a port.
@@ -144,7 +144,7 @@
 	}
 	s.worker = fakes.NewWorkerServer(workerConfig(), runs)
 	for i, address := range o.Addresses.Targets {
-		requests, err := fakes.NewRecorder[fakes.RanRequest]("")
+		requests, err := fakes.NewRecorder[fakes.ExecutedRequest]("")
 		if err != nil {
 			return err
 		}
@@ -245,7 +245,7 @@
 			Service:     "bookings",
 			Address:     address,
 			Slots:       targetSlots,
-			Connections: connections,
+			Connections: targetConnections,
 			TTLMS:       announceTTL.Milliseconds(),
 		},
 		Work: targetWork,
--- a/dev/jobs.go
+++ b/dev/jobs.go
@@ -15,8 +15,8 @@
 
 const (
 	jobPool = "market"
-	// jobTaskTime is how long a task of a submitted job works at the stand-in.
-	jobTaskTime = time.Second
+	// jobTaskDuration is how long a task of a submitted job works at the stand-in.
+	jobTaskDuration = time.Second
 	// announceInterval is the time between the stand-in's announcements.
 	announceInterval = time.Second
 	jobMemoryMB      = 8192
@@ -31,12 +31,12 @@
 }
 
 func newJobsDemo(o Options) *jobsDemo {
-	watch := fakes.NewRunWatch()
+	watch := fakes.NewRunChecker()
 	worker := fakes.NewRunWorker(&apiv1.JobWorker{
 		Id: "worker-" + time.Now().Format("150405.000"), Host: host, Pool: jobPool, AvailabilityZone: zone,
 		CpuMilli: milliProcessors, MemoryMb: jobMemoryMB,
 	}, watch)
-	worker.Duration = func(jobqueue.TaskID) time.Duration { return jobTaskTime }
+	worker.Duration = func(jobqueue.TaskID) time.Duration { return jobTaskDuration }
 	client := jobclient.New([]string{o.Addresses.Internal}, o.Logger)
 	return &jobsDemo{
 		client: client, worker: worker, log: o.Logger,
--- a/dispatch/advice.go
+++ b/dispatch/advice.go
@@ -84,10 +84,10 @@
 	advice, err := d.opts.Advisor.Approve(ctx, q.AdviceRequest)
 	now := d.opts.Now()
 	d.metrics.advice.Observe(now.Sub(sentAt))
-	d.advisorWatch.Note(err)
+	d.advisorWatch.Record(err)
 	d.countCall("dispatch.advice_calls", err)
-	event.PlacementAdvice.Write(d.logger, event.Term(q.term), event.Step(q.Step), event.Asked(len(q.Workers)),
-		event.Approved(len(advice.Tickets)), event.Took(now.Sub(sentAt)), event.Err(err))
+	event.PlacementAdvice.Write(d.logger, event.Term(q.term), event.Step(q.Step), event.CandidateWorkers(len(q.Workers)),
+		event.ApprovedWorkers(len(advice.Tickets)), event.Took(now.Sub(sentAt)), event.Err(err))
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.leader == nil || d.leader.term != q.term {
--- a/dispatch/batchedlog.go
+++ b/dispatch/batchedlog.go
@@ -129,17 +129,17 @@
 		return
 	}
 	if len(g.starts)+len(g.longRunningStarts)+len(g.ends) > 0 {
-		event.RunsRoutine.Write(g.logger, event.Term(term), event.Started(formatRuns(g.starts, now)),
+		event.RunsSummary.Write(g.logger, event.Term(term), event.Started(formatRuns(g.starts, now)),
 			event.LongRunning(formatRuns(g.longRunningStarts, now)), event.Ended(formatRuns(g.ends, now)))
 	}
 	if len(g.waits) > 0 {
-		event.TasksWait.Write(g.logger, event.Term(term), event.Waits(formatWaits(g.waits, now)))
+		event.TasksWaiting.Write(g.logger, event.Term(term), event.WaitingSteps(formatWaits(g.waits, now)))
 	}
 	if len(g.objectiveMisses) > 0 {
-		event.TailsOver.Write(g.logger, event.Term(term), event.Tails(formatObjectiveMisses(g.objectiveMisses, now)))
+		event.TailObjectivesExceeded.Write(g.logger, event.Term(term), event.Tails(formatObjectiveMisses(g.objectiveMisses, now)))
 	}
 	if len(g.finishedJobs) > 0 {
-		event.JobsOver.Write(g.logger, event.Term(term), event.Jobs(formatFinishedJobs(g.finishedJobs, now)))
+		event.JobsFinished.Write(g.logger, event.Term(term), event.Jobs(formatFinishedJobs(g.finishedJobs, now)))
 	}
 	clear(g.starts)
 	clear(g.longRunningStarts)
--- a/dispatch/crash.go
+++ b/dispatch/crash.go
@@ -90,7 +90,7 @@
 		}
 		if j.Failure == apiv1.JobFailure_JOB_FAILURE_CRASHES && j.FailedTask == id && !d.leader.finishLogged[id.Job] {
 			d.metrics.jobsAtCrashLimit.Inc(1)
-			event.JobGivenUp.Write(d.logger, event.Term(applied.term), event.Task(id), event.Run(w.Run))
+			event.JobFailed.Write(d.logger, event.Term(applied.term), event.Task(id), event.Run(w.Run))
 		}
 		if task := m.Task(id); task != nil && task.Crashes.Suspect {
 			suspects = append(suspects, fmt.Sprintf("%s %d %d", id, task.Crashes.Consecutive, task.Crashes.SoleCause))
@@ -110,5 +110,5 @@
 	for _, ref := range passed {
 		names = append(names, fmt.Sprintf("%s %d", jobqueue.TaskIDOf(ref.Task), ref.Run))
 	}
-	event.TrialsOver.Write(logger, event.Term(l.term), event.TrialsPassed(names))
+	event.ProbationPassed.Write(logger, event.Term(l.term), event.PassedProbation(names))
 }
--- a/dispatch/delayedreport_test.go
+++ b/dispatch/delayedreport_test.go
@@ -21,7 +21,7 @@
 		s.sleep(3 * time.Second)
 		h := s.hosts[0]
 		h.mu.Lock()
-		delayed, workerName := h.lastReport, h.worker.Announced().Id
+		delayed, workerName := h.lastReport, h.worker.Description().Id
 		h.worker.Fault = func(string) fakes.OrderFault { return fakes.OrderFault{Lost: true} }
 		h.mu.Unlock()
 		// Long enough for the agent to be sure that the lease has expired, and to report it.
--- a/dispatch/dispatch.go
+++ b/dispatch/dispatch.go
@@ -194,7 +194,7 @@
 		l.prune(jobs)
 		l.batchedLog.flushIfDue(l.term, now)
 	})
-	d.metrics.planning.Since(started)
+	d.metrics.planning.ObserveSince(started)
 	if len(plan.Starts)+len(plan.Stops)+len(plan.Lapsed)+len(plan.TrialsOver) == 0 && plan.Learnt == nil {
 		return nil, nil
 	}
--- a/dispatch/expiry.go
+++ b/dispatch/expiry.go
@@ -29,7 +29,7 @@
 	if !committed {
 		return d.notLeaderResponse(), nil
 	}
-	event.WorkerSilent.Write(d.logger, event.Term(term), event.Worker(r.Worker.GetId()))
+	event.WorkerUnresponsive.Write(d.logger, event.Term(term), event.Worker(r.Worker.GetId()))
 	return &apiv1.JobsReportResponse{Term: term, Outcome: apiv1.JobOutcome_JOB_OUTCOME_OK}, nil
 }
 
--- a/dispatch/expiry_test.go
+++ b/dispatch/expiry_test.go
@@ -92,7 +92,7 @@
 func TestExpiryReportForPreviousLeadersLeaseKeepsRuns(t *testing.T) {
 	runExpirySim(t, func(r *expiryHarness) {
 		delayed := r.expiryReport()
-		r.s.log.Lose(100 * time.Millisecond)
+		r.s.log.LoseLeadership(100 * time.Millisecond)
 		r.s.dispatcher = dispatch.New(dispatch.Options{Replica: r.s.replica})
 		r.s.loops.Go(func() { r.s.dispatcher.Run(r.s.ctx) })
 		r.s.sleep(time.Second)
--- a/dispatch/groupstate.go
+++ b/dispatch/groupstate.go
@@ -105,11 +105,11 @@
 		return
 	}
 	s.last, s.lastWritten, s.bytesAtLastWrite = current, now, logged
-	event.StateOfGroup.Write(s.logger,
-		event.Term(current.term), event.LeaderAddress(current.leader), event.Leads(current.leads), event.Since(now.Sub(s.leaderSince)),
-		event.Voters(current.size.Voters), event.Heard(current.size.Heard), event.Spares(current.size.Spares),
+	event.GroupState.Write(s.logger,
+		event.Term(current.term), event.LeaderAddress(current.leader), event.IsLeader(current.leads), event.UnchangedFor(now.Sub(s.leaderSince)),
+		event.Voters(current.size.Voters), event.RespondingVoters(current.size.Responsive), event.Spares(current.size.Spares),
 		event.Version(current.version), event.WorkerCount(current.workers), event.Reachable(current.reachable),
-		event.Waiting(status.Waiting))
+		event.WaitingTasks(status.Waiting))
 }
 
 // due reports whether a line is to be written: the state has changed, the last line is older than
--- a/dispatch/learned_test.go
+++ b/dispatch/learned_test.go
@@ -35,7 +35,7 @@
 				&apiv1.RunObservation{Task: &apiv1.TaskRef{Job: "j1", Step: 1}, Run: 1, Percent: 10, Figure: 6000},
 			)
 		}
-		s.log.Lose(time.Second)
+		s.log.LoseLeadership(time.Second)
 		s.replica.ReadState(func(m *state.Machine) {
 			pressures := m.CallerJobs().Learned().GetPressures()
 			if len(pressures) != 1 || pressures[0].Mean < 0.1 {
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -44,7 +44,7 @@
 		if outage > 7*time.Second {
 			t.Errorf("the task started elsewhere after %v, want at most 7 s", outage)
 		}
-		for _, violation := range s.watch.Broken() {
+		for _, violation := range s.watch.Violations() {
 			t.Error(violation)
 		}
 	})
--- a/dispatch/lines_test.go
+++ b/dispatch/lines_test.go
@@ -32,7 +32,7 @@
 	config := zap.NewProductionEncoderConfig()
 	config.NameKey, config.EncodeTime = "part", zapcore.RFC3339NanoTimeEncoder
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(config), zapcore.Lock(zapcore.AddSync(buffer)), zap.InfoLevel)
-	s.log.Lose(100 * time.Millisecond)
+	s.log.LoseLeadership(100 * time.Millisecond)
 	o.Replica, o.Logger, o.Metrics = s.replica, zap.New(core), registry
 	s.dispatcher = dispatch.New(o)
 	s.loops.Go(func() { s.dispatcher.Run(ctx) })
--- a/dispatch/longrunning_test.go
+++ b/dispatch/longrunning_test.go
@@ -295,7 +295,7 @@
 	for _, jobs := range []int{0, 8, 24, 48} {
 		t.Run(fmt.Sprint(jobs, " batch jobs"), func(t *testing.T) {
 			runSim(t, 1, 0, func(t *testing.T, s *sim) {
-				s.advisor.PerWorker = 10 * time.Millisecond
+				s.advisor.LatencyPerWorker = 10 * time.Millisecond
 				for i := range 30 {
 					newScriptedWorker(s, fmt.Sprintf("w%02d", i))
 				}
--- a/dispatch/losses.go
+++ b/dispatch/losses.go
@@ -73,7 +73,7 @@
 	l.lossLoggedEpoch[w.Spec.Id] = w.Epoch
 	d.metrics.workLost.Inc(work.Milliseconds())
 	event.RunsLost.Write(d.logger, event.Term(l.term), event.Reason(reason), event.CoreSeconds(work),
-		event.Silent(now.Sub(l.leases.get(w.Spec.Id).renewedAt)),
+		event.UnresponsiveFor(now.Sub(l.leases.get(w.Spec.Id).renewedAt)),
 		event.Lost(formatRuns(map[string][]runEntry{w.Spec.Id: lost}, now)))
 }
 
--- a/dispatch/maintenance.go
+++ b/dispatch/maintenance.go
@@ -102,7 +102,7 @@
 func (d *Dispatcher) advanceHosts(ctx context.Context, work hostWork) {
 	hosts, err := d.listHosts(ctx)
 	if err != nil {
-		event.HostsUnlisted.Write(d.logger, event.Term(work.term), event.Err(err))
+		event.HostListUnavailable.Write(d.logger, event.Term(work.term), event.Err(err))
 		return
 	}
 	if work.openWaves {
@@ -117,7 +117,7 @@
 	ctx, cancel := context.WithTimeout(ctx, hostCallTimeout)
 	defer cancel()
 	hosts, err := d.opts.Hosts.List(ctx)
-	d.hostsWatch.Note(err)
+	d.hostsWatch.Record(err)
 	d.countCall("dispatch.host_lists", err)
 	d.opts.Replica.ReadState(func(m *state.Machine) { resolveIncarnations(hosts, m.CallerJobs()) })
 	return hosts, err
@@ -165,7 +165,7 @@
 	}))
 	accepted := err == nil && res.Job == apiv1.JobOutcome_JOB_OUTCOME_OK
 	event.Maintenance.Write(d.logger, event.Term(term), event.Wave(step.Wave), event.Host(step.Host),
-		event.Worker(step.Worker), event.State(step.State), event.Taken(accepted), event.Err(err))
+		event.Worker(step.Worker), event.State(step.State), event.Committed(accepted), event.Err(err))
 	return accepted
 }
 
@@ -198,7 +198,7 @@
 	answer, err := d.opts.Hosts.Maintain(callCtx, h.token, h.Name, h.wave)
 	cancel()
 	d.countCall("dispatch.host_orders", err)
-	event.MaintenanceOrder.Write(d.logger, event.Term(term), event.Wave(h.wave), event.Host(h.Name),
+	event.MaintenanceOrdered.Write(d.logger, event.Term(term), event.Wave(h.wave), event.Host(h.Name),
 		event.Answer(answer), event.Err(err))
 	if err == nil && answer == HostFenced {
 		d.recordFenced(term, h.Name)
--- a/dispatch/metricset.go
+++ b/dispatch/metricset.go
@@ -81,8 +81,8 @@
 	for _, id := range p.Lapsed {
 		d.metrics.leaseExpiries.Inc(1)
 		lease := l.leases.get(id)
-		event.LeaseRanOut.Write(d.logger, event.Term(l.term), event.Worker(id), event.RunCount(len(m.Worker(id).Runs)),
-			event.Silent(now.Sub(lease.renewedAt)), event.Lease(lease.duration))
+		event.LeaseExpired.Write(d.logger, event.Term(l.term), event.Worker(id), event.RunCount(len(m.Worker(id).Runs)),
+			event.UnresponsiveFor(now.Sub(lease.renewedAt)), event.Lease(lease.duration))
 		d.recordLostRuns(l, m.Worker(id), lostLeaseExpired, nil, now)
 	}
 }
--- a/dispatch/moves.go
+++ b/dispatch/moves.go
@@ -143,8 +143,8 @@
 	if accepted && step.State == apiv1.MoveState_MOVE_STATE_ORDERED {
 		d.recordOrdered(term, step.Host)
 	}
-	event.Move.Write(d.logger, event.Term(term), event.Host(step.Host), event.FromPool(step.From), event.Pool(step.Pool),
-		event.Worker(step.Worker), event.State(step.State), event.Taken(accepted), event.Err(err))
+	event.HostMove.Write(d.logger, event.Term(term), event.Host(step.Host), event.FromPool(step.From), event.Pool(step.Pool),
+		event.Worker(step.Worker), event.State(step.State), event.Committed(accepted), event.Err(err))
 }
 
 // recordOrdered records that this leader ordered the host's move and has not called the platform
@@ -182,7 +182,7 @@
 		answer, err = d.opts.Hosts.Move(callCtx, hostToken(term, v.Order), v.Host, v.Pool)
 		cancel()
 		d.countCall("dispatch.host_orders", err)
-		event.MoveOrder.Write(d.logger, event.Term(term), event.Host(v.Host), event.Pool(v.Pool), event.Order(v.Order),
+		event.HostMoveOrdered.Write(d.logger, event.Term(term), event.Host(v.Host), event.Pool(v.Pool), event.Order(v.Order),
 			event.Answer(answer), event.Err(err))
 		if err == nil && answer == HostFenced {
 			d.recordFenced(term, v.Host)
@@ -230,7 +230,7 @@
 	if hosts == nil {
 		var err error
 		if hosts, err = d.listHosts(ctx); err != nil {
-			event.HostsUnlisted.Write(d.logger, event.Term(term), event.Err(err))
+			event.HostListUnavailable.Write(d.logger, event.Term(term), event.Err(err))
 			return &apiv1.JobsReadResponse{Unconfirmed: true}
 		}
 		d.withMoves(term, func(l *leaderMoves) { l.hostList, l.listedAt = hosts, d.opts.Now() })
--- a/dispatch/moves_test.go
+++ b/dispatch/moves_test.go
@@ -117,7 +117,7 @@
 				return fakes.OrderFault{}
 			}
 			f.SetBusy("host0", true)
-			s.loops.Go(func() { s.log.Lose(200 * time.Millisecond) })
+			s.loops.Go(func() { s.log.LoseLeadership(200 * time.Millisecond) })
 			time.AfterFunc(moverSettleTime+2*time.Second, func() { f.SetBusy("host0", false) })
 			return fakes.OrderFault{Late: moverSettleTime + 3*time.Second}
 		}
--- a/dispatch/movesharness_test.go
+++ b/dispatch/movesharness_test.go
@@ -39,7 +39,7 @@
 		defer s.mu.Unlock()
 		return !s.faultFree && s.rand.IntN(4) == 0
 	}
-	f.Down = func(name string) {
+	f.OnDown = func(name string) {
 		h := s.hostNamed(name)
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -66,7 +66,7 @@
 			worker = ""
 		}
 		f.Put(h.name, worker)
-		f.Place(h.name, h.pool, jobqueue.Resources{CPUMilli: 4000, MemoryMB: 8000})
+		f.SetPool(h.name, h.pool, jobqueue.Resources{CPUMilli: 4000, MemoryMB: 8000})
 	}
 	s.hostFleet.Store(f)
 	return f
@@ -171,7 +171,7 @@
 		byToken[k], newest[o.Host] = o, o.Token
 	}
 	s.checkHolders(seed)
-	if n := f.MostAway(); n > jobqueue.MaxConcurrentMoves {
+	if n := f.MaxMoving(); n > jobqueue.MaxConcurrentMoves {
 		s.t.Errorf("seed %d: %d hosts were down at once", seed, n)
 	}
 	if all, refused := f.Calls(); refused > 0 {
--- a/dispatch/movesim_test.go
+++ b/dispatch/movesim_test.go
@@ -35,7 +35,7 @@
 			s.submit(4*i + k)
 			switch s.intN(4) {
 			case 0:
-				s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
+				s.loops.Go(func() { s.log.LoseLeadership(time.Duration(s.intN(1500)) * time.Millisecond) })
 			case 1:
 				s.crashAndRestart(f, host)
 			}
@@ -80,7 +80,7 @@
 	s.submitSpec(fullWorkerJob("crowd", 3))
 	for range 5 {
 		if s.intN(3) == 0 {
-			s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
+			s.loops.Go(func() { s.log.LoseLeadership(time.Duration(s.intN(1500)) * time.Millisecond) })
 		}
 		s.sleep(time.Duration(s.intN(4000)) * time.Millisecond)
 	}
--- a/dispatch/outages.go
+++ b/dispatch/outages.go
@@ -130,10 +130,10 @@
 	o.prune(tracked)
 	d.metrics.longRunningNotRunning.Update(int64(len(o.byTask)))
 	if len(notRunning) > 0 {
-		event.LongRunningAway.Write(d.logger, event.Term(l.term), event.TasksAway(notRunning))
+		event.LongRunningOutage.Write(d.logger, event.Term(l.term), event.TasksNotRunning(notRunning))
 	}
 	if len(resumed) > 0 {
-		event.LongRunningBack.Write(d.logger, event.Term(l.term), event.TasksBack(resumed))
+		event.LongRunningRecovered.Write(d.logger, event.Term(l.term), event.TasksRunningAgain(resumed))
 	}
 }
 
--- a/dispatch/replaced_test.go
+++ b/dispatch/replaced_test.go
@@ -35,7 +35,7 @@
 			for i, h := range s.hosts {
 				s.submit(round*len(s.hosts) + i)
 				if s.intN(4) == 0 {
-					s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
+					s.loops.Go(func() { s.log.LoseLeadership(time.Duration(s.intN(1500)) * time.Millisecond) })
 				}
 				s.replaceWorker(h)
 			}
--- a/dispatch/report.go
+++ b/dispatch/report.go
@@ -31,7 +31,7 @@
 	outcome, err := d.commitReport(ctx, applied.command)
 	term, leads := d.opts.Replica.Leading()
 	if err != nil || !leads || term != applied.term {
-		event.ReportUnproved.Write(d.logger, event.Worker(r.Worker.GetId()), event.Err(err))
+		event.ReportUnconfirmed.Write(d.logger, event.Worker(r.Worker.GetId()), event.Err(err))
 		return d.notLeaderResponse(), nil
 	}
 	resp := &apiv1.JobsReportResponse{Term: applied.term, Outcome: outcome}
@@ -169,7 +169,7 @@
 			continue
 		}
 		event.RunEnded.Write(d.logger, event.Task(run.ID.Task), event.Run(e.Run), event.Worker(w.Spec.Id),
-			event.How(endKindName(e.Kind)))
+			event.Outcome(endKindName(e.Kind)))
 	}
 }
 
--- a/dispatch/sim_test.go
+++ b/dispatch/sim_test.go
@@ -40,7 +40,7 @@
 	replica *control.Replica
 	// dispatcher is replaced when the leader changes.
 	dispatcher *dispatch.Dispatcher
-	watch      *fakes.RunWatch
+	watch      *fakes.RunChecker
 	advisor    *fakes.Advisor
 	// hostFleet takes hosts down for their maintenance in tests with waves.
 	hostFleet atomic.Pointer[fakes.Hosts]
@@ -173,7 +173,7 @@
 	if poweredOff {
 		return
 	}
-	if err := driver.Announce(runs.Announcement{Worker: worker.Announced(), Sequence: sequence}); err != nil {
+	if err := driver.Announce(runs.Announcement{Worker: worker.Description(), Sequence: sequence}); err != nil {
 		h.s.t.Error(err)
 	}
 }
@@ -209,8 +209,8 @@
 }
 
 func newSim(ctx context.Context, t *testing.T, seed uint64, workers int) *sim {
-	s := &sim{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, watch: fakes.NewRunWatch()}
-	s.advisor = &fakes.Advisor{Decide: 20 * time.Millisecond, PerWorker: 5 * time.Millisecond, ValidFor: 2 * time.Second}
+	s := &sim{t: t, rand: rand.New(rand.NewPCG(seed, 1)), ctx: ctx, watch: fakes.NewRunChecker()}
+	s.advisor = &fakes.Advisor{BaseLatency: 20 * time.Millisecond, LatencyPerWorker: 5 * time.Millisecond, ValidFor: 2 * time.Second}
 	s.logBuffer = &bytes.Buffer{}
 	encoder := zapcore.NewConsoleEncoder(zap.NewDevelopmentEncoderConfig())
 	s.logger = zap.New(zapcore.NewCore(encoder, zapcore.Lock(zapcore.AddSync(s.logBuffer)), zap.InfoLevel))
@@ -280,7 +280,7 @@
 // submitJob registers a job with the checker of runs and submits it.
 func (s *sim) submitJob(spec *apiv1.JobSpec) {
 	s.t.Helper()
-	s.watch.Submitted(spec)
+	s.watch.AddJob(spec)
 	s.propose(&apiv1.JobsCommand{Body: &apiv1.JobsCommand_Submit{Submit: &apiv1.SubmitJob{Spec: spec}}})
 }
 
@@ -314,7 +314,7 @@
 		h.mu.Unlock()
 		h.startAgent()
 	case 3:
-		s.loops.Go(func() { s.log.Lose(duration / 4) })
+		s.loops.Go(func() { s.log.LoseLeadership(duration / 4) })
 	}
 }
 
@@ -361,7 +361,7 @@
 	for i := 0; i < 600 && !s.finished(); i++ {
 		s.sleep(100 * time.Millisecond)
 	}
-	for _, violation := range s.watch.Broken() {
+	for _, violation := range s.watch.Violations() {
 		t.Errorf("seed %d: %s", seed, violation)
 	}
 	if !s.finished() {
--- a/dispatch/waves_test.go
+++ b/dispatch/waves_test.go
@@ -63,11 +63,11 @@
 
 // newFleet returns a fleet of the simulation's hosts that go down and return for their maintenance.
 func (s *sim) newFleet() *fakes.Hosts {
-	f := &fakes.Hosts{Takes: 2 * time.Second, Fault: s.drawFault}
+	f := &fakes.Hosts{Duration: 2 * time.Second, Fault: s.drawFault}
 	host := func(name string) *simulatedHost {
 		return s.hosts[slices.IndexFunc(s.hosts, func(h *simulatedHost) bool { return h.name == name })]
 	}
-	f.Down = func(name string) {
+	f.OnDown = func(name string) {
 		h := host(name)
 		h.mu.Lock()
 		defer h.mu.Unlock()
@@ -78,7 +78,7 @@
 		}
 		h.worker.Crash()
 	}
-	f.Up = func(name string) {
+	f.OnUp = func(name string) {
 		h := host(name)
 		if pool := f.PoolOf(name); pool != "" {
 			h.setPool(pool)
@@ -129,7 +129,7 @@
 	for i := range 8 {
 		s.submit(i)
 		if s.intN(3) == 0 {
-			s.loops.Go(func() { s.log.Lose(time.Duration(s.intN(1500)) * time.Millisecond) })
+			s.loops.Go(func() { s.log.LoseLeadership(time.Duration(s.intN(1500)) * time.Millisecond) })
 		}
 		s.sleep(time.Duration(500+s.intN(1500)) * time.Millisecond)
 	}
@@ -141,11 +141,11 @@
 			t.Errorf("seed %d: the wave is not finished: %v", seed, m.CallerJobs().Wave(waveNumber).Record())
 		})
 	}
-	if maxDown := fleet.MostDown(waveNumber); maxDown > waveCap {
+	if maxDown := fleet.MaxDown(waveNumber); maxDown > waveCap {
 		t.Errorf("seed %d: %d hosts were down at once", seed, maxDown)
 	}
 	for _, h := range s.hosts {
-		if !fleet.Begun(h.name, waveNumber) {
+		if !fleet.Maintained(h.name, waveNumber) {
 			t.Errorf("seed %d: %s got no maintenance", seed, h.name)
 		}
 	}
--- a/entry/admin.go
+++ b/entry/admin.go
@@ -21,7 +21,9 @@
 
 var _ admin.Backend = backend{}
 
-func (e *Entry) adminHandler() http.Handler { return e.withJobs(admin.Handler(backend{e}, e.registry)) }
+func (e *Entry) adminHandler() http.Handler {
+	return e.withJobAPI(admin.Handler(backend{e}, e.registry))
+}
 
 // Propose implements admin.Backend.
 func (b backend) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
@@ -54,12 +56,12 @@
 // Explain implements admin.Backend. Why a task waits is known to the leader
 // only, so another replica asks it.
 func (b backend) Explain(ctx context.Context, job string) (*admin.Explanation, error) {
-	return atLeader(ctx, b,
+	return callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.Explanation, error) { return c.Explain(ctx, job) },
-		func(context.Context) (*admin.Explanation, error) { return b.explainHere(job) })
+		func(context.Context) (*admin.Explanation, error) { return b.explainLocally(job) })
 }
 
-func (b backend) explainHere(job string) (*admin.Explanation, error) {
+func (b backend) explainLocally(job string) (*admin.Explanation, error) {
 	ex, ok := b.replica.Explain(job)
 	if !ok {
 		return nil, admin.Errorf(admin.CodeNotFound, "there is no job %q", job)
@@ -91,16 +93,16 @@
 // placements returns the leader's decisions.
 func (b backend) placements(ctx context.Context, q admin.DecisionQuery) ([]admin.Decision, error) {
 	q.Part = partPlace
-	list, err := atLeader(ctx, b,
+	list, err := callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.DecisionList, error) { return c.Decisions(ctx, q) },
-		func(context.Context) (*admin.DecisionList, error) { return b.placementsHere(q.Subject), nil })
+		func(context.Context) (*admin.DecisionList, error) { return b.localPlacements(q.Subject), nil })
 	if err != nil {
 		return nil, err
 	}
 	return list.Decisions, nil
 }
 
-func (b backend) placementsHere(task string) *admin.DecisionList {
+func (b backend) localPlacements(task string) *admin.DecisionList {
 	list := &admin.DecisionList{}
 	for _, d := range slices.Backward(b.replica.Decisions()) {
 		if task == "" || task == d.Task {
@@ -110,9 +112,9 @@
 	return list
 }
 
-// atLeader asks the leader's administration API, or answers here when this host
+// callLeader asks the leader's administration API, or answers here when this host
 // leads.
-func atLeader[T any](ctx context.Context, b backend,
+func callLeader[T any](ctx context.Context, b backend,
 	there func(context.Context, *admin.Client) (T, error),
 	here func(context.Context) (T, error),
 ) (T, error) {
@@ -139,8 +141,8 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, p := range b.peers {
-		if p.address == leader && p.admin != "" {
-			return admin.NewClient(admin.ClientOptions{Addresses: []string{p.admin}})
+		if p.address == leader && p.adminAddress != "" {
+			return admin.NewClient(admin.ClientOptions{Addresses: []string{p.adminAddress}})
 		}
 	}
 	return nil, &control.UnavailableError{RetryAfter: defaultRetryAfter, Cause: "no leader is known here"}
@@ -153,7 +155,7 @@
 	return e.follower.LeaderAddress()
 }
 
-func placementDecision(d control.Decided) admin.Decision {
+func placementDecision(d control.RecordedDecision) admin.Decision {
 	return admin.Decision{
 		TimeMs:     d.At.UnixMilli(),
 		Part:       partPlace,
--- a/entry/admin_members.go
+++ b/entry/admin_members.go
@@ -15,12 +15,12 @@
 // Members implements admin.Backend. How far each replica has come is known to
 // the leader only.
 func (b backend) Members(ctx context.Context) (*admin.MemberList, error) {
-	return atLeader(ctx, b,
+	return callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.MemberList, error) { return c.Members(ctx) },
-		func(context.Context) (*admin.MemberList, error) { return b.membersHere(), nil })
+		func(context.Context) (*admin.MemberList, error) { return b.localMembers(), nil })
 }
 
-func (b backend) membersHere() *admin.MemberList {
+func (b backend) localMembers() *admin.MemberList {
 	st := b.node.Status()
 	list := &admin.MemberList{Members: []admin.Member{}, Term: st.Term, Commit: st.Commit}
 	for _, r := range st.Membership.GetReplicas() {
@@ -47,15 +47,15 @@
 
 // AddMember implements admin.Backend.
 func (b backend) AddMember(ctx context.Context, m admin.Member) error {
-	_, err := atLeader(ctx, b,
+	_, err := callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.MemberList, error) { return c.AddMember(ctx, m) },
-		func(ctx context.Context) (*admin.MemberList, error) { return nil, b.addMemberHere(ctx, m) })
+		func(ctx context.Context) (*admin.MemberList, error) { return nil, b.addMemberLocally(ctx, m) })
 	return err
 }
 
-// addMemberHere takes a host in as a learner. The host tells its own replica id:
+// addMemberLocally takes a host in as a learner. The host tells its own replica id:
 // a name and an address alone don't say which disk answers there.
-func (b backend) addMemberHere(ctx context.Context, m admin.Member) error {
+func (b backend) addMemberLocally(ctx context.Context, m admin.Member) error {
 	client := apiv1.NewQuorumProtobufClient("http://"+m.Address, b.internalClient)
 	id, err := client.Identify(ctx, &apiv1.IdentifyRequest{Cell: defaultCell})
 	if err != nil {
@@ -74,15 +74,15 @@
 
 // RemoveMember implements admin.Backend.
 func (b backend) RemoveMember(ctx context.Context, name string) error {
-	_, err := atLeader(ctx, b,
+	_, err := callLeader(ctx, b,
 		func(ctx context.Context, c *admin.Client) (*admin.MemberList, error) {
 			return c.RemoveMember(ctx, name)
 		},
-		func(ctx context.Context) (*admin.MemberList, error) { return nil, b.removeMemberHere(ctx, name) })
+		func(ctx context.Context) (*admin.MemberList, error) { return nil, b.removeMemberLocally(ctx, name) })
 	return err
 }
 
-func (b backend) removeMemberHere(ctx context.Context, name string) error {
+func (b backend) removeMemberLocally(ctx context.Context, name string) error {
 	for _, r := range b.node.Status().Membership.GetReplicas() {
 		if r.GetName() != name {
 			continue
--- a/entry/admin_status.go
+++ b/entry/admin_status.go
@@ -13,8 +13,8 @@
 	"github.com/cairnlift/cairnlift/state"
 )
 
-// workerAliveFor is how long after its last report a worker is shown as alive.
-const workerAliveFor = 5 * time.Second
+// workerAliveTimeout is how long after its last report a worker is shown as alive.
+const workerAliveTimeout = 5 * time.Second
 
 // Status implements admin.Backend.
 func (b backend) Status(ctx context.Context, sections []string) (*admin.Status, error) {
@@ -22,7 +22,7 @@
 		Entry:                b.settings.Name,
 		ConfigurationVersion: b.control.Configuration().GetVersion(),
 		ConfirmedAgeMs:       b.confirmedAgeMs(),
-		Leader:               b.nameOf(b.leaderAddress()),
+		Leader:               b.peerName(b.leaderAddress()),
 	}
 	wants := func(section string) bool { return len(sections) == 0 || slices.Contains(sections, section) }
 	if wants(admin.SectionProcesses) {
@@ -115,10 +115,10 @@
 		Role:                 b.role(p.address, leader),
 		Address:              p.address,
 		AvailabilityZone:     p.availabilityZone,
-		ConfigurationVersion: p.version,
-		Ready:                now.Sub(p.heard) <= peerAliveFor && !p.leaving,
+		ConfigurationVersion: p.configurationVersion,
+		Ready:                now.Sub(p.lastPush) <= peerAliveTimeout && !p.leaving,
 		Leaving:              p.leaving,
-		LastHeardMs:          now.Sub(p.heard).Milliseconds(),
+		LastHeardMs:          now.Sub(p.lastPush).Milliseconds(),
 	}
 }
 
@@ -163,7 +163,7 @@
 	return replicas
 }
 
-func (b backend) nameOf(address string) string {
+func (b backend) peerName(address string) string {
 	for _, p := range b.settings.Peers {
 		if p.Address == address {
 			return p.Name
@@ -199,7 +199,7 @@
 // worker is a worker's record. Only the leader hears the workers themselves; on
 // another replica the agent's heartbeat stands in.
 func (b backend) worker(w control.WorkerStatus, leading bool) admin.Worker {
-	alive := w.ReportAge >= 0 && w.ReportAge <= workerAliveFor
+	alive := w.ReportAge >= 0 && w.ReportAge <= workerAliveTimeout
 	if !leading {
 		alive = b.agentUsable(w.Name)
 	}
--- a/entry/answer.go
+++ b/entry/answer.go
@@ -36,11 +36,11 @@
 	RetryAfterMs int64  `json:"retry_after_ms,omitempty"`
 }
 
-// write sends the final outcome to the caller.
-func (e *Entry) write(_ context.Context, w http.ResponseWriter, r *request) {
+// writeAnswer sends the final outcome to the caller.
+func (e *Entry) writeAnswer(_ context.Context, w http.ResponseWriter, r *request) {
 	a := &r.answer
 	h := w.Header()
-	if a.response != nil && ran(a.outcome) {
+	if a.response != nil && provesRun(a.outcome) {
 		for _, header := range a.response.GetHeaders() {
 			for _, v := range header.GetValues() {
 				h.Add(header.GetName(), v)
@@ -52,7 +52,7 @@
 	if a.target != "" {
 		h.Set(HeaderTarget, a.target)
 	}
-	if a.response != nil && ran(a.outcome) {
+	if a.response != nil && provesRun(a.outcome) {
 		body := a.response.GetBody()
 		if r.raw.Method != http.MethodHead {
 			h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -69,7 +69,7 @@
 	body := errorBody{
 		Outcome:   outcomeNames[a.outcome],
 		Reason:    reasonName(a.reason),
-		Message:   a.text,
+		Message:   a.message,
 		RequestID: r.ID,
 	}
 	h := w.Header()
--- a/entry/attempt_test.go
+++ b/entry/attempt_test.go
@@ -41,7 +41,7 @@
 	return nil, twirp.InternalError("out of reach")
 }
 
-func wholeAnswer(s string) *apiv1.HttpResponse {
+func completeAnswer(s string) *apiv1.HttpResponse {
 	return &apiv1.HttpResponse{Status: 200, Body: []byte(s), BodyChecksum: xxhash.Sum64String(s)}
 }
 
@@ -49,7 +49,7 @@
 // "not run" of something that ran. Sequence: an agent's answers are swapped, cut
 // short, lost or doubled. Cause: an answer was taken for the request that waits
 // on the connection, whatever it said.
-func TestOnlyTheWholeOwnAnswerIsPassedOn(t *testing.T) {
+func TestMismatchedOrIncompleteAnswersAreRejected(t *testing.T) {
 	lost := func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) { panic(http.ErrAbortHandler) }
 	for _, c := range []struct {
 		name       string
@@ -68,12 +68,12 @@
 		{"duplicate refused", func(_ *apiv1.DispatchRequest, r *apiv1.DispatchResponse) {
 			r.Outcome, r.Reason, r.Response = apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Reason_REASON_DUPLICATE, nil
 		}, nil, "unknown", "duplicate", 1},
-		{"lost, ran", lost, &apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: wholeAnswer("kept")}, "answered", "kept", 1},
+		{"lost, ran", lost, &apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: completeAnswer("kept")}, "answered", "kept", 1},
 		{"lost, kept answer broken", lost, &apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: &apiv1.HttpResponse{Body: []byte("x")}}, "unknown", "deadline", 1},
 		{"lost, running", lost, &apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_UNKNOWN, Running: true}, "unknown", "deadline", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			g := newRig(t, 1)
+			g := newHarness(t, 1)
 			f := &faultyAgent{fault: c.fault}
 			f.revoke.Store(c.revoke)
 			g.announceAgent(apiv1.NewAgentServer(f))
@@ -92,7 +92,7 @@
 // target is there, or every target refuses. Cause: the refusal was held back or
 // carried no Retry-After.
 func TestRefusalsCarryRetryAfter(t *testing.T) {
-	g := newRig(t, 1)
+	g := newHarness(t, 1)
 	full := &faultyAgent{fault: func(_ *apiv1.DispatchRequest, r *apiv1.DispatchResponse) {
 		r.Outcome, r.Reason, r.Response = apiv1.Outcome_OUTCOME_NOT_RUN, apiv1.Reason_REASON_SLOTS_FULL, nil
 		r.RetryAfterMs = 250
@@ -117,9 +117,9 @@
 }
 
 // announceAgent announces a stand-in agent with one target to the first entry.
-func (g *rig) announceAgent(h http.Handler) { g.announceAgentAs(h, 1) }
+func (g *harness) announceAgent(h http.Handler) { g.announceIncarnation(h, 1) }
 
-func (g *rig) announceAgentAs(h http.Handler, incarnation uint64) {
+func (g *harness) announceIncarnation(h http.Handler, incarnation uint64) {
 	s := httptest.NewServer(h)
 	g.t.Cleanup(s.Close)
 	_, err := g.entries[0].Heartbeat(g.ctx, &apiv1.HeartbeatRequest{Agent: &apiv1.AgentInfo{
@@ -132,7 +132,7 @@
 	g.awaitConfiguration()
 }
 
-func (g *rig) awaitConfiguration() {
+func (g *harness) awaitConfiguration() {
 	e := g.entries[0]
 	g.eventually("configuration in force and confirmed", func() bool {
 		return e.services.Load().version == 1 && e.fresh()
@@ -168,13 +168,13 @@
 // clock is set back, its agent starts anew under a lower incarnation and announces
 // itself. Cause: the directory and the router disagreed on which of two incarnations
 // is the newer.
-func TestRestartAfterTheClockWasSetBack(t *testing.T) {
-	g := newRig(t, 1)
+func TestAgentRestartAfterClockSetBack(t *testing.T) {
+	g := newHarness(t, 1)
 	var seen atomic.Uint64
 	f := &faultyAgent{fault: func(req *apiv1.DispatchRequest, _ *apiv1.DispatchResponse) { seen.Store(req.GetAgentIncarnation()) }}
 	h := apiv1.NewAgentServer(f)
 	for _, incarnation := range []uint64{5, 3} {
-		g.announceAgentAs(h, incarnation)
+		g.announceIncarnation(h, incarnation)
 		g.call(g.entries[0], http.MethodPost, "/bookings/1", "x", nil)
 		if seen.Load() != incarnation {
 			t.Errorf("dispatch named incarnation %d, not %d", seen.Load(), incarnation)
--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -19,7 +19,7 @@
 		{"once", http.MethodPost, nil},
 	} {
 		b.Run(c.name, func(b *testing.B) {
-			g := newRig(b, 1)
+			g := newHarness(b, 1)
 			f := &faultyAgent{fault: func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) {}}
 			g.announceAgent(apiv1.NewAgentServer(f))
 			b.ReportAllocs()
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -19,13 +19,13 @@
 	// request holds.
 	claimPollFirst = 20 * time.Millisecond
 	claimPollMax   = 500 * time.Millisecond
-	// clockRateShare raises a leader's times by a hundredth, ten times the bound on
+	// clockRateDivisor raises a leader's times by a hundredth, ten times the bound on
 	// the rate error of hosts' clocks in the default settings.
-	clockRateShare = 100
+	clockRateDivisor = 100
 	// maxStoredAnswer bounds an answer kept in the replicated log for resends.
 	maxStoredAnswer = 64 << 10
-	// maxOrphanWait bounds the revocation of another entry's request.
-	maxOrphanWait = 500 * time.Millisecond
+	// orphanRevokeTimeout bounds the revocation of another entry's request.
+	orphanRevokeTimeout = 500 * time.Millisecond
 	// claimTimeout bounds one claim: ten election timeouts of the default settings. A
 	// caller that would wait longer is told to come back.
 	claimTimeout = 5 * time.Second
@@ -66,11 +66,11 @@
 			return pipeline.Status{}
 		}
 		held = held || c.GetStanding() != nil
-		st, again := e.standing(ctx, r, standingClaim{c, asked}, poll < claimPollMax)
+		st, again := e.resolveExistingClaim(ctx, r, existingClaim{c, asked}, poll < claimPollMax)
 		if !again {
 			return st
 		}
-		if !e.sleep(ctx, r, poll) {
+		if !e.sleepWithinDeadline(ctx, r, poll) {
 			r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS,
 				"the request with this key is still running", poll)
 			return pipeline.Rejected("key in progress")
@@ -85,21 +85,21 @@
 	return e.control.Propose(ctx, e.claimCommand(r))
 }
 
-// standingClaim is a claim that another request holds, and when the log was asked.
-type standingClaim struct {
+// existingClaim is a claim that another request holds, and when the log was asked.
+type existingClaim struct {
 	*apiv1.ClaimResult
-	asked time.Time
+	requestedAt time.Time
 }
 
-// ageMs bounds from above how long ago the claimed attempt can have been sent:
+// maxAgeMs bounds from above how long ago the claimed attempt can have been sent:
 // the age that the log gives, raised by what the leader's clock may run slow, and
 // the time since it was asked. 0 when the log can't tell.
-func (c standingClaim) ageMs(now time.Time) int64 {
+func (c existingClaim) maxAgeMs(now time.Time) int64 {
 	age := c.GetStandingAgeMs()
 	if age == 0 {
 		return 0
 	}
-	return age + age/clockRateShare + now.Sub(c.asked).Milliseconds() + 1
+	return age + age/clockRateDivisor + now.Sub(c.requestedAt).Milliseconds() + 1
 }
 
 func (e *Entry) claimCommand(r *request) *apiv1.Command {
@@ -112,10 +112,10 @@
 			Entry:            e.settings.Name,
 			Agent:            r.choice.Target.Agent,
 			AgentIncarnation: r.choice.Target.AgentIncarnation,
-			Attempt:          r.sends + 1,
+			Attempt:          r.dispatches + 1,
 			WindowMs:         e.claimWindow.Milliseconds(),
 			KeyTimeMs:        r.keyTime,
-			ReplacesAttempt:  r.proven,
+			ReplacesAttempt:  r.confirmedNotRun,
 		}},
 	}
 }
@@ -145,7 +145,7 @@
 	return defaultRetryAfter
 }
 
-// standing answers from a claim that another request with the same key holds.
+// resolveExistingClaim answers from a claim that another request with the same key holds.
 // again means: look once more, the claim may have changed.
 //
 // While patient, the entry that holds an open claim is left alone when it is alive.
@@ -153,7 +153,7 @@
 // have restarted under its name since, or lost the outcome on its way to the log,
 // and nobody else would ever settle the claim; callers would be told "in progress"
 // forever.
-func (e *Entry) standing(ctx context.Context, r *request, c standingClaim, patient bool) (st pipeline.Status, again bool) {
+func (e *Entry) resolveExistingClaim(ctx context.Context, r *request, c existingClaim, patient bool) (st pipeline.Status, again bool) {
 	held := c.GetStanding()
 	switch {
 	case c.GetReason() == apiv1.Reason_REASON_KEY_EXPIRED:
@@ -171,48 +171,48 @@
 	case patient && !held.GetSettled() && (e.peerAlive(held.GetEntry()) || held.GetEntry() == e.settings.Name):
 		return pipeline.Status{}, true
 	}
-	return e.orphan(ctx, r, c)
+	return e.resolveOrphan(ctx, r, c)
 }
 
 // storedAnswer repeats the outcome of the request that held the key.
 func storedAnswer(held *apiv1.ClaimRecord) answer {
-	if ran(held.GetOutcome()) && held.GetResponse() == nil {
+	if provesRun(held.GetOutcome()) && held.GetResponse() == nil {
 		return unknown(held.GetReason(), "the request was run; its answer was too large to keep", 0)
 	}
 	return answer{outcome: held.GetOutcome(), reason: held.GetReason(), response: held.GetResponse()}
 }
 
-// orphan finds the outcome of a claimed request whose entry is gone. The agent that
+// resolveOrphan finds the outcome of a claimed request whose entry is gone. The agent that
 // the claim names either proves that the attempt never ran, and never will, or
 // still has its answer; otherwise the outcome is unknown and the request is not run
 // again.
-func (e *Entry) orphan(ctx context.Context, r *request, c standingClaim) (pipeline.Status, bool) {
+func (e *Entry) resolveOrphan(ctx context.Context, r *request, c existingClaim) (pipeline.Status, bool) {
 	held := c.GetStanding()
 	address := e.agentAddress(held.GetAgent(), held.GetAgentIncarnation())
 	if address == "" {
 		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request is gone", defaultRetryAfter)
 		return pipeline.Rejected("fate unknown"), false
 	}
-	ctx, cancel := context.WithTimeout(ctx, min(r.Deadline.Sub(e.now()), maxOrphanWait))
+	ctx, cancel := context.WithTimeout(ctx, min(r.Deadline.Sub(e.now()), orphanRevokeTimeout))
 	defer cancel()
 	resp, err := revoke(ctx, e.agents.client(address), &apiv1.RevokeRequest{
 		RequestId:        held.GetRequestId(),
 		Attempt:          held.GetAttempt(),
 		AgentIncarnation: held.GetAgentIncarnation(),
-		AgeMs:            c.ageMs(e.now()),
+		AgeMs:            c.maxAgeMs(e.now()),
 	})
 	if err != nil {
 		r.answer = unknown(apiv1.Reason_REASON_KEY_IN_PROGRESS, "the host that may have run the request can't be reached", defaultRetryAfter)
 		return pipeline.Rejected("fate unknown"), false
 	}
 	a := attempt{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, number: held.GetAttempt()}
-	a.takeRevocation(resp)
+	a.applyRevocation(resp)
 	switch {
 	case a.outcome == apiv1.Outcome_OUTCOME_NOT_RUN:
-		return e.freeKey(ctx, r, held)
-	case ran(a.outcome):
+		return e.releaseKey(ctx, r, held)
+	case provesRun(a.outcome):
 		r.answer = answer{outcome: a.outcome, reason: a.reason, response: a.response}
-		e.settleLater(settleCommand(held.GetService(), held.GetKey(), held.GetRequestId(), held.GetAttempt(), &r.answer))
+		e.settleAsync(settleCommand(held.GetService(), held.GetKey(), held.GetRequestId(), held.GetAttempt(), &r.answer))
 		return pipeline.Finished("answered by the agent of the first request"), false
 	case a.running:
 		return pipeline.Status{}, true
@@ -221,10 +221,10 @@
 	return pipeline.Rejected("fate unknown"), false
 }
 
-// freeKey records that the attempt that holds the key never ran, which lets the
+// releaseKey records that the attempt that holds the key never ran, which lets the
 // next claim have it. If the log refuses, the claim has moved on in the meantime
 // and is looked at again.
-func (e *Entry) freeKey(ctx context.Context, r *request, held *apiv1.ClaimRecord) (pipeline.Status, bool) {
+func (e *Entry) releaseKey(ctx context.Context, r *request, held *apiv1.ClaimRecord) (pipeline.Status, bool) {
 	none := notRun(apiv1.Reason_REASON_REVOKED, "", 0)
 	s := settleCommand(held.GetService(), held.GetKey(), held.GetRequestId(), held.GetAttempt(), &none)
 	_, err := e.control.Propose(ctx, &apiv1.Command{Body: &apiv1.Command_Settle{Settle: s}})
@@ -238,7 +238,7 @@
 // up the answer: a resend that comes first asks the agent.
 func (e *Entry) settle(_ context.Context, r *request) pipeline.Status {
 	if r.claimed {
-		e.settleLater(settleCommand(r.Service, r.key, r.ID, r.sends, &r.answer))
+		e.settleAsync(settleCommand(r.Service, r.key, r.ID, r.dispatches, &r.answer))
 	}
 	return pipeline.Status{}
 }
@@ -258,9 +258,9 @@
 	return s
 }
 
-// settleLater proposes the outcome in the background. One that is lost leaves
+// settleAsync proposes the outcome in the background. One that is lost leaves
 // the claim unsettled: a resend then gets the agent's answer or "unknown".
-func (e *Entry) settleLater(s *apiv1.Settle) {
+func (e *Entry) settleAsync(s *apiv1.Settle) {
 	e.background.Go("settle", func() {
 		ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 		defer cancel()
--- a/entry/claim_test.go
+++ b/entry/claim_test.go
@@ -24,11 +24,11 @@
 // lost, so the caller sends it again, with its key, to whichever entry it gets,
 // also while the first is running. Cause: each entry ran what reached it.
 func TestResendsOfOneKeyRunOnce(t *testing.T) {
-	g := newRig(t, 2)
+	g := newHarness(t, 2)
 	g.startAgent()
 	rng := rand.New(rand.NewPCG(1, 1))
 	var mu sync.Mutex
-	g.setWork(func(w http.ResponseWriter, r *http.Request) bool {
+	g.setBeforeAnswer(func(w http.ResponseWriter, r *http.Request) bool {
 		mu.Lock()
 		fate := rng.IntN(4)
 		mu.Unlock()
@@ -66,8 +66,8 @@
 // entry claims the key, dies before, during or after its dispatch, and the caller
 // resends through another entry; then the dead entry's dispatch arrives after
 // all. Cause: nobody but the agent can tell whether the first dispatch ran.
-func TestResendAfterEntryDied(t *testing.T) {
-	g := newRig(t, 1)
+func TestResendAfterEntryFailure(t *testing.T) {
+	g := newHarness(t, 1)
 	a := g.startAgent()
 	client := g.entries[0].agents.client(a.Address())
 	incarnation := a.Incarnation()
@@ -103,7 +103,7 @@
 			claim := &apiv1.Claim{
 				Service: "bookings", Key: id, RequestId: "dead-" + id, Entry: "entry-dead", Agent: "host-1",
 				AgentIncarnation: c.incarnation, Attempt: 1, WindowMs: 3600_000,
-				RequestDigest: digestOf(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
+				RequestDigest: requestDigest(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
 			}
 			res, err := g.replica.Propose(g.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: claim}})
 			if err != nil || !res.GetClaim().GetGranted() {
@@ -127,8 +127,8 @@
 // Symptom: a caller gets the answer to another request, or a resend runs again long
 // after the first. Sequence: a key is used for another body, or was made before the
 // window for which keys are kept. Cause: the key alone is compared, or its time is not.
-func TestKeyMisuseIsRefused(t *testing.T) {
-	g := newRig(t, 1)
+func TestInvalidIdempotencyKeysAreRejected(t *testing.T) {
+	g := newHarness(t, 1)
 	g.startAgent()
 	if w := g.call(g.entries[0], http.MethodPost, "/bookings/pay", "5", keyed("first", "k")); w.Code != http.StatusOK {
 		t.Fatal(w.Code, w.Body)
@@ -156,8 +156,8 @@
 // though the agent has its receipt. Sequence: the entry loses the agent in the
 // middle of a request and answers "unknown"; the agent comes back within reach and
 // the caller resends. Cause: "unknown" was stored as the final outcome of the key.
-func TestUnknownIsNotTheLastWordOnAKey(t *testing.T) {
-	g := newRig(t, 1)
+func TestResendResolvesUnknownOutcome(t *testing.T) {
+	g := newHarness(t, 1)
 	f := &faultyAgent{fault: func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) { panic(http.ErrAbortHandler) }}
 	g.announceAgent(apiv1.NewAgentServer(f))
 	resend := func() *httptest.ResponseRecorder {
@@ -167,7 +167,7 @@
 		t.Fatal(w.Code, w.Body)
 	}
 	g.entries[0].background.Wait() // whatever is stored is stored now
-	f.revoke.Store(&apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: wholeAnswer("receipt")})
+	f.revoke.Store(&apiv1.RevokeResponse{Outcome: apiv1.Outcome_OUTCOME_ANSWERED, Response: completeAnswer("receipt")})
 	if w := resend(); w.Header().Get(HeaderOutcome) != "answered" || w.Body.String() != "receipt" {
 		t.Error(w.Code, w.Body)
 	}
@@ -176,9 +176,9 @@
 	}
 }
 
-// silentGroup is a control group without a leader: claims get no answer from it. It
+// unresponsiveGroup is a control group without a leader: claims get no answer from it. It
 // keeps how long each claim was allowed to wait.
-type silentGroup struct {
+type unresponsiveGroup struct {
 	control.Service
 	mu    sync.Mutex
 	waits []time.Duration
@@ -187,7 +187,7 @@
 // unbounded is the wait of a claim whose context has no deadline.
 const unbounded = time.Duration(math.MaxInt64)
 
-func (s *silentGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (s *unresponsiveGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	if cmd.GetClaim() == nil {
 		return s.Service.Propose(ctx, cmd)
 	}
@@ -206,9 +206,9 @@
 // are short of processor time; the claim of the key waits for one. Cause: the wait ended
 // with the control group's own timeout, counted anew at each claim, and not with the
 // caller's deadline.
-func TestClaimEndsByTheCallersDeadline(t *testing.T) {
-	group := &silentGroup{}
-	g := newRigOver(t, 1, func(c control.Service) control.Service {
+func TestClaimEndsByCallerDeadline(t *testing.T) {
+	group := &unresponsiveGroup{}
+	g := newHarnessWith(t, 1, func(c control.Service) control.Service {
 		group.Service = c
 		return group
 	})
@@ -240,20 +240,20 @@
 	}
 }
 
-// fadingGroup answers the first claim and is a silent group from then on.
-type fadingGroup struct {
-	silentGroup
+// failingGroup answers the first claim and is a silent group from then on.
+type failingGroup struct {
+	unresponsiveGroup
 	claims int
 }
 
-func (f *fadingGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (f *failingGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	if cmd.GetClaim() != nil {
 		f.claims++
 		if f.claims == 1 {
 			return f.Service.Propose(ctx, cmd)
 		}
 	}
-	return f.silentGroup.Propose(ctx, cmd)
+	return f.unresponsiveGroup.Propose(ctx, cmd)
 }
 
 // Symptom: a trader is told that a charge has not run, books it again under a new key, and
@@ -261,9 +261,9 @@
 // caller resends it with its key; the entry sees the first one hold the key, and the
 // control group loses its leader before the entry looks again. Cause: every claim that
 // failed was answered "not run", also after another request was seen to hold the key.
-func TestClaimSeenInProgressIsNeverNotRun(t *testing.T) {
-	group := &fadingGroup{}
-	g := newRigOver(t, 1, func(c control.Service) control.Service {
+func TestClaimSeenInProgressIsNotReportedNotRun(t *testing.T) {
+	group := &failingGroup{}
+	g := newHarnessWith(t, 1, func(c control.Service) control.Service {
 		group.Service = c
 		return group
 	})
@@ -271,7 +271,7 @@
 	first := &apiv1.Claim{
 		Service: "bookings", Key: "k", RequestId: "first", Entry: g.entries[0].settings.Name, Agent: "host-1",
 		Attempt: 1, WindowMs: 3600_000,
-		RequestDigest: digestOf(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
+		RequestDigest: requestDigest(&apiv1.HttpRequest{Method: "POST", Uri: "/bookings/pay", Body: []byte("5")}),
 	}
 	res, err := g.replica.Propose(g.ctx, &apiv1.Command{TimeMs: time.Now().UnixMilli(), Body: &apiv1.Command_Claim{Claim: first}})
 	if err != nil || !res.GetClaim().GetGranted() {
@@ -286,13 +286,13 @@
 	}
 }
 
-// lateGroup grants a claim, and lets the caller's deadline pass before it says so.
-type lateGroup struct {
+// slowGroup grants a claim, and lets the caller's deadline pass before it says so.
+type slowGroup struct {
 	control.Service
 	timeout time.Duration
 }
 
-func (s lateGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
+func (s slowGroup) Propose(ctx context.Context, cmd *apiv1.Command) (*apiv1.Result, error) {
 	res, err := s.Service.Propose(ctx, cmd)
 	if cmd.GetClaim() != nil {
 		time.Sleep(s.timeout)
@@ -304,9 +304,9 @@
 // Sequence: the claim of the key is granted, and the entry stands still until the
 // caller's deadline has passed. Cause: a dispatch whose time was over before it was sent
 // counted as one whose answer was lost.
-func TestClaimGrantedTooLateIsNotRun(t *testing.T) {
+func TestClaimGrantedAfterDeadlineIsNotRun(t *testing.T) {
 	const timeout = 100 * time.Millisecond
-	g := newRigOver(t, 1, func(c control.Service) control.Service { return lateGroup{c, timeout} })
+	g := newHarnessWith(t, 1, func(c control.Service) control.Service { return slowGroup{c, timeout} })
 	f := &faultyAgent{fault: func(*apiv1.DispatchRequest, *apiv1.DispatchResponse) {}}
 	g.announceAgent(apiv1.NewAgentServer(f))
 	headers := keyed("charge", "k")
--- a/entry/decisions.go
+++ b/entry/decisions.go
@@ -7,8 +7,8 @@
 	"github.com/cairnlift/cairnlift/admin"
 )
 
-// keptDecisions is how many routing decisions are kept for operators.
-const keptDecisions = 1024
+// decisionRingSize is how many routing decisions are kept for operators.
+const decisionRingSize = 1024
 
 // routeDecision is what is kept of one routing decision.
 type routeDecision struct {
@@ -22,14 +22,14 @@
 
 // decisionRing keeps the newest routing decisions.
 type decisionRing struct {
-	mu   sync.Mutex
-	kept [keptDecisions]routeDecision
-	next int
+	mu     sync.Mutex
+	buffer [decisionRingSize]routeDecision
+	next   int
 }
 
 func (d *decisionRing) add(one routeDecision) {
 	d.mu.Lock()
-	d.kept[d.next%keptDecisions] = one
+	d.buffer[d.next%decisionRingSize] = one
 	d.next++
 	d.mu.Unlock()
 }
@@ -40,8 +40,8 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := []admin.Decision{}
-	for i := d.next - 1; i >= max(0, d.next-keptDecisions) && len(out) < limit; i-- {
-		one := &d.kept[i%keptDecisions]
+	for i := d.next - 1; i >= max(0, d.next-decisionRingSize) && len(out) < limit; i-- {
+		one := &d.buffer[i%decisionRingSize]
 		if request != "" && one.request != request {
 			continue
 		}
--- a/entry/decode.go
+++ b/entry/decode.go
@@ -47,7 +47,7 @@
 	}
 	r.service = svc
 	r.Service = svc.GetName()
-	r.Caller = callerOf(r.raw)
+	r.Caller = callerName(r.raw)
 	// Every service is latency-critical: batch work comes as jobs.
 	r.Priority = apiv1.Priority_PRIORITY_URGENT
 	if err := r.readTimes(e.now(), svc); err != nil {
@@ -115,7 +115,7 @@
 		return pipeline.Rejected("bad header")
 	}
 	r.key = key
-	r.digest = digestOf(r.http)
+	r.digest = requestDigest(r.http)
 	return pipeline.Status{}
 }
 
@@ -134,7 +134,7 @@
 	return theirs + "." + own
 }
 
-func callerOf(r *http.Request) string {
+func callerName(r *http.Request) string {
 	if c := r.Header.Get(HeaderCaller); c != "" {
 		return c
 	}
@@ -159,7 +159,7 @@
 		if route.GetMethod() != "" && route.GetMethod() != r.Method {
 			continue
 		}
-		if within(r.URL.Path, route.GetPathPrefix()) {
+		if hasPathPrefix(r.URL.Path, route.GetPathPrefix()) {
 			return true
 		}
 	}
--- a/entry/deltas.go
+++ b/entry/deltas.go
@@ -20,24 +20,24 @@
 // deltaHistory keeps the last changes of a configuration for those that ask with
 // an older version. It is safe for concurrent use.
 type deltaHistory struct {
-	// part is what the askers get of a configuration.
-	part func(*apiv1.Configuration) *apiv1.Configuration
+	// filter is what the askers get of a configuration.
+	filter func(*apiv1.Configuration) *apiv1.Configuration
 
 	mu     sync.Mutex
 	newest *apiv1.Configuration
-	kept   []*apiv1.ConfigurationDelta
-	// bytes is the encoded size of kept, whole that of newest.
-	bytes, whole int
+	deltas []*apiv1.ConfigurationDelta
+	// deltaBytes is the encoded size of kept, whole that of newest.
+	deltaBytes, newestBytes int
 }
 
 func newDeltaHistory(part func(*apiv1.Configuration) *apiv1.Configuration) *deltaHistory {
-	return &deltaHistory{part: part, newest: &apiv1.Configuration{}}
+	return &deltaHistory{filter: part, newest: &apiv1.Configuration{}}
 }
 
-// answer returns what brings an asker that has a version up to cfg or a newer
+// updateSince returns what brings an asker that has a version up to cfg or a newer
 // one: a chain of deltas, else the whole configuration, or neither when the asker
 // is up to date. whole asks for no deltas.
-func (h *deltaHistory) answer(cfg *apiv1.Configuration, have uint64, whole bool) (*apiv1.Configuration, []*apiv1.ConfigurationDelta) {
+func (h *deltaHistory) updateSince(cfg *apiv1.Configuration, have uint64, whole bool) (*apiv1.Configuration, []*apiv1.ConfigurationDelta) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.observe(cfg)
@@ -45,7 +45,7 @@
 		return nil, nil
 	}
 	if !whole {
-		if chain := h.since(have); chain != nil {
+		if chain := h.chainFrom(have); chain != nil {
 			return nil, chain
 		}
 	}
@@ -60,32 +60,32 @@
 		return
 	}
 	old := h.newest
-	h.newest = h.part(cfg)
-	h.whole = proto.Size(h.newest)
+	h.newest = h.filter(cfg)
+	h.newestBytes = proto.Size(h.newest)
 	if old.GetVersion() == 0 {
 		return
 	}
 	d := configdelta.Diff(old, h.newest)
-	h.kept = append(h.kept, d)
-	h.bytes += proto.Size(d)
-	for len(h.kept) > maxDeltas || h.bytes > maxDeltaBytes {
-		h.bytes -= proto.Size(h.kept[0])
-		h.kept = h.kept[1:]
+	h.deltas = append(h.deltas, d)
+	h.deltaBytes += proto.Size(d)
+	for len(h.deltas) > maxDeltas || h.deltaBytes > maxDeltaBytes {
+		h.deltaBytes -= proto.Size(h.deltas[0])
+		h.deltas = h.deltas[1:]
 	}
 }
 
-// since returns the unbroken chain from a version to the newest; nil when the
+// chainFrom returns the unbroken chain from a version to the newest; nil when the
 // version is older than what is kept, was passed over here, or when the chain is
 // no shorter than the whole. mu is held.
-func (h *deltaHistory) since(version uint64) []*apiv1.ConfigurationDelta {
+func (h *deltaHistory) chainFrom(version uint64) []*apiv1.ConfigurationDelta {
 	size := 0
-	for i := len(h.kept) - 1; i >= 0; i-- {
-		size += proto.Size(h.kept[i])
-		if size >= h.whole {
+	for i := len(h.deltas) - 1; i >= 0; i-- {
+		size += proto.Size(h.deltas[i])
+		if size >= h.newestBytes {
 			return nil
 		}
-		if h.kept[i].GetFromVersion() == version {
-			return h.kept[i:len(h.kept):len(h.kept)]
+		if h.deltas[i].GetFromVersion() == version {
+			return h.deltas[i:len(h.deltas):len(h.deltas)]
 		}
 	}
 	return nil
--- a/entry/deltas_test.go
+++ b/entry/deltas_test.go
@@ -20,8 +20,8 @@
 	apiv1.Control
 	history *deltaHistory
 	cfg     *apiv1.Configuration
-	// shape has W for each answer with the whole, D with deltas, - with neither.
-	shape string
+	// answers has W for each answer with the whole, D with deltas, - with neither.
+	answers string
 	// fault damages or loses the next answer.
 	fault func(*apiv1.SyncResponse) error
 }
@@ -34,14 +34,14 @@
 
 func (p *configurationPeer) Sync(_ context.Context, req *apiv1.SyncRequest) (*apiv1.SyncResponse, error) {
 	resp := &apiv1.SyncResponse{ConfigurationVersion: p.cfg.GetVersion()}
-	resp.Configuration, resp.Deltas = p.history.answer(p.cfg, req.GetConfigurationVersion(), req.GetWholeConfiguration())
+	resp.Configuration, resp.Deltas = p.history.updateSince(p.cfg, req.GetConfigurationVersion(), req.GetWholeConfiguration())
 	switch {
 	case resp.Configuration != nil:
-		p.shape += "W"
+		p.answers += "W"
 	case len(resp.Deltas) > 0:
-		p.shape += "D"
+		p.answers += "D"
 	default:
-		p.shape += "-"
+		p.answers += "-"
 	}
 	resp = proto.CloneOf(resp)
 	fault := p.fault
@@ -52,9 +52,9 @@
 	return resp, nil
 }
 
-func lose(*apiv1.SyncResponse) error { return errors.New("lost") }
+func loseAnswer(*apiv1.SyncResponse) error { return errors.New("lost") }
 
-func damage(r *apiv1.SyncResponse) error {
+func corruptDelta(r *apiv1.SyncResponse) error {
 	r.Deltas[0].Jobs[0].Insert[0].Name = "job-nobody-submitted"
 	return nil
 }
@@ -64,15 +64,15 @@
 	return nil
 }
 
-// deltaAsker is an entry that asks one peer for its configuration.
-type deltaAsker struct {
+// deltaClient is an entry that asks one peer for its configuration.
+type deltaClient struct {
 	t    *testing.T
 	peer *configurationPeer
 	*Entry
 	whole bool
 }
 
-func (a *deltaAsker) restart() {
+func (a *deltaClient) restart() {
 	s := &settings.Entry{Name: "asker"}
 	s.SetDefaults()
 	e, err := newEntry(Options{Settings: s, Logger: zap.NewNop()})
@@ -85,31 +85,31 @@
 }
 
 // push asks once, and checks that no configuration but the peer's comes into force.
-func (a *deltaAsker) push(fault func(*apiv1.SyncResponse) error) {
+func (a *deltaClient) push(fault func(*apiv1.SyncResponse) error) {
 	p := a.peer
 	p.fault = fault
 	before := a.control.Configuration()
 	a.whole = a.syncOnce(a.t.Context(), p, settings.Peer{Name: "peer"}, a.whole)
 	if after := a.control.Configuration(); after.GetVersion() < before.GetVersion() || after.GetVersion() == p.cfg.GetVersion() && !proto.Equal(after, p.cfg) {
-		a.t.Fatalf("after %s: version %d after %d, or another configuration than the peer's", p.shape, after.GetVersion(), before.GetVersion())
+		a.t.Fatalf("after %s: version %d after %d, or another configuration than the peer's", p.answers, after.GetVersion(), before.GetVersion())
 	}
 }
 
 // change makes a number of changes at the peer.
-func (a *deltaAsker) change(n int) {
+func (a *deltaClient) change(n int) {
 	for range n {
 		a.peer.change()
-		a.peer.history.answer(a.peer.cfg, a.peer.cfg.GetVersion(), false)
+		a.peer.history.updateSince(a.peer.cfg, a.peer.cfg.GetVersion(), false)
 	}
 }
 
 // overtake is a fault that lets the whole configuration arrive before the answer.
-func (a *deltaAsker) overtake(*apiv1.SyncResponse) error {
+func (a *deltaClient) overtake(*apiv1.SyncResponse) error {
 	a.follower.Adopt(a.peer.cfg, a.peer.cfg.GetVersion(), a.now())
 	return nil
 }
 
-func (a *deltaAsker) step(kind rune) {
+func (a *deltaClient) step(kind rune) {
 	switch kind {
 	case 'c':
 		a.change(1)
@@ -118,9 +118,9 @@
 	case 's':
 		a.push(nil)
 	case 'l':
-		a.push(lose)
+		a.push(loseAnswer)
 	case 'd':
-		a.push(damage)
+		a.push(corruptDelta)
 	case 'b':
 		a.push(breakChain)
 	case 'r':
@@ -137,7 +137,7 @@
 // the whole overtaking the delta that answers the same push.
 // Cause: deltas applied to another base or without comparing the digest, a chain
 // that is kept without bound, or a request for the whole that is never taken back.
-func TestConfigurationByDelta(t *testing.T) {
+func TestConfigurationDeltas(t *testing.T) {
 	for name, c := range map[string]struct{ steps, shape string }{
 		"steady":        {"cscscss", "WDD-"},
 		"several":       {"cscccss", "WD-"},
@@ -152,13 +152,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := &configurationPeer{history: newDeltaHistory(wholeConfiguration)}
-			a := &deltaAsker{t: t, peer: p}
+			a := &deltaClient{t: t, peer: p}
 			a.restart()
 			for _, kind := range c.steps {
 				a.step(kind)
 			}
-			if got := a.control.Configuration(); p.shape != c.shape || !proto.Equal(got, p.cfg) || a.whole {
-				t.Errorf("answers %s, not %s; version %d of %d, whole %t", p.shape, c.shape, got.GetVersion(), p.cfg.GetVersion(), a.whole)
+			if got := a.control.Configuration(); p.answers != c.shape || !proto.Equal(got, p.cfg) || a.whole {
+				t.Errorf("answers %s, not %s; version %d of %d, whole %t", p.answers, c.shape, got.GetVersion(), p.cfg.GetVersion(), a.whole)
 			}
 		})
 	}
@@ -171,17 +171,17 @@
 	h := newDeltaHistory(wholeConfiguration)
 	for v := range uint64(200) {
 		text := strings.Repeat(fmt.Sprintf("text of version %d\n", v), 1+int(v%3)*10_000)
-		h.answer(&apiv1.Configuration{Version: v + 1, Text: text}, v+1, false)
+		h.updateSince(&apiv1.Configuration{Version: v + 1, Text: text}, v+1, false)
 		sum := 0
-		for i, d := range h.kept {
+		for i, d := range h.deltas {
 			sum += proto.Size(d)
-			if i > 0 && d.FromVersion != h.kept[i-1].ToVersion {
+			if i > 0 && d.FromVersion != h.deltas[i-1].ToVersion {
 				t.Fatalf("version %d: kept chain is broken", v)
 			}
 		}
-		whole, chain := h.answer(&apiv1.Configuration{}, v, false)
-		if len(h.kept) > maxDeltas || sum > maxDeltaBytes || sum != h.bytes || whole == nil && proto.Size(&apiv1.SyncResponse{Deltas: chain}) > proto.Size(h.newest)+8 {
-			t.Fatalf("version %d: %d deltas of %d bytes kept, %d counted", v, len(h.kept), sum, h.bytes)
+		whole, chain := h.updateSince(&apiv1.Configuration{}, v, false)
+		if len(h.deltas) > maxDeltas || sum > maxDeltaBytes || sum != h.deltaBytes || whole == nil && proto.Size(&apiv1.SyncResponse{Deltas: chain}) > proto.Size(h.newest)+8 {
+			t.Fatalf("version %d: %d deltas of %d bytes kept, %d counted", v, len(h.deltas), sum, h.deltaBytes)
 		}
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -36,13 +36,13 @@
 
 // Entry is one entry host.
 type Entry struct {
-	settings *settings.Entry
-	log      *zap.Logger
-	routeLog *zap.Logger
-	registry metrics.Registry
-	metrics  *entryMetrics
-	now      func() time.Time
-	started  time.Time
+	settings  *settings.Entry
+	log       *zap.Logger
+	routeLog  *zap.Logger
+	registry  metrics.Registry
+	metrics   *entryMetrics
+	now       func() time.Time
+	startedAt time.Time
 
 	control control.Service
 	// replica and node are nil on an entry without a control section, follower on
@@ -59,7 +59,7 @@
 	agents         agentClients
 	internalClient *http.Client
 	pipeline       pipeline.Pipeline[request]
-	renewals       *renewals
+	renewals       *renewalBatcher
 	claimWindow    time.Duration
 	decisions      decisionRing
 	// inProgress counts callers' requests that have no answer yet.
@@ -69,10 +69,10 @@
 	deltas, agentDeltas *deltaHistory
 
 	// mu guards the directory and what is kept beside it.
-	mu        sync.Mutex
-	directory *member.Directory
-	routed    map[string]map[string]bool
-	peers     map[string]peerState
+	mu            sync.Mutex
+	directory     *member.Directory
+	routedTargets map[string]map[string]bool
+	peers         map[string]peerState
 
 	// loops are what the entry does on its own; background is what outlives the
 	// request it belongs to.
@@ -80,12 +80,12 @@
 	leaving           atomic.Bool
 }
 
-// adoptConfiguration puts the newest configuration in force here, whenever it
+// watchConfiguration puts the newest configuration in force here, whenever it
 // changes, until the context ends.
-func (e *Entry) adoptConfiguration(ctx context.Context) {
+func (e *Entry) watchConfiguration(ctx context.Context) {
 	for {
 		changed := e.control.Changed()
-		e.adopt(e.control.Configuration())
+		e.applyConfiguration(e.control.Configuration())
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -94,9 +94,9 @@
 	}
 }
 
-// adopt puts a configuration in force. Only a higher version is taken: an answer
+// applyConfiguration puts a configuration in force. Only a higher version is taken: an answer
 // that was long on its way must not bring an older one back.
-func (e *Entry) adopt(cfg *apiv1.Configuration) {
+func (e *Entry) applyConfiguration(cfg *apiv1.Configuration) {
 	old := e.services.Load()
 	if cfg.GetVersion() <= old.version {
 		return
--- a/entry/group.go
+++ b/entry/group.go
@@ -36,7 +36,7 @@
 		StalenessBound:    e.settings.StalenessBound.Duration,
 		Planner:           place.New(place.Config{}),
 		Forwarder:         forwarder,
-		OnApplied:         e.jobsApplied,
+		OnApplied:         e.notifyDispatcher,
 		Logger:            o.Logger,
 		Metrics:           e.registry,
 	})
@@ -45,7 +45,7 @@
 
 func (e *Entry) useControl(c control.Service) {
 	e.control = c
-	e.renewals = newRenewals(c, e.log)
+	e.renewals = newRenewalBatcher(c, e.log)
 }
 
 // startNode opens the data folder and joins the control group. It returns before
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -10,7 +10,7 @@
 // Heartbeat answers an agent that has chosen this entry as its home. The
 // worker's part goes on to the leader together with those of other agents.
 func (e *Entry) Heartbeat(ctx context.Context, hb *apiv1.HeartbeatRequest) (*apiv1.HeartbeatResponse, error) {
-	known := e.hear(hb)
+	known := e.recordHeartbeat(hb)
 	resp := &apiv1.HeartbeatResponse{ResendAgent: !known}
 	if hb.GetWorker() != nil {
 		resp.Orders = e.renewals.renew(ctx, hb.GetWorker())
@@ -19,12 +19,12 @@
 	return resp, nil
 }
 
-// hear records the heartbeat and tells the router what it changed.
-func (e *Entry) hear(hb *apiv1.HeartbeatRequest) bool {
+// recordHeartbeat records the heartbeat and tells the router what it changed.
+func (e *Entry) recordHeartbeat(hb *apiv1.HeartbeatRequest) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	known := e.directory.RecordHeartbeat(e.now(), hb)
-	e.applyChanges()
+	e.applyDirectoryChanges()
 	return known
 }
 
@@ -35,11 +35,11 @@
 	cfg := e.control.Configuration()
 	resp.ConfigurationVersion = cfg.GetVersion()
 	resp.ConfirmedAgeMs = e.confirmedAgeMs()
-	resp.Configuration, resp.Deltas = e.agentDeltas.answer(cfg, hb.GetConfigurationVersion(), hb.GetWholeConfiguration())
+	resp.Configuration, resp.Deltas = e.agentDeltas.updateSince(cfg, hb.GetConfigurationVersion(), hb.GetWholeConfiguration())
 }
 
-// forAgents leaves out what no agent needs: jobs, the text, teams.
-func forAgents(cfg *apiv1.Configuration) *apiv1.Configuration {
+// agentConfiguration leaves out what no agent needs: jobs, the text, teams.
+func agentConfiguration(cfg *apiv1.Configuration) *apiv1.Configuration {
 	return &apiv1.Configuration{
 		Version:  cfg.GetVersion(),
 		Services: cfg.GetServices(),
@@ -85,8 +85,8 @@
 func (e *Entry) Sync(_ context.Context, req *apiv1.SyncRequest) (*apiv1.SyncResponse, error) {
 	e.mu.Lock()
 	resend := e.directory.ApplySyncRequest(e.now(), req)
-	e.applyChanges()
-	e.peerSeen(req, !resend)
+	e.applyDirectoryChanges()
+	e.recordPeer(req, !resend)
 	e.mu.Unlock()
 	cfg := e.control.Configuration()
 	resp := &apiv1.SyncResponse{
@@ -94,6 +94,6 @@
 		ConfigurationVersion: cfg.GetVersion(),
 		ConfirmedAgeMs:       e.confirmedAgeMs(),
 	}
-	resp.Configuration, resp.Deltas = e.deltas.answer(cfg, req.GetConfigurationVersion(), req.GetWholeConfiguration())
+	resp.Configuration, resp.Deltas = e.deltas.updateSince(cfg, req.GetConfigurationVersion(), req.GetWholeConfiguration())
 	return resp, nil
 }
--- a/entry/hedge.go
+++ b/entry/hedge.go
@@ -14,12 +14,12 @@
 func (e *Entry) dispatchHedged(ctx context.Context, r *request) attempt {
 	after, hedge := e.router.HedgeAfter(e.now(), &r.Request)
 	if !hedge {
-		return e.dispatchOne(ctx, r, e.begin(r, r.choice))
+		return e.dispatchAndRecord(ctx, r, e.recordDispatch(r, r.choice))
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	results := make(chan attempt, 2)
-	e.launch(ctx, r, r.choice, results)
+	e.dispatchAsync(ctx, r, r.choice, results)
 	timer := time.NewTimer(after)
 	defer timer.Stop()
 	select {
@@ -31,47 +31,47 @@
 	if !ok {
 		return <-results
 	}
-	e.logAttempt(r, &second, r.sends+1, "hedged")
-	e.launch(ctx, r, &second, results)
-	return firstWhole(results)
+	e.logAttempt(r, &second, r.dispatches+1, "hedged")
+	e.dispatchAsync(ctx, r, &second, results)
+	return firstAnswered(results)
 }
 
-// firstWhole returns the first of two attempts that was answered; failing that,
+// firstAnswered returns the first of two attempts that was answered; failing that,
 // the one that says more.
-func firstWhole(results <-chan attempt) attempt {
+func firstAnswered(results <-chan attempt) attempt {
 	a := <-results
 	if a.outcome == apiv1.Outcome_OUTCOME_ANSWERED {
 		return a
 	}
 	b := <-results
-	if rank[b.outcome] > rank[a.outcome] {
+	if outcomeRank[b.outcome] > outcomeRank[a.outcome] {
 		return b
 	}
 	return a
 }
 
-// begun is a dispatch that the router has been told of.
-type begun struct {
+// recordedDispatch is a dispatch that the router has been told of.
+type recordedDispatch struct {
 	target route.Target
 	number uint32
 }
 
-// begin numbers the next dispatch and tells the router of it.
-func (e *Entry) begin(r *request, c *route.Choice) begun {
-	r.sends++
+// recordDispatch numbers the next dispatch and tells the router of it.
+func (e *Entry) recordDispatch(r *request, c *route.Choice) recordedDispatch {
+	r.dispatches++
 	r.Tried = append(r.Tried, c.Target.ID)
 	e.router.RecordSent(e.now(), &r.Request, c.Target.ID)
-	return begun{target: c.Target, number: r.sends}
+	return recordedDispatch{target: c.Target, number: r.dispatches}
 }
 
-// launch dispatches in the background and hands the outcome over.
-func (e *Entry) launch(ctx context.Context, r *request, c *route.Choice, results chan<- attempt) {
-	b := e.begin(r, c)
-	e.background.Go("dispatch", func() { results <- e.dispatchOne(ctx, r, b) })
+// dispatchAsync dispatches in the background and hands the outcome over.
+func (e *Entry) dispatchAsync(ctx context.Context, r *request, c *route.Choice, results chan<- attempt) {
+	b := e.recordDispatch(r, c)
+	e.background.Go("dispatch", func() { results <- e.dispatchAndRecord(ctx, r, b) })
 }
 
-// dispatchOne sends one attempt and tells the router its outcome.
-func (e *Entry) dispatchOne(ctx context.Context, r *request, b begun) attempt {
+// dispatchAndRecord sends one attempt and tells the router its outcome.
+func (e *Entry) dispatchAndRecord(ctx context.Context, r *request, b recordedDispatch) attempt {
 	a := e.dispatch(ctx, r, b.target, b.number)
 	e.router.RecordOutcome(e.now(), route.AttemptResult{
 		Request: &r.Request,
@@ -79,7 +79,7 @@
 		Outcome: a.outcome,
 		Reason:  a.reason,
 		Load:    a.load,
-		Latency: a.took,
+		Latency: a.latency,
 	})
 	return a
 }
--- a/entry/jobs.go
+++ b/entry/jobs.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// jobsApplied tells the dispatcher that the applied state changed.
-func (e *Entry) jobsApplied() {
+// notifyDispatcher tells the dispatcher that the applied state changed.
+func (e *Entry) notifyDispatcher() {
 	if e.dispatcher != nil {
 		e.dispatcher.Applied()
 	}
@@ -61,8 +61,8 @@
 	mux.Handle(server.PathPrefix(), server)
 }
 
-// withJobs serves the interface of submitted jobs beside the administration API.
-func (e *Entry) withJobs(admin http.Handler) http.Handler {
+// withJobAPI serves the interface of submitted jobs beside the administration API.
+func (e *Entry) withJobAPI(admin http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	jobs := jobapi.Handler(e.jobs)
 	for _, path := range jobapi.Paths() {
--- a/entry/jobs_paths_test.go
+++ b/entry/jobs_paths_test.go
@@ -11,9 +11,9 @@
 // that there is no such page.
 // Sequence: the command asks an entry for a path below those of the jobs' interface.
 // Cause: the entry passes the paths themselves on, and none below them.
-func TestJobsPathsReachTheirInterface(t *testing.T) {
+func TestJobPathsReachJobAPI(t *testing.T) {
 	admin := http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusTeapot) })
-	h := (&Entry{}).withJobs(admin)
+	h := (&Entry{}).withJobAPI(admin)
 	for _, c := range []struct {
 		method, path, body string
 		want               int
--- a/entry/metrics.go
+++ b/entry/metrics.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func (m *entryMetrics) count(o apiv1.Outcome, took time.Duration) {
+func (m *entryMetrics) recordOutcome(o apiv1.Outcome, took time.Duration) {
 	m.responseUs.Update(took.Microseconds())
 	switch o {
 	case apiv1.Outcome_OUTCOME_ANSWERED:
--- a/entry/renewals.go
+++ b/entry/renewals.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// renewalGather is how long heartbeats wait for others, so that one message
+	// renewalBatchDelay is how long heartbeats wait for others, so that one message
 	// to the leader carries many.
-	renewalGather = 10 * time.Millisecond
+	renewalBatchDelay = 10 * time.Millisecond
 	// renewalTimeout bounds one message to the leader. It is shorter than an
 	// agent's heartbeat interval: the next heartbeat carries the same news.
 	renewalTimeout = 800 * time.Millisecond
@@ -22,26 +22,26 @@
 	maxRenewalBatch = 256
 )
 
-// renewals gathers workers' heartbeats and passes them on to the leader.
-type renewals struct {
+// renewalBatcher gathers workers' heartbeats and passes them on to the leader.
+type renewalBatcher struct {
 	control control.Service
 	log     *zap.Logger
 	queue   chan renewal
 }
 
 type renewal struct {
-	beat *apiv1.WorkerHeartbeat
+	heartbeat *apiv1.WorkerHeartbeat
 	// orders gets the leader's answer, nil when it could not be had.
 	orders chan *apiv1.WorkerOrders
 }
 
-func newRenewals(c control.Service, log *zap.Logger) *renewals {
-	return &renewals{control: c, log: log, queue: make(chan renewal, maxRenewalBatch)}
+func newRenewalBatcher(c control.Service, log *zap.Logger) *renewalBatcher {
+	return &renewalBatcher{control: c, log: log, queue: make(chan renewal, maxRenewalBatch)}
 }
 
 // renew returns the leader's orders for a worker, nil when nothing was renewed.
-func (r *renewals) renew(ctx context.Context, beat *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
-	one := renewal{beat: beat, orders: make(chan *apiv1.WorkerOrders, 1)}
+func (r *renewalBatcher) renew(ctx context.Context, beat *apiv1.WorkerHeartbeat) *apiv1.WorkerOrders {
+	one := renewal{heartbeat: beat, orders: make(chan *apiv1.WorkerOrders, 1)}
 	select {
 	case r.queue <- one:
 	case <-ctx.Done():
@@ -57,19 +57,19 @@
 
 // run passes batches on until the context ends. Batches overlap: one that waits
 // for a leader that is gone does not hold up the next.
-func (r *renewals) run(ctx context.Context, group *failstop.Group) {
+func (r *renewalBatcher) run(ctx context.Context, group *failstop.Group) {
 	for {
-		batch := r.gather(ctx)
+		batch := r.collectBatch(ctx)
 		if batch == nil {
 			return
 		}
-		group.Go("renewal", func() { r.pass(ctx, batch) })
+		group.Go("renewal", func() { r.sendBatch(ctx, batch) })
 	}
 }
 
-// gather waits for the first heartbeat and takes what else comes soon; nil when
+// collectBatch waits for the first heartbeat and takes what else comes soon; nil when
 // the context ends.
-func (r *renewals) gather(ctx context.Context) []renewal {
+func (r *renewalBatcher) collectBatch(ctx context.Context) []renewal {
 	var batch []renewal
 	select {
 	case one := <-r.queue:
@@ -77,7 +77,7 @@
 	case <-ctx.Done():
 		return nil
 	}
-	timer := time.NewTimer(renewalGather)
+	timer := time.NewTimer(renewalBatchDelay)
 	defer timer.Stop()
 	for len(batch) < maxRenewalBatch {
 		select {
@@ -92,13 +92,13 @@
 	return batch
 }
 
-// pass sends one batch and hands each worker its orders.
-func (r *renewals) pass(ctx context.Context, batch []renewal) {
+// sendBatch sends one batch and hands each worker its orders.
+func (r *renewalBatcher) sendBatch(ctx context.Context, batch []renewal) {
 	ctx, cancel := context.WithTimeout(ctx, renewalTimeout)
 	defer cancel()
 	beats := make([]*apiv1.WorkerHeartbeat, 0, len(batch))
 	for _, one := range batch {
-		beats = append(beats, one.beat)
+		beats = append(beats, one.heartbeat)
 	}
 	orders, err := r.control.Renew(ctx, beats)
 	if err != nil {
@@ -109,6 +109,6 @@
 		byWorker[o.GetWorker()] = o
 	}
 	for _, one := range batch {
-		one.orders <- byWorker[one.beat.GetWorker()]
+		one.orders <- byWorker[one.heartbeat.GetWorker()]
 	}
 }
--- a/entry/request.go
+++ b/entry/request.go
@@ -47,16 +47,16 @@
 	digest  []byte
 	// claimed: the key is bound to this request in the replicated log.
 	claimed bool
-	// proven is the last attempt that provably did not run; the next claim of the
+	// confirmedNotRun is the last attempt that provably did not run; the next claim of the
 	// key names it.
-	proven uint32
+	confirmedNotRun uint32
 	// choice is the target of the next dispatch, picked before the claim so that
 	// the claim can name it.
 	choice *route.Choice
 	// admitted requests are counted by the router until released.
 	admitted bool
-	// sends counts dispatches under way or done.
-	sends uint32
+	// dispatches counts dispatches under way or done.
+	dispatches uint32
 
 	answer answer
 }
@@ -65,7 +65,7 @@
 type answer struct {
 	outcome  apiv1.Outcome
 	reason   apiv1.Reason
-	text     string
+	message  string
 	target   string
 	response *apiv1.HttpResponse
 	// retryAfter is how long the caller is to wait before it retries; set on not run and unknown.
@@ -76,12 +76,12 @@
 
 // notRun is the answer to a request that surely did not run.
 func notRun(reason apiv1.Reason, text string, retryAfter time.Duration) answer {
-	return answer{outcome: apiv1.Outcome_OUTCOME_NOT_RUN, reason: reason, text: text, retryAfter: retryAfter}
+	return answer{outcome: apiv1.Outcome_OUTCOME_NOT_RUN, reason: reason, message: text, retryAfter: retryAfter}
 }
 
 // unknown is the answer to a request that may have run.
 func unknown(reason apiv1.Reason, text string, retryAfter time.Duration) answer {
-	return answer{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: reason, text: text, retryAfter: retryAfter}
+	return answer{outcome: apiv1.Outcome_OUTCOME_UNKNOWN, reason: reason, message: text, retryAfter: retryAfter}
 }
 
 // badRequest is the answer to a request that can't be served as it is.
@@ -91,13 +91,13 @@
 	return a
 }
 
-// ran reports whether an outcome proves that the request ran.
-func ran(o apiv1.Outcome) bool {
+// provesRun reports whether an outcome proves that the request ran.
+func provesRun(o apiv1.Outcome) bool {
 	return o == apiv1.Outcome_OUTCOME_ANSWERED || o == apiv1.Outcome_OUTCOME_FAILED
 }
 
-// digestOf binds an idempotency key to what was asked.
-func digestOf(r *apiv1.HttpRequest) []byte {
+// requestDigest binds an idempotency key to what was asked.
+func requestDigest(r *apiv1.HttpRequest) []byte {
 	h := sha256.New()
 	for _, part := range []string{r.GetMethod(), r.GetUri()} {
 		_, _ = h.Write([]byte(part)) // a hash's Write never fails
--- a/entry/revoke.go
+++ b/entry/revoke.go
@@ -7,8 +7,8 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// revokePause spaces the tries of a revocation.
-const revokePause = 5 * time.Millisecond
+// revokeRetryInterval spaces the tries of a revocation.
+const revokeRetryInterval = 5 * time.Millisecond
 
 // revoke asks an agent what became of an attempt, and bars it from running later.
 //
@@ -22,7 +22,7 @@
 		if err == nil {
 			return resp, nil
 		}
-		if !wait(ctx, revokePause) {
+		if !sleepContext(ctx, revokeRetryInterval) {
 			return nil, err
 		}
 	}
--- a/entry/rig_test.go
+++ b/entry/rig_test.go
@@ -21,29 +21,29 @@
 	"github.com/cairnlift/cairnlift/settings"
 )
 
-// rig is a control group of one, entries that share it, and an agent with one
+// harness is a control group of one, entries that share it, and an agent with one
 // target that records what it runs.
-type rig struct {
-	t       testing.TB
-	ctx     context.Context
-	replica *control.Replica
-	entries []*Entry
-	home    string
+type harness struct {
+	t           testing.TB
+	ctx         context.Context
+	replica     *control.Replica
+	entries     []*Entry
+	homeAddress string
 
-	mu  sync.Mutex
-	ran map[string]int
-	// work is what the target does before it answers; nil answers at once.
-	work func(w http.ResponseWriter, r *http.Request) (answered bool)
+	mu        sync.Mutex
+	runCounts map[string]int
+	// beforeAnswer is what the target does before it answers; nil answers at once.
+	beforeAnswer func(w http.ResponseWriter, r *http.Request) (answered bool)
 }
 
-func newRig(t testing.TB, entries int) *rig {
-	return newRigOver(t, entries, func(c control.Service) control.Service { return c })
+func newHarness(t testing.TB, entries int) *harness {
+	return newHarnessWith(t, entries, func(c control.Service) control.Service { return c })
 }
 
-// newRigOver makes a rig whose entries reach the control group by what over returns.
-func newRigOver(t testing.TB, entries int, over func(control.Service) control.Service) *rig {
+// newHarnessWith makes a rig whose entries reach the control group by what over returns.
+func newHarnessWith(t testing.TB, entries int, over func(control.Service) control.Service) *harness {
 	ctx, stop := context.WithCancel(context.Background())
-	g := &rig{t: t, ctx: ctx, ran: map[string]int{}, replica: control.NewReplica(control.Config{Planner: place.New(place.Config{})})}
+	g := &harness{t: t, ctx: ctx, runCounts: map[string]int{}, replica: control.NewReplica(control.Config{Planner: place.New(place.Config{})})}
 	g.replica.Attach(control.NewMemoryLog(g.replica, "127.0.0.1:1"))
 	var wg sync.WaitGroup
 	t.Cleanup(func() { stop(); wg.Wait() })
@@ -70,7 +70,7 @@
 		servers = append(servers, mux)
 		peers = append(peers, settings.Peer{Name: fmt.Sprint("entry-", i), Address: strings.TrimPrefix(s.URL, "http://")})
 	}
-	g.home = peers[0].Address
+	g.homeAddress = peers[0].Address
 	for i := range entries {
 		s := &settings.Entry{Name: peers[i].Name, InternalAddress: peers[i].Address, Peers: peers}
 		s.SetDefaults()
@@ -88,13 +88,13 @@
 }
 
 // startAgent runs an agent with one target and waits until every entry routes to it.
-func (g *rig) startAgent() *agent.Agent {
+func (g *harness) startAgent() *agent.Agent {
 	g.t.Helper()
-	target := httptest.NewServer(http.HandlerFunc(g.answer))
+	target := httptest.NewServer(http.HandlerFunc(g.serveTarget))
 	g.t.Cleanup(target.Close)
 	a, err := agent.New(agent.Options{Settings: &settings.Agent{
 		Name: "host-1", Address: "127.0.0.1:0", LocalAddress: "127.0.0.1:0",
-		Entries:           []settings.Peer{{Name: "entry-0", Address: g.home}},
+		Entries:           []settings.Peer{{Name: "entry-0", Address: g.homeAddress}},
 		HeartbeatInterval: settings.Duration{Duration: 50 * time.Millisecond},
 		StalenessBound:    settings.Duration{Duration: 3 * time.Second},
 		ShutdownBound:     settings.Duration{Duration: 5 * time.Second},
@@ -124,14 +124,14 @@
 	return a
 }
 
-// answer is the target: it records the caller's own id and answers with it.
-func (g *rig) answer(w http.ResponseWriter, r *http.Request) {
+// serveTarget is the target: it records the caller's own id and answers with it.
+func (g *harness) serveTarget(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	id := r.Header.Get("Test-Id")
 	g.mu.Lock()
-	g.ran[id]++
-	run := g.ran[id]
-	work := g.work
+	g.runCounts[id]++
+	run := g.runCounts[id]
+	work := g.beforeAnswer
 	g.mu.Unlock()
 	if work != nil && !work(w, r) {
 		return
@@ -139,19 +139,19 @@
 	fmt.Fprintf(w, "%s run %d of %s", id, run, body)
 }
 
-func (g *rig) runs(id string) int {
+func (g *harness) runs(id string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ran[id]
+	return g.runCounts[id]
 }
 
-func (g *rig) setWork(f func(w http.ResponseWriter, r *http.Request) bool) {
+func (g *harness) setBeforeAnswer(f func(w http.ResponseWriter, r *http.Request) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.work = f
+	g.beforeAnswer = f
 }
 
-func (g *rig) call(e *Entry, method, path, body string, headers map[string]string) *httptest.ResponseRecorder {
+func (g *harness) call(e *Entry, method, path, body string, headers map[string]string) *httptest.ResponseRecorder {
 	req := httptest.NewRequest(method, path, bytes.NewReader([]byte(body)))
 	for k, v := range headers {
 		req.Header.Set(k, v)
@@ -161,7 +161,7 @@
 	return w
 }
 
-func (g *rig) eventually(what string, f func() bool) {
+func (g *harness) eventually(what string, f func() bool) {
 	g.t.Helper()
 	for deadline := time.Now().Add(15 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if f() {
