--- a/entry/run.go
+++ b/entry/run.go
@@ -17,11 +17,11 @@
 func (e *Entry) requestPipeline() pipeline.Pipeline[request] {
 	return pipeline.Pipeline[request]{
 		{Name: "decode", Apply: e.decode},
-		{Name: "ready", Apply: e.ready},
+		{Name: "ready", Apply: e.requireConfiguration},
 		{Name: "admit", Apply: e.admit},
 		{Name: "pick", Apply: e.pick},
 		{Name: "claim", Apply: e.claim},
-		{Name: "dispatch", Apply: e.dispatchAll},
+		{Name: "dispatch", Apply: e.dispatchWithRetries},
 		{Name: "settle", Apply: e.settle},
 	}
 }
@@ -41,18 +41,18 @@
 		e.settle(raw.Context(), r)
 	}
 	e.release(r)
-	e.write(raw.Context(), w, r)
+	e.writeAnswer(raw.Context(), w, r)
 	e.logDecision(r, st, e.now().Sub(started))
 }
 
-// ready refuses work that this entry could only route by an old configuration.
+// requireConfiguration refuses work that this entry could only route by an old configuration.
 //
 // An entry that is cut off from the control group does not see that a service
 // was moved or a target removed; it would be noticed as answers by rules that
 // the operators have replaced. The agent is the other half of this check: it
 // serves when either side of the hop is fresh, so an entry past the bound may
 // still pass requests on to agents, which then decide.
-func (e *Entry) ready(_ context.Context, r *request) pipeline.Status {
+func (e *Entry) requireConfiguration(_ context.Context, r *request) pipeline.Status {
 	if e.control.ConfirmedAt().IsZero() {
 		r.answer = notRun(apiv1.Reason_REASON_STALE_CONFIGURATION, "this host has no confirmed configuration yet", defaultRetryAfter)
 		return pipeline.Rejected("no confirmed configuration")
@@ -66,7 +66,7 @@
 	r.Woken = make(chan route.Admission, 1)
 	a := e.router.Admit(e.now(), &r.Request)
 	if a.Queued {
-		a = e.awaitTurn(ctx, r, a)
+		a = e.awaitAdmission(ctx, r, a)
 	}
 	if !a.OK {
 		r.answer = notRun(a.Reason, a.Text, a.RetryAfter)
@@ -76,9 +76,9 @@
 	return pipeline.Status{}
 }
 
-// awaitTurn waits until the router wakes the request, its time is up, or the
+// awaitAdmission waits until the router wakes the request, its time is up, or the
 // caller is gone.
-func (e *Entry) awaitTurn(ctx context.Context, r *request, a route.Admission) route.Admission {
+func (e *Entry) awaitAdmission(ctx context.Context, r *request, a route.Admission) route.Admission {
 	timer := time.NewTimer(a.LatestStart.Sub(e.now()))
 	defer timer.Stop()
 	select {
@@ -107,47 +107,47 @@
 	return pipeline.Status{}
 }
 
-// dispatchAll dispatches the request until it has a final outcome. Another dispatch
+// dispatchWithRetries dispatches the request until it has a final outcome. Another dispatch
 // follows only where the router allows it: after a proven "not run", or for an
 // idempotent request within the retry budget.
-func (e *Entry) dispatchAll(ctx context.Context, r *request) pipeline.Status {
+func (e *Entry) dispatchWithRetries(ctx context.Context, r *request) pipeline.Status {
 	for {
 		a := e.dispatchHedged(ctx, r)
-		r.take(&a)
+		r.recordAttempt(&a)
 		if a.outcome == apiv1.Outcome_OUTCOME_ANSWERED {
 			return pipeline.Status{}
 		}
 		d := e.router.Retry(e.now(), &r.Request, a.outcome, a.reason)
 		if !d.Allowed {
 			r.setRetryAfter(a.retryAfter, e.router.RetryAfter(e.now(), r.Service))
-			return r.ended(d.Text)
+			return r.finalStatus(d.Text)
 		}
-		if !e.sleep(ctx, r, d.Delay) {
-			return r.ended("no time for another attempt")
+		if !e.sleepWithinDeadline(ctx, r, d.Delay) {
+			return r.finalStatus("no time for another attempt")
 		}
 		best := r.answer
 		st := e.pick(ctx, r)
 		if st.Passed() {
-			st = e.reclaim(ctx, r)
+			st = e.claimNextAttempt(ctx, r)
 		}
 		if !st.Passed() {
 			r.keepBest(best)
 			return st
 		}
-		e.logAttempt(r, r.choice, r.sends+1, "retried")
+		e.logAttempt(r, r.choice, r.dispatches+1, "retried")
 	}
 }
 
-// ended is the status of a request that gets no further attempt.
-func (r *request) ended(why string) pipeline.Status {
-	if ran(r.answer.outcome) {
+// finalStatus is the status of a request that gets no further attempt.
+func (r *request) finalStatus(why string) pipeline.Status {
+	if provesRun(r.answer.outcome) {
 		return pipeline.Status{}
 	}
 	return pipeline.Rejected(why)
 }
 
-// reclaim moves the claim to the next attempt after one that was proven not run.
-func (e *Entry) reclaim(ctx context.Context, r *request) pipeline.Status {
+// claimNextAttempt moves the claim to the next attempt after one that was proven not run.
+func (e *Entry) claimNextAttempt(ctx context.Context, r *request) pipeline.Status {
 	if !r.claimed {
 		return pipeline.Status{}
 	}
@@ -155,17 +155,17 @@
 	return e.claim(ctx, r)
 }
 
-// take makes an attempt's outcome the request's answer, unless an earlier one
+// recordAttempt makes an attempt's outcome the request's answer, unless an earlier one
 // says more.
-func (r *request) take(a *attempt) {
+func (r *request) recordAttempt(a *attempt) {
 	if r.claimed && a.outcome == apiv1.Outcome_OUTCOME_NOT_RUN {
-		r.proven = a.number
+		r.confirmedNotRun = a.number
 	}
 	best := r.answer
 	r.answer = answer{
 		outcome:    a.outcome,
 		reason:     a.reason,
-		text:       a.text,
+		message:    a.message,
 		target:     a.target.ID,
 		response:   a.response,
 		retryAfter: a.retryAfter,
@@ -173,9 +173,9 @@
 	r.keepBest(best)
 }
 
-// rank orders outcomes by how much they say about the whole request: it was run
+// outcomeRank orders outcomes by how much they say about the whole request: it was run
 // if any attempt was, and may have been run if the outcome of any is unknown.
-var rank = map[apiv1.Outcome]int{
+var outcomeRank = map[apiv1.Outcome]int{
 	apiv1.Outcome_OUTCOME_NOT_RUN:  1,
 	apiv1.Outcome_OUTCOME_UNKNOWN:  2,
 	apiv1.Outcome_OUTCOME_FAILED:   3,
@@ -185,14 +185,14 @@
 // keepBest keeps an earlier attempt's answer over a later one that says less: a
 // last attempt that did not run must not hide an earlier one that may have.
 func (r *request) keepBest(earlier answer) {
-	if rank[earlier.outcome] > rank[r.answer.outcome] {
+	if outcomeRank[earlier.outcome] > outcomeRank[r.answer.outcome] {
 		r.answer = earlier
 	}
 }
 
 // setRetryAfter takes the longer of the waits that the agent and the router ask for.
 func (r *request) setRetryAfter(agent, router time.Duration) {
-	if ran(r.answer.outcome) {
+	if provesRun(r.answer.outcome) {
 		return
 	}
 	r.answer.retryAfter = max(agent, router, minRetryAfter)
@@ -207,28 +207,28 @@
 	route.Deliver(e.router.Release(e.now(), &r.Request, r.answer.outcome))
 }
 
-// sleep waits within the request's time; false when that or the caller is gone.
-func (e *Entry) sleep(ctx context.Context, r *request, d time.Duration) bool {
+// sleepWithinDeadline waits within the request's time; false when that or the caller is gone.
+func (e *Entry) sleepWithinDeadline(ctx context.Context, r *request, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
 	if e.now().Add(d).After(r.Deadline) {
 		return false
 	}
-	return wait(ctx, d)
+	return sleepContext(ctx, d)
 }
 
 // logDecision leaves the one line per request that tells what was decided.
 func (e *Entry) logDecision(r *request, st pipeline.Status, took time.Duration) {
-	e.metrics.count(r.answer.outcome, took)
-	e.keepDecision(r, st)
+	e.metrics.recordOutcome(r.answer.outcome, took)
+	e.recordDecision(r, st)
 	fields := []zap.Field{
 		zap.String("request", r.ID),
 		zap.String("service", r.Service),
 		zap.String("caller", r.Caller),
 		zap.String("outcome", outcomeNames[r.answer.outcome]),
 		zap.String("target", r.answer.target),
-		zap.Uint32("attempts", r.sends),
+		zap.Uint32("attempts", r.dispatches),
 		zap.Duration("took", took),
 	}
 	if r.choice != nil {
@@ -243,12 +243,12 @@
 	e.routeLog.Info("request decided", fields...)
 }
 
-// keepDecision keeps the decision for operators who ask.
-func (e *Entry) keepDecision(r *request, st pipeline.Status) {
+// recordDecision keeps the decision for operators who ask.
+func (e *Entry) recordDecision(r *request, st pipeline.Status) {
 	one := routeDecision{
 		at:      e.now(),
 		request: r.ID,
-		attempt: r.sends,
+		attempt: r.dispatches,
 		target:  r.answer.target,
 		reason:  st.Reason,
 	}
--- a/entry/services.go
+++ b/entry/services.go
@@ -38,16 +38,16 @@
 // path segment, nil when there is none.
 func (t *serviceTable) match(path string) *apiv1.Service {
 	for _, p := range t.prefixes {
-		if within(path, p.prefix) {
+		if hasPathPrefix(path, p.prefix) {
 			return p.service
 		}
 	}
 	return nil
 }
 
-// within reports whether a path is at or below a prefix, by whole segments:
+// hasPathPrefix reports whether a path is at or below a prefix, by whole segments:
 // /lotsX is not below /lots.
-func within(path, prefix string) bool {
+func hasPathPrefix(path, prefix string) bool {
 	rest, ok := strings.CutPrefix(path, strings.TrimSuffix(prefix, "/"))
 	return ok && (rest == "" || rest[0] == '/')
 }
--- a/entry/setup.go
+++ b/entry/setup.go
@@ -41,14 +41,14 @@
 		registry:       o.Registry,
 		metrics:        newEntryMetrics(o.Registry),
 		now:            time.Now,
-		started:        time.Now(),
+		startedAt:      time.Now(),
 		internalClient: newInternalClient(),
 		directory:      member.New(member.DefaultConfig()),
-		routed:         map[string]map[string]bool{},
+		routedTargets:  map[string]map[string]bool{},
 		peers:          map[string]peerState{},
 		claimWindow:    s.ClaimWindow.Duration,
 		deltas:         newDeltaHistory(wholeConfiguration),
-		agentDeltas:    newDeltaHistory(forAgents),
+		agentDeltas:    newDeltaHistory(agentConfiguration),
 		loops:          failstop.New(),
 		background:     failstop.New(),
 	}
@@ -88,7 +88,7 @@
 	now := e.now()
 	e.mu.Lock()
 	e.directory.Tick(now)
-	e.applyChanges()
+	e.applyDirectoryChanges()
 	e.mu.Unlock()
 	route.Deliver(e.router.Tick(now))
 }
@@ -107,7 +107,7 @@
 
 // startLoops starts what the entry does on its own.
 func (e *Entry) startLoops(ctx context.Context) {
-	e.loops.Go("configuration", func() { e.adoptConfiguration(ctx) })
+	e.loops.Go("configuration", func() { e.watchConfiguration(ctx) })
 	e.loops.Go("tick", func() { e.tickLoop(ctx) })
 	e.loops.Go("renewals", func() { e.renewals.run(ctx, e.loops) })
 	for _, peer := range e.otherEntries() {
--- a/entry/shutdown.go
+++ b/entry/shutdown.go
@@ -22,7 +22,7 @@
 	e.log.Info("entry leaves", zap.Duration("bound", e.settings.ShutdownBound.Duration))
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.ShutdownBound.Duration)
 	defer cancel()
-	wait(ctx, e.settings.DrainDelay.Duration)
+	sleepContext(ctx, e.settings.DrainDelay.Duration)
 	if err := callers.http.Shutdown(ctx); err != nil {
 		e.countCutOff()
 		_ = callers.http.Close()
@@ -44,8 +44,8 @@
 	e.log.Error("shutdown bound reached; requests cut off", zap.Int64("requests", n))
 }
 
-// wait waits for a time; false when the context ended before.
-func wait(ctx context.Context, d time.Duration) bool {
+// sleepContext waits for a time; false when the context ended before.
+func sleepContext(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/entry/shutdown_test.go
+++ b/entry/shutdown_test.go
@@ -11,7 +11,7 @@
 // Sequence: it stores the outcome of a request while the control group does not answer,
 // and is asked to stop. Cause: the wait for such work had no bound of its own.
 func TestShutdownBoundHoldsForBackgroundWork(t *testing.T) {
-	e := newRig(t, 1).entries[0]
+	e := newHarness(t, 1).entries[0]
 	e.settings.ShutdownBound.Duration = 50 * time.Millisecond
 	e.settings.DrainDelay.Duration = 0
 	storing := make(chan struct{})
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -15,37 +15,37 @@
 const (
 	syncInterval = 500 * time.Millisecond
 	syncTimeout  = time.Second
-	// peerAliveFor is how long after its last push another entry counts as alive.
-	peerAliveFor = 3 * time.Second
-	// agentsKnownBound is how long an entry that starts waits for the others'
+	// peerAliveTimeout is how long after its last push another entry counts as alive.
+	peerAliveTimeout = 3 * time.Second
+	// agentsKnownTimeout is how long an entry that starts waits for the others'
 	// agents; in that time an agent whose home is gone finds another.
-	agentsKnownBound = 5 * time.Second
+	agentsKnownTimeout = 5 * time.Second
 )
 
 // peerState is what this entry knows of another entry.
 type peerState struct {
 	address string
-	// admin answers operators there.
-	admin            string
-	availabilityZone string
-	version          uint64
-	heard            time.Time
-	leaving          bool
+	// adminAddress answers operators there.
+	adminAddress         string
+	availabilityZone     string
+	configurationVersion uint64
+	lastPush             time.Time
+	leaving              bool
 	// agentsKnown: since this entry started, the peer's agents were all known here.
 	agentsKnown bool
 }
 
-// peerSeen records another entry's push and whether its agents are all known
+// recordPeer records another entry's push and whether its agents are all known
 // here with it. e.mu is held.
-func (e *Entry) peerSeen(req *apiv1.SyncRequest, agentsKnown bool) {
+func (e *Entry) recordPeer(req *apiv1.SyncRequest, agentsKnown bool) {
 	e.peers[req.GetEntry()] = peerState{
-		address:          req.GetAddress(),
-		admin:            req.GetAdminAddress(),
-		availabilityZone: req.GetAvailabilityZone(),
-		version:          req.GetConfigurationVersion(),
-		heard:            e.now(),
-		leaving:          req.GetLeaving(),
-		agentsKnown:      agentsKnown || e.peers[req.GetEntry()].agentsKnown,
+		address:              req.GetAddress(),
+		adminAddress:         req.GetAdminAddress(),
+		availabilityZone:     req.GetAvailabilityZone(),
+		configurationVersion: req.GetConfigurationVersion(),
+		lastPush:             e.now(),
+		leaving:              req.GetLeaving(),
+		agentsKnown:          agentsKnown || e.peers[req.GetEntry()].agentsKnown,
 	}
 }
 
@@ -54,7 +54,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	p, ok := e.peers[name]
-	return ok && e.now().Sub(p.heard) <= peerAliveFor
+	return ok && e.now().Sub(p.lastPush) <= peerAliveTimeout
 }
 
 // agentsKnown reports whether this entry has heard of the agents of every other
@@ -64,7 +64,7 @@
 // send it callers, and it would refuse them for want of a target while the other
 // entries could have served them.
 func (e *Entry) agentsKnown() bool {
-	if e.now().Sub(e.started) > agentsKnownBound {
+	if e.now().Sub(e.startedAt) > agentsKnownTimeout {
 		return true
 	}
 	e.mu.Lock()
@@ -118,7 +118,7 @@
 	e.mu.Lock()
 	e.directory.RecordSyncResponse(peer.Name, sequence, resp)
 	e.mu.Unlock()
-	if err := e.adoptFrom(sent, resp); err != nil {
+	if err := e.applySyncResponse(sent, resp); err != nil {
 		if e.control.Configuration().GetVersion() != version {
 			// Another entry's answer was quicker; the next push names what is here now.
 			return false
@@ -130,11 +130,11 @@
 	return false
 }
 
-// adoptFrom takes a configuration and its confirmation from another entry. The
+// applySyncResponse takes a configuration and its confirmation from another entry. The
 // confirmation is as old as the request plus the age that the answer states, so
 // the time on the way never makes it look younger than it is. On an error nothing
 // is adopted, and the next push, an interval later, asks for the whole.
-func (e *Entry) adoptFrom(sent time.Time, resp *apiv1.SyncResponse) error {
+func (e *Entry) applySyncResponse(sent time.Time, resp *apiv1.SyncResponse) error {
 	if e.follower == nil || resp.GetConfirmedAgeMs() < 0 {
 		return nil
 	}
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -6,23 +6,23 @@
 	"github.com/cairnlift/cairnlift/route"
 )
 
-// applyChanges tells the router what the directory learnt. e.mu is held.
-func (e *Entry) applyChanges() {
+// applyDirectoryChanges tells the router what the directory learnt. e.mu is held.
+func (e *Entry) applyDirectoryChanges() {
 	for _, c := range e.directory.TakeChanges() {
-		e.applyChange(c)
+		e.applyDirectoryChange(c)
 	}
 }
 
-func (e *Entry) applyChange(c member.Change) {
+func (e *Entry) applyDirectoryChange(c member.Change) {
 	name := c.Agent.GetName()
 	now := e.now()
-	known := e.routed[name]
+	known := e.routedTargets[name]
 	current := make(map[string]bool, len(c.Agent.GetTargets()))
 	if c.Usable && !c.Removed {
 		for _, t := range c.Agent.GetTargets() {
 			id := targetID(name, t.GetName())
 			current[id] = true
-			route.Deliver(e.router.Upsert(now, routeTarget(c.Agent, t)))
+			route.Deliver(e.router.Upsert(now, newRouteTarget(c.Agent, t)))
 		}
 	}
 	for id := range known {
@@ -30,9 +30,9 @@
 			route.Deliver(e.router.Remove(now, id))
 		}
 	}
-	e.routed[name] = current
+	e.routedTargets[name] = current
 	if c.Removed {
-		delete(e.routed, name)
+		delete(e.routedTargets, name)
 	}
 }
 
@@ -40,7 +40,7 @@
 // agent only.
 func targetID(agent, target string) string { return agent + "/" + target }
 
-func routeTarget(a *apiv1.AgentInfo, t *apiv1.TargetInfo) route.Target {
+func newRouteTarget(a *apiv1.AgentInfo, t *apiv1.TargetInfo) route.Target {
 	return route.Target{
 		ID:               targetID(a.GetName(), t.GetName()),
 		Service:          t.GetService(),
--- a/failstop/failstop_test.go
+++ b/failstop/failstop_test.go
@@ -11,7 +11,7 @@
 // Symptom: a host goes on serving with its lease loop gone, or from state that it
 // found broken. Sequence: a core panics over a broken invariant, in a goroutine
 // or under a handler. Cause: the panic was held until shutdown, or logged only.
-func TestBrokenInvariantFailsTheGroup(t *testing.T) {
+func TestInvariantViolationFailsGroup(t *testing.T) {
 	var none []int
 	for _, c := range []struct {
 		name    string
--- a/fakes/advisor.go
+++ b/fakes/advisor.go
@@ -19,41 +19,41 @@
 	Allowed func(step jobqueue.StepID, worker string) bool
 	// Applies tells which jobs need tickets; nil stands for all.
 	Applies func(job string) bool
-	// Decide and PerWorker are what an answer takes.
-	Decide    time.Duration
-	PerWorker time.Duration
+	// BaseLatency and LatencyPerWorker are what an answer takes.
+	BaseLatency      time.Duration
+	LatencyPerWorker time.Duration
 	// ValidFor is how long a ticket is valid.
 	ValidFor time.Duration
 	// Fails tells which questions, counted from 1, get no answer.
 	Fails func(number int) bool
 
-	turn   sync.Mutex
-	mu     sync.Mutex
-	asked  int
-	issued map[string]issuedTicket
+	requestMu    sync.Mutex
+	mu           sync.Mutex
+	requestCount int
+	issued       map[string]issuedTicket
 }
 
 type issuedTicket struct {
-	step   jobqueue.StepID
-	worker string
-	until  time.Time
+	step    jobqueue.StepID
+	worker  string
+	expires time.Time
 }
 
 var errNoAdvice = errors.New("advisor gives no answer")
 
 // Approve implements dispatch.Advisor.
 func (a *Advisor) Approve(ctx context.Context, q schedule.AdviceRequest) (schedule.Advice, error) {
-	a.turn.Lock()
-	defer a.turn.Unlock()
+	a.requestMu.Lock()
+	defer a.requestMu.Unlock()
 	select {
 	case <-ctx.Done():
 		return schedule.Advice{}, ctx.Err()
-	case <-time.After(a.Decide + time.Duration(len(q.Workers))*a.PerWorker):
+	case <-time.After(a.BaseLatency + time.Duration(len(q.Workers))*a.LatencyPerWorker):
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.asked++
-	if a.Fails != nil && a.Fails(a.asked) {
+	a.requestCount++
+	if a.Fails != nil && a.Fails(a.requestCount) {
 		return schedule.Advice{}, errNoAdvice
 	}
 	if a.issued == nil {
@@ -71,11 +71,11 @@
 	return advice, nil
 }
 
-// Asked returns how many questions were put.
-func (a *Advisor) Asked() int {
+// RequestCount returns how many questions were put.
+func (a *Advisor) RequestCount() int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asked
+	return a.requestCount
 }
 
 // Valid reports whether a ticket lets a step run on a worker now.
@@ -86,5 +86,5 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	t, issued := a.issued[ticket]
-	return issued && t.step == step && t.worker == worker && time.Now().Before(t.until)
+	return issued && t.step == step && t.worker == worker && time.Now().Before(t.expires)
 }
--- a/fakes/announce.go
+++ b/fakes/announce.go
@@ -10,8 +10,8 @@
 
 const (
 	announceTimeout = time.Second
-	// leaveBound is how long a leaving target waits for its agent to be done with it.
-	leaveBound = 30 * time.Second
+	// leaveTimeout is how long a leaving target waits for its agent to be done with it.
+	leaveTimeout = 30 * time.Second
 	// renewalsPerTTL keeps an announcement alive over lost renewals.
 	renewalsPerTTL = 3
 )
@@ -63,7 +63,7 @@
 }
 
 func (a *Announcer) leave(left func()) {
-	ctx, cancel := context.WithTimeout(context.Background(), leaveBound)
+	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	noted := false
 	for ctx.Err() == nil {
@@ -76,7 +76,7 @@
 		if status == http.StatusOK || status == http.StatusNotFound {
 			return
 		}
-		time.Sleep(drainPoll)
+		time.Sleep(drainPollInterval)
 	}
 }
 
--- a/fakes/answer.go
+++ b/fakes/answer.go
@@ -11,8 +11,8 @@
 const (
 	// HeaderRequestID names a request within the system; targets echo it.
 	HeaderRequestID = "Cairnlift-Request-Id"
-	// HeaderAnsweredID is the same name on answers to callers.
-	HeaderAnsweredID = "X-Request-Id"
+	// HeaderResponseID is the same name on answers to callers.
+	HeaderResponseID = "X-Request-Id"
 	// HeaderOutcome carries the final outcome to the caller.
 	HeaderOutcome = "Cairnlift-Outcome"
 	// HeaderReason says why there is no answer.
@@ -28,8 +28,8 @@
 	HeaderAnswerBytes = "Fake-Answer-Bytes"
 )
 
-// answerPad is repeated to bring an answer to its length.
-const answerPad = "0123456789abcdef"
+// answerPadding is repeated to bring an answer to its length.
+const answerPadding = "0123456789abcdef"
 
 // Answer returns the only right answer to a request: it names the request and
 // is at least size bytes long, so that a foreign or short answer shows.
@@ -37,7 +37,7 @@
 	var b bytes.Buffer
 	fmt.Fprintf(&b, "answer to %s: %s %s body %016x\n", callerID, method, uri, xxhash.Sum64(body))
 	for b.Len() < size {
-		b.WriteString(answerPad)
+		b.WriteString(answerPadding)
 	}
 	return b.Bytes()
 }
--- a/fakes/balancer.go
+++ b/fakes/balancer.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	probePeriod  = 50 * time.Millisecond
-	probeTimeout = 500 * time.Millisecond
+	probeInterval = 50 * time.Millisecond
+	probeTimeout  = 500 * time.Millisecond
 )
 
 // EntryAddress is where callers reach an entry and, when it is probed, the URL
 // that says whether it is ready.
 type EntryAddress struct {
-	Address string
-	Ready   string
+	Address  string
+	ReadyURL string
 }
 
 // Balancer stands in for the platform's balancer: it spreads requests over the
@@ -52,7 +52,7 @@
 // keeps the last list, as balancers do.
 func (b *Balancer) Probe(ctx context.Context) {
 	client := &http.Client{Timeout: probeTimeout}
-	tick := time.NewTicker(probePeriod)
+	tick := time.NewTicker(probeInterval)
 	defer tick.Stop()
 	for ctx.Err() == nil {
 		b.set(b.probeAll(ctx, client))
@@ -67,7 +67,7 @@
 	up := make([]bool, len(b.entries))
 	var wg conc.WaitGroup
 	for i, e := range b.entries {
-		wg.Go(func() { up[i] = e.Ready == "" || probe(ctx, client, e.Ready) })
+		wg.Go(func() { up[i] = e.ReadyURL == "" || probe(ctx, client, e.ReadyURL) })
 	}
 	wg.Wait()
 	var ready []string
--- a/fakes/bench.go
+++ b/fakes/bench.go
@@ -30,9 +30,9 @@
 	// Load names the load: callers in flight, or calls a second.
 	Load            string
 	Direct, Through CallSummary
-	// Cost is each process's processor time per call through the system, over all
+	// ProcessorTimePerCall is each process's processor time per call through the system, over all
 	// rounds. It depends little on what else the machine does.
-	Cost map[string]time.Duration
+	ProcessorTimePerCall map[string]time.Duration
 }
 
 // Bench measures at each number of callers, then at an open loop of half the
@@ -60,21 +60,21 @@
 	for round := range max(cfg.Rounds, 1) {
 		load.Seed = int64(round)
 		direct = append(direct, cfg.measure(ctx, cfg.Direct, load))
-		before := cfg.spent()
+		before := cfg.processorTimes()
 		through = append(through, cfg.measure(ctx, cfg.Through, load))
 		calls += through[round].Started
-		for name, t := range cfg.spent() {
+		for name, t := range cfg.processorTimes() {
 			spent[name] += t - before[name]
 		}
 	}
 	for name := range spent {
 		spent[name] /= time.Duration(max(calls, 1))
 	}
-	return BenchRow{Direct: middle(direct), Through: middle(through), Cost: spent}
+	return BenchRow{Direct: medianThroughput(direct), Through: medianThroughput(through), ProcessorTimePerCall: spent}
 }
 
-// spent returns the processor time of each process; one that has ended is left out.
-func (cfg BenchConfig) spent() map[string]time.Duration {
+// processorTimes returns the processor time of each process; one that has ended is left out.
+func (cfg BenchConfig) processorTimes() map[string]time.Duration {
 	spent := map[string]time.Duration{}
 	for name, pid := range cfg.Processes {
 		if t, err := processorTime(pid); err == nil {
@@ -89,15 +89,15 @@
 	load.Path = cfg.Path
 	load.Entries = []EntryAddress{{Address: address}}
 	load.AnswerBytes = cfg.AnswerBytes
-	load.KeepNoRecord = true
+	load.SummaryOnly = true
 	load.Warmup = cfg.Warmup
 	load.Duration = cfg.Warmup + cfg.Duration
 	record, _ := NewRecorder[CallRecord]("") // without a file there is nothing to fail
 	return NewCaller(load, record).Run(ctx)
 }
 
-// middle returns the summary of median throughput.
-func middle(all []CallSummary) CallSummary {
+// medianThroughput returns the summary of median throughput.
+func medianThroughput(all []CallSummary) CallSummary {
 	for _, s := range all {
 		below := 0
 		for _, other := range all {
@@ -117,21 +117,21 @@
 	fmt.Fprintln(w, "| load | way | requests/s | p50 | p99 | p99.9 | outcomes or processor time per call |")
 	fmt.Fprintln(w, "|---|---|---:|---:|---:|---:|---|")
 	for _, r := range rows {
-		writeSide(w, r.Load, "direct", r.Direct)
-		writeSide(w, r.Load, "through", r.Through)
+		writeMeasurement(w, r.Load, "direct", r.Direct)
+		writeMeasurement(w, r.Load, "through", r.Through)
 		fmt.Fprintf(w, "| %s | overhead | %.2fx | %s | %s | %s | %v |\n", r.Load,
 			r.Through.PerSecond/r.Direct.PerSecond,
-			overhead(r.Through.P50, r.Direct.P50),
-			overhead(r.Through.P99, r.Direct.P99),
-			overhead(r.Through.P999, r.Direct.P999), r.Cost)
+			formatOverhead(r.Through.P50, r.Direct.P50),
+			formatOverhead(r.Through.P99, r.Direct.P99),
+			formatOverhead(r.Through.P999, r.Direct.P999), r.ProcessorTimePerCall)
 	}
 }
 
-func writeSide(w io.Writer, load, way string, s CallSummary) {
+func writeMeasurement(w io.Writer, load, way string, s CallSummary) {
 	fmt.Fprintf(w, "| %s | %s | %.0f | %v | %v | %v | %v |\n", load, way, s.PerSecond, s.P50, s.P99, s.P999, s.Outcomes)
 }
 
-// overhead gives a latency's excess as a difference and a ratio.
-func overhead(through, direct time.Duration) string {
+// formatOverhead gives a latency's excess as a difference and a ratio.
+func formatOverhead(through, direct time.Duration) string {
 	return fmt.Sprintf("%v (%.2fx)", through-direct, float64(through)/float64(max(direct, 1)))
 }
--- a/fakes/call.go
+++ b/fakes/call.go
@@ -34,12 +34,12 @@
 )
 
 const (
-	// answerGrace is how long past the deadline a call may end, for the way of the
+	// responseGrace is how long past the deadline a call may end, for the way of the
 	// answer and the waits for a processor on a machine that runs a whole cluster.
-	answerGrace = 2 * time.Second
-	// maxStandstill is added to a caller's patience: an entry that a script freezes
+	responseGrace = 2 * time.Second
+	// maxFreeze is added to a caller's patience: an entry that a script freezes
 	// can't answer before it is thawed. The judge deducts the time it was frozen.
-	maxStandstill = 10 * time.Second
+	maxFreeze = 10 * time.Second
 )
 
 // Call is one request of a stand-in caller.
@@ -65,16 +65,16 @@
 	Outcome    Outcome `json:"outcome"`
 	Reason     string  `json:"reason,omitempty"`
 	Status     int     `json:"status,omitempty"`
-	// Own: the answer is whole and answers this request.
-	Own        bool   `json:"own"`
+	// Correct: the answer is whole and answers this request.
+	Correct    bool   `json:"own"`
 	RetryAfter string `json:"retry_after,omitempty"`
 	Entry      string `json:"entry"`
 	Sends      int    `json:"sends"`
 	// At is when the last send began, Took how long it lasted, and Bound how long it
 	// may have lasted while the entry was not frozen.
-	At    time.Duration `json:"at_ns"`
-	Took  time.Duration `json:"took_ns"`
-	Bound time.Duration `json:"bound_ns"`
+	At          time.Duration `json:"at_ns"`
+	Duration    time.Duration `json:"took_ns"`
+	MaxDuration time.Duration `json:"bound_ns"`
 	// Latency is that of all sends together.
 	Latency time.Duration `json:"latency_ns"`
 	Error   string        `json:"error,omitempty"`
@@ -98,12 +98,12 @@
 
 // send makes one attempt at a call through an entry.
 func (s *sender) send(ctx context.Context, entry string, c Call) CallResult {
-	bound := s.timeout + answerGrace
-	ctx, cancel := context.WithTimeout(ctx, bound+maxStandstill)
+	bound := s.timeout + responseGrace
+	ctx, cancel := context.WithTimeout(ctx, bound+maxFreeze)
 	defer cancel()
 	began := worker.Now()
 	res := s.exchange(ctx, entry, c)
-	res.At, res.Took, res.Bound = began, worker.Now()-began, bound
+	res.At, res.Duration, res.MaxDuration = began, worker.Now()-began, bound
 	return res
 }
 
@@ -116,19 +116,19 @@
 	trace := &httptrace.ClientTrace{WroteHeaders: func() { sent.Store(true) }}
 	resp, err := s.http.Do(s.request(httptrace.WithClientTrace(ctx, trace), entry, c))
 	if err != nil {
-		return res.broken(ctx, err, sent.Load())
+		return res.transportFailure(ctx, err, sent.Load())
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
 	res.Status = resp.StatusCode
-	res.RequestID = resp.Header.Get(HeaderAnsweredID)
+	res.RequestID = resp.Header.Get(HeaderResponseID)
 	res.Reason = resp.Header.Get(HeaderReason)
 	res.RetryAfter = resp.Header.Get("Retry-After")
 	if err != nil {
-		return res.broken(ctx, err, true)
+		return res.transportFailure(ctx, err, true)
 	}
 	res.Outcome = outcomeOf(resp)
-	res.Own = bytes.Equal(body, Answer(c.ID, c.Method, c.URI, c.Body, c.AnswerBytes))
+	res.Correct = bytes.Equal(body, Answer(c.ID, c.Method, c.URI, c.Body, c.AnswerBytes))
 	return res
 }
 
@@ -157,10 +157,10 @@
 	return Unnamed
 }
 
-// broken names the outcome of a call that ended in a transport error. The error
+// transportFailure names the outcome of a call that ended in a transport error. The error
 // alone does not tell whether anything was sent: the HTTP client sends a GET
 // again by itself when its connection breaks, and may then fail to connect.
-func (r CallResult) broken(ctx context.Context, err error, sent bool) CallResult {
+func (r CallResult) transportFailure(ctx context.Context, err error, sent bool) CallResult {
 	r.Error = err.Error()
 	r.Outcome = Lost
 	if !sent {
--- a/fakes/caller.go
+++ b/fakes/caller.go
@@ -17,10 +17,10 @@
 const (
 	histogramMax    = time.Minute
 	histogramDigits = 3
-	resendPause     = 20 * time.Millisecond
+	retryDelay      = 20 * time.Millisecond
 	defaultTimeout  = 5 * time.Second
-	// openLoopInFlight bounds an open loop whose answers don't come.
-	openLoopInFlight = 4096
+	// maxOpenLoopInFlight bounds an open loop whose answers don't come.
+	maxOpenLoopInFlight = 4096
 )
 
 // CallerConfig describes a load.
@@ -46,14 +46,14 @@
 	// the share of those that carry an idempotency key.
 	NonIdempotent float64
 	Keyed         float64
-	// Resends is how often a keyed call whose answer was lost is sent again.
-	Resends     int
+	// MaxRetries is how often a keyed call whose answer was lost is sent again.
+	MaxRetries  int
 	BodyBytes   int
 	AnswerBytes int
 	WorkMS      int
 	Seed        int64
-	// KeepNoRecord is for measurements: only the summary is recorded.
-	KeepNoRecord bool
+	// NoRecord is for measurements: only the summary is recorded.
+	SummaryOnly bool
 }
 
 // CallRecord is one line of a caller's record: a result or, last, the summary.
@@ -80,8 +80,8 @@
 	sender   *sender
 	balancer *Balancer
 
-	// counted is when the warm-up ends.
-	counted time.Duration
+	// measuredFrom is when the warm-up ends.
+	measuredFrom time.Duration
 
 	mu       sync.Mutex
 	rng      *rand.Rand
@@ -97,7 +97,7 @@
 	}
 	connections := max(cfg.InFlight, 1)
 	if cfg.Rate > 0 {
-		connections = openLoopInFlight
+		connections = maxOpenLoopInFlight
 	}
 	return &Caller{
 		cfg:      cfg,
@@ -123,13 +123,13 @@
 	defer wg.Wait()
 	defer stop()
 	wg.Go(func() { c.balancer.Probe(probing) })
-	c.counted = worker.Now() + c.cfg.Warmup
+	c.measuredFrom = worker.Now() + c.cfg.Warmup
 	if c.cfg.Rate > 0 {
 		c.openLoop(ctx)
 	} else {
 		c.closedLoop(ctx)
 	}
-	summary := c.summary(worker.Now() - c.counted)
+	summary := c.summary(worker.Now() - c.measuredFrom)
 	c.record.Add(CallRecord{Summary: &summary})
 	return summary
 }
@@ -139,11 +139,11 @@
 	for range max(c.cfg.InFlight, 1) {
 		wg.Go(func() {
 			for {
-				call, ok := c.begin(ctx)
+				call, ok := c.nextCall(ctx)
 				if !ok {
 					return
 				}
-				c.finish(call, worker.Now())
+				c.execute(call, worker.Now())
 			}
 		})
 	}
@@ -155,24 +155,24 @@
 func (c *Caller) openLoop(ctx context.Context) {
 	var wg conc.WaitGroup
 	defer wg.Wait()
-	room := make(chan struct{}, openLoopInFlight)
+	room := make(chan struct{}, maxOpenLoopInFlight)
 	period := time.Duration(float64(time.Second) / c.cfg.Rate)
 	for due := worker.Now(); ; due += period {
 		time.Sleep(due - worker.Now())
 		room <- struct{}{}
-		call, ok := c.begin(ctx)
+		call, ok := c.nextCall(ctx)
 		if !ok {
 			return
 		}
 		wg.Go(func() {
 			defer func() { <-room }()
-			c.finish(call, due)
+			c.execute(call, due)
 		})
 	}
 }
 
-// begin draws the next call, or reports that the load is over.
-func (c *Caller) begin(ctx context.Context) (Call, bool) {
+// nextCall draws the next call, or reports that the load is over.
+func (c *Caller) nextCall(ctx context.Context) (Call, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() != nil || (c.cfg.Requests > 0 && c.started >= c.cfg.Requests) {
@@ -195,34 +195,34 @@
 	return call, true
 }
 
-// finish sends a call and, where its key allows, sends it again until the
+// execute sends a call and, where its key allows, sends it again until the
 // answer is known. A send that took too long ends it, so that the judge sees it.
-func (c *Caller) finish(call Call, due time.Duration) {
+func (c *Caller) execute(call Call, due time.Duration) {
 	res := c.sender.send(context.Background(), c.balancer.Pick(), call)
 	for sends := 1; ; sends++ {
 		res.Sends = sends
-		if call.Key == "" || sends > c.cfg.Resends || !unsettled(res) || res.Took > res.Bound {
+		if call.Key == "" || sends > c.cfg.MaxRetries || !shouldRetry(res) || res.Duration > res.MaxDuration {
 			break
 		}
-		time.Sleep(resendPause)
+		time.Sleep(retryDelay)
 		res = c.sender.send(context.Background(), c.balancer.Pick(), call)
 	}
 	res.Latency = worker.Now() - due
-	c.settle(res, due)
+	c.recordResult(res, due)
 }
 
-func unsettled(r CallResult) bool {
+func shouldRetry(r CallResult) bool {
 	return r.Outcome == Lost || r.Outcome == Unknown || r.Outcome == Unsent
 }
 
-func (c *Caller) settle(res CallResult, due time.Duration) {
-	if !c.cfg.KeepNoRecord {
+func (c *Caller) recordResult(res CallResult, due time.Duration) {
+	if !c.cfg.SummaryOnly {
 		c.record.Add(CallRecord{Result: &res})
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.outcomes[res.Outcome]++
-	if res.Own && due >= c.counted {
+	if res.Correct && due >= c.measuredFrom {
 		_ = c.latency.RecordValue(min(max(res.Latency.Microseconds(), 1), histogramMax.Microseconds()))
 	}
 }
--- a/fakes/fakecmd/caller.go
+++ b/fakes/fakecmd/caller.go
@@ -26,17 +26,17 @@
 	c.Flag("timeout", "Deadline of the service.").Default("5s").DurationVar(&cfg.Timeout)
 	c.Flag("non-idempotent", "Share of calls that must run at most once.").Float64Var(&cfg.NonIdempotent)
 	c.Flag("keyed", "Share of those that carry an idempotency key.").Float64Var(&cfg.Keyed)
-	c.Flag("resends", "Times a keyed call is sent again when its answer is lost.").IntVar(&cfg.Resends)
+	c.Flag("resends", "Times a keyed call is sent again when its answer is lost.").IntVar(&cfg.MaxRetries)
 	c.Flag("body-bytes", "Length of request bodies.").Default("64").IntVar(&cfg.BodyBytes)
 	c.Flag("answer-bytes", "Least length of answers.").Default("256").IntVar(&cfg.AnswerBytes)
 	c.Flag("work-ms", "Time each call asks its target to take.").IntVar(&cfg.WorkMS)
 	c.Flag("seed", "Seed of the mix of calls.").Default("1").Int64Var(&cfg.Seed)
-	c.Flag("no-record", "Record the summary only, for measurements.").BoolVar(&cfg.KeepNoRecord)
+	c.Flag("no-record", "Record the summary only, for measurements.").BoolVar(&cfg.SummaryOnly)
 	path := c.Flag("record", "File to append the record to.").String()
 	return c.FullCommand(), func(ctx context.Context) error {
 		for _, e := range *entries {
 			address, ready, _ := strings.Cut(e, "=")
-			cfg.Entries = append(cfg.Entries, fakes.EntryAddress{Address: address, Ready: ready})
+			cfg.Entries = append(cfg.Entries, fakes.EntryAddress{Address: address, ReadyURL: ready})
 		}
 		record, err := fakes.NewRecorder[fakes.CallRecord](*path)
 		if err != nil {
@@ -63,22 +63,22 @@
 	c.Flag("min-resumed", "Runs that must have resumed from a checkpoint.").IntVar(&rules.MinResumed)
 	c.Flag("allow-rerun", "Pass over tasks that ran again after they finished.").BoolVar(&rules.AllowRerun)
 	return c.FullCommand(), func(context.Context) error {
-		evidence, err := readEvidence(*calls, *ran, *workers)
+		evidence, err := readRecords(*calls, *ran, *workers)
 		if err != nil {
 			return err
 		}
-		if evidence.Standstills, err = readAll[fakes.Standstill](*frozen); err != nil {
+		if evidence.Freezes, err = readAll[fakes.Freeze](*frozen); err != nil {
 			return err
 		}
-		return report(fakes.Judge(evidence, *rules))
+		return reportViolations(fakes.Check(evidence, *rules))
 	}
 }
 
-func readEvidence(calls, ran, workers []string) (e fakes.Evidence, err error) {
+func readRecords(calls, ran, workers []string) (e fakes.Records, err error) {
 	if e.Calls, err = readAll[fakes.CallRecord](calls); err != nil {
 		return e, err
 	}
-	if e.Ran, err = readAll[fakes.RanRequest](ran); err != nil {
+	if e.Executed, err = readAll[fakes.ExecutedRequest](ran); err != nil {
 		return e, err
 	}
 	e.Workers, err = readAll[fakes.RunEvent](workers)
@@ -100,7 +100,7 @@
 // maxPrinted faults are printed; one broken guard can make thousands.
 const maxPrinted = 20
 
-func report(faults []string) error {
+func reportViolations(faults []string) error {
 	for _, f := range faults[:min(len(faults), maxPrinted)] {
 		fmt.Fprintln(os.Stderr, "broken:", f)
 	}
--- a/fakes/fakecmd/hosts.go
+++ b/fakes/fakecmd/hosts.go
@@ -80,7 +80,7 @@
 	c.Flag("late", "Share of answers sent late.").Float64Var(&cfg.Faults.Late)
 	c.Flag("late-ms", "How late.").Int64Var(&cfg.Faults.LateMS)
 	c.Flag("seed", "Seed of the faults.").Default("1").Int64Var(&cfg.Seed)
-	c.Flag("no-record", "Keep no record, for measurements.").BoolVar(&cfg.KeepNoRecord)
+	c.Flag("no-record", "Keep no record, for measurements.").BoolVar(&cfg.NoRecord)
 	agent := c.Flag("agent", "Local address of its agent.").Required().String()
 	path := c.Flag("record", "File to append the record to.").String()
 	return c.FullCommand(), func(ctx context.Context) error {
@@ -88,7 +88,7 @@
 		if err != nil {
 			return err
 		}
-		record, err := fakes.NewRecorder[fakes.RanRequest](*path)
+		record, err := fakes.NewRecorder[fakes.ExecutedRequest](*path)
 		if err != nil {
 			return err
 		}
--- a/fakes/hosts.go
+++ b/fakes/hosts.go
@@ -17,12 +17,12 @@
 // tokens, takes hosts down and up again, moves them between pools, and may leave a call
 // unanswered and carry it out late.
 type Hosts struct {
-	// Down is called when a host goes down for its maintenance or a move, Up when it is
+	// OnDown is called when a host goes down for its maintenance or a move, Up when it is
 	// back, unless it is switched off then.
-	Down func(host string)
-	Up   func(host string)
-	// Takes is how long a maintenance or a move takes.
-	Takes time.Duration
+	OnDown func(host string)
+	OnUp   func(host string)
+	// Duration is how long a maintenance or a move takes.
+	Duration time.Duration
 	// Standby are the pools whose hosts are switched off.
 	Standby map[string]bool
 	// Stale is asked for each list; true answers with the hosts as they were before the
@@ -33,18 +33,18 @@
 	// Fault is asked for each order; nil means that nothing goes wrong.
 	Fault func(call string) OrderFault
 
-	mu    sync.Mutex
-	hosts map[string]*fleetHost
-	most  map[uint64]int
-	// before are the hosts before the last change.
-	before map[string]schedule.HostView
-	// mostAway is the largest number of hosts that were between two pools at once.
-	mostAway int
+	mu      sync.Mutex
+	hosts   map[string]*hostState
+	maxDown map[uint64]int
+	// previous are the hosts before the last change.
+	previous map[string]schedule.HostView
+	// maxMoving is the largest number of hosts that were between two pools at once.
+	maxMoving int
 	// lists and orders count the calls, refused those that came too fast.
 	lists, refused int
 	orders         []HostOrder
-	second         time.Time
-	inSecond       int
+	window         time.Time
+	callsInWindow  int
 }
 
 // HostOrder is an order as it was sent, whatever became of it.
@@ -56,13 +56,13 @@
 	Wave uint64
 }
 
-type fleetHost struct {
-	view   schedule.HostView
-	token  uint64
-	begun  map[uint64]bool
-	wave   uint64
-	moving bool
-	busy   bool
+type hostState struct {
+	view       schedule.HostView
+	token      uint64
+	maintained map[uint64]bool
+	wave       uint64
+	moving     bool
+	busy       bool
 }
 
 // Put adds a host, or tells of its worker's new incarnation.
@@ -70,23 +70,23 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.hosts == nil {
-		f.hosts, f.most = map[string]*fleetHost{}, map[uint64]int{}
+		f.hosts, f.maxDown = map[string]*hostState{}, map[uint64]int{}
 	}
 	if f.hosts[host] == nil {
-		f.hosts[host] = &fleetHost{view: schedule.HostView{Up: true}, begun: map[uint64]bool{}}
+		f.hosts[host] = &hostState{view: schedule.HostView{Up: true}, maintained: map[uint64]bool{}}
 	}
-	f.before = f.views()
+	f.previous = f.views()
 	f.hosts[host].view.Worker = worker
 }
 
-// Place says which pool a host is in and what it has; in a standby pool it is off.
-func (f *Hosts) Place(host, pool string, capacity jobqueue.Resources) {
+// SetPool says which pool a host is in and what it has; in a standby pool it is off.
+func (f *Hosts) SetPool(host, pool string, capacity jobqueue.Resources) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	v := &f.hosts[host].view
 	v.Pool, v.Capacity = pool, capacity
 	v.Up, v.Down = !f.Standby[pool], f.Standby[pool]
-	f.before = f.views()
+	f.previous = f.views()
 }
 
 // PoolOf returns the pool of a host.
@@ -124,25 +124,25 @@
 	return f.lists + len(f.orders), f.refused
 }
 
-// MostAway is the largest number of hosts that were between two pools at once.
-func (f *Hosts) MostAway() int {
+// MaxMoving is the largest number of hosts that were between two pools at once.
+func (f *Hosts) MaxMoving() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.mostAway
+	return f.maxMoving
 }
 
-// MostDown is the largest number of hosts that were down for a wave at once.
-func (f *Hosts) MostDown(wave uint64) int {
+// MaxDown is the largest number of hosts that were down for a wave at once.
+func (f *Hosts) MaxDown(wave uint64) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.most[wave]
+	return f.maxDown[wave]
 }
 
-// Begun reports whether a host had its maintenance in a wave.
-func (f *Hosts) Begun(host string, wave uint64) bool {
+// Maintained reports whether a host had its maintenance in a wave.
+func (f *Hosts) Maintained(host string, wave uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.hosts[host].begun[wave]
+	return f.hosts[host].maintained[wave]
 }
 
 // List implements dispatch.Hosts.
@@ -150,11 +150,11 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lists++
-	if f.tooMany() {
+	if f.exceedsCallLimit() {
 		return nil, errTooManyCalls
 	}
 	if f.Stale != nil && f.Stale() {
-		return f.before, nil
+		return f.previous, nil
 	}
 	return f.views(), nil
 }
@@ -169,13 +169,13 @@
 
 var errTooManyCalls = errors.New("too many calls")
 
-// tooMany counts a call.
-func (f *Hosts) tooMany() bool {
-	if second := time.Now().Truncate(time.Second); !second.Equal(f.second) {
-		f.second, f.inSecond = second, 0
+// exceedsCallLimit counts a call.
+func (f *Hosts) exceedsCallLimit() bool {
+	if second := time.Now().Truncate(time.Second); !second.Equal(f.window) {
+		f.window, f.callsInWindow = second, 0
 	}
-	f.inSecond++
-	if f.CallsPerSecond == 0 || f.inSecond <= f.CallsPerSecond {
+	f.callsInWindow++
+	if f.CallsPerSecond == 0 || f.callsInWindow <= f.CallsPerSecond {
 		return false
 	}
 	f.refused++
@@ -195,7 +195,7 @@
 func (f *Hosts) order(ctx context.Context, call string, o HostOrder) (dispatch.HostAnswer, error) {
 	f.mu.Lock()
 	f.orders = append(f.orders, o)
-	refused := f.tooMany()
+	refused := f.exceedsCallLimit()
 	f.mu.Unlock()
 	if refused {
 		return 0, errTooManyCalls
@@ -205,16 +205,16 @@
 		fault = f.Fault(call)
 	}
 	if fault.Late > 0 {
-		time.AfterFunc(fault.Late, func() { f.carryOut(o) })
+		time.AfterFunc(fault.Late, func() { f.execute(o) })
 	}
 	if fault.Lost || fault.Late > 0 {
 		<-ctx.Done()
 		return 0, ctx.Err()
 	}
-	return f.carryOut(o), nil
+	return f.execute(o), nil
 }
 
-func (f *Hosts) carryOut(o HostOrder) dispatch.HostAnswer {
+func (f *Hosts) execute(o HostOrder) dispatch.HostAnswer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h := f.hosts[o.Host]
@@ -227,33 +227,33 @@
 	h.token = o.Token
 	off := f.Standby[h.view.Pool] && h.view.Down
 	switch {
-	case o.Pool == "" && h.begun[o.Wave], o.Pool != "" && h.view.Pool == o.Pool:
+	case o.Pool == "" && h.maintained[o.Wave], o.Pool != "" && h.view.Pool == o.Pool:
 		return dispatch.HostDone
 	case h.busy, !h.view.Up && !off, o.Pool == "" && off:
 		return dispatch.HostBusy
 	}
-	f.before = f.views()
+	f.previous = f.views()
 	h.view.Up, h.view.Down = false, false
 	if o.Pool == "" {
-		f.maintain(h, o.Wave)
+		f.startMaintenance(h, o.Wave)
 	} else {
 		h.moving, h.view.Pool, h.view.Worker = true, o.Pool, ""
-		f.mostAway = max(f.mostAway, f.count(func(h *fleetHost) bool { return h.moving }))
+		f.maxMoving = max(f.maxMoving, f.count(func(h *hostState) bool { return h.moving }))
 	}
 	if !off {
-		f.Down(o.Host)
+		f.OnDown(o.Host)
 	}
-	time.AfterFunc(f.Takes, func() { f.back(o.Host) })
+	time.AfterFunc(f.Duration, func() { f.restore(o.Host) })
 	return dispatch.HostDone
 }
 
-func (f *Hosts) maintain(h *fleetHost, wave uint64) {
-	h.wave, h.begun[wave] = wave, true
-	down := f.count(func(other *fleetHost) bool { return !other.view.Up && other.wave == wave })
-	f.most[wave] = max(f.most[wave], down)
+func (f *Hosts) startMaintenance(h *hostState, wave uint64) {
+	h.wave, h.maintained[wave] = wave, true
+	down := f.count(func(other *hostState) bool { return !other.view.Up && other.wave == wave })
+	f.maxDown[wave] = max(f.maxDown[wave], down)
 }
 
-func (f *Hosts) count(match func(*fleetHost) bool) int {
+func (f *Hosts) count(match func(*hostState) bool) int {
 	n := 0
 	for _, h := range f.hosts {
 		if match(h) {
@@ -263,14 +263,14 @@
 	return n
 }
 
-func (f *Hosts) back(host string) {
+func (f *Hosts) restore(host string) {
 	standby := f.Standby[f.PoolOf(host)]
 	if !standby {
-		f.Up(host)
+		f.OnUp(host)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.before = f.views()
+	f.previous = f.views()
 	h := f.hosts[host]
 	h.moving, h.view.Up, h.view.Down = false, !standby, standby
 }
--- a/fakes/http.go
+++ b/fakes/http.go
@@ -17,9 +17,9 @@
 	headerTimeout = 10 * time.Second
 )
 
-// replayable reads a request's body once and returns a function that makes equal
+// requestCopier reads a request's body once and returns a function that makes equal
 // requests from it.
-func replayable(r *http.Request, body io.Reader) func() *http.Request {
+func requestCopier(r *http.Request, body io.Reader) func() *http.Request {
 	b, _ := io.ReadAll(body)
 	return func() *http.Request {
 		c := r.Clone(r.Context())
--- a/fakes/judge.go
+++ b/fakes/judge.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Evidence is what the stand-ins recorded.
-type Evidence struct {
-	Calls   []CallRecord
-	Ran     []RanRequest
-	Workers []RunEvent
-	// Standstills are the times for which entries were frozen.
-	Standstills []Standstill
+// Records is what the stand-ins recorded.
+type Records struct {
+	Calls    []CallRecord
+	Executed []ExecutedRequest
+	Workers  []RunEvent
+	// Freezes are the times for which entries were frozen.
+	Freezes []Freeze
 }
 
-// Standstill is a time for which an entry was frozen.
-type Standstill struct {
+// Freeze is a time for which an entry was frozen.
+type Freeze struct {
 	// Entry is the address that callers use.
 	Entry string        `json:"entry"`
 	From  time.Duration `json:"from_ns"`
@@ -50,23 +50,23 @@
 // still get requests: those that the agent had let through before.
 const leaveGrace = time.Second
 
-// Judge returns the broken promises, each as a sentence.
-func Judge(e Evidence, rules Rules) []string {
-	faults := judgeCalls(e, rules)
-	faults = append(faults, judgeLeaving(e.Ran)...)
-	faults = append(faults, judgeRuns(e.Workers, rules)...)
+// Check returns the broken promises, each as a sentence.
+func Check(e Records, rules Rules) []string {
+	faults := checkCalls(e, rules)
+	faults = append(faults, checkLeaving(e.Executed)...)
+	faults = append(faults, checkRuns(e.Workers, rules)...)
 	sort.Strings(faults)
 	return faults
 }
 
-// ranIndex counts runs by the caller's and by the system's name of a request.
-type ranIndex struct {
+// executionCounts counts runs by the caller's and by the system's name of a request.
+type executionCounts struct {
 	byCaller  map[string]int
 	byRequest map[string]int
 }
 
-func indexRan(ran []RanRequest) ranIndex {
-	idx := ranIndex{byCaller: map[string]int{}, byRequest: map[string]int{}}
+func countExecutions(ran []ExecutedRequest) executionCounts {
+	idx := executionCounts{byCaller: map[string]int{}, byRequest: map[string]int{}}
 	for _, r := range ran {
 		if r.Left {
 			continue
@@ -77,9 +77,9 @@
 	return idx
 }
 
-func judgeCalls(e Evidence, rules Rules) []string {
+func checkCalls(e Records, rules Rules) []string {
 	var faults []string
-	idx := indexRan(e.Ran)
+	idx := countExecutions(e.Executed)
 	counts := map[Outcome]int{}
 	started, ended := 0, 0
 	for _, rec := range e.Calls {
@@ -89,17 +89,17 @@
 		}
 		ended++
 		counts[rec.Result.Outcome]++
-		faults = append(faults, judgeCall(*rec.Result, idx)...)
-		faults = append(faults, judgeTime(*rec.Result, e.Standstills)...)
+		faults = append(faults, checkCall(*rec.Result, idx)...)
+		faults = append(faults, checkDuration(*rec.Result, e.Freezes)...)
 	}
 	if started != ended {
 		faults = append(faults, fmt.Sprintf("%d calls began and %d ended", started, ended))
 	}
-	faults = append(faults, judgeCounts(counts, ended, rules)...)
-	return append(faults, judgeAllAnswered(e.Calls, rules)...)
+	faults = append(faults, checkOutcomeCounts(counts, ended, rules)...)
+	return append(faults, checkAllAnswered(e.Calls, rules)...)
 }
 
-func judgeCall(r CallResult, idx ranIndex) []string {
+func checkCall(r CallResult, idx executionCounts) []string {
 	var faults []string
 	fault := func(format string, args ...any) {
 		faults = append(faults, fmt.Sprintf("call %s (%s %s): ", r.CallerID, r.Method, r.Outcome)+fmt.Sprintf(format, args...))
@@ -110,7 +110,7 @@
 	}
 	switch r.Outcome {
 	case Answered:
-		if !r.Own {
+		if !r.Correct {
 			fault("the answer is not its own whole answer (status %d)", r.Status)
 		}
 		if ran == 0 {
@@ -141,24 +141,24 @@
 	return faults
 }
 
-// judgeTime bounds how long a call lasted, whatever its end was. A frozen entry can
+// checkDuration bounds how long a call lasted, whatever its end was. A frozen entry can
 // neither read nor answer, so the time for which the call's entry was frozen does not
 // count; without that a call would be blamed whose deadline passed in the meantime.
-func judgeTime(r CallResult, standstills []Standstill) []string {
-	counted := r.Took
+func checkDuration(r CallResult, standstills []Freeze) []string {
+	counted := r.Duration
 	for _, s := range standstills {
 		if s.Entry == r.Entry {
-			counted -= max(0, min(s.To, r.At+r.Took)-max(s.From, r.At))
+			counted -= max(0, min(s.To, r.At+r.Duration)-max(s.From, r.At))
 		}
 	}
-	if counted <= r.Bound {
+	if counted <= r.MaxDuration {
 		return nil
 	}
 	return []string{fmt.Sprintf("call %s (%s %s): ended after %v, of which its entry was frozen for %v; at most %v counted time is allowed",
-		r.CallerID, r.Method, r.Outcome, r.Took, r.Took-counted, r.Bound)}
+		r.CallerID, r.Method, r.Outcome, r.Duration, r.Duration-counted, r.MaxDuration)}
 }
 
-func judgeCounts(counts map[Outcome]int, ended int, rules Rules) []string {
+func checkOutcomeCounts(counts map[Outcome]int, ended int, rules Rules) []string {
 	var faults []string
 	check := func(bad bool, format string, args ...any) {
 		if bad {
@@ -172,8 +172,8 @@
 	return faults
 }
 
-// judgeAllAnswered names the first calls of each kind that were not answered.
-func judgeAllAnswered(calls []CallRecord, rules Rules) []string {
+// checkAllAnswered names the first calls of each kind that were not answered.
+func checkAllAnswered(calls []CallRecord, rules Rules) []string {
 	if !rules.AllAnswered {
 		return nil
 	}
@@ -200,8 +200,8 @@
 	return faults
 }
 
-// judgeLeaving looks at each start of a target; its record is in order.
-func judgeLeaving(ran []RanRequest) []string {
+// checkLeaving looks at each start of a target; its record is in order.
+func checkLeaving(ran []ExecutedRequest) []string {
 	type start struct {
 		target  string
 		process int
--- a/fakes/judge_runs.go
+++ b/fakes/judge_runs.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// span is one run of one attempt on one worker.
-type span struct {
+// runInterval is one run of one attempt on one worker.
+type runInterval struct {
 	start RunEvent
 	// end is when the run was over; for a run whose end no one recorded it is the
 	// last deadline the worker was given, or the worker's next start.
-	end time.Duration
-	why string
+	end       time.Duration
+	endReason string
 	// deadline is the newest that the worker was given.
 	deadline time.Duration
 }
@@ -23,13 +23,13 @@
 	incarnation, attempt uint64
 }
 
-func judgeRuns(events []RunEvent, rules Rules) []string {
-	spans, faults := spansOf(events)
-	faults = append(faults, judgeTasks(spans, rules)...)
-	faults = append(faults, judgeCapacity(events, spans)...)
+func checkRuns(events []RunEvent, rules Rules) []string {
+	spans, faults := pairRuns(events)
+	faults = append(faults, checkTasks(spans, rules)...)
+	faults = append(faults, checkCapacity(events, spans)...)
 	succeeded, resumed := 0, 0
 	for _, s := range spans {
-		if s.why == WhySucceeded {
+		if s.endReason == EndReasonSucceeded {
 			succeeded++
 		}
 		if s.start.Checkpoint != "" {
@@ -45,18 +45,18 @@
 	return faults
 }
 
-// spansOf pairs starts and ends. Events of one worker are in their order.
-func spansOf(events []RunEvent) ([]*span, []string) {
-	var spans []*span
+// pairRuns pairs starts and ends. Events of one worker are in their order.
+func pairRuns(events []RunEvent) ([]*runInterval, []string) {
+	var spans []*runInterval
 	var faults []string
-	open := map[attemptKey]*span{}
+	open := map[attemptKey]*runInterval{}
 	for _, e := range events {
 		key := attemptKey{e.Worker, e.Task, e.Incarnation, e.Attempt}
 		switch e.Kind {
 		case EventWorkerStart:
-			closeEarlier(open, e)
+			closePreviousIncarnations(open, e)
 		case EventStart:
-			s := &span{start: e, end: e.Deadline, deadline: e.Deadline}
+			s := &runInterval{start: e, end: e.Deadline, deadline: e.Deadline}
 			spans = append(spans, s)
 			open[key] = s
 		case EventRenew:
@@ -72,7 +72,7 @@
 				faults = append(faults, fmt.Sprintf("worker %s ended %s/%d, which it did not run", e.Worker, e.Task, e.Attempt))
 				continue
 			}
-			s.end, s.why = e.At, e.Why
+			s.end, s.endReason = e.At, e.EndReason
 			if s.end > s.deadline {
 				faults = append(faults, fmt.Sprintf("worker %s ran %s/%d past its deadline", e.Worker, e.Task, e.Attempt))
 			}
@@ -82,9 +82,9 @@
 	return spans, faults
 }
 
-// closeEarlier ends what earlier incarnations of a worker ran: a worker's restart
+// closePreviousIncarnations ends what earlier incarnations of a worker ran: a worker's restart
 // loses its tasks.
-func closeEarlier(open map[attemptKey]*span, e RunEvent) {
+func closePreviousIncarnations(open map[attemptKey]*runInterval, e RunEvent) {
 	for key, s := range open {
 		if key.worker == e.Worker && key.incarnation != e.Incarnation {
 			s.end = min(s.end, e.At)
@@ -93,9 +93,9 @@
 	}
 }
 
-func judgeTasks(spans []*span, rules Rules) []string {
+func checkTasks(spans []*runInterval, rules Rules) []string {
 	var faults []string
-	byTask := map[string][]*span{}
+	byTask := map[string][]*runInterval{}
 	for _, s := range spans {
 		byTask[s.start.Task] = append(byTask[s.start.Task], s)
 	}
@@ -103,11 +103,11 @@
 		sort.SliceStable(runs, func(i, j int) bool { return runs[i].start.At < runs[j].start.At })
 		succeeded := 0
 		for i, s := range runs {
-			if s.why == WhySucceeded {
+			if s.endReason == EndReasonSucceeded {
 				succeeded++
 			}
 			if i > 0 {
-				faults = append(faults, judgePair(task, runs[i-1], s, rules)...)
+				faults = append(faults, checkConsecutiveRuns(task, runs[i-1], s, rules)...)
 			}
 		}
 		if succeeded > 1 && !rules.AllowRerun {
@@ -117,8 +117,8 @@
 	return faults
 }
 
-// judgePair looks at two runs of a task, earlier first.
-func judgePair(task string, a, b *span, rules Rules) []string {
+// checkConsecutiveRuns looks at two runs of a task, earlier first.
+func checkConsecutiveRuns(task string, a, b *runInterval, rules Rules) []string {
 	var faults []string
 	if b.start.Attempt <= a.start.Attempt {
 		faults = append(faults, fmt.Sprintf("task %s started attempt %d after attempt %d", task, b.start.Attempt, a.start.Attempt))
@@ -126,14 +126,14 @@
 	if b.start.At < a.end {
 		faults = append(faults, fmt.Sprintf("task %s ran on %s and %s at once for %v", task, a.start.Worker, b.start.Worker, a.end-b.start.At))
 	}
-	if a.why == WhySucceeded && !rules.AllowRerun {
+	if a.endReason == EndReasonSucceeded && !rules.AllowRerun {
 		faults = append(faults, fmt.Sprintf("task %s ran again after it had finished", task))
 	}
 	return faults
 }
 
-// judgeCapacity adds up what runs on a worker at each start.
-func judgeCapacity(events []RunEvent, spans []*span) []string {
+// checkCapacity adds up what runs on a worker at each start.
+func checkCapacity(events []RunEvent, spans []*runInterval) []string {
 	var faults []string
 	for _, e := range events {
 		if e.Kind != EventStart {
--- a/fakes/link.go
+++ b/fakes/link.go
@@ -102,17 +102,17 @@
 		if err != nil {
 			return errors.Wrap(err, "link")
 		}
-		wg.Go(func() { l.carry(ctx, conn) })
+		wg.Go(func() { l.proxy(ctx, conn) })
 	}
 }
 
-func (l *Link) carry(ctx context.Context, near net.Conn) {
+func (l *Link) proxy(ctx context.Context, near net.Conn) {
 	defer near.Close()
-	if !l.keep(ctx, near) {
+	if !l.track(ctx, near) {
 		return
 	}
-	defer l.release(near)
-	if !l.pass(ctx, LinkOpen, LinkCutReplies) {
+	defer l.untrack(near)
+	if !l.awaitMode(ctx, LinkOpen, LinkCutReplies) {
 		return
 	}
 	far, err := net.DialTimeout("tcp", l.upstream, linkDialTimeout)
@@ -120,18 +120,18 @@
 		return
 	}
 	defer far.Close()
-	if !l.keep(ctx, far) {
+	if !l.track(ctx, far) {
 		return
 	}
-	defer l.release(far)
+	defer l.untrack(far)
 	var wg conc.WaitGroup
 	wg.Go(func() { l.forward(ctx, far, near, LinkOpen, LinkCutReplies) })
 	wg.Go(func() { l.forward(ctx, near, far, LinkOpen) })
 	wg.Wait()
 }
 
-// keep registers a connection so that it can be closed.
-func (l *Link) keep(ctx context.Context, c net.Conn) bool {
+// track registers a connection so that it can be closed.
+func (l *Link) track(ctx context.Context, c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state.Mode == LinkDropped || ctx.Err() != nil {
@@ -141,7 +141,7 @@
 	return true
 }
 
-func (l *Link) release(c net.Conn) {
+func (l *Link) untrack(c net.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
@@ -155,7 +155,7 @@
 	buf := make([]byte, linkBuffer)
 	for {
 		n, err := from.Read(buf)
-		if !l.pass(ctx, modes...) {
+		if !l.awaitMode(ctx, modes...) {
 			return
 		}
 		if _, werr := to.Write(buf[:n]); werr != nil {
@@ -167,9 +167,9 @@
 	}
 }
 
-// pass waits until the link is in one of the modes and then for its delay. It
+// awaitMode waits until the link is in one of the modes and then for its delay. It
 // reports false when the link is dropped or ctx ended.
-func (l *Link) pass(ctx context.Context, modes ...LinkMode) bool {
+func (l *Link) awaitMode(ctx context.Context, modes ...LinkMode) bool {
 	for {
 		l.mu.Lock()
 		state, changed := l.state, l.changed
--- a/fakes/link_server.go
+++ b/fakes/link_server.go
@@ -42,7 +42,7 @@
 	r.PUT(PathLink+":name", func(w http.ResponseWriter, req *http.Request, p httprouter.Params) {
 		setLink(w, req, links[p.ByName("name")])
 	})
-	return serve(ctx, control, r, workerGrace)
+	return serve(ctx, control, r, shutdownGrace)
 }
 
 func setLink(w http.ResponseWriter, r *http.Request, link *Link) {
--- a/fakes/link_test.go
+++ b/fakes/link_test.go
@@ -12,7 +12,7 @@
 
 // A connection that stands when its link is cut hears nothing and is not closed;
 // what was sent meanwhile arrives once the link is healed.
-func TestLinkCutsStandingConnections(t *testing.T) {
+func TestLinkCutKeepsConnectionsOpen(t *testing.T) {
 	echo := localListener(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
--- a/fakes/path_test.go
+++ b/fakes/path_test.go
@@ -11,8 +11,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// agentStub counts what a target announces.
-func agentStub(t *testing.T) (address string, puts, deletes *atomic.Int64) {
+// startAgentStub counts what a target announces.
+func startAgentStub(t *testing.T) (address string, puts, deletes *atomic.Int64) {
 	puts, deletes = new(atomic.Int64), new(atomic.Int64)
 	server := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		switch r.Method {
@@ -34,19 +34,19 @@
 	return l
 }
 
-const requests = 400
+const requestCount = 400
 
 // A caller straight at a target that spoils answers in every way: the caller
 // never takes a spoilt answer for its own, each request is in the target's
 // record, and the target takes its announcement back.
-func TestCallerSeesEveryFault(t *testing.T) {
-	agent, puts, deletes := agentStub(t)
+func TestCallerDetectsEveryFault(t *testing.T) {
+	agent, puts, deletes := startAgentStub(t)
 	ctx, cancel := context.WithCancel(context.Background())
 	var wg conc.WaitGroup
 	defer wg.Wait()
 	defer cancel()
 
-	record, _ := NewRecorder[RanRequest]("")
+	record, _ := NewRecorder[ExecutedRequest]("")
 	target := NewTarget(TargetConfig{
 		Announcement: Announcement{Name: "t1", Service: "s", TTLMS: 60},
 		Faults:       TargetFaults{Truncated: 0.1, Swapped: 0.1, Failed: 0.1, Closed: 0.1},
@@ -57,7 +57,7 @@
 
 	calls, _ := NewRecorder[CallRecord]("")
 	caller := NewCaller(CallerConfig{
-		Name: "c", Path: "/s", InFlight: 8, Requests: requests, NonIdempotent: 1, AnswerBytes: 2000, Seed: 1,
+		Name: "c", Path: "/s", InFlight: 8, Requests: requestCount, NonIdempotent: 1, AnswerBytes: 2000, Seed: 1,
 		Entries: []EntryAddress{{Address: listener.Addr().String()}},
 	}, calls)
 	caller.Run(ctx)
@@ -67,7 +67,7 @@
 	for _, c := range calls.Values() {
 		if c.Result != nil {
 			counts[c.Result.Outcome]++
-			if c.Result.Own {
+			if c.Result.Correct {
 				own++
 			}
 		}
@@ -75,8 +75,8 @@
 	if counts[Lost] == 0 || counts[Unnamed] == 0 || own == 0 || own >= counts[Unnamed] {
 		t.Errorf("outcomes %v with %d own answers: want lost, foreign and own ones", counts, own)
 	}
-	if ran := len(record.Values()); ran != requests {
-		t.Errorf("the target ran %d of %d requests", ran, requests)
+	if ran := len(record.Values()); ran != requestCount {
+		t.Errorf("the target ran %d of %d requests", ran, requestCount)
 	}
 	cancel()
 	wg.Wait()
--- a/fakes/reply_faults.go
+++ b/fakes/reply_faults.go
@@ -17,8 +17,8 @@
 	ReplyLost ReplyMode = "lost"
 	// ReplyLate: the order is carried out and the reply waits.
 	ReplyLate ReplyMode = "late"
-	// OrderDoubled: the order is carried out twice, as by a resent packet.
-	OrderDoubled ReplyMode = "doubled"
+	// OrderDuplicated: the order is carried out twice, as by a resent packet.
+	OrderDuplicated ReplyMode = "doubled"
 )
 
 // ReplyFault makes the next Times replies on one path go wrong.
@@ -62,20 +62,20 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		serveFaulty(fault, next, w, r)
+		serveWithFault(fault, next, w, r)
 	})
 }
 
-func serveFaulty(fault ReplyFault, next http.Handler, w http.ResponseWriter, r *http.Request) {
+func serveWithFault(fault ReplyFault, next http.Handler, w http.ResponseWriter, r *http.Request) {
 	body := http.MaxBytesReader(w, r.Body, maxBodyBytes)
-	again := replayable(r, body)
-	reply := newHeldReply()
+	again := requestCopier(r, body)
+	reply := newBufferedReply()
 	next.ServeHTTP(reply, again())
 	switch fault.Mode {
 	case ReplyLost:
 		panic(http.ErrAbortHandler)
-	case OrderDoubled:
-		reply = newHeldReply()
+	case OrderDuplicated:
+		reply = newBufferedReply()
 		next.ServeHTTP(reply, again())
 	case ReplyLate:
 		time.Sleep(time.Duration(fault.DelayMS) * time.Millisecond)
@@ -84,20 +84,20 @@
 	_, _ = w.Write(reply.body.Bytes())
 }
 
-// heldReply keeps a reply until its fate is decided.
-type heldReply struct {
+// bufferedReply keeps a reply until its fate is decided.
+type bufferedReply struct {
 	header http.Header
 	status int
 	body   bytes.Buffer
 }
 
-func newHeldReply() *heldReply {
-	return &heldReply{header: http.Header{}, status: http.StatusOK}
+func newBufferedReply() *bufferedReply {
+	return &bufferedReply{header: http.Header{}, status: http.StatusOK}
 }
 
-func (r *heldReply) Header() http.Header         { return r.header }
-func (r *heldReply) WriteHeader(status int)      { r.status = status }
-func (r *heldReply) Write(b []byte) (int, error) { return r.body.Write(b) }
+func (r *bufferedReply) Header() http.Header         { return r.header }
+func (r *bufferedReply) WriteHeader(status int)      { r.status = status }
+func (r *bufferedReply) Write(b []byte) (int, error) { return r.body.Write(b) }
 
 // handleFault arms the fault in the body.
 func (f *ReplyFaults) handleFault(w http.ResponseWriter, r *http.Request) {
--- a/fakes/run_event.go
+++ b/fakes/run_event.go
@@ -21,10 +21,10 @@
 
 // Why a run ended.
 const (
-	WhySucceeded = "succeeded"
-	WhyFailed    = "failed"
-	WhyStopped   = "stopped"
-	WhyExpired   = "lease expired"
+	EndReasonSucceeded = "succeeded"
+	EndReasonFailed    = "failed"
+	EndReasonStopped   = "stopped"
+	EndReasonExpired   = "lease expired"
 )
 
 // RunEvent is one line of a worker's record. Times are readings of the boot
@@ -38,7 +38,7 @@
 	Attempt     uint64        `json:"attempt,omitempty"`
 	Deadline    time.Duration `json:"deadline_ns,omitempty"`
 	Checkpoint  string        `json:"checkpoint,omitempty"`
-	Why         string        `json:"why,omitempty"`
+	EndReason   string        `json:"why,omitempty"`
 	ShareMilli  int64         `json:"share_milli,omitempty"`
 	Grant       Amount        `json:"grant"`
 	Capacity    Amount        `json:"capacity"`
--- a/fakes/runwatch.go
+++ b/fakes/runwatch.go
@@ -10,24 +10,24 @@
 	"github.com/cairnlift/cairnlift/jobqueue"
 )
 
-// RunWatch checks, from what the workers do, what must always hold of submitted
+// RunChecker checks, from what the workers do, what must always hold of submitted
 // jobs: no task runs in two places, none starts before its turn or after an end
 // that was taken note of, no worker is given more than it has, and a task that crashes its
 // workers is not started again and again.
-type RunWatch struct {
-	mu      sync.Mutex
-	workers []*RunWorker
-	jobs    map[string]*apiv1.JobSpec
-	done    map[jobqueue.TaskID]time.Time
-	notedAt map[jobqueue.TaskID]time.Time
-	starts  map[jobqueue.TaskID][]time.Time
+type RunChecker struct {
+	mu              sync.Mutex
+	workers         []*RunWorker
+	jobs            map[string]*apiv1.JobSpec
+	finishedAt      map[jobqueue.TaskID]time.Time
+	acknowledgedEnd map[jobqueue.TaskID]time.Time
+	starts          map[jobqueue.TaskID][]time.Time
 	// crashes are the crashes of workers under tasks.
 	crashes    map[jobqueue.TaskID]*taskCrashes
 	violations []string
 }
 
 // taskCrashes counts the workers that crashed under a task, and the starts of one that causes it
-// since crashesBorne of them.
+// since toleratedCrashes of them.
 type taskCrashes struct {
 	crashes, startsAfter int
 	// causes: the task is what they crash of.
@@ -35,36 +35,36 @@
 }
 
 const (
-	// crashesBorne is the number of crashes under a task after which its starts are counted, and
-	// startsBorne how many of them may follow.
-	crashesBorne = 3
-	startsBorne  = 2
+	// toleratedCrashes is the number of crashes under a task after which its starts are counted, and
+	// toleratedStarts how many of them may follow.
+	toleratedCrashes = 3
+	toleratedStarts  = 2
 )
 
-// NewRunWatch returns a watch that has seen nothing.
-func NewRunWatch() *RunWatch {
-	return &RunWatch{
-		jobs: map[string]*apiv1.JobSpec{}, done: map[jobqueue.TaskID]time.Time{},
-		notedAt: map[jobqueue.TaskID]time.Time{}, starts: map[jobqueue.TaskID][]time.Time{},
+// NewRunChecker returns a watch that has seen nothing.
+func NewRunChecker() *RunChecker {
+	return &RunChecker{
+		jobs: map[string]*apiv1.JobSpec{}, finishedAt: map[jobqueue.TaskID]time.Time{},
+		acknowledgedEnd: map[jobqueue.TaskID]time.Time{}, starts: map[jobqueue.TaskID][]time.Time{},
 		crashes: map[jobqueue.TaskID]*taskCrashes{},
 	}
 }
 
-// Submitted tells the watch of a job.
-func (j *RunWatch) Submitted(spec *apiv1.JobSpec) {
+// AddJob tells the watch of a job.
+func (j *RunChecker) AddJob(spec *apiv1.JobSpec) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[spec.Id] = spec
 }
 
-// Broken returns what was seen to go wrong.
-func (j *RunWatch) Broken() []string {
+// Violations returns what was seen to go wrong.
+func (j *RunChecker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.violations...)
 }
 
-func (j *RunWatch) add(w *RunWorker) {
+func (j *RunChecker) addWorker(w *RunWorker) {
 	if j == nil {
 		return
 	}
@@ -73,20 +73,20 @@
 	j.workers = append(j.workers, w)
 }
 
-// ended takes in that a run ended, noted or not.
-func (j *RunWatch) ended(_ *RunWorker, id jobqueue.RunID, kind apiv1.RunEndKind, at time.Time) {
+// recordEnd takes in that a run ended, noted or not.
+func (j *RunChecker) recordEnd(_ *RunWorker, id jobqueue.RunID, kind apiv1.RunEndKind, at time.Time) {
 	if j == nil {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if kind == apiv1.RunEndKind_RUN_END_KIND_DONE {
-		j.done[id.Task] = at
+		j.finishedAt[id.Task] = at
 	}
 }
 
-// crashed takes in that a worker crashed; its lock is held.
-func (j *RunWatch) crashed(w *RunWorker) {
+// recordCrash takes in that a worker crashed; its lock is held.
+func (j *RunChecker) recordCrash(w *RunWorker) {
 	if j == nil {
 		return
 	}
@@ -99,14 +99,14 @@
 	}
 }
 
-// CrashedUnder returns how many workers crashed under a task.
-func (j *RunWatch) CrashedUnder(task jobqueue.TaskID) int {
+// CrashesDuring returns how many workers crashed under a task.
+func (j *RunChecker) CrashesDuring(task jobqueue.TaskID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.crashesOf(task).crashes
 }
 
-func (j *RunWatch) crashesOf(task jobqueue.TaskID) *taskCrashes {
+func (j *RunChecker) crashesOf(task jobqueue.TaskID) *taskCrashes {
 	c := j.crashes[task]
 	if c == nil {
 		c = &taskCrashes{}
@@ -116,7 +116,7 @@
 }
 
 // Crashes returns how many workers crashed under tasks that cause it.
-func (j *RunWatch) Crashes() int {
+func (j *RunChecker) Crashes() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	total := 0
@@ -129,7 +129,7 @@
 }
 
 // Starts returns how many runs began.
-func (j *RunWatch) Starts() int {
+func (j *RunChecker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	total := 0
@@ -139,37 +139,37 @@
 	return total
 }
 
-// judgeCrashes counts a start of a task that crashes its workers.
-func (j *RunWatch) judgeCrashes(id jobqueue.RunID) {
+// checkCrashes counts a start of a task that crashes its workers.
+func (j *RunChecker) checkCrashes(id jobqueue.RunID) {
 	c := j.crashes[id.Task]
-	if c == nil || !c.causes || c.crashes < crashesBorne {
+	if c == nil || !c.causes || c.crashes < toleratedCrashes {
 		return
 	}
 	c.startsAfter++
-	if c.startsAfter > startsBorne {
-		j.broken("%v is start %d after %d workers crashed under the task", id, c.startsAfter, crashesBorne)
+	if c.startsAfter > toleratedStarts {
+		j.addViolation("%v is start %d after %d workers crashed under the task", id, c.startsAfter, toleratedCrashes)
 	}
 }
 
-// noted takes in that a good end of a task at some time was taken note of. No start
+// recordAcknowledgedEnd takes in that a good end of a task at some time was taken note of. No start
 // may follow that end, neither before it was noted nor after.
-func (j *RunWatch) noted(task jobqueue.TaskID, at time.Time) {
+func (j *RunChecker) recordAcknowledgedEnd(task jobqueue.TaskID, at time.Time) {
 	if j == nil {
 		return
 	}
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.notedAt[task] = at
+	j.acknowledgedEnd[task] = at
 	for _, start := range j.starts[task] {
 		if start.After(at) {
-			j.broken("%v started at %s, after its noted end at %s", task, start.Format("05.000"), at.Format("05.000"))
+			j.addViolation("%v started at %s, after its noted end at %s", task, start.Format("05.000"), at.Format("05.000"))
 		}
 	}
 }
 
-// started judges a start. The calling worker's lock is held; the others are asked
+// checkStart judges a start. The calling worker's lock is held; the others are asked
 // beside the call, since two of them may ask each other.
-func (j *RunWatch) started(w *RunWorker, id jobqueue.RunID) {
+func (j *RunChecker) checkStart(w *RunWorker, id jobqueue.RunID) {
 	if j == nil {
 		return
 	}
@@ -179,43 +179,43 @@
 	j.starts[id.Task] = append(j.starts[id.Task], now)
 	spec := j.jobs[id.Task.Job]
 	if spec == nil {
-		j.broken("%v starts, which nobody submitted", id)
+		j.addViolation("%v starts, which nobody submitted", id)
 		return
 	}
-	if at, noted := j.notedAt[id.Task]; noted && now.After(at) {
-		j.broken("%v starts after its end was noted", id)
+	if at, noted := j.acknowledgedEnd[id.Task]; noted && now.After(at) {
+		j.addViolation("%v starts after its end was noted", id)
 	}
-	j.judgeCrashes(id)
-	j.judgeOrder(spec, id)
-	j.judgePlace(spec, w, id)
-	if used := j.used(w); !w.allows(used) {
-		j.broken("%s runs %v of %v with %v", w.Spec.Id, used, capacityOf(w.Spec), id)
+	j.checkCrashes(id)
+	j.checkStepOrder(spec, id)
+	j.checkPlacement(spec, w, id)
+	if used := j.reservedOn(w); !w.allows(used) {
+		j.addViolation("%s runs %v of %v with %v", w.Spec.Id, used, capacityOf(w.Spec), id)
 	}
-	go j.judgeOthers(w, id)
+	go j.checkOtherWorkers(w, id)
 }
 
-func (j *RunWatch) judgeOrder(spec *apiv1.JobSpec, id jobqueue.RunID) {
+func (j *RunChecker) checkStepOrder(spec *apiv1.JobSpec, id jobqueue.RunID) {
 	for _, before := range spec.Steps[id.Task.Step].After {
 		step := spec.Steps[before]
 		ended := uint32(0)
 		for i := range step.Count {
 			task := jobqueue.TaskID{Job: id.Task.Job, Occurrence: id.Task.Occurrence, Step: before, Index: i}
-			if _, done := j.done[task]; done {
+			if _, done := j.finishedAt[task]; done {
 				ended++
 			}
 		}
 		// The end of one member of a gang stands for all.
 		if ended < step.Count && !(step.Gang && ended > 0) {
-			j.broken("%v starts when %d of %d tasks of step %d are done", id, ended, step.Count, before)
+			j.addViolation("%v starts when %d of %d tasks of step %d are done", id, ended, step.Count, before)
 		}
 	}
 }
 
-// judgePlace checks label, spread, due time and draining; the worker's lock is held.
-func (j *RunWatch) judgePlace(spec *apiv1.JobSpec, w *RunWorker, id jobqueue.RunID) {
+// checkPlacement checks label, spread, due time and draining; the worker's lock is held.
+func (j *RunChecker) checkPlacement(spec *apiv1.JobSpec, w *RunWorker, id jobqueue.RunID) {
 	step := spec.Steps[id.Task.Step]
 	if step.RequiredLabel != "" && !slices.Contains(w.Spec.Labels, step.RequiredLabel) {
-		j.broken("%v starts on %s, which lacks the label %q", id, w.Spec.Id, step.RequiredLabel)
+		j.addViolation("%v starts on %s, which lacks the label %q", id, w.Spec.Id, step.RequiredLabel)
 	}
 	beside := 0
 	for task, run := range w.running {
@@ -224,40 +224,40 @@
 		}
 		beside++
 		if step.Gang && run.id.Number != id.Number {
-			j.broken("%v starts beside run %d of its gang", id, run.id.Number)
+			j.addViolation("%v starts beside run %d of its gang", id, run.id.Number)
 		}
 	}
 	if step.MaxPerWorker > 0 && beside > int(step.MaxPerWorker) {
-		j.broken("%d tasks of the step of %v run on %s", beside, id, w.Spec.Id)
+		j.addViolation("%d tasks of the step of %v run on %s", beside, id, w.Spec.Id)
 	}
 	due := time.UnixMilli(spec.StartAtMs + int64(id.Task.Occurrence)*spec.IntervalMs)
 	if spec.Occurrences > 0 && time.Now().Before(due) {
-		j.broken("%v starts %v early", id, time.Until(due))
+		j.addViolation("%v starts %v early", id, time.Until(due))
 	}
 }
 
-// judgeOthers looks for a run of the same task elsewhere.
-func (j *RunWatch) judgeOthers(w *RunWorker, id jobqueue.RunID) {
+// checkOtherWorkers looks for a run of the same task elsewhere.
+func (j *RunChecker) checkOtherWorkers(w *RunWorker, id jobqueue.RunID) {
 	j.mu.Lock()
 	others := append([]*RunWorker(nil), j.workers...)
 	j.mu.Unlock()
 	for _, other := range others {
-		if other == w || !other.runs(id.Task) {
+		if other == w || !other.isRunning(id.Task) {
 			continue
 		}
 		j.mu.Lock()
-		j.broken("%v starts on %s while the task runs on %s", id, w.Spec.Id, other.Spec.Id)
+		j.addViolation("%v starts on %s while the task runs on %s", id, w.Spec.Id, other.Spec.Id)
 		j.mu.Unlock()
 	}
 }
 
-// broken notes a violation; j.mu is held.
-func (j *RunWatch) broken(format string, args ...any) {
+// addViolation notes a violation; j.mu is held.
+func (j *RunChecker) addViolation(format string, args ...any) {
 	j.violations = append(j.violations, time.Now().Format("05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// used sums what a worker's runs take; the worker's lock is held.
-func (j *RunWatch) used(w *RunWorker) jobqueue.Resources {
+// reservedOn sums what a worker's runs take; the worker's lock is held.
+func (j *RunChecker) reservedOn(w *RunWorker) jobqueue.Resources {
 	var sum jobqueue.Resources
 	for task := range w.running {
 		if spec := j.jobs[task.Job]; spec != nil {
@@ -267,8 +267,8 @@
 	return sum
 }
 
-// runs reports whether the worker runs a task right now.
-func (w *RunWorker) runs(task jobqueue.TaskID) bool {
+// isRunning reports whether the worker runs a task right now.
+func (w *RunWorker) isRunning(task jobqueue.TaskID) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
--- a/fakes/runworker.go
+++ b/fakes/runworker.go
@@ -32,16 +32,16 @@
 	// CrashAfter is how long after its start it crashes the worker; 0 for never.
 	CrashAfter time.Duration
 	// Startup is how long a task that lasts takes to be at work. Others tell their progress.
-	Startup time.Duration
-	Lasts   bool
+	Startup     time.Duration
+	LongRunning bool
 }
 
-// RunEvents is told what becomes of runs.
-type RunEvents interface {
+// RunObserver is told what becomes of runs.
+type RunObserver interface {
 	RunBegan(run jobqueue.RunID, at time.Time)
 	RunEnded(run jobqueue.RunID, kind apiv1.RunEndKind, at time.Time)
-	// LeaseLapsed: the worker's lease ran out, whether anything ran under it or not.
-	LeaseLapsed(at time.Time)
+	// LeaseExpired: the worker's lease ran out, whether anything ran under it or not.
+	LeaseExpired(at time.Time)
 }
 
 // RunWorker is a stand-in for a worker that runs submitted jobs' tasks under one
@@ -66,58 +66,58 @@
 	OnCrash func()
 	// Work, if set, tells what a run does from its payload, instead of Duration, Fails and CrashAfter.
 	Work func(run jobqueue.RunID, payload string) Work
-	// Events, if set, is told of the begin and end of every run. The worker's lock is held.
-	Events RunEvents
+	// Observer, if set, is told of the begin and end of every run. The worker's lock is held.
+	Observer RunObserver
 	// Advisor, if set, gives the tickets that starts need.
 	Advisor *Advisor
-	// Judge is told of every run; nil for none.
-	Judge *RunWatch
-
-	mu       sync.Mutex
-	began    time.Time
-	gone     bool
-	draining bool
-	// watched is set once the judge knows the worker.
-	watched    bool
+	// Checker is told of every run; nil for none.
+	Checker *RunChecker
+
+	mu        sync.Mutex
+	startedAt time.Time
+	crashed   bool
+	draining  bool
+	// registered is set once the judge knows the worker.
+	registered bool
 	term       uint64
 	deadlineMs int64
 	cursor     uint64
 	sequence   uint64
 	running    map[jobqueue.TaskID]*workerRun
-	newest     map[jobqueue.TaskID]uint64
+	newestRun  map[jobqueue.TaskID]uint64
 	ended      []*apiv1.RunEnd
 	endedAt    map[uint64]time.Time
-	// former are the capacities before changes.
-	former []formerCapacity
+	// previousCapacities are the capacities before changes.
+	previousCapacities []previousCapacity
 	// calledAt is when the call came that is being carried out.
 	calledAt time.Time
-	// lapsedAt is when the lease ran out last.
-	lapsedAt  time.Time
-	endedNews chan struct{}
+	// expiredAt is when the lease ran out last.
+	expiredAt time.Time
+	endSignal chan struct{}
 }
 
 type workerRun struct {
 	id         jobqueue.RunID
-	at         time.Time
+	startedAt  time.Time
 	work       Work
 	checkpoint string
 }
 
 const (
-	// clockBaseMs is what the clock of a new worker shows by default.
-	clockBaseMs = 1_000_000
+	// defaultClockStartMs is what the clock of a new worker shows by default.
+	defaultClockStartMs = 1_000_000
 	// maxLeaseMs is the longest lease that it grants.
-	maxLeaseMs    = 6000
-	checkpointSec = 1
-	partsPerMill  = 1_000_000
+	maxLeaseMs            = 6000
+	checkpointIntervalSec = 1
+	partsPerMillion       = 1_000_000
 )
 
 // NewRunWorker returns a worker that runs nothing yet.
-func NewRunWorker(spec *apiv1.JobWorker, judge *RunWatch) *RunWorker {
+func NewRunWorker(spec *apiv1.JobWorker, judge *RunChecker) *RunWorker {
 	return &RunWorker{
-		Spec: spec, Judge: judge, began: time.Now(),
-		running: map[jobqueue.TaskID]*workerRun{}, newest: map[jobqueue.TaskID]uint64{},
-		endedNews: make(chan struct{}), endedAt: map[uint64]time.Time{},
+		Spec: spec, Checker: judge, startedAt: time.Now(),
+		running: map[jobqueue.TaskID]*workerRun{}, newestRun: map[jobqueue.TaskID]uint64{},
+		endSignal: make(chan struct{}), endedAt: map[uint64]time.Time{},
 	}
 }
 
@@ -126,10 +126,10 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if !w.gone {
-		w.Judge.crashed(w)
+	if !w.crashed {
+		w.Checker.recordCrash(w)
 	}
-	w.gone = true
+	w.crashed = true
 	clear(w.running)
 }
 
@@ -145,13 +145,13 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	spec := proto.CloneOf(w.Spec)
-	w.former = append(w.former, formerCapacity{capacityOf(spec), time.Now()})
+	w.previousCapacities = append(w.previousCapacities, previousCapacity{capacityOf(spec), time.Now()})
 	spec.CpuMilli, spec.MemoryMb = cpuMilli, memoryMB
 	w.Spec = spec
 }
 
-// formerCapacity is what a worker had until a change.
-type formerCapacity struct {
+// previousCapacity is what a worker had until a change.
+type previousCapacity struct {
 	capacity jobqueue.Resources
 	until    time.Time
 }
@@ -160,18 +160,18 @@
 	return jobqueue.Resources{CPUMilli: spec.CpuMilli, MemoryMB: spec.MemoryMb, Accelerators: spec.Accelerators}
 }
 
-// shrinkNotice is how long after a shrinking of the capacity a call may still go by the one before.
-const shrinkNotice = 3700 * time.Millisecond
+// shrinkGrace is how long after a shrinking of the capacity a call may still go by the one before.
+const shrinkGrace = 3700 * time.Millisecond
 
 // allows reports whether the worker may hold so much; its lock is held.
 func (w *RunWorker) allows(used jobqueue.Resources) bool {
-	return used.Fits(capacityOf(w.Spec)) || slices.ContainsFunc(w.former, func(f formerCapacity) bool {
-		return w.calledAt.Sub(f.until) < shrinkNotice && used.Fits(f.capacity)
+	return used.Fits(capacityOf(w.Spec)) || slices.ContainsFunc(w.previousCapacities, func(f previousCapacity) bool {
+		return w.calledAt.Sub(f.until) < shrinkGrace && used.Fits(f.capacity)
 	})
 }
 
-// Announced is what the worker says of itself.
-func (w *RunWorker) Announced() *apiv1.JobWorker {
+// Description is what the worker says of itself.
+func (w *RunWorker) Description() *apiv1.JobWorker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	spec := proto.CloneOf(w.Spec)
@@ -190,36 +190,36 @@
 	return slices.Collect(maps.Keys(w.running))
 }
 
-// shorten brings a deadline down to the longest lease that the worker grants.
-func (w *RunWorker) shorten(deadlineMs int64) int64 {
+// limitDeadline brings a deadline down to the longest lease that the worker grants.
+func (w *RunWorker) limitDeadline(deadlineMs int64) int64 {
 	return min(deadlineMs, w.clockMs(time.Now())+maxLeaseMs)
 }
 
 func (w *RunWorker) clockMs(at time.Time) int64 {
-	elapsed := at.Sub(w.began).Milliseconds()
-	return w.clockStart() + elapsed*(partsPerMill-w.ClockRatePPM)/partsPerMill
+	elapsed := at.Sub(w.startedAt).Milliseconds()
+	return w.clockStart() + elapsed*(partsPerMillion-w.ClockRatePPM)/partsPerMillion
 }
 
-func (w *RunWorker) clockStart() int64 { return cmp.Or(w.ClockStartMs, clockBaseMs) }
+func (w *RunWorker) clockStart() int64 { return cmp.Or(w.ClockStartMs, defaultClockStartMs) }
 
-// lapseAt is when the lease runs out.
-func (w *RunWorker) lapseAt() time.Time {
-	left := (w.deadlineMs - w.clockStart()) * partsPerMill / (partsPerMill - w.ClockRatePPM)
-	return w.began.Add(time.Duration(left) * time.Millisecond)
+// expiryTime is when the lease runs out.
+func (w *RunWorker) expiryTime() time.Time {
+	left := (w.deadlineMs - w.clockStart()) * partsPerMillion / (partsPerMillion - w.ClockRatePPM)
+	return w.startedAt.Add(time.Duration(left) * time.Millisecond)
 }
 
 // advance ends what has ended by now; w.mu is held.
 func (w *RunWorker) advance() {
 	now := time.Now()
-	lapse := w.lapseAt()
-	if w.deadlineMs > 0 && !lapse.After(now) && !lapse.Equal(w.lapsedAt) {
-		w.lapsedAt = lapse
-		if w.Events != nil {
-			w.Events.LeaseLapsed(lapse)
+	lapse := w.expiryTime()
+	if w.deadlineMs > 0 && !lapse.After(now) && !lapse.Equal(w.expiredAt) {
+		w.expiredAt = lapse
+		if w.Observer != nil {
+			w.Observer.LeaseExpired(lapse)
 		}
 	}
 	for task, r := range w.running {
-		end := r.at.Add(r.work.Duration)
+		end := r.startedAt.Add(r.work.Duration)
 		works := r.work.Duration > 0 && !end.After(now)
 		lapsed := !lapse.After(now)
 		switch {
@@ -237,34 +237,34 @@
 
 func (w *RunWorker) end(task jobqueue.TaskID, r *workerRun, kind apiv1.RunEndKind, at time.Time) {
 	delete(w.running, task)
-	w.newest[task] = max(w.newest[task], r.id.Number)
+	w.newestRun[task] = max(w.newestRun[task], r.id.Number)
 	w.sequence++
 	w.ended = append(w.ended, &apiv1.RunEnd{
-		Sequence: w.sequence, Task: task.Ref(), Run: r.id.Number, Kind: kind, Checkpoint: r.saved(),
+		Sequence: w.sequence, Task: task.Ref(), Run: r.id.Number, Kind: kind, Checkpoint: r.lastCheckpoint(),
 	})
 	w.endedAt[w.sequence] = at
-	close(w.endedNews)
-	w.endedNews = make(chan struct{})
-	w.Judge.ended(w, r.id, kind, at)
-	if w.Events != nil {
-		w.Events.RunEnded(r.id, kind, at)
+	close(w.endSignal)
+	w.endSignal = make(chan struct{})
+	w.Checker.recordEnd(w, r.id, kind, at)
+	if w.Observer != nil {
+		w.Observer.RunEnded(r.id, kind, at)
 	}
 }
 
-// saved is the checkpoint of the last whole second of work.
-func (r *workerRun) saved() string {
-	worked := int(time.Since(r.at).Seconds()) / checkpointSec
+// lastCheckpoint is the checkpoint of the last whole second of work.
+func (r *workerRun) lastCheckpoint() string {
+	worked := int(time.Since(r.startedAt).Seconds()) / checkpointIntervalSec
 	if worked == 0 {
 		return r.checkpoint
 	}
 	return fmt.Sprintf("%v@%d", r.id.Task, worked)
 }
 
-// crashOf crashes the worker if a run is still there.
-func (w *RunWorker) crashOf(r *workerRun) {
+// crashFrom crashes the worker if a run is still there.
+func (w *RunWorker) crashFrom(r *workerRun) {
 	w.mu.Lock()
 	w.advance()
-	there := !w.gone && w.running[r.id.Task] == r
+	there := !w.crashed && w.running[r.id.Task] == r
 	w.mu.Unlock()
 	if there && w.OnCrash != nil {
 		w.OnCrash()
@@ -291,11 +291,11 @@
 // percent is how far a task has come, or how much of a task that lasts is at work.
 func (r *workerRun) percent() uint32 {
 	whole := r.work.Duration
-	if r.work.Lasts {
+	if r.work.LongRunning {
 		whole = r.work.Startup
 	}
 	if whole == 0 {
 		return fullPercent
 	}
-	return uint32(min(fullPercent, fullPercent*time.Since(r.at)/whole))
+	return uint32(min(fullPercent, fullPercent*time.Since(r.startedAt)/whole))
 }
--- a/fakes/runworker_calls.go
+++ b/fakes/runworker_calls.go
@@ -38,7 +38,7 @@
 // check refuses calls for another incarnation or under an old term; w.mu is held.
 func (w *RunWorker) check(o runs.Order) runs.Answer {
 	switch {
-	case w.gone || o.Incarnation != w.Spec.Id:
+	case w.crashed || o.Incarnation != w.Spec.Id:
 		return runs.AnswerOtherIncarnation
 	case o.Term < w.term:
 		return runs.AnswerFenced
@@ -63,29 +63,29 @@
 	if s.DeadlineMs <= w.clockMs(time.Now()) {
 		return runs.AnswerDeadlinePassed
 	}
-	w.deadlineMs = max(w.deadlineMs, w.shorten(s.DeadlineMs))
+	w.deadlineMs = max(w.deadlineMs, w.limitDeadline(s.DeadlineMs))
 	task := s.Run.Task
 	if r := w.running[task]; r != nil && r.id == s.Run {
 		return runs.AnswerDone
 	}
-	if s.Run.Number <= w.newest[task] || w.running[task] != nil {
+	if s.Run.Number <= w.newestRun[task] || w.running[task] != nil {
 		return runs.AnswerEnded
 	}
 	if w.Advisor != nil && !w.Advisor.Valid(s.Run.Task.StepID(), w.Spec.Id, s.Ticket) {
 		return runs.AnswerNoTicket
 	}
-	r := &workerRun{id: s.Run, at: time.Now(), checkpoint: s.Checkpoint, work: w.workOf(s)}
+	r := &workerRun{id: s.Run, startedAt: time.Now(), checkpoint: s.Checkpoint, work: w.workOf(s)}
 	w.running[task] = r
-	if !w.watched {
-		w.watched = true
-		w.Judge.add(w)
+	if !w.registered {
+		w.registered = true
+		w.Checker.addWorker(w)
 	}
-	w.Judge.started(w, s.Run)
+	w.Checker.checkStart(w, s.Run)
 	if r.work.CrashAfter > 0 {
-		time.AfterFunc(r.work.CrashAfter, func() { w.crashOf(r) })
+		time.AfterFunc(r.work.CrashAfter, func() { w.crashFrom(r) })
 	}
-	if w.Events != nil {
-		w.Events.RunBegan(r.id, r.at)
+	if w.Observer != nil {
+		w.Observer.RunBegan(r.id, r.startedAt)
 	}
 	return runs.AnswerDone
 }
@@ -103,7 +103,7 @@
 	if a := w.check(o); a != runs.AnswerDone {
 		return a
 	}
-	w.newest[run.Task] = max(w.newest[run.Task], run.Number)
+	w.newestRun[run.Task] = max(w.newestRun[run.Task], run.Number)
 	if r := w.running[run.Task]; r != nil && r.id.Number <= run.Number {
 		w.end(run.Task, r, apiv1.RunEndKind_RUN_END_KIND_STOPPED, time.Now())
 	}
@@ -126,7 +126,7 @@
 	var news <-chan struct{}
 	renew := func() {
 		answer = w.renew(o, r)
-		status, news = w.status(), w.endedNews
+		status, news = w.status(), w.endSignal
 	}
 	if !w.call(ctx, "renew", renew) {
 		return runs.Status{}, 0, ctx.Err()
@@ -145,7 +145,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.advance()
-	if w.gone {
+	if w.crashed {
 		return status, runs.AnswerOtherIncarnation, nil
 	}
 	return w.status(), answer, nil
@@ -158,7 +158,7 @@
 	next := time.Hour
 	for _, r := range w.running {
 		if r.work.Duration > 0 {
-			next = min(next, max(time.Millisecond, time.Until(r.at.Add(r.work.Duration))))
+			next = min(next, max(time.Millisecond, time.Until(r.startedAt.Add(r.work.Duration))))
 		}
 	}
 	return next
@@ -169,22 +169,22 @@
 		return a
 	}
 	if r.DeadlineMs > w.clockMs(time.Now()) {
-		w.deadlineMs = max(w.deadlineMs, w.shorten(r.DeadlineMs))
+		w.deadlineMs = max(w.deadlineMs, w.limitDeadline(r.DeadlineMs))
 	}
 	w.cursor = max(w.cursor, r.Acknowledged)
 	for len(w.ended) > 0 && w.ended[0].Sequence <= w.cursor {
-		w.noted(w.ended[0])
+		w.reportAcknowledgedEnd(w.ended[0])
 		w.ended = w.ended[1:]
 	}
 	return runs.AnswerDone
 }
 
-// noted tells the judge of an end that was taken note of; one from before the lease
+// reportAcknowledgedEnd tells the judge of an end that was taken note of; one from before the lease
 // ran out doesn't count, since the leader had given the run up by then.
-func (w *RunWorker) noted(e *apiv1.RunEnd) {
+func (w *RunWorker) reportAcknowledgedEnd(e *apiv1.RunEnd) {
 	at := w.endedAt[e.Sequence]
-	if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE && !w.lapsedAt.After(at) {
-		w.Judge.noted(jobqueue.TaskIDOf(e.Task), at)
+	if e.Kind == apiv1.RunEndKind_RUN_END_KIND_DONE && !w.expiredAt.After(at) {
+		w.Checker.recordAcknowledgedEnd(jobqueue.TaskIDOf(e.Task), at)
 	}
 }
 
@@ -192,7 +192,7 @@
 	s := runs.Status{ClockMs: w.clockMs(time.Now()), Ended: append([]*apiv1.RunEnd(nil), w.ended...)}
 	for task, r := range w.running {
 		s.Running = append(s.Running, &apiv1.RunObservation{
-			Task: task.Ref(), Run: r.id.Number, Percent: r.percent(), Checkpoint: r.saved(),
+			Task: task.Ref(), Run: r.id.Number, Percent: r.percent(), Checkpoint: r.lastCheckpoint(),
 		})
 	}
 	return s
--- a/fakes/target.go
+++ b/fakes/target.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	targetGrace = 30 * time.Second
+	targetShutdownGrace = 30 * time.Second
 	// quietPeriod without a request follows a target's leave, so that requests
 	// its agent let through just before are served.
-	quietPeriod = 200 * time.Millisecond
-	drainPoll   = 10 * time.Millisecond
+	quietPeriod       = 200 * time.Millisecond
+	drainPollInterval = 10 * time.Millisecond
 )
 
 // TargetConfig describes a stand-in target.
@@ -34,13 +34,13 @@
 	Work   time.Duration
 	Faults TargetFaults
 	Seed   int64
-	// KeepNoRecord is for measurements: requests are not recorded.
-	KeepNoRecord bool
+	// NoRecord is for measurements: requests are not recorded.
+	NoRecord bool
 }
 
-// RanRequest is one line of a target's record, written before the work begins.
+// ExecutedRequest is one line of a target's record, written before the work begins.
 // Equal request ids on several lines mean that the request ran several times.
-type RanRequest struct {
+type ExecutedRequest struct {
 	Target    string        `json:"target"`
 	CallerID  string        `json:"caller_id"`
 	RequestID string        `json:"request_id"`
@@ -56,11 +56,11 @@
 
 // Target answers requests for one service.
 type Target struct {
-	cfg      TargetConfig
-	record   *Recorder[RanRequest]
-	inFlight atomic.Int64
-	lastSeen atomic.Int64
-	swap     swapper
+	cfg           TargetConfig
+	record        *Recorder[ExecutedRequest]
+	inFlight      atomic.Int64
+	lastRequestAt atomic.Int64
+	swap          swapper
 
 	mu     sync.Mutex
 	rng    *rand.Rand
@@ -68,7 +68,7 @@
 }
 
 // NewTarget returns a target.
-func NewTarget(cfg TargetConfig, record *Recorder[RanRequest]) *Target {
+func NewTarget(cfg TargetConfig, record *Recorder[ExecutedRequest]) *Target {
 	return &Target{
 		cfg:    cfg,
 		record: record,
@@ -87,22 +87,22 @@
 	defer wg.Wait()
 	wg.Go(func() {
 		defer stop()
-		NewAnnouncer(agent, t.cfg.Announcement).Run(ctx, t.left)
+		NewAnnouncer(agent, t.cfg.Announcement).Run(ctx, t.recordLeave)
 		t.drain()
 	})
-	return serve(serving, listener, t.Handler(), targetGrace)
+	return serve(serving, listener, t.Handler(), targetShutdownGrace)
 }
 
-// left records that the agent has taken note of the leave.
-func (t *Target) left() {
-	t.record.Add(RanRequest{Target: t.cfg.Announcement.Name, At: worker.Now(), Process: os.Getpid(), Left: true})
+// recordLeave records that the agent has taken note of the leave.
+func (t *Target) recordLeave() {
+	t.record.Add(ExecutedRequest{Target: t.cfg.Announcement.Name, At: worker.Now(), Process: os.Getpid(), Left: true})
 }
 
 // drain waits until no request is in progress nor was seen lately.
 func (t *Target) drain() {
-	t.lastSeen.Store(int64(worker.Now()))
-	for t.inFlight.Load() > 0 || worker.Now()-time.Duration(t.lastSeen.Load()) < quietPeriod {
-		time.Sleep(drainPoll)
+	t.lastRequestAt.Store(int64(worker.Now()))
+	for t.inFlight.Load() > 0 || worker.Now()-time.Duration(t.lastRequestAt.Load()) < quietPeriod {
+		time.Sleep(drainPollInterval)
 	}
 }
 
@@ -141,24 +141,24 @@
 func (t *Target) answer(w http.ResponseWriter, r *http.Request) {
 	t.inFlight.Add(1)
 	defer t.inFlight.Add(-1)
-	t.lastSeen.Store(int64(worker.Now()))
+	t.lastRequestAt.Store(int64(worker.Now()))
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body is short", http.StatusBadRequest)
 		return
 	}
-	t.note(r)
+	t.recordRequest(r)
 	t.work(r)
 	size, _ := strconv.Atoi(r.Header.Get(HeaderAnswerBytes))
 	whole := Answer(r.Header.Get(HeaderCallerID), r.Method, r.URL.RequestURI(), body, min(size, maxBodyBytes))
-	t.spoil(w, reply{requestID: r.Header.Get(HeaderRequestID), body: whole})
+	t.respond(w, reply{requestID: r.Header.Get(HeaderRequestID), body: whole})
 }
 
-func (t *Target) note(r *http.Request) {
-	if t.cfg.KeepNoRecord {
+func (t *Target) recordRequest(r *http.Request) {
+	if t.cfg.NoRecord {
 		return
 	}
-	t.record.Add(RanRequest{
+	t.record.Add(ExecutedRequest{
 		Target:    t.cfg.Announcement.Name,
 		CallerID:  r.Header.Get(HeaderCallerID),
 		RequestID: r.Header.Get(HeaderRequestID),
--- a/fakes/target_faults.go
+++ b/fakes/target_faults.go
@@ -31,18 +31,18 @@
 	body      []byte
 }
 
-// spoil sends a reply, or what the drawn fault leaves of it.
-func (t *Target) spoil(w http.ResponseWriter, r reply) {
+// respond sends a reply, or what the drawn fault leaves of it.
+func (t *Target) respond(w http.ResponseWriter, r reply) {
 	f, draw := t.draw()
 	for _, fault := range []struct {
 		share float64
 		apply func()
 	}{
-		{f.Truncated, func() { truncate(w, r) }},
-		{f.Swapped, func() { send(w, t.swap.trade(r)) }},
+		{f.Truncated, func() { writeTruncated(w, r) }},
+		{f.Swapped, func() { writeReply(w, t.swap.exchange(r)) }},
 		{f.Failed, func() { http.Error(w, "the target failed", http.StatusInternalServerError) }},
 		{f.Closed, func() { panic(http.ErrAbortHandler) }},
-		{f.Late, func() { time.Sleep(time.Duration(f.LateMS) * time.Millisecond); send(w, r) }},
+		{f.Late, func() { time.Sleep(time.Duration(f.LateMS) * time.Millisecond); writeReply(w, r) }},
 	} {
 		if draw < fault.share {
 			fault.apply()
@@ -50,7 +50,7 @@
 		}
 		draw -= fault.share
 	}
-	send(w, r)
+	writeReply(w, r)
 }
 
 func (t *Target) draw() (TargetFaults, float64) {
@@ -59,14 +59,14 @@
 	return t.faults, t.rng.Float64()
 }
 
-func send(w http.ResponseWriter, r reply) {
+func writeReply(w http.ResponseWriter, r reply) {
 	w.Header().Set(HeaderRequestID, r.requestID)
 	w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 	_, _ = w.Write(r.body)
 }
 
-// truncate declares the whole length and sends half.
-func truncate(w http.ResponseWriter, r reply) {
+// writeTruncated declares the whole length and sends half.
+func writeTruncated(w http.ResponseWriter, r reply) {
 	w.Header().Set(HeaderRequestID, r.requestID)
 	w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
 	_, _ = w.Write(r.body[:len(r.body)/2])
@@ -78,31 +78,31 @@
 type swapper struct {
 	mu      sync.Mutex
 	waiting chan reply
-	held    reply
+	offered reply
 }
 
-// trade returns the reply of another request, or r itself when none comes.
-func (s *swapper) trade(r reply) reply {
+// exchange returns the reply of another request, or r itself when none comes.
+func (s *swapper) exchange(r reply) reply {
 	s.mu.Lock()
 	if s.waiting != nil {
-		other := s.held
+		other := s.offered
 		s.waiting <- r
 		s.waiting = nil
 		s.mu.Unlock()
 		return other
 	}
 	got := make(chan reply, 1)
-	s.waiting, s.held = got, r
+	s.waiting, s.offered = got, r
 	s.mu.Unlock()
 	select {
 	case other := <-got:
 		return other
 	case <-time.After(swapWait):
-		return s.giveUp(got, r)
+		return s.withdraw(got, r)
 	}
 }
 
-func (s *swapper) giveUp(got chan reply, r reply) reply {
+func (s *swapper) withdraw(got chan reply, r reply) reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.waiting != got {
--- a/fakes/worker.go
+++ b/fakes/worker.go
@@ -12,9 +12,9 @@
 
 const (
 	fullShare = 1000
-	// samplePeriod is the time between measurements of usage.
-	samplePeriod = 100 * time.Millisecond
-	maxSamples   = 600
+	// sampleInterval is the time between measurements of usage.
+	sampleInterval = 100 * time.Millisecond
+	maxSamples     = 600
 )
 
 // WorkerConfig describes a stand-in worker.
@@ -49,13 +49,13 @@
 	deadline time.Duration
 	work     time.Duration
 	progress time.Duration
-	// seen is the time up to which progress is counted.
-	seen       time.Duration
-	share      int64
-	checkpoint string
-	phase      apiv1.TaskPhase
-	message    string
-	samples    []sample
+	// progressTime is the time up to which progress is counted.
+	progressTime time.Duration
+	share        int64
+	checkpoint   string
+	phase        apiv1.TaskPhase
+	message      string
+	samples      []sample
 }
 
 type sample struct {
@@ -72,7 +72,7 @@
 		cfg.UsageFactor = 1
 	}
 	w := &Worker{cfg: cfg, record: record, runs: map[string]*run{}, newest: map[string]uint64{}}
-	w.add(RunEvent{Kind: EventWorkerStart, At: now, Capacity: amountOf(cfg.Info.GetCapacity())})
+	w.recordEvent(RunEvent{Kind: EventWorkerStart, At: now, Capacity: amountOf(cfg.Info.GetCapacity())})
 	return w
 }
 
@@ -119,62 +119,62 @@
 
 func (w *Worker) advanceRun(r *run, now time.Duration) {
 	until := min(now, r.deadline)
-	done := r.doneAt()
+	done := r.completionTime()
 	if done <= until {
-		r.count(done)
+		r.accrueProgress(done)
 		w.end(r, apiv1.TaskPhase_TASK_PHASE_SUCCEEDED, done, "")
 		return
 	}
-	r.count(until)
-	w.measure(r, until)
+	r.accrueProgress(until)
+	w.sampleUsage(r, until)
 	if now >= r.deadline {
-		w.end(r, apiv1.TaskPhase_TASK_PHASE_STOPPED, r.deadline, WhyExpired)
+		w.end(r, apiv1.TaskPhase_TASK_PHASE_STOPPED, r.deadline, EndReasonExpired)
 	}
 }
 
 func (r *run) running() bool { return r.phase == apiv1.TaskPhase_TASK_PHASE_RUNNING }
 
-// doneAt is when the work is done if nothing changes.
-func (r *run) doneAt() time.Duration {
+// completionTime is when the work is done if nothing changes.
+func (r *run) completionTime() time.Duration {
 	left := r.work - r.progress
-	return r.seen + left*fullShare/time.Duration(max(r.share, 1))
+	return r.progressTime + left*fullShare/time.Duration(max(r.share, 1))
 }
 
-func (r *run) count(until time.Duration) {
-	r.progress += (until - r.seen) * time.Duration(r.share) / fullShare
-	r.seen = until
+func (r *run) accrueProgress(until time.Duration) {
+	r.progress += (until - r.progressTime) * time.Duration(r.share) / fullShare
+	r.progressTime = until
 }
 
 func (w *Worker) end(r *run, phase apiv1.TaskPhase, at time.Duration, why string) {
 	r.phase = phase
 	r.message = why
 	if why == "" {
-		why = endNames[phase]
+		why = endReasons[phase]
 	}
-	w.add(RunEvent{Kind: EventEnd, At: at, Task: r.task(), Attempt: r.attempt(), Why: why})
+	w.recordEvent(RunEvent{Kind: EventEnd, At: at, Task: r.task(), Attempt: r.attempt(), EndReason: why})
 }
 
 func (r *run) task() string    { return r.start.GetTask().GetTask() }
 func (r *run) attempt() uint64 { return r.start.GetTask().GetAttempt() }
 
-func (w *Worker) add(e RunEvent) {
+func (w *Worker) recordEvent(e RunEvent) {
 	e.Worker = w.cfg.Info.GetName()
 	e.Incarnation = w.cfg.Info.GetIncarnation()
 	w.record.Add(e)
 }
 
-func (w *Worker) measure(r *run, at time.Duration) {
-	if n := len(r.samples); n > 0 && at-r.samples[n-1].at < samplePeriod {
+func (w *Worker) sampleUsage(r *run, at time.Duration) {
+	if n := len(r.samples); n > 0 && at-r.samples[n-1].at < sampleInterval {
 		return
 	}
-	used := scale(r.start.GetGrant(), w.cfg.UsageFactor*float64(r.share)/fullShare)
+	used := scaleUsage(r.start.GetGrant(), w.cfg.UsageFactor*float64(r.share)/fullShare)
 	r.samples = append(r.samples, sample{at: at, used: used})
 	if len(r.samples) > maxSamples {
 		r.samples = r.samples[1:]
 	}
 }
 
-func scale(r *apiv1.Resources, by float64) *apiv1.Resources {
+func scaleUsage(r *apiv1.Resources, by float64) *apiv1.Resources {
 	return &apiv1.Resources{
 		MilliProcessors: int64(float64(r.GetMilliProcessors()) * by),
 		MemoryBytes:     r.GetMemoryBytes(),
@@ -214,7 +214,7 @@
 	w.advance(now)
 	var out []*apiv1.UsageReport
 	for _, r := range w.runs {
-		if s, ok := r.newestBefore(now - w.cfg.UsageLag); ok && r.running() {
+		if s, ok := r.newestSampleAt(now - w.cfg.UsageLag); ok && r.running() {
 			task := &apiv1.TaskAttempt{Task: r.task(), Attempt: r.attempt()}
 			out = append(out, &apiv1.UsageReport{Task: task, Used: s.used, AgeMs: (now - s.at).Milliseconds()})
 		}
@@ -222,7 +222,7 @@
 	return out
 }
 
-func (r *run) newestBefore(at time.Duration) (sample, bool) {
+func (r *run) newestSampleAt(at time.Duration) (sample, bool) {
 	i := sort.Search(len(r.samples), func(i int) bool { return r.samples[i].at > at })
 	if i == 0 {
 		return sample{}, false
@@ -236,12 +236,12 @@
 	return fmt.Sprintf("%s@%d+%dms", r.task(), r.attempt(), r.progress.Milliseconds())
 }
 
-var endNames = map[apiv1.TaskPhase]string{
-	apiv1.TaskPhase_TASK_PHASE_SUCCEEDED: WhySucceeded,
-	apiv1.TaskPhase_TASK_PHASE_FAILED:    WhyFailed,
-	apiv1.TaskPhase_TASK_PHASE_STOPPED:   WhyStopped,
+var endReasons = map[apiv1.TaskPhase]string{
+	apiv1.TaskPhase_TASK_PHASE_SUCCEEDED: EndReasonSucceeded,
+	apiv1.TaskPhase_TASK_PHASE_FAILED:    EndReasonFailed,
+	apiv1.TaskPhase_TASK_PHASE_STOPPED:   EndReasonStopped,
 }
 
-func refuse(code worker.Code, format string, args ...any) error {
+func newRefusal(code worker.Code, format string, args ...any) error {
 	return &worker.Error{Code: code, Message: fmt.Sprintf(format, args...)}
 }
--- a/fakes/worker_orders.go
+++ b/fakes/worker_orders.go
@@ -18,38 +18,38 @@
 		return nil
 	}
 	if newest := w.newest[task]; attempt <= newest {
-		return refuse(worker.CodeFenced, "attempt %d of %s is not above %d", attempt, task, newest)
+		return newRefusal(worker.CodeFenced, "attempt %d of %s is not above %d", attempt, task, newest)
 	}
 	if r := w.runs[task]; r != nil && r.running() {
-		return refuse(worker.CodeFenced, "attempt %d of %s still runs", r.attempt(), task)
+		return newRefusal(worker.CodeFenced, "attempt %d of %s still runs", r.attempt(), task)
 	}
 	if now >= deadline {
-		return refuse(worker.CodeExpired, "the deadline of %s has passed", task)
+		return newRefusal(worker.CodeExpired, "the deadline of %s has passed", task)
 	}
-	w.run(t, deadline, now)
+	w.startRun(t, deadline, now)
 	return nil
 }
 
-func (w *Worker) run(t *apiv1.StartTask, deadline, now time.Duration) {
+func (w *Worker) startRun(t *apiv1.StartTask, deadline, now time.Duration) {
 	work := time.Duration(float64(t.GetExpectedRunMs())*w.cfg.RunFactor) * time.Millisecond
 	r := &run{
-		start:      t,
-		deadline:   deadline,
-		work:       work,
-		progress:   progressOf(t.GetCheckpoint()),
-		seen:       now,
-		share:      fullShare,
-		checkpoint: t.GetCheckpoint(),
-		phase:      apiv1.TaskPhase_TASK_PHASE_RUNNING,
+		start:        t,
+		deadline:     deadline,
+		work:         work,
+		progress:     progressOf(t.GetCheckpoint()),
+		progressTime: now,
+		share:        fullShare,
+		checkpoint:   t.GetCheckpoint(),
+		phase:        apiv1.TaskPhase_TASK_PHASE_RUNNING,
 	}
 	w.runs[r.task()] = r
 	w.newest[r.task()] = r.attempt()
-	w.add(RunEvent{
+	w.recordEvent(RunEvent{
 		Kind: EventStart, At: now, Task: r.task(), Attempt: r.attempt(), Deadline: deadline,
 		Checkpoint: r.checkpoint, Grant: amountOf(t.GetGrant()),
 	})
 	if w.cfg.FailEverything {
-		w.end(r, apiv1.TaskPhase_TASK_PHASE_FAILED, now, WhyFailed)
+		w.end(r, apiv1.TaskPhase_TASK_PHASE_FAILED, now, EndReasonFailed)
 	}
 }
 
@@ -73,7 +73,7 @@
 			continue
 		}
 		r.deadline = deadline
-		w.add(RunEvent{Kind: EventRenew, At: now, Task: r.task(), Attempt: r.attempt(), Deadline: deadline})
+		w.recordEvent(RunEvent{Kind: EventRenew, At: now, Task: r.task(), Attempt: r.attempt(), Deadline: deadline})
 	}
 }
 
@@ -81,7 +81,7 @@
 func (w *Worker) find(t *apiv1.TaskAttempt) (*run, error) {
 	r := w.runs[t.GetTask()]
 	if r == nil || r.attempt() != t.GetAttempt() || !r.running() {
-		return nil, refuse(worker.CodeNotRunning, "attempt %d of %s does not run", t.GetAttempt(), t.GetTask())
+		return nil, newRefusal(worker.CodeNotRunning, "attempt %d of %s does not run", t.GetAttempt(), t.GetTask())
 	}
 	return r, nil
 }
@@ -96,7 +96,7 @@
 		return err
 	}
 	r.share = min(max(int64(t.GetShareMilli()), 0), fullShare)
-	w.add(RunEvent{Kind: EventThrottle, At: now, Task: r.task(), Attempt: r.attempt(), ShareMilli: r.share})
+	w.recordEvent(RunEvent{Kind: EventThrottle, At: now, Task: r.task(), Attempt: r.attempt(), ShareMilli: r.share})
 	return nil
 }
 
@@ -110,7 +110,7 @@
 		return "", err
 	}
 	r.checkpoint = checkpointName(r)
-	w.add(RunEvent{Kind: EventCheckpoint, At: now, Task: r.task(), Attempt: r.attempt(), Checkpoint: r.checkpoint})
+	w.recordEvent(RunEvent{Kind: EventCheckpoint, At: now, Task: r.task(), Attempt: r.attempt(), Checkpoint: r.checkpoint})
 	return r.checkpoint, nil
 }
 
@@ -125,7 +125,7 @@
 		return err
 	}
 	if r.running() {
-		w.end(r, apiv1.TaskPhase_TASK_PHASE_STOPPED, now, WhyStopped)
+		w.end(r, apiv1.TaskPhase_TASK_PHASE_STOPPED, now, EndReasonStopped)
 	}
 	return nil
 }
--- a/fakes/worker_server.go
+++ b/fakes/worker_server.go
@@ -24,8 +24,8 @@
 )
 
 const (
-	advancePeriod = 5 * time.Millisecond
-	workerGrace   = time.Second
+	advanceInterval = 5 * time.Millisecond
+	shutdownGrace   = time.Second
 )
 
 // WorkerServer serves a Worker over HTTP.
@@ -50,11 +50,11 @@
 	defer wg.Wait()
 	defer cancel()
 	wg.Go(func() { s.advance(ctx) })
-	return serve(ctx, listener, s.Handler(), workerGrace)
+	return serve(ctx, listener, s.Handler(), shutdownGrace)
 }
 
 func (s *WorkerServer) advance(ctx context.Context) {
-	tick := time.NewTicker(advancePeriod)
+	tick := time.NewTicker(advanceInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -72,16 +72,16 @@
 	r.HandlerFunc(http.MethodGet, worker.PathInfo, s.info)
 	r.HandlerFunc(http.MethodGet, worker.PathTasks, s.tasks)
 	r.HandlerFunc(http.MethodGet, worker.PathUsage, s.usage)
-	r.HandlerFunc(http.MethodPost, worker.PathStart, order(s.start))
-	r.HandlerFunc(http.MethodPost, worker.PathRenew, order(s.renew))
-	r.HandlerFunc(http.MethodPost, worker.PathThrottle, order(s.throttle))
-	r.HandlerFunc(http.MethodPost, worker.PathCheckpoint, order(s.checkpoint))
-	r.HandlerFunc(http.MethodPost, worker.PathStop, order(s.stop))
-	r.HandlerFunc(http.MethodPost, worker.PathForget, order(s.forget))
+	r.HandlerFunc(http.MethodPost, worker.PathStart, orderHandler(s.start))
+	r.HandlerFunc(http.MethodPost, worker.PathRenew, orderHandler(s.renew))
+	r.HandlerFunc(http.MethodPost, worker.PathThrottle, orderHandler(s.throttle))
+	r.HandlerFunc(http.MethodPost, worker.PathCheckpoint, orderHandler(s.checkpoint))
+	r.HandlerFunc(http.MethodPost, worker.PathStop, orderHandler(s.stop))
+	r.HandlerFunc(http.MethodPost, worker.PathForget, orderHandler(s.forget))
 	r.HandlerFunc(http.MethodGet, PathRecord, s.serveRecord)
 	r.HandlerFunc(http.MethodPut, PathFaults, s.faults.handleFault)
-	r.HandlerFunc(http.MethodPut, PathFailing, order(s.failing))
-	r.HandlerFunc(http.MethodPut, PathCapacity, order(s.capacity))
+	r.HandlerFunc(http.MethodPut, PathFailing, orderHandler(s.setFailing))
+	r.HandlerFunc(http.MethodPut, PathCapacity, orderHandler(s.setCapacity))
 	return s.faults.Wrap(r)
 }
 
@@ -129,18 +129,18 @@
 	return nil, nil
 }
 
-func (s *WorkerServer) failing(on bool) (any, error) {
+func (s *WorkerServer) setFailing(on bool) (any, error) {
 	s.worker.FailEverything(on)
 	return nil, nil
 }
 
-func (s *WorkerServer) capacity(c worker.JSON[*apiv1.Resources]) (any, error) {
+func (s *WorkerServer) setCapacity(c worker.JSON[*apiv1.Resources]) (any, error) {
 	s.worker.SetCapacity(c.Message)
 	return nil, nil
 }
 
-// order adapts a typed order to HTTP.
-func order[T any](do func(T) (any, error)) http.HandlerFunc {
+// orderHandler adapts a typed order to HTTP.
+func orderHandler[T any](do func(T) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		var in T
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&in); err != nil {
--- a/hdrmetric/hdrmetric.go
+++ b/hdrmetric/hdrmetric.go
@@ -13,10 +13,10 @@
 
 const (
 	unit = time.Microsecond
-	// longest is the longest latency that is told apart from longer ones.
-	longest = 10 * time.Minute
-	// digits of precision: a value is at most 1 % off.
-	digits = 2
+	// maxLatency is the longest latency that is told apart from longer ones.
+	maxLatency = 10 * time.Minute
+	// significantDigits of precision: a value is at most 1 % off.
+	significantDigits = 2
 	// window is the time that a histogram covers at least, and half of what it covers at
 	// most: what was slow an hour ago must not hide what is now.
 	window = time.Minute
@@ -28,12 +28,12 @@
 type Histogram struct {
 	now func() time.Time
 
-	mu       sync.Mutex
-	began    time.Time
-	current  *hdrhistogram.Histogram
-	previous *hdrhistogram.Histogram
-	count    int64
-	sum      int64
+	mu          sync.Mutex
+	windowStart time.Time
+	current     *hdrhistogram.Histogram
+	previous    *hdrhistogram.Histogram
+	count       int64
+	sum         int64
 }
 
 var _ metrics.Histogram = (*Histogram)(nil)
@@ -45,23 +45,25 @@
 
 // New returns a histogram that reads a clock.
 func New(now func() time.Time) *Histogram {
-	return &Histogram{now: now, began: now(), current: empty(), previous: empty()}
+	return &Histogram{now: now, windowStart: now(), current: newWindow(), previous: newWindow()}
 }
 
-func empty() *hdrhistogram.Histogram { return hdrhistogram.New(1, int64(longest/unit), digits) }
+func newWindow() *hdrhistogram.Histogram {
+	return hdrhistogram.New(1, int64(maxLatency/unit), significantDigits)
+}
 
 // Observe takes in a latency.
 func (h *Histogram) Observe(d time.Duration) { h.Update(int64(d / unit)) }
 
-// Since takes in the time since a moment.
-func (h *Histogram) Since(began time.Time) { h.Observe(h.now().Sub(began)) }
+// ObserveSince takes in the time since a moment.
+func (h *Histogram) ObserveSince(began time.Time) { h.Observe(h.now().Sub(began)) }
 
 // Update implements metrics.Histogram.
 func (h *Histogram) Update(us int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rotate()
-	us = min(max(us, 0), int64(longest/unit))
+	us = min(max(us, 0), int64(maxLatency/unit))
 	h.count++
 	h.sum += us
 	_ = h.current.RecordValue(us) // it is within the bounds
@@ -69,7 +71,7 @@
 
 // rotate begins another window when the current one is over; h.mu is held.
 func (h *Histogram) rotate() {
-	age := h.now().Sub(h.began)
+	age := h.now().Sub(h.windowStart)
 	if age < window {
 		return
 	}
@@ -78,20 +80,20 @@
 	if age >= 2*window {
 		h.previous.Reset()
 	}
-	h.began = h.now()
+	h.windowStart = h.now()
 }
 
-// view is a histogram as it was at a moment.
-type view struct {
+// mergedView is a histogram as it was at a moment.
+type mergedView struct {
 	count, sum int64
 	values     *hdrhistogram.Histogram
 }
 
-func (h *Histogram) view() view {
+func (h *Histogram) view() mergedView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.rotate()
-	v := view{h.count, h.sum, empty()}
+	v := mergedView{h.count, h.sum, newWindow()}
 	v.values.Merge(h.previous)
 	v.values.Merge(h.current)
 	return v
@@ -101,7 +103,7 @@
 func (h *Histogram) Snapshot() metrics.Histogram {
 	v := h.view()
 	at := h.now()
-	return &Histogram{now: func() time.Time { return at }, began: at, current: v.values, previous: empty(), count: v.count, sum: v.sum}
+	return &Histogram{now: func() time.Time { return at }, windowStart: at, current: v.values, previous: newWindow(), count: v.count, sum: v.sum}
 }
 
 // Clear implements metrics.Histogram.
--- a/hdrmetric/hdrmetric_test.go
+++ b/hdrmetric/hdrmetric_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestShownAsText(t *testing.T) {
+func TestFormattedAsText(t *testing.T) {
 	r := metrics.NewRegistry()
 	hdrmetric.GetOrRegister("frontend.time_us", r).Observe(7 * time.Millisecond)
 	if text := metricstext.Format(r); !strings.Contains(text, "frontend.time_us.count 1\n") || !strings.Contains(text, "frontend.time_us.p99 70") {
--- a/internal/groupbench/group.go
+++ b/internal/groupbench/group.go
@@ -90,11 +90,11 @@
 	if err != nil {
 		return err
 	}
-	record, err := fakes.NewRecorder[fakes.RanRequest]("")
+	record, err := fakes.NewRecorder[fakes.ExecutedRequest]("")
 	if err != nil {
 		return err
 	}
-	t := fakes.NewTarget(fakes.TargetConfig{KeepNoRecord: true, Announcement: fakes.Announcement{
+	t := fakes.NewTarget(fakes.TargetConfig{NoRecord: true, Announcement: fakes.Announcement{
 		Name: targetName, Service: service, Address: address, Slots: 8, Connections: 64, TTLMS: 3000,
 	}}, record)
 	g.run(ctx, targetName, func(ctx context.Context) error { return t.Serve(ctx, ln, agentHost(0)+":7011") })
--- a/internal/routesim/agent.go
+++ b/internal/routesim/agent.go
@@ -23,7 +23,7 @@
 
 func newSimAgent(t *simTarget, maxWaiting int) *simAgent {
 	limits := gate.DefaultLimits()
-	limits.Waiting = maxWaiting
+	limits.MaxWaiting = maxWaiting
 	a := &simAgent{target: t, gate: gate.New(incarnation, limits), waiting: map[gate.Key]dispatch{}}
 	a.announce()
 	return a
@@ -58,7 +58,7 @@
 func (a *simAgent) dispatch(d dispatch) {
 	ad := a.gate.Admit(a.now(), gate.Dispatch{
 		Key: d.key, Service: serviceName, Target: a.target.id, Incarnation: incarnation,
-		Remaining: d.deadline - a.target.clock.now, Version: configurationVersion,
+		Remaining: d.deadline - a.target.clock.now, ConfigurationVersion: configurationVersion,
 		Batch: d.request.priority == apiv1.Priority_PRIORITY_BATCH,
 	})
 	if ad.Wait {
@@ -72,7 +72,7 @@
 
 // expireWaiting ends a waiting attempt that reached its latest start.
 func (a *simAgent) expireWaiting(k gate.Key) {
-	a.gate.Lapse(a.now(), k)
+	a.gate.TimeOut(a.now(), k)
 	a.deliverDecisions()
 }
 
--- a/internal/slopes/assumptions.go
+++ b/internal/slopes/assumptions.go
@@ -58,7 +58,7 @@
 	{"claims", state.MaxClaims, "constant: most claims remembered"},
 	{"responses", state.MaxTotalResponseBytes, "constant: most bytes of stored responses"},
 	{"records", float64(gate.DefaultLimits().MaxRecords), "constant: most attempts that an agent remembers"},
-	{"answers", float64(gate.DefaultLimits().MaxAnswerBytes), "constant: most bytes of answers that an agent keeps"},
+	{"answers", float64(gate.DefaultLimits().MaxResponseBytes), "constant: most bytes of answers that an agent keeps"},
 	{"limit", spec.MaxTextBytes, "constant: longest text, and longest log entry, B"},
 	{"kept", 1 << 20, "constant: most bytes of changes that an entry keeps for others, and for agents"},
 	{"gc", 2, "heap in use over live heap, at the collector's default (GOGC=100)"},
--- a/internal/slopes/measure_agent.go
+++ b/internal/slopes/measure_agent.go
@@ -75,7 +75,7 @@
 	key := gate.Key{RequestID: fmt.Sprintf("entry-01-%016d", i), Attempt: 1}
 	a := g.Admit(g.now, gate.Dispatch{
 		Key: key, Service: serviceName(0), Target: target(0).Name, Incarnation: gateIncarnation,
-		Remaining: time.Second, Version: 1, ConfirmedAge: time.Millisecond,
+		Remaining: time.Second, ConfigurationVersion: 1, ConfirmedAge: time.Millisecond,
 	})
 	if !a.Run {
 		panic("gate refused an attempt for an idle target: " + a.Verdict.Message)
--- a/internal/slopes/measure_log.go
+++ b/internal/slopes/measure_log.go
@@ -33,7 +33,7 @@
 		r, err := quorum.New(quorum.Config{
 			ID: id, ElectionTicks: 10, HeartbeatTicks: 1, MaxEntriesPerMessage: 512, MaxInflight: 32,
 			MaxUncommitted: 1 << 14, Rand: rand.New(rand.NewPCG(1, id)),
-		}, quorum.Stored{Snapshot: &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: 1, Term: 1, Membership: m}}})
+		}, quorum.StoredState{Snapshot: &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: 1, Term: 1, Membership: m}}})
 		must(err)
 		g.rafts = append(g.rafts, r)
 	}
--- a/jobclient/client.go
+++ b/jobclient/client.go
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(ctx, refreshInterval)
 	defer cancel()
 	fromMember := false
-	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, false, func(ctx context.Context, address string) (string, bool) {
 		resp, err := c.jobsClient(address).Members(ctx, &apiv1.JobsMembersRequest{})
 		if err != nil || len(resp.Addresses) == 0 {
 			return "", false
@@ -148,7 +148,7 @@
 	}
 	c.peers = peers
 	c.forwarder.SetPeers(peers)
-	event.ControlHostsNews.Write(c.logger, event.Addresses(peers))
+	event.ControlHostsChanged.Write(c.logger, event.Addresses(peers))
 }
 
 // Addresses returns the internal addresses of the known control hosts, including the seeds until
@@ -195,7 +195,7 @@
 	if err != nil && errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
-	c.leader.Note(err)
+	c.leader.Record(err)
 }
 
 func (c *Client) recordContact() {
@@ -236,7 +236,7 @@
 // Read reads state that is confirmed to be the newest. Errors: ErrUnconfirmed.
 func (c *Client) Read(ctx context.Context, r *apiv1.JobsReadRequest) (*apiv1.JobsReadResponse, error) {
 	var found *apiv1.JobsReadResponse
-	c.forwarder.Ask(ctx, false, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, false, func(ctx context.Context, address string) (string, bool) {
 		resp, err := c.jobsClient(address).Read(ctx, r)
 		if err != nil || resp.Unconfirmed {
 			return "", false
@@ -268,7 +268,7 @@
 	var found T
 	var responded bool
 	cause := ErrNoLeader
-	c.forwarder.Ask(ctx, true, func(ctx context.Context, address string) (string, bool) {
+	c.forwarder.TryHosts(ctx, true, func(ctx context.Context, address string) (string, bool) {
 		resp, err := call(ctx, c.jobsClient(address))
 		if err != nil {
 			cause = errors.Mark(errors.Wrapf(err, "%s %s", operation, address), ErrNoLeader)
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -23,7 +23,7 @@
 // changed. The bytes bound how far back the last 95 kB of a process reach, which is what
 // an incident's record keeps of it. A busy leader of eleven workers writes 6 kB a second,
 // an entry up to 45 kB in the second in which all callers come back after an outage.
-var budgets = [classes]budget{
+var budgetsPerSecond = [numClasses]budget{
 	routine: {lines: 400, bytes: 64 << 10},
 	rare:    {lines: 50, bytes: 8 << 10},
 	warning: {lines: 200, bytes: 32 << 10},
@@ -36,10 +36,10 @@
 	routine class = iota
 	rare
 	warning
-	classes
+	numClasses
 )
 
-// classOf returns a line's class; event.Rank says what belongs where.
+// classOf returns a line's class; event.Priority says what belongs where.
 func classOf(level zapcore.Level, fields []zapcore.Field) class {
 	switch {
 	case level >= zapcore.WarnLevel:
@@ -51,12 +51,12 @@
 }
 
 const (
-	// QueuedLines is the number of lines that wait for a slow reader of the output.
-	QueuedLines = 2048
+	// MaxQueuedLines is the number of lines that wait for a slow reader of the output.
+	MaxQueuedLines = 2048
 	// flushTimeout bounds the wait for a slow reader at the process's end.
 	flushTimeout = 200 * time.Millisecond
-	// noticeInterval is the time between two lines that say what was left out.
-	noticeInterval = time.Second
+	// dropNoticeInterval is the time between two lines that say what was left out.
+	dropNoticeInterval = time.Second
 	// timeLayout is how the other lines write their time.
 	timeLayout = "2006-01-02T15:04:05.000Z0700"
 	processKey = "process"
@@ -68,18 +68,18 @@
 // stops the process at the next line, in the middle of a request. A burst of
 // requests costs more for its lines than for its answers.
 type Bounded struct {
-	out     io.Writer
-	process string
-	lines   chan []byte
-	closing chan struct{}
-	written chan struct{}
-	dropped atomic.Int64
-	bytes   atomic.Int64
-	now     func() time.Time
+	out        io.Writer
+	process    string
+	lines      chan []byte
+	closing    chan struct{}
+	writerDone chan struct{}
+	dropped    atomic.Int64
+	bytes      atomic.Int64
+	now        func() time.Time
 
-	mu     sync.Mutex
-	second time.Time
-	used   [classes]budget
+	mu          sync.Mutex
+	periodStart time.Time
+	used        [numClasses]budget
 }
 
 // NewBounded returns a logger that writes JSON lines to out, each with the name of the
@@ -93,10 +93,10 @@
 	}
 	b := &Bounded{
 		out: out, process: process, now: time.Now,
-		lines: make(chan []byte, QueuedLines), closing: make(chan struct{}), written: make(chan struct{}),
+		lines: make(chan []byte, MaxQueuedLines), closing: make(chan struct{}), writerDone: make(chan struct{}),
 	}
 	go b.write()
-	core := shortErrors{&boundedCore{LevelEnabler: at, encoder: zapcore.NewJSONEncoder(encoding()), b: b}}
+	core := messageOnlyErrors{&boundedCore{LevelEnabler: at, encoder: zapcore.NewJSONEncoder(encoderConfig()), b: b}}
 	return zap.New(core).With(zap.String(processKey, process)), b, nil
 }
 
@@ -105,7 +105,7 @@
 func (b *Bounded) Close() {
 	close(b.closing)
 	select {
-	case <-b.written:
+	case <-b.writerDone:
 	case <-time.After(flushTimeout):
 	}
 }
@@ -128,51 +128,51 @@
 
 // write hands the lines on and says, in lines of its own, how many were left out.
 func (b *Bounded) write() {
-	defer close(b.written)
-	notices := time.NewTicker(noticeInterval)
+	defer close(b.writerDone)
+	notices := time.NewTicker(dropNoticeInterval)
 	defer notices.Stop()
-	n := notice{b: b}
+	n := dropNotice{b: b}
 	for {
 		select {
 		case line := <-b.lines:
-			b.handOn(line)
-			if len(b.lines) == 0 && b.now().Sub(n.at) >= noticeInterval {
-				n.tell()
+			b.writeLine(line)
+			if len(b.lines) == 0 && b.now().Sub(n.lastAt) >= dropNoticeInterval {
+				n.write()
 			}
 		case <-notices.C:
-			n.tell()
+			n.write()
 		case <-b.closing:
 			for range len(b.lines) {
-				b.handOn(<-b.lines)
+				b.writeLine(<-b.lines)
 			}
-			n.tell()
+			n.write()
 			return
 		}
 	}
 }
 
-func (b *Bounded) handOn(line []byte) {
+func (b *Bounded) writeLine(line []byte) {
 	if _, err := b.out.Write(line); err != nil {
 		b.dropped.Add(1) // nowhere is left to say so but the counter
 	}
 }
 
-// notice says how many lines were left out since it last did.
-type notice struct {
-	b    *Bounded
-	told int64
-	at   time.Time
+// dropNotice says how many lines were left out since it last did.
+type dropNotice struct {
+	b        *Bounded
+	reported int64
+	lastAt   time.Time
 }
 
-func (n *notice) tell() {
+func (n *dropNotice) write() {
 	dropped := n.b.dropped.Load()
-	if dropped == n.told {
+	if dropped == n.reported {
 		return
 	}
 	at := n.b.now()
 	_, _ = fmt.Fprintf(n.b.out, "{\"level\":\"warn\",\"ts\":%q,\"part\":%q,\"msg\":%q,%q:%q,\"lines\":%d}\n",
-		at.Format(timeLayout), event.LinesLeftOut.Part, event.LinesLeftOut.Name, processKey, n.b.process, dropped-n.told)
-	n.told, n.at = dropped, at
+		at.Format(timeLayout), event.LinesLeftOut.Part, event.LinesLeftOut.Name, processKey, n.b.process, dropped-n.reported)
+	n.reported, n.lastAt = dropped, at
 }
 
 // admitLine spends one line of this second's budget; lines that find none are not even
@@ -180,10 +180,10 @@
 func (b *Bounded) admitLine(c class) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now := b.now(); now.Sub(b.second) >= time.Second {
-		b.second, b.used = now, [classes]budget{}
+	if now := b.now(); now.Sub(b.periodStart) >= time.Second {
+		b.periodStart, b.used = now, [numClasses]budget{}
 	}
-	if b.used[c].lines >= budgets[c].lines {
+	if b.used[c].lines >= budgetsPerSecond[c].lines {
 		return false
 	}
 	b.used[c].lines++
@@ -194,7 +194,7 @@
 func (b *Bounded) admitBytes(c class, bytes int) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.used[c].bytes+bytes > budgets[c].bytes {
+	if b.used[c].bytes+bytes > budgetsPerSecond[c].bytes {
 		return false
 	}
 	b.used[c].bytes += bytes
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -15,31 +15,31 @@
 	"github.com/cairnlift/cairnlift/logging/event"
 )
 
-// stuckWriter takes nothing until it is released.
-type stuckWriter struct {
-	release chan struct{}
-	mu      sync.Mutex
-	taken   bytes.Buffer
+// blockedWriter takes nothing until it is released.
+type blockedWriter struct {
+	release  chan struct{}
+	mu       sync.Mutex
+	received bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.taken.Write(p)
+	return w.received.Write(p)
 }
 
-func (w *stuckWriter) text() string {
+func (w *blockedWriter) text() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.taken.String()
+	return w.received.String()
 }
 
 // Symptom: requests stop being answered when nobody reads the process's output.
 // Sequence: the reader is stuck while far more lines are logged than can wait.
 // Cause: a logger that waits for its output.
-func TestStuckOutputCostsLinesOnly(t *testing.T) {
-	w := &stuckWriter{release: make(chan struct{})}
+func TestBlockedOutputOnlyDropsLines(t *testing.T) {
+	w := &blockedWriter{release: make(chan struct{})}
 	log, bounded, err := logging.NewBounded(w, "info", "h1/entry")
 	if err != nil {
 		t.Fatal(err)
@@ -56,9 +56,9 @@
 // Symptom: the line that explains a failure is missing.
 // Sequence: a burst of routine lines uses up the budget of a second; then a warning.
 // Cause: one budget for all lines.
-func TestWarningsHaveABudgetOfTheirOwn(t *testing.T) {
+func TestWarningsHaveSeparateBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &stuckWriter{release: make(chan struct{})}
+		w := &blockedWriter{release: make(chan struct{})}
 		close(w.release)
 		log, bounded, err := logging.NewBounded(w, "info", "h1/entry")
 		if err != nil {
@@ -85,15 +85,15 @@
 
 // countingWriter counts lines and bytes by the second of the test's clock.
 type countingWriter struct {
-	began time.Time
+	start time.Time
 	bytes map[int]int
 	lines map[string]int
-	// leftOut is the sum of what the notices say.
-	leftOut int
+	// reportedDropped is the sum of what the notices say.
+	reportedDropped int
 }
 
 func (w *countingWriter) Write(p []byte) (int, error) {
-	w.bytes[int(time.Since(w.began)/time.Second)] += len(p)
+	w.bytes[int(time.Since(w.start)/time.Second)] += len(p)
 	var line struct {
 		Msg   string
 		Lines int
@@ -102,7 +102,7 @@
 		return 0, err
 	}
 	w.lines[line.Msg]++
-	w.leftOut += line.Lines
+	w.reportedDropped += line.Lines
 	return len(p), nil
 }
 
@@ -111,14 +111,14 @@
 // Sequence: an entry of 50 requests a second gets 20 times as many for ten seconds;
 // each second one is refused and one line tells of a belief. Cause: a volume that grows
 // with the traffic.
-func TestBudgetHoldsInABurst(t *testing.T) {
+func TestBudgetLimitsBurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const (
 			seconds, perSecond = 10, 20 * 50
 			// most is the sum of the budgets of a second, and room for a notice.
 			most = (64+8+32)<<10 + 1<<10
 		)
-		w := &countingWriter{began: time.Now(), bytes: map[int]int{}, lines: map[string]int{}}
+		w := &countingWriter{start: time.Now(), bytes: map[int]int{}, lines: map[string]int{}}
 		log, bounded, err := logging.NewBounded(w, "info", "h1/entry")
 		if err != nil {
 			t.Fatal(err)
@@ -128,8 +128,8 @@
 				event.Request.Write(log, event.Method("POST"), event.Path("/queue/0123456789abcdef"), event.Job("0123456789abcdef"),
 					event.Status(200), event.Took(time.Duration(i)*time.Microsecond))
 				if i == perSecond-1 { // when routine lines have long found no room
-					event.RequestUnanswered.Write(log, event.Status(503))
-					event.ControlHostsNews.Write(log, event.Addresses([]string{"10.0.0.1:7000"}))
+					event.RequestFailed.Write(log, event.Status(503))
+					event.ControlHostsChanged.Write(log, event.Addresses([]string{"10.0.0.1:7000"}))
 				}
 				time.Sleep(time.Second / perSecond)
 			}
@@ -144,7 +144,7 @@
 		if w.lines["request failed"] != seconds || w.lines["control hosts changed"] != seconds {
 			t.Errorf("lines %v", w.lines)
 		}
-		if got := w.lines["request"] + w.leftOut; got != seconds*perSecond || int64(w.leftOut) != bounded.Dropped() {
+		if got := w.lines["request"] + w.reportedDropped; got != seconds*perSecond || int64(w.reportedDropped) != bounded.Dropped() {
 			t.Errorf("%d lines written and said to be left out, %d left out, want %d in all", got, bounded.Dropped(), seconds*perSecond)
 		}
 	})
@@ -153,9 +153,9 @@
 // Symptom: a process that is asked to stop ends with a panic and exit code 2.
 // Sequence: its output is closed while a goroutine that outlives its role by a moment
 // still writes a line. Cause: a line sent to a queue that is closed.
-func TestLinesAfterCloseAreLeftOut(t *testing.T) {
+func TestLinesAfterCloseAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &stuckWriter{release: make(chan struct{})}
+		w := &blockedWriter{release: make(chan struct{})}
 		close(w.release)
 		log, bounded, err := logging.NewBounded(w, "info", "h1/control")
 		if err != nil {
--- a/logging/debug.go
+++ b/logging/debug.go
@@ -6,32 +6,32 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Debug lines with the same message: the first debugFirst in each debugTick are
+// Debug lines with the same message: the first debugFirst in each debugSampleInterval are
 // written, then every debugThereafter-th.
 const (
-	debugTick       = time.Second
-	debugFirst      = 50
-	debugThereafter = 100
+	debugSampleInterval = time.Second
+	debugFirst          = 50
+	debugThereafter     = 100
 )
 
-// boundedDebug is a core that bounds the rate of debug lines alone. Lines of the
+// sampledDebug is a core that bounds the rate of debug lines alone. Lines of the
 // levels above, decisions among them, are all written: each has to be found again.
-type boundedDebug struct {
+type sampledDebug struct {
 	zapcore.Core
 	debug zapcore.Core
 }
 
-func newBoundedDebug(c zapcore.Core) zapcore.Core {
-	return boundedDebug{Core: c, debug: zapcore.NewSamplerWithOptions(c, debugTick, debugFirst, debugThereafter)}
+func newSampledDebug(c zapcore.Core) zapcore.Core {
+	return sampledDebug{Core: c, debug: zapcore.NewSamplerWithOptions(c, debugSampleInterval, debugFirst, debugThereafter)}
 }
 
 // With implements zapcore.Core.
-func (c boundedDebug) With(fields []zapcore.Field) zapcore.Core {
-	return boundedDebug{Core: c.Core.With(fields), debug: c.debug.With(fields)}
+func (c sampledDebug) With(fields []zapcore.Field) zapcore.Core {
+	return sampledDebug{Core: c.Core.With(fields), debug: c.debug.With(fields)}
 }
 
 // Check implements zapcore.Core.
-func (c boundedDebug) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (c sampledDebug) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if e.Level == zapcore.DebugLevel {
 		return c.debug.Check(e, ce)
 	}
--- a/logging/dependency/dependency.go
+++ b/logging/dependency/dependency.go
@@ -28,10 +28,10 @@
 	now    func() time.Time
 
 	mu sync.Mutex
-	// failing is when the first of the calls failed that no answer followed; zero when
+	// failingSince is when the first of the calls failed that no answer followed; zero when
 	// the last call was answered.
-	failing time.Time
-	lost    bool
+	failingSince time.Time
+	lost         bool
 }
 
 // New returns a watch of the dependency of a name. The clock is time.Now when nil.
@@ -42,9 +42,9 @@
 	return &Watch{name: name, logger: logger, now: now}
 }
 
-// Note takes in how a call ended; nil means that it was answered. A call that its
+// Record takes in how a call ended; nil means that it was answered. A call that its
 // caller gave up tells nothing.
-func (w *Watch) Note(err error) {
+func (w *Watch) Record(err error) {
 	if errors.Is(err, context.Canceled) {
 		return
 	}
@@ -52,21 +52,21 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil {
-		w.answered(now)
+		w.recordAnswer(now)
 		return
 	}
-	if w.failing.IsZero() {
-		w.failing = now
+	if w.failingSince.IsZero() {
+		w.failingSince = now
 	}
-	if !w.lost && now.Sub(w.failing) >= lostAfter {
+	if !w.lost && now.Sub(w.failingSince) >= lostAfter {
 		w.lost = true
-		event.DependencyLost.Write(w.logger, event.Dependency(w.name), event.Silent(now.Sub(w.failing)), event.Err(err))
+		event.DependencyLost.Write(w.logger, event.Dependency(w.name), event.UnresponsiveFor(now.Sub(w.failingSince)), event.Err(err))
 	}
 }
 
-func (w *Watch) answered(now time.Time) {
+func (w *Watch) recordAnswer(now time.Time) {
 	if w.lost {
-		event.DependencyBack.Write(w.logger, event.Dependency(w.name), event.Away(now.Sub(w.failing)))
+		event.DependencyRecovered.Write(w.logger, event.Dependency(w.name), event.OutageDuration(now.Sub(w.failingSince)))
 	}
-	w.failing, w.lost = time.Time{}, false
+	w.failingSince, w.lost = time.Time{}, false
 }
--- a/logging/errors.go
+++ b/logging/errors.go
@@ -5,18 +5,18 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// shortErrors is a core that writes errors as their message alone. The errors of
+// messageOnlyErrors is a core that writes errors as their message alone. The errors of
 // this project carry stack traces, which zap would add to every line that names
 // one: a warning that repeats each second would fill the log with them.
-type shortErrors struct{ zapcore.Core }
+type messageOnlyErrors struct{ zapcore.Core }
 
 // With implements zapcore.Core.
-func (c shortErrors) With(fields []zap.Field) zapcore.Core {
-	return shortErrors{c.Core.With(shorten(fields))}
+func (c messageOnlyErrors) With(fields []zap.Field) zapcore.Core {
+	return messageOnlyErrors{c.Core.With(errorsAsMessages(fields))}
 }
 
 // Check implements zapcore.Core.
-func (c shortErrors) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
+func (c messageOnlyErrors) Check(e zapcore.Entry, ce *zapcore.CheckedEntry) *zapcore.CheckedEntry {
 	if c.Enabled(e.Level) {
 		return ce.AddCore(e, c)
 	}
@@ -24,11 +24,11 @@
 }
 
 // Write implements zapcore.Core.
-func (c shortErrors) Write(e zapcore.Entry, fields []zap.Field) error {
-	return c.Core.Write(e, shorten(fields))
+func (c messageOnlyErrors) Write(e zapcore.Entry, fields []zap.Field) error {
+	return c.Core.Write(e, errorsAsMessages(fields))
 }
 
-func shorten(fields []zap.Field) []zap.Field {
+func errorsAsMessages(fields []zap.Field) []zap.Field {
 	for i, f := range fields {
 		if f.Type != zapcore.ErrorType {
 			continue
--- a/logging/event/event.go
+++ b/logging/event/event.go
@@ -41,12 +41,12 @@
 	return l.Named(string(p))
 }
 
-// Rank is how a line competes for the budget of lines.
-type Rank int
+// Priority is how a line competes for the budget of lines.
+type Priority int
 
 const (
 	// Debug lines are not written on the users' platform.
-	Debug Rank = iota
+	Debug Priority = iota
 	// Routine lines come with the traffic; they are left out first.
 	Routine
 	// Rare lines say what a process believes: leader, members, workers, versions.
@@ -57,7 +57,7 @@
 	Failure
 )
 
-func (r Rank) level() zapcore.Level {
+func (r Priority) level() zapcore.Level {
 	switch r {
 	case Debug:
 		return zapcore.DebugLevel
@@ -71,48 +71,48 @@
 
 // Event is a kind of line.
 type Event struct {
-	Part Part
-	Name string
-	Rank Rank
+	Part     Part
+	Name     string
+	Priority Priority
 	// Fields are the names of the fields that its lines may have.
 	Fields []string
 }
 
-// all are the declared events; it is complete once the package is initialized.
-var all []*Event
+// declared are the declared events; it is complete once the package is initialized.
+var declared []*Event
 
-func declare(p Part, r Rank, name string, fields ...string) *Event {
-	e := &Event{Part: p, Name: name, Rank: r, Fields: fields}
-	all = append(all, e)
+func declare(p Part, r Priority, name string, fields ...string) *Event {
+	e := &Event{Part: p, Name: name, Priority: r, Fields: fields}
+	declared = append(declared, e)
 	return e
 }
 
 // All returns the declared events.
-func All() []*Event { return slices.Clone(all) }
+func All() []*Event { return slices.Clone(declared) }
 
 // Field is a field of a line. Only this package makes them.
-type Field struct{ zap zap.Field }
+type Field struct{ field zap.Field }
 
 // Write writes a line by the logger of the event's part.
 func (e *Event) Write(part *zap.Logger, fields ...Field) {
-	checked := part.Check(e.Rank.level(), e.Name)
+	checked := part.Check(e.Priority.level(), e.Name)
 	if checked == nil {
 		return
 	}
 	list := make([]zap.Field, 0, len(fields)+1)
 	for _, f := range fields {
-		list = append(list, f.zap)
+		list = append(list, f.field)
 	}
-	if e.Rank == Rare {
-		list = append(list, rare)
+	if e.Priority == Rare {
+		list = append(list, rareMarker)
 	}
 	checked.Write(list...)
 }
 
-// rare marks a line that is no routine; it is not written.
-var rare = zap.Field{Type: zapcore.SkipType, Key: "rare"}
+// rareMarker marks a line that is no routine; it is not written.
+var rareMarker = zap.Field{Type: zapcore.SkipType, Key: "rare"}
 
 // IsRare reports whether a line's fields mark it as no routine.
 func IsRare(fields []zap.Field) bool {
-	return slices.ContainsFunc(fields, func(f zap.Field) bool { return f.Type == zapcore.SkipType && f.Key == rare.Key })
+	return slices.ContainsFunc(fields, func(f zap.Field) bool { return f.Type == zapcore.SkipType && f.Key == rareMarker.Key })
 }
--- a/logging/events_test.go
+++ b/logging/events_test.go
@@ -31,9 +31,9 @@
 		t.Fatal(err)
 	}
 	documented := documentedEvents(string(page))
-	declared := map[lineID]bool{}
+	declared := map[eventID]bool{}
 	for _, e := range event.All() {
-		id := lineID{string(e.Part), e.Name}
+		id := eventID{string(e.Part), e.Name}
 		if declared[id] {
 			t.Errorf("%v is declared twice", id)
 		}
@@ -49,15 +49,15 @@
 	}
 }
 
-// lineID names a kind of line.
-type lineID struct{ part, name string }
+// eventID names a kind of line.
+type eventID struct{ part, name string }
 
 // documentedEvents returns the quoted names in the first column of the table of lines,
 // with the part in the second.
-func documentedEvents(page string) []lineID {
+func documentedEvents(page string) []eventID {
 	_, table, _ := strings.Cut(page, "| line | part | what it means |")
 	quoted := regexp.MustCompile("`([^`]+)`")
-	var events []lineID
+	var events []eventID
 	for _, row := range strings.Split(table, "\n")[1:] {
 		if !strings.HasPrefix(row, "|") {
 			break
@@ -68,7 +68,7 @@
 			part = string(event.Process)
 		}
 		for _, m := range quoted.FindAllStringSubmatch(columns[1], -1) {
-			events = append(events, lineID{part, m[1]})
+			events = append(events, eventID{part, m[1]})
 		}
 	}
 	return events
@@ -77,14 +77,14 @@
 // TestPackagesWriteDeclaredEvents looks for lines beside the declared events, for
 // declared events that nothing writes, and for fields that an event does not declare.
 func TestPackagesWriteDeclaredEvents(t *testing.T) {
-	v := readVocabulary(t)
+	v := readDeclarations(t)
 	used := map[string]bool{"LinesLeftOut": true} // written by Bounded itself
 	for _, dir := range eventPackages {
-		eachNode(t, filepath.Join("..", dir), func(n ast.Node) {
-			if message, ok := loggedBy(n); ok {
+		forEachNode(t, filepath.Join("..", dir), func(n ast.Node) {
+			if message, ok := loggedMessage(n); ok {
 				t.Errorf("%s writes %q, which is not declared", dir, message)
 			}
-			if name, ok := selected(n, "event"); ok {
+			if name, ok := selectorName(n, "event"); ok {
 				used[name] = true
 			}
 			v.checkWrite(t, dir, n)
@@ -97,24 +97,24 @@
 	}
 }
 
-// vocabulary is what the sources of package event declare, by the names in Go.
-type vocabulary struct {
+// declarations is what the sources of package event declare, by the names in Go.
+type declarations struct {
 	events map[string]*event.Event
 	// fields are the constructors and the names of their fields.
 	fields map[string]string
 }
 
-func readVocabulary(t *testing.T) *vocabulary {
+func readDeclarations(t *testing.T) *declarations {
 	t.Helper()
-	v := &vocabulary{events: map[string]*event.Event{}, fields: map[string]string{}}
+	v := &declarations{events: map[string]*event.Event{}, fields: map[string]string{}}
 	names := map[string]string{}
-	eachNode(t, "event", func(n ast.Node) { readConstant(n, names) })
-	eachNode(t, "event", func(n ast.Node) {
+	forEachNode(t, "event", func(n ast.Node) { readConstant(n, names) })
+	forEachNode(t, "event", func(n ast.Node) {
 		switch n := n.(type) {
 		case *ast.ValueSpec:
 			v.readEvent(n)
 		case *ast.FuncDecl:
-			if name, ok := fieldMadeBy(n, names); ok {
+			if name, ok := fieldNameOf(n, names); ok {
 				v.fields[n.Name.Name] = name
 			}
 		}
@@ -131,13 +131,13 @@
 	if !ok || len(spec.Values) != 1 {
 		return
 	}
-	if text, ok := literal(spec.Values[0]); ok {
+	if text, ok := stringLiteral(spec.Values[0]); ok {
 		names[spec.Names[0].Name] = text
 	}
 }
 
 // readEvent notes a variable that is declared as an event.
-func (v *vocabulary) readEvent(spec *ast.ValueSpec) {
+func (v *declarations) readEvent(spec *ast.ValueSpec) {
 	if len(spec.Values) != 1 {
 		return
 	}
@@ -146,7 +146,7 @@
 		return
 	}
 	part, ok := call.Args[0].(*ast.Ident)
-	name, isText := literal(call.Args[2])
+	name, isText := stringLiteral(call.Args[2])
 	if !ok || !isText {
 		return
 	}
@@ -158,9 +158,9 @@
 	}
 }
 
-// fieldMadeBy returns the name of the field that a function makes: the first text in
+// fieldNameOf returns the name of the field that a function makes: the first text in
 // its body.
-func fieldMadeBy(f *ast.FuncDecl, names map[string]string) (string, bool) {
+func fieldNameOf(f *ast.FuncDecl, names map[string]string) (string, bool) {
 	if f.Type.Results == nil || len(f.Type.Results.List) != 1 || !ast.IsExported(f.Name.Name) {
 		return "", false
 	}
@@ -176,7 +176,7 @@
 			made = names[ident.Name]
 		}
 		if expr, ok := n.(ast.Expr); ok {
-			if text, ok := literal(expr); ok {
+			if text, ok := stringLiteral(expr); ok {
 				made = text
 			}
 		}
@@ -186,7 +186,7 @@
 }
 
 // checkWrite compares the fields of a call event.X.Write with those that X declares.
-func (v *vocabulary) checkWrite(t *testing.T, dir string, n ast.Node) {
+func (v *declarations) checkWrite(t *testing.T, dir string, n ast.Node) {
 	t.Helper()
 	call, ok := n.(*ast.CallExpr)
 	if !ok {
@@ -196,7 +196,7 @@
 	if !ok || method.Sel.Name != "Write" {
 		return
 	}
-	name, ok := selected(method.X, "event")
+	name, ok := selectorName(method.X, "event")
 	if !ok {
 		return
 	}
@@ -205,15 +205,15 @@
 		if !ok {
 			continue
 		}
-		constructor, ok := selected(made.Fun, "event")
+		constructor, ok := selectorName(made.Fun, "event")
 		if ok && !slices.Contains(v.events[name].Fields, v.fields[constructor]) {
 			t.Errorf("%s: event %s has no field %q", dir, name, v.fields[constructor])
 		}
 	}
 }
 
-// eachNode visits the sources of a package that are no tests.
-func eachNode(t *testing.T, dir string, visit func(ast.Node)) {
+// forEachNode visits the sources of a package that are no tests.
+func forEachNode(t *testing.T, dir string, visit func(ast.Node)) {
 	t.Helper()
 	entries, err := os.ReadDir(dir)
 	if err != nil {
@@ -236,8 +236,8 @@
 	}
 }
 
-// selected returns X of an expression PACKAGE.X.
-func selected(n ast.Node, of string) (string, bool) {
+// selectorName returns X of an expression PACKAGE.X.
+func selectorName(n ast.Node, of string) (string, bool) {
 	selector, ok := n.(*ast.SelectorExpr)
 	if !ok {
 		return "", false
@@ -246,8 +246,8 @@
 	return selector.Sel.Name, ok && ident.Name == of
 }
 
-// literal returns an expression that is a text.
-func literal(e ast.Expr) (string, bool) {
+// stringLiteral returns an expression that is a text.
+func stringLiteral(e ast.Expr) (string, bool) {
 	lit, ok := e.(*ast.BasicLit)
 	if !ok || lit.Kind != token.STRING {
 		return "", false
@@ -256,8 +256,8 @@
 	return text, err == nil
 }
 
-// loggedBy returns the message of a call of a logger.
-func loggedBy(n ast.Node) (string, bool) {
+// loggedMessage returns the message of a call of a logger.
+func loggedMessage(n ast.Node) (string, bool) {
 	call, ok := n.(*ast.CallExpr)
 	if !ok || len(call.Args) == 0 {
 		return "", false
@@ -266,5 +266,5 @@
 	if !ok || !slices.Contains([]string{"Debug", "Info", "Warn", "Error"}, method.Sel.Name) {
 		return "", false
 	}
-	return literal(call.Args[0])
+	return stringLiteral(call.Args[0])
 }
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -26,18 +26,18 @@
 	cfg := zap.Config{
 		Level:             zap.NewAtomicLevelAt(level),
 		Encoding:          format,
-		EncoderConfig:     encoding(),
+		EncoderConfig:     encoderConfig(),
 		OutputPaths:       []string{"stderr"},
 		ErrorOutputPaths:  []string{"stderr"},
 		DisableCaller:     true,
 		DisableStacktrace: true,
 	}
-	log, err := cfg.Build(zap.WrapCore(func(c zapcore.Core) zapcore.Core { return newBoundedDebug(shortErrors{c}) }))
+	log, err := cfg.Build(zap.WrapCore(func(c zapcore.Core) zapcore.Core { return newSampledDebug(messageOnlyErrors{c}) }))
 	return log, errors.Wrap(err, "logger")
 }
 
-// encoding is how a line is written.
-func encoding() zapcore.EncoderConfig {
+// encoderConfig is how a line is written.
+func encoderConfig() zapcore.EncoderConfig {
 	enc := zap.NewProductionEncoderConfig()
 	enc.EncodeTime = zapcore.ISO8601TimeEncoder
 	enc.EncodeDuration = zapcore.StringDurationEncoder
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -12,9 +12,9 @@
 // Symptom: a decision can't be found in the log, or debug lines fill the disk.
 // Sequence: thousands of equal lines within a second. Cause: one rate bound for
 // every level, or none.
-func TestOnlyDebugLinesAreBounded(t *testing.T) {
+func TestOnlyDebugLinesAreSampled(t *testing.T) {
 	core, lines := observer.New(zapcore.DebugLevel)
-	log := zap.New(newBoundedDebug(shortErrors{core})).Named("part").With(zap.Int("n", 1))
+	log := zap.New(newSampledDebug(messageOnlyErrors{core})).Named("part").With(zap.Int("n", 1))
 	const count = 1000
 	for range count {
 		log.Debug("entry not reached")
--- a/quorum/bench_test.go
+++ b/quorum/bench_test.go
@@ -7,35 +7,35 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// newBenchGroup returns a group led by replica 1 after that many commands.
-func newBenchGroup(b *testing.B, voters, entries int) *cluster {
+// newBenchCluster returns a group led by replica 1 after that many commands.
+func newBenchCluster(b *testing.B, voters, entries int) *cluster {
 	cfg := Config{ElectionTicks: 10, HeartbeatTicks: 1, MaxEntriesPerMessage: 256, MaxInflight: 16, MaxUncommitted: 1 << 20}
 	c := newCluster(b, 1, cfg, voters)
-	c.hosts[1].campaign(Candidate, false)
-	c.settle()
+	c.replicas[1].campaign(Candidate, false)
+	c.runUntilIdle()
 	for range entries / 64 {
-		c.commit(64)
+		c.commitCommands(64)
 	}
 	return c
 }
 
-// commit has commands of 128 bytes committed on all replicas, without any disk.
-func (c *cluster) commit(commands int) {
+// commitCommands has commands of 128 bytes committed on all replicas, without any disk.
+func (c *cluster) commitCommands(commands int) {
 	for range commands {
-		if _, _, err := c.hosts[1].Propose(make([]byte, 128)); err != nil {
+		if _, _, err := c.replicas[1].Propose(make([]byte, 128)); err != nil {
 			c.Fatal(err)
 		}
 	}
-	for c.wire = c.wire[:0]; ; c.wire = c.wire[:0] {
+	for c.messages = c.messages[:0]; ; c.messages = c.messages[:0] {
 		for _, id := range c.ids {
-			for h := c.hosts[id]; h.HasReady(); h.Advance() {
-				c.wire = append(c.wire, h.Ready().Messages...)
+			for h := c.replicas[id]; h.HasReady(); h.Advance() {
+				c.messages = append(c.messages, h.Ready().Messages...)
 			}
 		}
-		for _, m := range c.wire {
+		for _, m := range c.messages {
 			c.deliver(m)
 		}
-		if len(c.wire) == 0 {
+		if len(c.messages) == 0 {
 			return
 		}
 	}
@@ -48,11 +48,11 @@
 		for _, batch := range []int{1, 64} {
 			for _, entries := range []int{1 << 10, 1 << 14, 1 << 18} {
 				b.Run(fmt.Sprintf("replicas=%d/batch=%d/log=%d", voters, batch, entries), func(b *testing.B) {
-					c := newBenchGroup(b, voters, entries)
+					c := newBenchCluster(b, voters, entries)
 					b.ReportAllocs()
 					b.ResetTimer()
 					for n := 0; n < b.N; n += batch {
-						c.commit(batch)
+						c.commitCommands(batch)
 					}
 				})
 			}
@@ -64,7 +64,7 @@
 // a hint, which searches its log.
 func BenchmarkStep(b *testing.B) {
 	for _, entries := range []int{1 << 10, 1 << 14, 1 << 18} {
-		h := newBenchGroup(b, 3, entries).hosts[2]
+		h := newBenchCluster(b, 3, entries).replicas[2]
 		m := &apiv1.QuorumMessage{Kind: apiv1.MessageKind_MESSAGE_KIND_APPEND, From: 1, To: 2, Term: 2, Index: 1 << 30, LogTerm: 2}
 		b.Run(fmt.Sprintf("log=%d", entries), func(b *testing.B) {
 			b.ReportAllocs()
--- a/quorum/cluster_test.go
+++ b/quorum/cluster_test.go
@@ -12,47 +12,47 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-// host is a replica's process with its disk and its state machine, which keeps
+// testReplica is a replica's process with its disk and its state machine, which keeps
 // all commands.
-type host struct {
+type testReplica struct {
 	*Raft
-	disk             Stored
-	up, frozen, lost bool
-	current          *Ready // nil when none is being worked on
-	synced           bool
-	state            []string
-	applied          uint64
-	answers          []ReadState
-	starts, asked    uint64
+	disk                   StoredState
+	up, frozen, lost       bool
+	pendingReady           *Ready // nil when none is being worked on
+	synced                 bool
+	state                  []string
+	applied                uint64
+	readResults            []ReadState
+	starts, readsRequested uint64
 }
 
 // cluster is a group on a fake network, with a record of what was ever true.
 type cluster struct {
 	testing.TB
-	cfg       Config
-	seed      uint64
-	tail      int // entries that compaction leaves
-	hosts     map[uint64]*host
-	ids       []uint64 // of hosts, in order
-	wire      []*apiv1.QuorumMessage
-	side      map[uint64]int // hosts on different sides can't talk
-	broken    map[[2]uint64]bool
-	committed []*apiv1.LogEntry
-	since     []uint64           // in which term each was known to be committed
-	leaders   map[uint64]uint64  // by term
-	proposed  map[[2]uint64]bool // by index and term
-	floor     uint64             // what a read that starts now has to see
+	cfg            Config
+	seed           uint64
+	compactionTail int // entries that compaction leaves
+	replicas       map[uint64]*testReplica
+	ids            []uint64 // of hosts, in order
+	messages       []*apiv1.QuorumMessage
+	partition      map[uint64]int // hosts on different sides can't talk
+	brokenLinks    map[[2]uint64]bool
+	committed      []*apiv1.LogEntry
+	commitTerms    []uint64           // in which term each was known to be committed
+	leaders        map[uint64]uint64  // by term
+	proposed       map[[2]uint64]bool // by index and term
+	readFloor      uint64             // what a read that starts now has to see
 }
 
 func newCluster(t testing.TB, seed uint64, cfg Config, voters int) *cluster {
-	c := &cluster{TB: t, cfg: cfg, seed: seed, hosts: map[uint64]*host{}, side: map[uint64]int{}, leaders: map[uint64]uint64{},
-		proposed: map[[2]uint64]bool{}, broken: map[[2]uint64]bool{}, committed: []*apiv1.LogEntry{{Index: 1, Term: 1}}, since: []uint64{1}}
+	c := &cluster{TB: t, cfg: cfg, seed: seed, replicas: map[uint64]*testReplica{}, partition: map[uint64]int{}, leaders: map[uint64]uint64{},
+		proposed: map[[2]uint64]bool{}, brokenLinks: map[[2]uint64]bool{}, committed: []*apiv1.LogEntry{{Index: 1, Term: 1}}, commitTerms: []uint64{1}}
 	m := &apiv1.Membership{}
 	for id := uint64(1); id <= uint64(voters); id++ {
 		m.Replicas = append(m.Replicas, &apiv1.Replica{Id: id})
 	}
 	for id := uint64(1); id <= uint64(voters); id++ {
-		c.add(id, Stored{Snapshot: &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: 1, Term: 1, Membership: m}}})
+		c.add(id, StoredState{Snapshot: &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: 1, Term: 1, Membership: m}}})
 	}
 	return c
 }
@@ -62,13 +62,13 @@
 	c.Fatalf("seed %d: %s", c.seed, fmt.Sprintf(format, args...))
 }
 
-func (c *cluster) add(id uint64, disk Stored) {
-	c.hosts[id] = &host{disk: disk}
+func (c *cluster) add(id uint64, disk StoredState) {
+	c.replicas[id] = &testReplica{disk: disk}
 	c.ids = append(c.ids, id)
-	c.start(c.hosts[id], id)
+	c.start(c.replicas[id], id)
 }
 
-func (c *cluster) start(h *host, id uint64) {
+func (c *cluster) start(h *testReplica, id uint64) {
 	h.starts++
 	cfg := c.cfg
 	cfg.ID, cfg.Rand = id, rand.New(rand.NewPCG(c.seed, id<<32|h.starts))
@@ -76,11 +76,11 @@
 	if h.Raft, err = New(cfg, h.disk); err != nil {
 		c.fail("start of %d: %v", id, err)
 	}
-	h.up, h.frozen, h.current, h.asked, h.compactionTail = true, false, nil, 0, c.tail
+	h.up, h.frozen, h.pendingReady, h.readsRequested, h.compactionTail = true, false, nil, 0, c.compactionTail
 	c.restore(h, h.disk.Snapshot)
 }
 
-func (c *cluster) restore(h *host, s *apiv1.QuorumSnapshot) {
+func (c *cluster) restore(h *testReplica, s *apiv1.QuorumSnapshot) {
 	h.applied, h.state = s.GetMeta().GetIndex(), strings.Fields(string(s.GetData()))
 	var want []string
 	for _, e := range c.committed[:h.applied] {
@@ -94,8 +94,8 @@
 }
 
 // persist writes the first parts of the current Ready, in its order.
-func (h *host) persist(parts int) {
-	rd := h.current
+func (h *testReplica) persist(parts int) {
+	rd := h.pendingReady
 	if rd.HardState != nil && parts > 0 {
 		h.disk.HardState = rd.HardState
 	}
@@ -109,7 +109,7 @@
 	h.synced = parts >= 2+len(rd.Entries)
 }
 
-func (h *host) compact() error {
+func (h *testReplica) compact() error {
 	s, err := h.Compact(h.applied, []byte(strings.Join(h.state, " ")))
 	if err == nil {
 		dropped := s.Meta.Index - h.disk.Snapshot.GetMeta().GetIndex()
@@ -118,10 +118,10 @@
 	return err
 }
 
-// take gets the next Ready and checks what it says of the leader.
-func (c *cluster) take(h *host) {
+// takeReady gets the next Ready and checks what it says of the leader.
+func (c *cluster) takeReady(h *testReplica) {
 	rd := h.Ready()
-	h.current, h.synced = &rd, false
+	h.pendingReady, h.synced = &rd, false
 	if rd.Role != Leader {
 		return
 	}
@@ -130,7 +130,7 @@
 		c.fail("election safety: %d and %d lead in term %d", was, h.id, rd.Term)
 	}
 	for i, e := range c.committed {
-		if !known && c.since[i] < rd.Term && e.Index > h.log.baseIndex && !h.log.matches(e.Index, e.Term) {
+		if !known && c.commitTerms[i] < rd.Term && e.Index > h.log.baseIndex && !h.log.matches(e.Index, e.Term) {
 			c.fail("leader completeness: %d leads in term %d without entry %d", h.id, rd.Term, e.Index)
 		}
 	}
@@ -142,24 +142,24 @@
 	}
 }
 
-// finish sends and applies what is persisted.
-func (c *cluster) finish(h *host) {
-	rd := h.current
-	h.current = nil
+// finishReady sends and applies what is persisted.
+func (c *cluster) finishReady(h *testReplica) {
+	rd := h.pendingReady
+	h.pendingReady = nil
 	if rd.Snapshot != nil {
 		c.restore(h, rd.Snapshot)
 	}
-	c.wire = append(c.wire, rd.Messages...)
+	c.messages = append(c.messages, rd.Messages...)
 	for _, e := range rd.Committed {
 		c.apply(h, e, rd.Term)
 	}
-	h.answers = append(h.answers, rd.ReadStates...)
+	h.readResults = append(h.readResults, rd.ReadStates...)
 	h.Advance()
 }
 
-func (c *cluster) apply(h *host, e *apiv1.LogEntry, term uint64) {
+func (c *cluster) apply(h *testReplica, e *apiv1.LogEntry, term uint64) {
 	if e.Index == uint64(len(c.committed))+1 {
-		c.committed, c.since = append(c.committed, e), append(c.since, term)
+		c.committed, c.commitTerms = append(c.committed, e), append(c.commitTerms, term)
 	}
 	if e.Index != h.applied+1 || !proto.Equal(c.committed[e.Index-1], e) {
 		c.fail("state machine safety: %d applies %v after %d, before it was %v", h.id, e, h.applied, c.committed[e.Index-1])
@@ -169,13 +169,13 @@
 		h.state = append(h.state, string(e.Data))
 	}
 	if c.proposed[[2]uint64{e.Index, e.Term}] && c.leaders[e.Term] == h.id {
-		c.floor = max(c.floor, e.Index) // acknowledged to the caller
+		c.readFloor = max(c.readFloor, e.Index) // acknowledged to the caller
 	}
 }
 
 func (c *cluster) deliver(m *apiv1.QuorumMessage) {
-	h := c.hosts[m.To]
-	if h == nil || !h.up || c.side[m.From] != c.side[m.To] || c.broken[[2]uint64{m.From, m.To}] {
+	h := c.replicas[m.To]
+	if h == nil || !h.up || c.partition[m.From] != c.partition[m.To] || c.brokenLinks[[2]uint64{m.From, m.To}] {
 		return
 	}
 	if err := h.Step(m); err != nil || len(m.Entries) > c.cfg.MaxEntriesPerMessage {
@@ -183,34 +183,34 @@
 	}
 }
 
-// drive does all that a host has to do.
-func (c *cluster) drive(h *host) {
-	for h.up && (h.current != nil || h.HasReady()) {
-		if h.current == nil {
-			c.take(h)
+// processReady does all that a host has to do.
+func (c *cluster) processReady(h *testReplica) {
+	for h.up && (h.pendingReady != nil || h.HasReady()) {
+		if h.pendingReady == nil {
+			c.takeReady(h)
 		}
-		h.persist(2 + len(h.current.Entries))
-		c.finish(h)
+		h.persist(2 + len(h.pendingReady.Entries))
+		c.finishReady(h)
 	}
 }
 
-// settle runs everything until nothing is left to do.
-func (c *cluster) settle() {
+// runUntilIdle runs everything until nothing is left to do.
+func (c *cluster) runUntilIdle() {
 	for {
 		for _, id := range c.ids {
-			c.drive(c.hosts[id])
+			c.processReady(c.replicas[id])
 		}
-		if len(c.wire) == 0 {
+		if len(c.messages) == 0 {
 			return
 		}
-		m := c.wire[0]
-		c.wire = c.wire[1:]
+		m := c.messages[0]
+		c.messages = c.messages[1:]
 		c.deliver(m)
 	}
 }
 
-// changed returns the membership with one step taken.
-func changed(m *apiv1.Membership, step string, id uint64) *apiv1.Membership {
+// changeMembership returns the membership with one step taken.
+func changeMembership(m *apiv1.Membership, step string, id uint64) *apiv1.Membership {
 	next := proto.CloneOf(m)
 	i := slices.IndexFunc(next.Replicas, func(r *apiv1.Replica) bool { return r.Id == id })
 	switch step {
@@ -228,11 +228,11 @@
 	return next
 }
 
-// checkLogs is the paper's log matching: where two logs hold the same term at an
+// checkLogMatching is the paper's log matching: where two logs hold the same term at an
 // index they hold the same entry there, and before it.
-func (c *cluster) checkLogs() {
+func (c *cluster) checkLogMatching() {
 	for n := range len(c.ids) * len(c.ids) {
-		x, y := &c.hosts[c.ids[n/len(c.ids)]].log, &c.hosts[c.ids[n%len(c.ids)]].log
+		x, y := &c.replicas[c.ids[n/len(c.ids)]].log, &c.replicas[c.ids[n%len(c.ids)]].log
 		for i := max(x.baseIndex, y.baseIndex) + 2; i <= min(x.lastIndex(), y.lastIndex()); i++ {
 			v, w := x.slice(i-1, i), y.slice(i-1, i)
 			if v[1].Term == w[1].Term && !(proto.Equal(v[0], w[0]) && proto.Equal(v[1], w[1])) {
--- a/quorum/early.go
+++ b/quorum/early.go
@@ -12,32 +12,32 @@
 	// would split the votes.
 	firstPreVoteTicks = 2
 	preVoteStepTicks  = 2
-	// foundingIndex is where the log of a new group ends.
-	foundingIndex = 1
+	// bootstrapIndex is where the log of a new group ends.
+	bootstrapIndex = 1
 )
 
-// beginStart opens the time of early pre-votes. It ends with the first leader that is heard of,
+// beginStartup opens the time of early pre-votes. It ends with the first leader that is heard of,
 // and after two election timeouts: a replica that is cut off need not ask ten times a second.
 //
 // A group that is being founded waits as usual. What goes wrong otherwise: the first two of
 // three members commit before the third knows that it is one, and if a disk is lost then, no
 // majority is left that knows the group.
-func (r *Raft) beginStart() {
-	if r.log.lastIndex() > foundingIndex {
-		r.startTicks = 2 * r.cfg.ElectionTicks
+func (r *Raft) beginStartup() {
+	if r.log.lastIndex() > bootstrapIndex {
+		r.startupTicks = 2 * r.cfg.ElectionTicks
 	}
 }
 
-func (r *Raft) tickStart() {
-	r.startTicks = max(0, r.startTicks-1)
-	r.voteTicks = max(0, r.voteTicks-1)
+func (r *Raft) tickStartup() {
+	r.startupTicks = max(0, r.startupTicks-1)
+	r.voteWindowTicks = max(0, r.voteWindowTicks-1)
 }
 
-func (r *Raft) starting() bool { return r.startTicks > 0 }
+func (r *Raft) inStartup() bool { return r.startupTicks > 0 }
 
-// timeout returns the ticks without a leader after which this replica asks for pre-votes.
-func (r *Raft) timeout() int {
-	if r.starting() {
+// campaignTimeout returns the ticks without a leader after which this replica asks for pre-votes.
+func (r *Raft) campaignTimeout() int {
+	if r.inStartup() {
 		return min(r.electionTimeout, firstPreVoteTicks+preVoteStepTicks*r.voterRank())
 	}
 	return r.electionTimeout
@@ -57,17 +57,17 @@
 	return rank
 }
 
-// noteVote notes that this replica gave its vote just now: it does not campaign itself until
+// startVoteWindow notes that this replica gave its vote just now: it does not campaign itself until
 // a whole election timeout has passed.
-func (r *Raft) noteVote() {
-	r.voteTicks = r.cfg.ElectionTicks / 2
-	r.startTicks = 0
+func (r *Raft) startVoteWindow() {
+	r.voteWindowTicks = r.cfg.ElectionTicks / 2
+	r.startupTicks = 0
 }
 
-// expectsWinner reports whether a candidate other than from got this replica's vote a moment
+// awaitsOtherCandidate reports whether a candidate other than from got this replica's vote a moment
 // ago and has not been heard of since. What goes wrong without it: the winner's disk is slow
 // to store its vote, so its first heartbeat comes after the early pre-vote of a replica that has
 // just started, and that one wins an election that nobody needs.
-func (r *Raft) expectsWinner(from uint64) bool {
-	return r.leader == 0 && r.voteTicks > 0 && r.vote != from
+func (r *Raft) awaitsOtherCandidate(from uint64) bool {
+	return r.leader == 0 && r.voteWindowTicks > 0 && r.vote != from
 }
--- a/quorum/election.go
+++ b/quorum/election.go
@@ -14,7 +14,7 @@
 	} else {
 		r.reset(Candidate, term)
 		r.vote = r.id
-		r.noteVote()
+		r.startVoteWindow()
 	}
 	r.setLeader(0)
 	r.votes = map[uint64]bool{}
@@ -44,20 +44,20 @@
 func (r *Raft) handleVoteRequest(m *apiv1.QuorumMessage) {
 	preVote := m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE
 	free := r.vote == m.GetFrom() || r.vote == 0 && r.leader == 0 || preVote && m.GetTerm() > r.term
-	grant := free && r.log.upToDate(m.GetIndex(), m.GetLogTerm()) && !(preVote && r.expectsWinner(m.GetFrom()))
-	r.answerVote(m, grant)
+	grant := free && r.log.upToDate(m.GetIndex(), m.GetLogTerm()) && !(preVote && r.awaitsOtherCandidate(m.GetFrom()))
+	r.sendVoteResponse(m, grant)
 	if grant && !preVote {
 		r.vote = m.GetFrom()
-		r.noteVote()
+		r.startVoteWindow()
 	}
-	if grant && (!preVote || r.starting()) {
+	if grant && (!preVote || r.inStartup()) {
 		r.electionElapsed = 0
 	}
 }
 
-// answerVote answers a vote request. A granted pre-vote repeats the proposed
+// sendVoteResponse answers a vote request. A granted pre-vote repeats the proposed
 // term; a refusal carries the own term, so that the candidate can catch up.
-func (r *Raft) answerVote(m *apiv1.QuorumMessage, grant bool) {
+func (r *Raft) sendVoteResponse(m *apiv1.QuorumMessage, grant bool) {
 	kind := apiv1.MessageKind_MESSAGE_KIND_VOTE_RESPONSE
 	if m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE {
 		kind = apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE_RESPONSE
@@ -126,7 +126,7 @@
 	r.setLeader(r.id)
 	r.progress = map[uint64]*progress{}
 	r.uncommittedBytes = r.log.size(r.log.commit+1, r.log.lastIndex())
-	r.trackMembers()
+	r.syncProgress()
 	r.progress[r.id].match = r.log.stable
 	r.appendAsLeader(apiv1.EntryKind_ENTRY_KIND_EMPTY, nil)
 	r.broadcastHeartbeat()
--- a/quorum/errors.go
+++ b/quorum/errors.go
@@ -15,29 +15,29 @@
 	// ErrMembershipPending says that an earlier change, or the first entry of the
 	// leader's term, is not committed yet.
 	ErrMembershipPending = errors.New("a membership change must wait for an earlier entry")
-	// ErrMembershipChange says that a change is not one of the allowed single steps.
-	ErrMembershipChange = errors.New("membership change refused")
+	// ErrMembershipChangeRefused says that a change is not one of the allowed single steps.
+	ErrMembershipChangeRefused = errors.New("membership change refused")
 	// ErrNotCaughtUp says that a learner lags too far to become a voter.
 	ErrNotCaughtUp = errors.New("learner is not caught up")
 	// ErrNotVoter says that the named replica has no vote in the group.
 	ErrNotVoter = errors.New("replica is not a voter")
-	// ErrNotHeard says that a replica was silent for an election timeout.
-	ErrNotHeard = errors.New("replica is not heard")
+	// ErrUnresponsive says that a replica was silent for an election timeout.
+	ErrUnresponsive = errors.New("replica is not heard")
 	// ErrNotApplied says that a snapshot was offered of an index not applied yet.
 	ErrNotApplied = errors.New("index is not applied")
 	// ErrCompacted says that a newer snapshot exists.
 	ErrCompacted = errors.New("index is already compacted")
-	// ErrMessage says that a message is malformed or meant for another replica.
-	ErrMessage = errors.New("unusable message")
-	// ErrStored says that what was found on the disk cannot be a replica's state.
-	ErrStored = errors.New("unusable stored state")
+	// ErrInvalidMessage says that a message is malformed or meant for another replica.
+	ErrInvalidMessage = errors.New("unusable message")
+	// ErrInvalidStoredState says that what was found on the disk cannot be a replica's state.
+	ErrInvalidStoredState = errors.New("unusable stored state")
 	// ErrLostEntries says that entries which this replica had acknowledged are
 	// missing. It must stop for good and return under a new id.
 	ErrLostEntries = errors.New("acknowledged entries are missing from the log")
 )
 
-// broken stops the process because the named invariant does not hold: going on
+// invariantViolated stops the process because the named invariant does not hold: going on
 // could only spread the damage to the other replicas.
-func broken(format string, args ...any) {
+func invariantViolated(format string, args ...any) {
 	panic(errors.AssertionFailedf("quorum: broken invariant: "+format, args...))
 }
--- a/quorum/log.go
+++ b/quorum/log.go
@@ -65,7 +65,7 @@
 		return nil
 	}
 	if from <= l.baseIndex || to > l.lastIndex() {
-		broken("entries %d to %d asked of a log that holds %d to %d", from, to, l.baseIndex+1, l.lastIndex())
+		invariantViolated("entries %d to %d asked of a log that holds %d to %d", from, to, l.baseIndex+1, l.lastIndex())
 	}
 	part := l.entries[from-l.baseIndex-1 : to-l.baseIndex]
 	return append([]*apiv1.LogEntry(nil), part...)
@@ -118,10 +118,10 @@
 	}
 	before := entries[0].GetIndex() - 1
 	if before < l.commit {
-		broken("committed entry %d would be replaced (committed up to %d)", before+1, l.commit)
+		invariantViolated("committed entry %d would be replaced (committed up to %d)", before+1, l.commit)
 	}
 	if before > l.lastIndex() {
-		broken("entry %d would leave a gap after %d", before+1, l.lastIndex())
+		invariantViolated("entry %d would leave a gap after %d", before+1, l.lastIndex())
 	}
 	l.entries = append(l.entries[:before-l.baseIndex], entries...)
 	l.stable = min(l.stable, before)
@@ -130,27 +130,27 @@
 
 func (l *raftLog) commitTo(index uint64) {
 	if index > l.lastIndex() {
-		broken("commit of entry %d, but the log ends at %d", index, l.lastIndex())
+		invariantViolated("commit of entry %d, but the log ends at %d", index, l.lastIndex())
 	}
 	l.commit = max(l.commit, index)
 }
 
-// handOut returns the entries that are not on the disk yet.
-func (l *raftLog) handOut() []*apiv1.LogEntry {
+// acceptReady returns the entries that are not on the disk yet.
+func (l *raftLog) beginWrite() []*apiv1.LogEntry {
 	l.writing = l.lastIndex()
 	return l.slice(l.stable+1, l.writing)
 }
 
-// written notes that what was handed out is on the disk. Entries that were
+// finishWrite notes that what was handed out is on the disk. Entries that were
 // replaced meanwhile are not: append has set the mark back before them.
-func (l *raftLog) written() {
+func (l *raftLog) finishWrite() {
 	l.stable = max(l.stable, l.writing)
 }
 
-// lastNotAfter returns the highest index up to the given one whose term is at
+// lastWithTermAtMost returns the highest index up to the given one whose term is at
 // most term. A follower and its leader use it to skip a whole run of terms that
 // can't match in one step (section 5.3's faster backtracking).
-func (l *raftLog) lastNotAfter(index, term uint64) (uint64, uint64) {
+func (l *raftLog) lastWithTermAtMost(index, term uint64) (uint64, uint64) {
 	index = min(index, l.lastIndex())
 	if index <= l.baseIndex {
 		baseTerm, _ := l.term(index)
--- a/quorum/membership.go
+++ b/quorum/membership.go
@@ -73,7 +73,7 @@
 		}
 		m := &apiv1.Membership{}
 		if err := proto.Unmarshal(e.GetData(), m); err != nil {
-			return nil, errors.Wrapf(ErrMessage, "membership at %d: %v", e.GetIndex(), err)
+			return nil, errors.Wrapf(ErrInvalidMessage, "membership at %d: %v", e.GetIndex(), err)
 		}
 		if err := validateMembership(m); err != nil {
 			return nil, errors.Wrapf(err, "membership at %d", e.GetIndex())
@@ -89,7 +89,7 @@
 	seen := map[uint64]bool{}
 	for _, replica := range m.GetReplicas() {
 		if replica.GetId() == 0 || seen[replica.GetId()] {
-			return errors.Wrapf(ErrMembershipChange, "replica id %d is 0 or used twice", replica.GetId())
+			return errors.Wrapf(ErrMembershipChangeRefused, "replica id %d is 0 or used twice", replica.GetId())
 		}
 		seen[replica.GetId()] = true
 		if !replica.GetLearner() {
@@ -97,7 +97,7 @@
 		}
 	}
 	if voters == 0 || len(seen) > MaxReplicas {
-		return errors.Wrapf(ErrMembershipChange, "%d voters among %d replicas (at most %d)", voters, len(seen), MaxReplicas)
+		return errors.Wrapf(ErrMembershipChangeRefused, "%d voters among %d replicas (at most %d)", voters, len(seen), MaxReplicas)
 	}
 	return nil
 }
@@ -135,7 +135,7 @@
 // membership, whose majorities need not meet (the fault that Ongaro reported in
 // 2015).
 func (r *Raft) ProposeMembership(next *apiv1.Membership) (index, term uint64, err error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if r.membership.lastIndex() > r.log.commit || !r.committedOwnTerm() {
@@ -152,7 +152,7 @@
 		return 0, 0, errors.Wrap(err, "encode membership")
 	}
 	e := r.appendAsLeader(apiv1.EntryKind_ENTRY_KIND_MEMBERSHIP, data)
-	r.trackMembers()
+	r.syncProgress()
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
@@ -172,7 +172,7 @@
 			continue
 		}
 		steps++
-		if err := r.checkReplica(before, replica); err != nil {
+		if err := r.checkReplicaChange(before, replica); err != nil {
 			return err
 		}
 	}
@@ -182,26 +182,26 @@
 		}
 	}
 	if steps != 1 {
-		return errors.Wrapf(ErrMembershipChange, "%d differences instead of one", steps)
+		return errors.Wrapf(ErrMembershipChangeRefused, "%d differences instead of one", steps)
 	}
 	// Without a majority that lives, the step could never be committed, nor the next
 	// one that would mend it.
-	if !r.hearsMajority(next) {
-		return errors.Wrap(ErrMembershipChange, "too few of the voters left can be heard")
+	if !r.majorityRecentlyActive(next) {
+		return errors.Wrap(ErrMembershipChangeRefused, "too few of the voters left can be heard")
 	}
 	return nil
 }
 
-func (r *Raft) checkReplica(before, after *apiv1.Replica) error {
+func (r *Raft) checkReplicaChange(before, after *apiv1.Replica) error {
 	switch {
 	case before == nil && !after.GetLearner():
-		return errors.Wrapf(ErrMembershipChange, "replica %d must join as a learner", after.GetId())
+		return errors.Wrapf(ErrMembershipChangeRefused, "replica %d must join as a learner", after.GetId())
 	case before == nil || before.GetLearner() == after.GetLearner():
 		return nil
 	case after.GetLearner():
-		return errors.Wrapf(ErrMembershipChange, "voter %d can't become a learner", after.GetId())
+		return errors.Wrapf(ErrMembershipChangeRefused, "voter %d can't become a learner", after.GetId())
 	case before.GetName() != after.GetName() || before.GetAddress() != after.GetAddress():
-		return errors.Wrapf(ErrMembershipChange, "replica %d changes its vote and its address at once", after.GetId())
+		return errors.Wrapf(ErrMembershipChangeRefused, "replica %d changes its vote and its address at once", after.GetId())
 	}
 	return r.checkCaughtUp(after.GetId())
 }
@@ -212,15 +212,15 @@
 // second loss in that time would stop the group.
 func (r *Raft) checkCaughtUp(id uint64) error {
 	p := r.progress[id]
-	if r.hears(id) && r.almostCaughtUp(p) {
+	if r.recentlyActive(id) && r.almostCaughtUp(p) {
 		return nil
 	}
 	return errors.Wrapf(ErrNotCaughtUp, "replica %d holds %d of %d entries", id, p.match, r.log.lastIndex())
 }
 
-// trackMembers makes the leader's progress follow the membership. A leader that
+// syncProgress makes the leader's progress follow the membership. A leader that
 // removed itself keeps its own item until it steps down.
-func (r *Raft) trackMembers() {
+func (r *Raft) syncProgress() {
 	current := r.membership.current()
 	for id := range r.progress {
 		if id != r.id && findReplica(current, id) == nil {
@@ -237,11 +237,11 @@
 	}
 }
 
-// leaveIfRemoved makes a leader step down once its own removal is committed. Until
+// stepDownIfRemoved makes a leader step down once its own removal is committed. Until
 // then it leads a group that it does not count itself in (thesis, 4.2.2). It
 // hands over to the replica that holds most, so that the group is not without a
 // leader for an election timeout.
-func (r *Raft) leaveIfRemoved() {
+func (r *Raft) stepDownIfRemoved() {
 	if r.isVoter(r.id) || r.membership.lastIndex() > r.log.commit {
 		return
 	}
--- a/quorum/node/addresses.go
+++ b/quorum/node/addresses.go
@@ -7,8 +7,8 @@
 	"github.com/cairnlift/cairnlift/quorum"
 )
 
-// maxHeard bounds the senders that are remembered without being members there.
-const maxHeard = quorum.MaxReplicas
+// maxSenders bounds the senders that are remembered without being members there.
+const maxSenders = quorum.MaxReplicas
 
 // AddressBook says where replicas are reached: the members where the membership has
 // them, and senders of messages where they said. What goes wrong without the senders:
@@ -19,10 +19,10 @@
 // Not safe for use by several goroutines. The zero value is empty.
 type AddressBook struct {
 	members map[uint64]string
-	// heard are senders that the membership does not have at their address, the one
+	// senders are senders that the membership does not have at their address, the one
 	// that was first heard longest ago in front. The list forgets from there: in a
 	// series of lost disks its front is of disks that are gone.
-	heard []sender
+	senders []sender
 }
 
 type sender struct {
@@ -37,34 +37,34 @@
 	for _, r := range m.GetReplicas() {
 		members[r.Id] = r.Address
 		if b.members[r.Id] != r.Address {
-			b.forget(r.Id)
+			b.removeSender(r.Id)
 		}
 	}
 	b.members = members
 }
 
-// Heard notes where the sender of a message is reached.
-func (b *AddressBook) Heard(id uint64, address string) {
+// RecordSender notes where the sender of a message is reached.
+func (b *AddressBook) RecordSender(id uint64, address string) {
 	if address == "" || b.Address(id) == address {
 		return
 	}
-	b.forget(id)
+	b.removeSender(id)
 	if b.members[id] == address {
 		return
 	}
-	b.heard = append(b.heard, sender{id: id, address: address})
-	if len(b.heard) > maxHeard {
-		b.heard = b.heard[1:]
+	b.senders = append(b.senders, sender{id: id, address: address})
+	if len(b.senders) > maxSenders {
+		b.senders = b.senders[1:]
 	}
 }
 
-func (b *AddressBook) forget(id uint64) {
-	b.heard = slices.DeleteFunc(b.heard, func(s sender) bool { return s.id == id })
+func (b *AddressBook) removeSender(id uint64) {
+	b.senders = slices.DeleteFunc(b.senders, func(s sender) bool { return s.id == id })
 }
 
 // Address returns where a replica is reached, "" when that isn't known.
 func (b *AddressBook) Address(id uint64) string {
-	for _, s := range b.heard {
+	for _, s := range b.senders {
 		if s.id == id {
 			return s.address
 		}
@@ -78,7 +78,7 @@
 	for id := range b.members {
 		all[id] = b.Address(id)
 	}
-	for _, s := range b.heard {
+	for _, s := range b.senders {
 		all[s.id] = s.address
 	}
 	return all
--- a/quorum/node/bench_test.go
+++ b/quorum/node/bench_test.go
@@ -24,16 +24,16 @@
 	maxLatency = 60_000_000
 )
 
-// nothing is a state machine that keeps nothing.
-type nothing struct{}
+// noopStateMachine is a state machine that keeps nothing.
+type noopStateMachine struct{}
 
-func (nothing) Apply(uint64, []byte) []byte { return nil }
-func (nothing) Snapshot() ([]byte, error)   { return nil, nil }
-func (nothing) Restore([]byte) error        { return nil }
+func (noopStateMachine) Apply(uint64, []byte) []byte { return nil }
+func (noopStateMachine) Snapshot() ([]byte, error)   { return nil, nil }
+func (noopStateMachine) Restore([]byte) error        { return nil }
 
 func startGroup(b *testing.B, replicas int, o node.Options) []*server {
 	listeners, peers := listenAll(b, replicas)
-	o.StateMachine, o.Tick = nothing{}, benchTick
+	o.StateMachine, o.Tick = noopStateMachine{}, benchTick
 	var servers []*server
 	for i, l := range listeners {
 		o.Folder = b.TempDir()
@@ -101,7 +101,7 @@
 		b.Run(fmt.Sprintf("entries=%d", entries), func(b *testing.B) {
 			folder := b.TempDir()
 			recoverOnce(b, folder)
-			fill(b, folder, uint64(entries))
+			appendEntries(b, folder, uint64(entries))
 			for b.Loop() {
 				recoverOnce(b, folder)
 			}
@@ -112,7 +112,7 @@
 func recoverOnce(b *testing.B, folder string) {
 	n, err := node.Start(node.Options{
 		Cell: "test", Name: "a", Address: "127.0.0.1:1", Peers: []settings.Peer{{Name: "a", Address: "127.0.0.1:1"}},
-		Folder: folder, StateMachine: nothing{}, SnapshotEntries: 1 << 40,
+		Folder: folder, StateMachine: noopStateMachine{}, SnapshotEntries: 1 << 40,
 	})
 	if err != nil {
 		b.Fatal(err)
@@ -123,7 +123,7 @@
 	}
 }
 
-func fill(b *testing.B, folder string, count uint64) {
+func appendEntries(b *testing.B, folder string, count uint64) {
 	log, err := wal.Open(wal.Options{Folder: folder})
 	if err != nil {
 		b.Fatal(err)
@@ -157,7 +157,7 @@
 			listeners, peers := listenAll(b, 3)
 			servers, folders := make([]*server, 3), make([]string, 3)
 			start := func(i int, l net.Listener) {
-				o := node.Options{Folder: folders[i], StateMachine: nothing{}, Tick: benchTick}
+				o := node.Options{Folder: folders[i], StateMachine: noopStateMachine{}, Tick: benchTick}
 				servers[i] = startServer(b, l, peers[i], peers, o)
 			}
 			for i, l := range listeners {
@@ -169,7 +169,7 @@
 			for b.Loop() {
 				leader := awaitLeader(b, servers)
 				began := time.Now()
-				endServer(leader, planned)
+				stopServer(leader, planned)
 				commitAnywhere(servers, leader)
 				times.RecordValue(time.Since(began).Milliseconds())
 				b.StopTimer()
@@ -191,7 +191,7 @@
 	}
 }
 
-func endServer(s *server, planned bool) {
+func stopServer(s *server, planned bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if !planned {
--- a/quorum/node/cut_test.go
+++ b/quorum/node/cut_test.go
@@ -16,8 +16,8 @@
 // leader, and the entry is cut off the log.
 // Cause: a replica without a vote never gives its leader up, so it believes that it was
 // taken in and does not ask again.
-func TestNewDiskOfACutLeaderIsTakenIn(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+func TestReplacedDiskRejoinsAfterLeaderPartition(t *testing.T) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
 		random := rand.New(rand.NewPCG(g.Seed, 4))
 		leader := g.Leader()
@@ -35,8 +35,8 @@
 		time.Sleep(2 * nodetest.ReplaceAfter)
 		g.Heal()
 		g.Propose("after the cut", leader)
-		time.Sleep(settled)
-		if !g.Has(lost, "after the cut") {
+		time.Sleep(settleTime)
+		if !g.HasCommand(lost, "after the cut") {
 			g.T.Errorf("seed %d: the new disk does not take part: %v", g.Seed, g.Node(lost).Status())
 		}
 	})
@@ -45,8 +45,8 @@
 // Symptom: a spare that was cut off for some minutes is never of use again.
 // Sequence: a spare is cut off until the group forgets it, and is connected again.
 // Cause: it still believes in the leader of that time, and does not ask.
-func TestSpareThatWasForgottenComesBack(t *testing.T) {
-	forSeeds(t, 3, three, func(g *nodetest.Group) {
+func TestRemovedSpareRejoinsAfterPartition(t *testing.T) {
+	forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d")
 		g.Isolate("d", true)
 		time.Sleep(2 * time.Minute)
@@ -55,8 +55,8 @@
 		})
 		g.Heal()
 		g.Propose("later")
-		time.Sleep(settled)
-		if !g.Has("d", "later") {
+		time.Sleep(settleTime)
+		if !g.HasCommand("d", "later") {
 			g.T.Errorf("seed %d: the spare does not take part: %v", g.Seed, g.Node("d").Status())
 		}
 	})
@@ -67,14 +67,14 @@
 // gone for good before it gets the new one.
 // Cause: the leader wants to give the vote to the one that is gone, is refused, and
 // wants the same at each look.
-func TestSpareServesForANewcomerThatIsGone(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestSpareReplacesDepartedLearner(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d")
 		lost := slices.DeleteFunc(g.Followers(), func(n string) bool { return n == "d" })[0]
 		leader := g.Leader()
 		g.ReplaceDisk(lost)
 		g.Wait("the removal of the old vote", func() bool {
-			return votersOf(g.Node(leader).Status().Membership) == 2
+			return voterCount(g.Node(leader).Status().Membership) == 2
 		})
 		g.Kill(lost)
 		time.Sleep(3 * time.Minute)
@@ -88,21 +88,21 @@
 // Sequence: all hosts restart, one of them at another address; that one comes to lead.
 // Cause: a replica that moved asks the leader to note its address, and the leader does
 // not ask itself.
-func TestLeaderNotesItsOwnAddress(t *testing.T) {
+func TestLeaderUpdatesItsOwnAddress(t *testing.T) {
 	led := false
 	// Ids are drawn anew in each run, so any host may come to lead: with a third of a chance
 	// for each seed, forty leave it to none in one of ten million runs.
-	forSeeds(t, 40, three, func(g *nodetest.Group) {
+	forSeeds(t, 40, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		g.Kill()
-		g.Move("a", "a, moved")
+		g.SetAddress("a", "a, moved")
 		g.MustStart()
 		if g.Leader() != "a" {
 			return
 		}
 		led = true
-		time.Sleep(settled)
+		time.Sleep(settleTime)
 		if address := g.Node("b").LeaderAddress(); address != "a, moved" {
 			g.T.Errorf("seed %d: others name %q", g.Seed, address)
 		}
@@ -115,18 +115,18 @@
 // Symptom: a host with an empty disk at a new address is never taken in.
 // Sequence: its old address takes questions and answers none.
 // Cause: the leader asks the old address for as long as the host waits for its answer.
-func TestNewAddressBesideASilentOldOne(t *testing.T) {
-	forSeeds(t, 5, three, func(g *nodetest.Group) {
+func TestJoinFromNewAddressWithUnresponsiveOldOne(t *testing.T) {
+	forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		moving := g.Followers()[0]
 		g.Kill(moving)
 		g.Host(moving).Disk.Erase()
-		g.Silent = []string{moving}
-		g.Move(moving, "elsewhere")
+		g.Unresponsive = []string{moving}
+		g.SetAddress(moving, "elsewhere")
 		g.MustStart(moving)
-		time.Sleep(settled)
-		if !g.Has(moving, "1") {
+		time.Sleep(settleTime)
+		if !g.HasCommand(moving, "1") {
 			g.T.Errorf("seed %d: the host is not taken in: %v", g.Seed, g.Node(moving).Status())
 		}
 	})
--- a/quorum/node/form.go
+++ b/quorum/node/form.go
@@ -53,11 +53,11 @@
 // keep an empty host from founding a new group, and an operator has to decide.
 
 const (
-	askTimeout = time.Second
-	// formingShare of an election timeout is the pause between two rounds of questions of a
+	requestTimeout = time.Second
+	// formRoundsPerElectionTimeout of an election timeout is the pause between two rounds of questions of a
 	// replica without a group: each member of a new group is to know it before two of them
 	// can have elected a leader.
-	formingShare = 4
+	formRoundsPerElectionTimeout = 4
 	// firstIndex and firstTerm are where every group's log begins.
 	firstIndex = 1
 	firstTerm  = 1
@@ -71,11 +71,11 @@
 	return binary.LittleEndian.Uint64(b[:])>>1 | 1
 }
 
-// step is what a replica without a group does next.
-type step int
+// formStep is what a replica without a group does next.
+type formStep int
 
 const (
-	stepWait step = iota
+	stepWait formStep = iota
 	stepFound
 	stepAdopt
 	stepJoin
@@ -88,13 +88,13 @@
 		return false, nil
 	}
 	if m := n.identity.Load().InitialMembership; m != nil {
-		return false, n.store(m)
+		return false, n.storeInitialMembership(m)
 	}
 	for !n.stopping() {
-		promised := n.promise()
-		answers := n.askPeers(n.ctx)
-		next, membership := n.decide(answers)
-		if next == stepAdopt && !n.mayAdopt(membership, promised, answers[0]) {
+		promised := n.promisedFounder()
+		answers := n.identifyPeers(n.ctx)
+		next, membership := n.chooseFormStep(answers)
+		if next == stepAdopt && !n.tryAdopt(membership, promised, answers[0]) {
 			next = stepWait
 		}
 		if next == stepWait && n.opts.JoinOnly {
@@ -102,44 +102,44 @@
 		}
 		switch next {
 		case stepFound, stepAdopt:
-			n.setGroup(membership)
-			return false, n.store(membership)
+			n.setGroupMembership(membership)
+			return false, n.storeInitialMembership(membership)
 		case stepJoin:
-			n.setGroup(membership)
+			n.setGroupMembership(membership)
 			return true, nil
 		}
-		n.pause(n.opts.electionTimeout() / formingShare)
+		n.sleep(n.opts.electionTimeout() / formRoundsPerElectionTimeout)
 	}
 	return false, nil
 }
 
-// mayAdopt checks the promise and, if nothing speaks against it, takes the
+// tryAdopt checks the promise and, if nothing speaks against it, takes the
 // membership over in one step: from then on no founder is told that this replica
 // is empty. The founder's answer comes from a round begun with the given promise.
-func (n *Node) mayAdopt(m *apiv1.Membership, promised uint64, founder *apiv1.IdentifyResponse) bool {
+func (n *Node) tryAdopt(m *apiv1.Membership, promised uint64, founder *apiv1.IdentifyResponse) bool {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
-	if n.view.promised != promised {
+	if n.view.promisedFounder != promised {
 		return false
 	}
-	kept := promised == 0 || findByID(m, promised) != nil
+	kept := promised == 0 || findReplica(m, promised) != nil
 	ended := founder != nil && (founder.ReplicaId != promised || founder.Membership != nil)
 	if kept || ended {
-		n.view.group = m
+		n.view.pendingMembership = m
 		return true
 	}
 	return false
 }
 
-// promise returns the id of the founder that this replica said it is empty to.
-func (n *Node) promise() uint64 {
+// promisedFounder returns the id of the founder that this replica said it is empty to.
+func (n *Node) promisedFounder() uint64 {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
-	return n.view.promised
+	return n.view.promisedFounder
 }
 
-// pause waits, but not longer than the replica runs.
-func (n *Node) pause(d time.Duration) {
+// sleep waits, but not longer than the replica runs.
+func (n *Node) sleep(d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -166,12 +166,12 @@
 	return others
 }
 
-// askPeers asks all other hosts who they are; an answer is nil where none came.
-func (n *Node) askPeers(ctx context.Context) []*apiv1.IdentifyResponse {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// identifyPeers asks all other hosts who they are; an answer is nil where none came.
+func (n *Node) identifyPeers(ctx context.Context) []*apiv1.IdentifyResponse {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	var founder uint64
-	if n.founder() && n.stored.HardState == nil {
+	if n.isFounder() && n.stored.HardState == nil {
 		founder = n.id()
 	}
 	peers := n.peers()
@@ -198,8 +198,8 @@
 	return answers
 }
 
-// decide chooses the next step from the peers' answers.
-func (n *Node) decide(answers []*apiv1.IdentifyResponse) (step, *apiv1.Membership) {
+// chooseFormStep chooses the next step from the peers' answers.
+func (n *Node) chooseFormStep(answers []*apiv1.IdentifyResponse) (formStep, *apiv1.Membership) {
 	fresh := n.stored.HardState == nil
 	var group *apiv1.Membership
 	allEmpty := true
@@ -208,13 +208,13 @@
 			allEmpty = false
 			continue
 		}
-		if fresh && findByID(a.InitialMembership, n.id()) != nil && findByID(a.Membership, n.id()) != nil {
+		if fresh && findReplica(a.InitialMembership, n.id()) != nil && findReplica(a.Membership, n.id()) != nil {
 			return stepAdopt, a.InitialMembership
 		}
-		if self := findByID(a.Membership, n.id()); fresh && self != nil && !self.Learner {
+		if self := findReplica(a.Membership, n.id()); fresh && self != nil && !self.Learner {
 			// An initial membership that the peer has not stored yet. To join that
 			// group as an empty learner would leave it without a voter's log.
-			event.GroupNamesReplica.Write(n.logger, event.Peer(a.Name))
+			event.MembershipAwaited.Write(n.logger, event.Peer(a.Name))
 		} else if a.Membership != nil {
 			group = a.Membership
 		}
@@ -225,14 +225,14 @@
 	switch {
 	case group != nil:
 		return stepJoin, group
-	case fresh && allEmpty && n.founder():
+	case fresh && allEmpty && n.isFounder():
 		return stepFound, n.initialMembership(answers)
 	}
 	return stepWait, nil
 }
 
-// founder reports whether this host is the one that may form the group.
-func (n *Node) founder() bool {
+// isFounder reports whether this host is the one that may form the group.
+func (n *Node) isFounder() bool {
 	if n.opts.JoinOnly {
 		return false
 	}
@@ -257,9 +257,9 @@
 	return m
 }
 
-// store makes this replica one of the group's initial ones. The membership is
+// storeInitialMembership makes this replica one of the group's initial ones. The membership is
 // stored first: from then on, also after a restart, this replica stays with it.
-func (n *Node) store(m *apiv1.Membership) error {
+func (n *Node) storeInitialMembership(m *apiv1.Membership) error {
 	data, err := n.opts.StateMachine.Snapshot()
 	if err != nil {
 		return errors.Wrap(err, "empty state can't be snapshotted")
@@ -277,7 +277,7 @@
 		return err
 	}
 	n.identity.Store(id)
-	n.stored = quorum.Stored{Snapshot: s}
+	n.stored = quorum.StoredState{Snapshot: s}
 	event.GroupFormed.Write(n.logger, event.ReplicaCount(len(m.Replicas)))
 	return n.restore(s)
 }
--- a/quorum/node/groupsize.go
+++ b/quorum/node/groupsize.go
@@ -5,9 +5,9 @@
 // GroupSize counts the replicas of a group.
 type GroupSize struct {
 	Voters int
-	// Heard are the voters that the leader heard within an election timeout, itself
+	// Responsive are the voters that the leader heard within an election timeout, itself
 	// included; 0 on other replicas.
-	Heard int
+	Responsive int
 	// Spares have no vote, whether they wait for one or are about to get it.
 	Spares int
 }
@@ -23,16 +23,16 @@
 			continue
 		}
 		g.Voters++
-		if s.Role == quorum.Leader && (r.Id == s.ID || s.SilentTicks[r.Id] < recentTicks) {
-			g.Heard++
+		if s.Role == quorum.Leader && (r.Id == s.ID || s.TicksSinceContact[r.Id] < recentTicks) {
+			g.Responsive++
 		}
 	}
 	return g
 }
 
-// lagOf is how many entries the slowest voter's log is behind the leader's; 0 on other
+// maxVoterLag is how many entries the slowest voter's log is behind the leader's; 0 on other
 // replicas.
-func lagOf(s quorum.Status) uint64 {
+func maxVoterLag(s quorum.Status) uint64 {
 	if s.Role != quorum.Leader {
 		return 0
 	}
