--- a/quorum/node/heard_test.go
+++ b/quorum/node/heard_test.go
@@ -14,26 +14,26 @@
 	"github.com/cairnlift/cairnlift/quorum/node"
 )
 
-// listener takes the messages of other replicas.
-type listener struct {
+// messageServer takes the messages of other replicas.
+type messageServer struct {
 	apiv1.Quorum
 	delivered chan *apiv1.QuorumMessage
 }
 
-func (l listener) Deliver(_ context.Context, r *apiv1.DeliverRequest) (*apiv1.DeliverResponse, error) {
+func (l messageServer) Deliver(_ context.Context, r *apiv1.DeliverRequest) (*apiv1.DeliverResponse, error) {
 	for _, m := range r.Messages {
 		l.delivered <- m
 	}
 	return &apiv1.DeliverResponse{}, nil
 }
 
-// startListener returns where a listener is reached.
-func startListener(t *testing.T) (listener, string) {
+// startMessageServer returns where a listener is reached.
+func startMessageServer(t *testing.T) (messageServer, string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	taking := listener{delivered: make(chan *apiv1.QuorumMessage, 1)}
+	taking := messageServer{delivered: make(chan *apiv1.QuorumMessage, 1)}
 	s := &http.Server{Handler: apiv1.NewQuorumServer(taking)}
 	t.Cleanup(func() { _ = s.Close() })
 	go s.Serve(l) //nolint:errcheck // It ends with the test.
@@ -48,9 +48,9 @@
 	return transport, registry
 }
 
-// mustDeliver waits until the listener has a message for a replica, or the transport
+// awaitMessage waits until the listener has a message for a replica, or the transport
 // has counted that it could not send it.
-func mustDeliver(t *testing.T, taking listener, registry metrics.Registry, to uint64) {
+func awaitMessage(t *testing.T, taking messageServer, registry metrics.Registry, to uint64) {
 	t.Helper()
 	for {
 		select {
@@ -70,7 +70,7 @@
 	}
 }
 
-const nowhere = "127.0.0.1:1"
+const unreachableAddress = "127.0.0.1:1"
 
 // Symptom: a repair after a lost disk never ends once many disks were lost before it.
 // Sequence: a replica hears leader after leader that its log does not name yet, each
@@ -78,27 +78,27 @@
 // Cause: the senders that are gone fill the list of those that can be answered.
 // Evidence: the same requests to join as in the group that lost its majority for a
 // repair that never ended.
-func TestLateLeaderIsAnsweredAfterManyOthers(t *testing.T) {
+func TestNewestSenderIsReachableAfterManySenders(t *testing.T) {
 	transport, registry := startTransport(t)
-	taking, address := startListener(t)
+	taking, address := startMessageServer(t)
 	for id := range uint64(quorum.MaxReplicas) {
-		transport.Heard(id+1, nowhere)
+		transport.RecordSender(id+1, unreachableAddress)
 	}
 	const leader = quorum.MaxReplicas + 1
-	transport.Heard(leader, address)
+	transport.RecordSender(leader, address)
 	transport.Send([]*apiv1.QuorumMessage{{From: 100, To: leader}})
-	mustDeliver(t, taking, registry, leader)
+	awaitMessage(t, taking, registry, leader)
 }
 
 // Symptom: a replica that is far behind never catches up.
 // Sequence: a member moves to another address and comes to lead; a replica that was
 // down meanwhile knows the member by its former address.
 // Cause: the address in an old membership goes before the one that messages name.
-func TestMovedLeaderIsAnswered(t *testing.T) {
+func TestSenderAddressOverridesMembership(t *testing.T) {
 	transport, registry := startTransport(t)
-	taking, address := startListener(t)
-	transport.SetMembers(&apiv1.Membership{Replicas: []*apiv1.Replica{{Id: 1, Name: "a", Address: nowhere}}})
-	transport.Heard(1, address)
+	taking, address := startMessageServer(t)
+	transport.SetMembers(&apiv1.Membership{Replicas: []*apiv1.Replica{{Id: 1, Name: "a", Address: unreachableAddress}}})
+	transport.RecordSender(1, address)
 	transport.Send([]*apiv1.QuorumMessage{{From: 100, To: 1}})
-	mustDeliver(t, taking, registry, 1)
+	awaitMessage(t, taking, registry, 1)
 }
--- a/quorum/node/history_test.go
+++ b/quorum/node/history_test.go
@@ -40,8 +40,8 @@
 	unknown    int
 }
 
-// end is when a write that may still take effect returns.
-const end = 1 << 60
+// neverReturned is when a write that may still take effect returns.
+const neverReturned = 1 << 60
 
 func (h *history) add(o porcupine.Operation) {
 	h.mu.Lock()
@@ -50,7 +50,7 @@
 	if o.Input == "" {
 		h.reads++
 	}
-	if o.Return == end {
+	if o.Return == neverReturned {
 		h.unknown++
 	}
 }
@@ -62,30 +62,30 @@
 	var unknown *node.UnknownError
 	switch {
 	case errors.As(err, &unknown):
-		o.Return = end
+		o.Return = neverReturned
 	case err != nil:
 		return // Not run, says the replica: it must not be seen by any read.
 	}
 	h.add(o)
 }
 
-func (h *history) read(client int, n *node.Node, m *nodetest.Machine) {
+func (h *history) read(client int, n *node.Node, m *nodetest.StateMachine) {
 	o := porcupine.Operation{ClientId: client, Input: "", Call: h.clock.Add(1)}
 	if _, err := n.ReadBarrier(nodetest.Within(time.Second)); err != nil {
 		return
 	}
 	o.Output = ""
-	if values := m.List(); len(values) > 0 {
+	if values := m.Commands(); len(values) > 0 {
 		o.Output = values[len(values)-1]
 	}
 	o.Return = h.clock.Add(1)
 	h.add(o)
 }
 
-// enough reports whether the history holds 50 reads and 50 acknowledged writes. How
+// hasEnough reports whether the history holds 50 reads and 50 acknowledged writes. How
 // many of the first 60 calls of each client succeed hangs on the scheduling of
 // goroutines, so clients go on until it does.
-func (h *history) enough() bool {
+func (h *history) hasEnough() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.reads >= 50 && len(h.operations)-h.reads-h.unknown >= 50
@@ -97,7 +97,7 @@
 // lose power, and hand leadership over, several at once.
 // Cause: any fault in commits, reads, recovery or the answers to callers.
 func TestHistoryIsLinearizable(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		h := &history{}
 		var clients conc.WaitGroup
@@ -105,10 +105,10 @@
 		for client := range 5 {
 			clients.Go(func() {
 				random := rand.New(rand.NewPCG(g.Seed, uint64(client)))
-				for i := 0; i < 60 || !disturbed.Load() || !h.enough() && i < 5000; i++ {
+				for i := 0; i < 60 || !disturbed.Load() || !h.hasEnough() && i < 5000; i++ {
 					time.Sleep(time.Duration(random.IntN(20)) * time.Millisecond)
-					host := g.Host(three[random.IntN(3)])
-					n, m := host.Node, host.Machine
+					host := g.Host(threeHosts[random.IntN(3)])
+					n, m := host.Node, host.StateMachine
 					switch {
 					case n == nil:
 					case random.IntN(2) == 0:
@@ -119,10 +119,10 @@
 				}
 			})
 		}
-		disturb(g, 25)
+		injectFaults(g, 25)
 		disturbed.Store(true)
 		clients.Wait()
-		if !h.enough() {
+		if !h.hasEnough() {
 			g.T.Fatalf("seed %d: %d operations, %d reads, %d unknown: too few succeeded", g.Seed, len(h.operations), h.reads, h.unknown)
 		}
 		result := porcupine.CheckOperationsTimeout(register, h.operations, noTimeLimit)
@@ -132,11 +132,11 @@
 	})
 }
 
-// disturb does one disturbance after the other to random hosts and their leader.
-func disturb(g *nodetest.Group, count int) {
+// injectFaults does one disturbance after the other to random hosts and their leader.
+func injectFaults(g *nodetest.Group, count int) {
 	random := rand.New(rand.NewPCG(g.Seed, 99))
 	for range count {
-		name := three[random.IntN(3)]
+		name := threeHosts[random.IntN(3)]
 		if random.IntN(2) == 0 {
 			name = g.Leader()
 		}
@@ -153,7 +153,7 @@
 		case 2:
 			g.Node(name).TransferLeadership(nodetest.Within(time.Second))
 		case 3:
-			other := three[random.IntN(3)]
+			other := threeHosts[random.IntN(3)]
 			g.Isolate(name, true)
 			g.Kill(other)
 			time.Sleep(pause)
--- a/quorum/node/loop.go
+++ b/quorum/node/loop.go
@@ -20,23 +20,23 @@
 	ticker := time.NewTicker(n.opts.Tick)
 	defer ticker.Stop()
 	for {
-		if err := n.handleReadies(); err != nil {
+		if err := n.handleAllReady(); err != nil {
 			return err
 		}
-		if err := n.takeOne(ticker.C); err != nil {
+		if err := n.handleNextInput(ticker.C); err != nil {
 			return err
 		}
 		if n.stopping() {
 			return nil
 		}
-		if err := n.takeWaiting(); err != nil {
+		if err := n.handleQueuedInputs(); err != nil {
 			return err
 		}
 	}
 }
 
-// takeOne waits for an input.
-func (n *Node) takeOne(ticks <-chan time.Time) error {
+// handleNextInput waits for an input.
+func (n *Node) handleNextInput(ticks <-chan time.Time) error {
 	select {
 	case <-n.stop:
 	case <-ticks:
@@ -44,7 +44,7 @@
 	case m := <-n.inbox:
 		return n.step(m)
 	case p := <-n.proposals:
-		n.append(p)
+		n.appendProposal(p)
 	case b := <-n.barriers:
 		n.reads.add(b)
 	case f := <-n.calls:
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// takeWaiting takes the messages, proposals and reads that are there already.
-func (n *Node) takeWaiting() error {
+// handleQueuedInputs takes the messages, proposals and reads that are there already.
+func (n *Node) handleQueuedInputs() error {
 	for range len(n.inbox) {
 		if err := n.step(<-n.inbox); err != nil {
 			return err
@@ -64,7 +64,7 @@
 	}
 	if !n.opts.SingleCommit {
 		for range len(n.proposals) {
-			n.append(<-n.proposals)
+			n.appendProposal(<-n.proposals)
 		}
 	}
 	for range len(n.barriers) {
@@ -76,26 +76,26 @@
 
 func (n *Node) tick() {
 	n.raft.Tick()
-	n.reconciling++
-	if n.reconciling >= reconcileTicks {
-		n.reconciling = 0
-		n.reconcile()
-		n.handOverIfSlow()
+	n.ticksSinceReconcile++
+	if n.ticksSinceReconcile >= reconcileTicks {
+		n.ticksSinceReconcile = 0
+		n.reconcileMembership()
+		n.handOverIfDiskSlow()
 	}
 }
 
-// handOverIfSlow hands leadership to a voter with a much faster disk, if the own one is slow
+// handOverIfDiskSlow hands leadership to a voter with a much faster disk, if the own one is slow
 // and there is one.
-func (n *Node) handOverIfSlow() {
+func (n *Node) handOverIfDiskSlow() {
 	to, found := n.raft.FasterVoter()
-	if !found || !n.leadership.Leading || n.leaving.Load() {
+	if !found || !n.leadership.Leading || n.shuttingDown.Load() {
 		return
 	}
 	if err := n.raft.TransferLeadership(to); err != nil {
-		event.HandoverImpossible.Write(n.logger, event.Err(err))
+		event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 		return
 	}
-	n.meters.slowHandovers.Inc(1)
+	n.metrics.slowDiskHandovers.Inc(1)
 	event.DiskSlow.Write(n.logger, event.ReplicaID(to))
 }
 
@@ -107,12 +107,12 @@
 	case errors.Is(err, quorum.ErrLostEntries):
 		return err
 	}
-	n.meters.refused.Inc(1)
+	n.metrics.refused.Inc(1)
 	event.MessageRefused.Write(n.logger, event.Err(err))
 	return nil
 }
 
-func (n *Node) handleReadies() error {
+func (n *Node) handleAllReady() error {
 	for n.raft.HasReady() {
 		if err := n.handleReady(n.raft.Ready()); err != nil {
 			return err
@@ -125,7 +125,7 @@
 // a leader's appends. What a message promises is synced before the message leaves.
 func (n *Node) handleReady(rd quorum.Ready) error {
 	if n.leadership.Leading && (rd.Role != quorum.Leader || rd.Term != n.leadership.Term) {
-		n.lead(Leadership{Term: n.leadership.Term})
+		n.setLeadership(Leadership{Term: n.leadership.Term})
 	}
 	early, late := n.splitMessages(rd)
 	n.send(early)
@@ -141,10 +141,10 @@
 	for _, e := range rd.Committed {
 		n.apply(rd, e)
 	}
-	n.failLost(rd)
+	n.failProposalsOfEarlierTerm(rd)
 	n.raft.Advance()
 	n.finishReads(rd.ReadStates)
-	n.publish()
+	n.publishStatus()
 	return n.snapshot()
 }
 
@@ -171,7 +171,7 @@
 
 func (n *Node) send(messages []*apiv1.QuorumMessage) {
 	n.transport.Send(messages)
-	n.meters.sent.Inc(int64(len(messages)))
+	n.metrics.sent.Inc(int64(len(messages)))
 }
 
 // persist stores what the core hands out. An arriving snapshot goes between the
@@ -196,9 +196,9 @@
 	}
 	if len(rd.Entries) > 0 {
 		took := time.Since(started)
-		n.raft.ReportSave(took)
-		n.meters.save.Update(took.Microseconds())
-		n.meters.batch.Update(int64(len(rd.Entries)))
+		n.raft.ReportSaveDuration(took)
+		n.metrics.saveDuration.Update(took.Microseconds())
+		n.metrics.saveEntries.Update(int64(len(rd.Entries)))
 	}
 	return nil
 }
@@ -210,7 +210,7 @@
 			return err
 		}
 	}
-	event.SnapshotReplaces.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
+	event.SnapshotInstalled.Write(n.logger, event.Index(rd.Snapshot.Meta.Index), event.Bytes(len(rd.Snapshot.Data)))
 	return n.storage.SaveSnapshot(rd.Snapshot)
 }
 
@@ -221,22 +221,22 @@
 		result = n.opts.StateMachine.Apply(e.Index, e.Data)
 	}
 	n.applied = e.Index
-	n.meters.applied.Inc(1)
+	n.metrics.applied.Inc(1)
 	if rd.Role == quorum.Leader && e.Term == rd.Term && !n.leadership.Leading {
-		n.lead(Leadership{Term: rd.Term, Leading: true})
+		n.setLeadership(Leadership{Term: rd.Term, Leading: true})
 	}
-	n.answer(e, result)
+	n.completeProposals(e, result)
 }
 
-// lead tells of a change of leadership.
-func (n *Node) lead(l Leadership) {
+// setLeadership tells of a change of leadership.
+func (n *Node) setLeadership(l Leadership) {
 	if n.leadership == l {
 		return
 	}
 	if n.leadership.Leading != l.Leading {
-		event.LeadershipChanged.Write(n.logger, event.Leading(l.Leading), event.Term(l.Term))
+		event.LeadershipChanged.Write(n.logger, event.BecameLeader(l.Leading), event.Term(l.Term))
 		if l.Leading {
-			n.meters.elections.Inc(1)
+			n.metrics.elections.Inc(1)
 		}
 		n.opts.OnLeadership(l)
 	}
@@ -247,7 +247,7 @@
 // file is written by another goroutine, so that neither heartbeats nor commits
 // wait for it.
 func (n *Node) snapshot() error {
-	if n.snapshotting || n.applied < n.snapshotAt+n.opts.SnapshotEntries {
+	if n.snapshotInProgress || n.applied < n.snapshotIndex+n.opts.SnapshotEntries {
 		return nil
 	}
 	data, err := n.opts.StateMachine.Snapshot()
@@ -257,17 +257,17 @@
 	if len(data) > MaxSnapshotBytes {
 		// A follower could not take it in: the log stays instead, and grows.
 		event.SnapshotTooLarge.Write(n.logger, event.Bytes(len(data)))
-		n.meters.snapshotRefused.Inc(1)
-		n.snapshotAt = n.applied
+		n.metrics.snapshotRefused.Inc(1)
+		n.snapshotIndex = n.applied
 		return nil
 	}
 	s, err := n.raft.Compact(n.applied, data)
 	if err != nil {
 		return errors.Wrap(err, "log can't be compacted")
 	}
-	n.snapshotAt = n.applied
-	n.snapshotting = true
-	n.meters.snapshotBytes.Update(int64(len(data)))
+	n.snapshotIndex = n.applied
+	n.snapshotInProgress = true
+	n.metrics.snapshotBytes.Update(int64(len(data)))
 	n.staging.Go(func() { n.storeSnapshot(s) })
 	return nil
 }
@@ -276,13 +276,13 @@
 func (n *Node) storeSnapshot(s *apiv1.QuorumSnapshot) {
 	err := n.storage.StageSnapshot(s)
 	record := func() error {
-		n.snapshotting = false
+		n.snapshotInProgress = false
 		if err != nil {
 			return err
 		}
 		return n.storage.CommitSnapshot(s.Meta)
 	}
-	if err := n.do(n.ctx, record); err != nil {
+	if err := n.callOnLoop(n.ctx, record); err != nil {
 		event.SnapshotUnrecorded.Write(n.logger, event.Err(err))
 	}
 }
--- a/quorum/node/membership.go
+++ b/quorum/node/membership.go
@@ -16,33 +16,33 @@
 var ErrNoReplica = errors.New("no such replica")
 
 // AddLearner adds a replica that receives the log but has no vote. Errors are
-// those of Propose, and quorum.ErrMembershipPending or quorum.ErrMembershipChange.
+// those of Propose, and quorum.ErrMembershipPending or quorum.ErrMembershipChangeRefused.
 func (n *Node) AddLearner(ctx context.Context, r *apiv1.Replica) error {
 	learner := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Spare: r.Spare}
-	return n.change(ctx, withLearner(n.Status().Membership, learner))
+	return n.changeMembership(ctx, withLearner(n.Status().Membership, learner))
 }
 
 // Promote makes a learner a voter. Errors are also quorum.ErrNotCaughtUp and
 // ErrNoReplica.
 func (n *Node) Promote(ctx context.Context, id uint64) error {
 	current := n.Status().Membership
-	if findByID(current, id) == nil {
+	if findReplica(current, id) == nil {
 		return ErrNoReplica
 	}
-	return n.change(ctx, withVoter(current, id))
+	return n.changeMembership(ctx, withPromoted(current, id))
 }
 
 // Remove removes a replica. One that still runs asks to be taken in again by itself, as
 // a spare.
 func (n *Node) Remove(ctx context.Context, id uint64) error {
 	current := n.Status().Membership
-	if findByID(current, id) == nil {
+	if findReplica(current, id) == nil {
 		return ErrNoReplica
 	}
-	return n.change(ctx, without(current, id))
+	return n.changeMembership(ctx, withRemoved(current, id))
 }
 
-func (n *Node) change(ctx context.Context, next *apiv1.Membership) error {
+func (n *Node) changeMembership(ctx context.Context, next *apiv1.Membership) error {
 	return n.submit(ctx, &proposal{membership: next}).err
 }
 
@@ -50,8 +50,8 @@
 	return &apiv1.Membership{Replicas: append(slices.Clone(m.GetReplicas()), r)}
 }
 
-func withVoter(m *apiv1.Membership, id uint64) *apiv1.Membership {
-	r := findByID(m, id)
+func withPromoted(m *apiv1.Membership, id uint64) *apiv1.Membership {
+	r := findReplica(m, id)
 	return withReplaced(m, &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Replaces: r.Replaces})
 }
 
@@ -67,7 +67,7 @@
 	return next
 }
 
-func without(m *apiv1.Membership, id uint64) *apiv1.Membership {
+func withRemoved(m *apiv1.Membership, id uint64) *apiv1.Membership {
 	next := &apiv1.Membership{}
 	for _, r := range m.GetReplicas() {
 		if r.Id != id {
@@ -77,13 +77,13 @@
 	return next
 }
 
-// reconcile makes, on a leader, the next change towards a membership without
+// reconcileMembership makes, on a leader, the next change towards a membership without
 // learners and predecessors. It looks only at the membership and the logs, so a
 // new leader goes on where the one before stopped.
-func (n *Node) reconcile() {
+func (n *Node) reconcileMembership() {
 	s := n.raft.Status()
-	n.meters.measureGroup(s, n.opts.ElectionTicks)
-	if !n.leadership.Leading || s.Role != quorum.Leader || n.leaving.Load() {
+	n.metrics.updateGroupGauges(s, n.opts.ElectionTicks)
+	if !n.leadership.Leading || s.Role != quorum.Leader || n.shuttingDown.Load() {
 		return
 	}
 	next, reason := n.withOwnAddress(s)
@@ -95,17 +95,17 @@
 	}
 	_, _, err := n.raft.ProposeMembership(next)
 	if err != nil {
-		event.MembershipWaits.Write(n.logger, event.Change(reason), event.Err(err))
+		event.MembershipChangeDeferred.Write(n.logger, event.Change(reason), event.Err(err))
 		return
 	}
-	event.MembershipChanges.Write(n.logger, event.Change(reason))
+	event.MembershipChanging.Write(n.logger, event.Change(reason))
 }
 
 // withOwnAddress notes where a leader is reached that moved while it was down. Others
 // ask the leader to note their address; it can't ask itself, and all would be referred
 // to where it was.
 func (n *Node) withOwnAddress(s quorum.Status) (next *apiv1.Membership, reason string) {
-	self := findByID(s.Membership, s.ID)
+	self := findReplica(s.Membership, s.ID)
 	if self == nil || self.Address == n.opts.Address {
 		return nil, ""
 	}
@@ -131,7 +131,7 @@
 //     which one may.
 func nextMembership(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
 	for _, choose := range []func(quorum.Status, membershipPolicy) (*apiv1.Membership, string){
-		removePredecessor, endReplacement, giveVote, nameSuccessor, resize,
+		removePredecessor, finishReplacement, promoteLearner, assignSuccessor, resizeGroup,
 	} {
 		if next, reason = choose(s, p); next != nil {
 			return next, reason
@@ -144,19 +144,19 @@
 func removePredecessor(s quorum.Status, _ membershipPolicy) (*apiv1.Membership, string) {
 	replicas := s.Membership.GetReplicas()
 	for i, r := range replicas {
-		successor := lastNamed(replicas[i+1:], r.Name)
+		successor := lastWithName(replicas[i+1:], r.Name)
 		if successor == nil || r.Id == s.ID {
 			continue
 		}
 		if r.Learner || !successor.Learner || caughtUp(s, successor.Id) {
-			return without(s.Membership, r.Id), "remove the predecessor of " + r.Name
+			return withRemoved(s.Membership, r.Id), "remove the predecessor of " + r.Name
 		}
 	}
 	return nil, ""
 }
 
-// lastNamed returns the last replica of a name, nil when there is none.
-func lastNamed(replicas []*apiv1.Replica, name string) *apiv1.Replica {
+// lastWithName returns the last replica of a name, nil when there is none.
+func lastWithName(replicas []*apiv1.Replica, name string) *apiv1.Replica {
 	for _, r := range slices.Backward(replicas) {
 		if r.Name == name {
 			return r
@@ -165,19 +165,19 @@
 	return nil
 }
 
-// endReplacement removes the voter whose place another one has taken by now, and takes
+// finishReplacement removes the voter whose place another one has taken by now, and takes
 // the mark from a replica that has none to replace: the voter came back, leads, or is
 // gone.
-func endReplacement(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
+func finishReplacement(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
 	for _, r := range s.Membership.GetReplicas() {
 		if r.Replaces == 0 {
 			continue
 		}
-		before := findByID(s.Membership, r.Replaces)
+		before := findReplica(s.Membership, r.Replaces)
 		if !r.Learner && before != nil && before.Id != s.ID {
-			return without(s.Membership, before.Id), "remove " + before.Name + ", replaced by " + r.Name
+			return withRemoved(s.Membership, before.Id), "remove " + before.Name + ", replaced by " + r.Name
 		}
-		if before == nil || before.Id == s.ID || answers(s, before.Id, p.replaceTicks) {
+		if before == nil || before.Id == s.ID || isResponsive(s, before.Id, p.replaceTicks) {
 			unmarked := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: r.Learner, Spare: r.Learner}
 			return withReplaced(s.Membership, unmarked), r.Name + " replaces nobody any more"
 		}
@@ -185,33 +185,33 @@
 	return nil, ""
 }
 
-// answers reports whether a replica was heard within some ticks, and in this term: a
+// isResponsive reports whether a replica was heard within some ticks, and in this term: a
 // new leader starts to count silence anew.
-func answers(s quorum.Status, id uint64, within int) bool {
-	return id == s.ID || s.Match[id] > 0 && s.SilentTicks[id] < within
+func isResponsive(s quorum.Status, id uint64, within int) bool {
+	return id == s.ID || s.Match[id] > 0 && s.TicksSinceContact[id] < within
 }
 
-// giveVote makes a learner a voter that is no spare, or that takes a voter's place. One
+// promoteLearner makes a learner a voter that is no spare, or that takes a voter's place. One
 // that is silent is passed over: the core would refuse it at each look, and nothing
 // else would ever be repaired.
-func giveVote(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
+func promoteLearner(s quorum.Status, p membershipPolicy) (*apiv1.Membership, string) {
 	for _, r := range s.Membership.GetReplicas() {
-		if r.Learner && !r.Spare && caughtUp(s, r.Id) && s.SilentTicks[r.Id] < p.recentTicks {
-			return withVoter(s.Membership, r.Id), "give a vote to " + r.Name
+		if r.Learner && !r.Spare && caughtUp(s, r.Id) && s.TicksSinceContact[r.Id] < p.responsiveTicks {
+			return withPromoted(s.Membership, r.Id), "give a vote to " + r.Name
 		}
 	}
 	return nil, ""
 }
 
-// nameSuccessor makes a spare that has the whole log the successor of a voter that
+// assignSuccessor makes a spare that has the whole log the successor of a voter that
 // is gone, unless one that runs is named already.
-func nameSuccessor(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
-	gone := silentVoter(s, p.replaceTicks)
+func assignSuccessor(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
+	gone := unresponsiveVoter(s, p.replaceTicks)
 	if gone == nil {
 		return nil, ""
 	}
 	for _, r := range s.Membership.GetReplicas() {
-		if !r.Learner || !r.Spare || !caughtUp(s, r.Id) || !answers(s, r.Id, p.replaceTicks) {
+		if !r.Learner || !r.Spare || !caughtUp(s, r.Id) || !isResponsive(s, r.Id, p.replaceTicks) {
 			continue
 		}
 		successor := &apiv1.Replica{Id: r.Id, Name: r.Name, Address: r.Address, Learner: true, Replaces: gone.Id}
@@ -220,10 +220,10 @@
 	return nil, ""
 }
 
-// silentVoter returns a voter that was not heard for replaceTicks.
-func silentVoter(s quorum.Status, replaceTicks int) *apiv1.Replica {
+// unresponsiveVoter returns a voter that was not heard for replaceTicks.
+func unresponsiveVoter(s quorum.Status, replaceTicks int) *apiv1.Replica {
 	for _, r := range s.Membership.GetReplicas() {
-		if !r.Learner && r.Id != s.ID && s.SilentTicks[r.Id] >= replaceTicks {
+		if !r.Learner && r.Id != s.ID && s.TicksSinceContact[r.Id] >= replaceTicks {
 			return r
 		}
 	}
@@ -243,13 +243,13 @@
 	for {
 		changed := n.Changed()
 		s := n.Status()
-		to := transferee(s)
+		to := transferTarget(s)
 		if s.Role != quorum.Leader || to == 0 {
 			return nil
 		}
-		err := n.do(ctx, func() error {
+		err := n.callOnLoop(ctx, func() error {
 			if err := n.raft.TransferLeadership(to); err != nil {
-				event.HandoverImpossible.Write(n.logger, event.Err(err))
+				event.LeadershipTransferFailed.Write(n.logger, event.Err(err))
 			}
 			return nil
 		})
@@ -274,8 +274,8 @@
 	}
 }
 
-// transferee returns the other voter that holds most, 0 when there is none.
-func transferee(s quorum.Status) uint64 {
+// transferTarget returns the other voter that holds most, 0 when there is none.
+func transferTarget(s quorum.Status) uint64 {
 	var best uint64
 	for _, r := range s.Membership.GetReplicas() {
 		if r.Learner || r.Id == s.ID {
--- a/quorum/node/membership_test.go
+++ b/quorum/node/membership_test.go
@@ -23,8 +23,8 @@
 // once it is repaired another host loses its disk.
 // Cause: the new disk votes or counts under the old id, or the membership keeps
 // votes of disks that are gone until too few of the living are left.
-func TestLostDisks(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+func TestRepeatedDiskLoss(t *testing.T) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		lost, other := g.Followers()[0], g.Followers()[1]
@@ -35,16 +35,16 @@
 		})
 		g.ReplaceDisk(lost)
 		g.Propose("2")
-		g.WaitWhole()
+		g.WaitAllVoters()
 		g.ReplaceDisk(lost)
 		g.Propose("3")
-		g.WaitWhole()
+		g.WaitAllVoters()
 		g.ReplaceDisk(other)
-		g.WaitWhole()
+		g.WaitAllVoters()
 		g.Propose("4")
-		for _, name := range three {
+		for _, name := range threeHosts {
 			for _, command := range []string{"1", "2", "3", "4"} {
-				g.Wait(command+" on "+name, func() bool { return g.Has(name, command) })
+				g.Wait(command+" on "+name, func() bool { return g.HasCommand(name, command) })
 			}
 		}
 		if id := g.Node(lost).Status().ID; id == old {
@@ -59,22 +59,22 @@
 // Cause: hosts that decide on the initial membership by themselves, from answers
 // that are no longer true.
 func TestFormingWithLostDisk(t *testing.T) {
-	forSeeds(t, 100, three, func(g *nodetest.Group) {
+	forSeeds(t, 100, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 7))
 		pause := func(most int) { time.Sleep(time.Duration(random.IntN(most)) * time.Millisecond) }
-		g.Delay = func() { time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond) }
-		for _, name := range three {
+		g.IdentifyDelay = func() { time.Sleep(time.Duration(rand.IntN(100)) * time.Millisecond) }
+		for _, name := range threeHosts {
 			pause(100)
 			g.MustStart(name)
 		}
 		pause(500)
-		victim := three[random.IntN(3)]
+		victim := threeHosts[random.IntN(3)]
 		g.ReplaceDisk(victim)
 		g.Propose("1")
-		g.WaitWhole()
+		g.WaitAllVoters()
 		var initial *apiv1.Membership
-		for _, name := range three {
-			g.Wait("1 on "+name, func() bool { return g.Has(name, "1") })
+		for _, name := range threeHosts {
+			g.Wait("1 on "+name, func() bool { return g.HasCommand(name, "1") })
 			who := g.Identify(name)
 			if initial == nil {
 				initial = who.InitialMembership
@@ -91,7 +91,7 @@
 // Sequence: a host came back with an empty disk; while the leader brings the
 // membership to three voters, that disk is lost again after any of the steps.
 // Cause: steps in an order that needs the new disk for a majority.
-func TestRepairStepsNeedNoMoreThanTheLiving(t *testing.T) {
+func TestRepairStepsKeepMajorityOfRunningVoters(t *testing.T) {
 	s := quorum.Status{ID: 1, LastIndex: 10, Match: map[uint64]uint64{1: 10, 2: 10, 4: 10, 5: 10}, Membership: &apiv1.Membership{
 		Replicas: []*apiv1.Replica{{Id: 1, Name: "a"}, {Id: 2, Name: "b"}, {Id: 3, Name: "c"},
 			{Id: 4, Name: "c", Learner: true}, {Id: 5, Name: "c", Learner: true}},
@@ -126,8 +126,8 @@
 // membership at the same moment.
 // Sequence: several removals and additions are asked for at once.
 // Cause: a change that starts before the one before it is committed.
-func TestMembershipChangesRace(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestConcurrentMembershipChanges(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		leader := g.Node(g.Leader())
@@ -139,7 +139,7 @@
 			operators.Go(func() {
 				if err := leader.Remove(nodetest.Within(time.Second), id); err == nil {
 					done.Add(1)
-				} else if !errors.Is(err, quorum.ErrMembershipPending) && !errors.Is(err, quorum.ErrMembershipChange) {
+				} else if !errors.Is(err, quorum.ErrMembershipPending) && !errors.Is(err, quorum.ErrMembershipChangeRefused) {
 					g.T.Errorf("seed %d: %v", g.Seed, err)
 				}
 			})
--- a/quorum/node/node.go
+++ b/quorum/node/node.go
@@ -46,7 +46,7 @@
 type Node struct {
 	opts      Options
 	logger    *zap.Logger
-	meters    meters
+	metrics   metricSet
 	storage   Storage
 	transport Transport
 	rand      *rand.Rand
@@ -55,34 +55,34 @@
 	storedTerm uint64
 
 	// Inputs of the event loop.
-	inbox       chan *apiv1.QuorumMessage
-	proposals   chan *proposal
-	barriers    chan *barrier
-	calls       chan func() error
-	unreachable chan uint64
-	stop        chan struct{}
-	stopOnce    sync.Once
-	closeOnce   sync.Once
-	leaving     atomic.Bool
+	inbox        chan *apiv1.QuorumMessage
+	proposals    chan *proposal
+	barriers     chan *barrier
+	calls        chan func() error
+	unreachable  chan uint64
+	stop         chan struct{}
+	stopOnce     sync.Once
+	closeOnce    sync.Once
+	shuttingDown atomic.Bool
 
 	// Owned by the event loop.
 	raft      *quorum.Raft
-	stored    quorum.Stored
+	stored    quorum.StoredState
 	hardState *apiv1.HardState
 	applied   uint64
-	// snapshotAt is the index of the newest snapshot, or of one being stored.
-	snapshotAt   uint64
-	snapshotting bool
-	waiting      []*proposal
-	reads        readQueue
-	leadership   Leadership
-	reconciling  int
+	// snapshotIndex is the index of the newest snapshot, or of one being stored.
+	snapshotIndex       uint64
+	snapshotInProgress  bool
+	pendingProposals    []*proposal
+	reads               readQueue
+	leadership          Leadership
+	ticksSinceReconcile int
 
 	// Owned by the goroutine that forms or joins the group.
-	refusals refusals
+	loggedAnswers joinAnswers
 	// withoutReplica are the names of peers that keep no replica.
-	withoutReplica   map[string]bool
-	leaderlessReport time.Time
+	withoutReplica     map[string]bool
+	leaderlessLoggedAt time.Time
 
 	view       view
 	goroutines conc.WaitGroup
@@ -102,21 +102,21 @@
 func Start(o Options) (*Node, error) {
 	o.setDefaults()
 	n := &Node{
-		opts:        o,
-		logger:      o.Logger,
-		meters:      newMeters(o.Metrics),
-		storage:     o.Storage,
-		transport:   o.Transport,
-		rand:        rand.New(rand.NewPCG(o.Seed, 0)),
-		inbox:       make(chan *apiv1.QuorumMessage, inboxLength),
-		proposals:   make(chan *proposal, maxUncommitted),
-		barriers:    make(chan *barrier, maxUncommitted),
-		calls:       make(chan func() error),
-		unreachable: make(chan uint64, quorum.MaxReplicas),
-		stop:        make(chan struct{}),
-		done:        make(chan struct{}),
-		failed:      make(chan error, 1),
-		refusals:    refusals{},
+		opts:          o,
+		logger:        o.Logger,
+		metrics:       newMetricSet(o.Metrics),
+		storage:       o.Storage,
+		transport:     o.Transport,
+		rand:          rand.New(rand.NewPCG(o.Seed, 0)),
+		inbox:         make(chan *apiv1.QuorumMessage, inboxLength),
+		proposals:     make(chan *proposal, maxUncommitted),
+		barriers:      make(chan *barrier, maxUncommitted),
+		calls:         make(chan func() error),
+		unreachable:   make(chan uint64, quorum.MaxReplicas),
+		stop:          make(chan struct{}),
+		done:          make(chan struct{}),
+		failed:        make(chan error, 1),
+		loggedAnswers: joinAnswers{},
 
 		withoutReplica: map[string]bool{},
 	}
@@ -165,7 +165,7 @@
 	if n.stored.Snapshot == nil {
 		return nil
 	}
-	n.view.group = n.stored.Snapshot.Meta.Membership
+	n.view.pendingMembership = n.stored.Snapshot.Meta.Membership
 	return n.restore(n.stored.Snapshot)
 }
 
@@ -174,7 +174,7 @@
 		return errors.Wrapf(err, "snapshot at %d can't be restored", s.Meta.Index)
 	}
 	n.applied = s.Meta.Index
-	n.snapshotAt = s.Meta.Index
+	n.snapshotIndex = s.Meta.Index
 	return nil
 }
 
@@ -220,8 +220,8 @@
 	}
 	n.raft = r
 	n.hardState = n.stored.HardState
-	n.stored = quorum.Stored{}
-	n.publish()
+	n.stored = quorum.StoredState{}
+	n.publishStatus()
 	return nil
 }
 
@@ -237,8 +237,8 @@
 // finish ends the replica, with an error unless the stop was planned.
 func (n *Node) finish(err error) {
 	n.err = err
-	n.lead(Leadership{Term: n.leadership.Term})
-	n.failWaiting("the replica stopped")
+	n.setLeadership(Leadership{Term: n.leadership.Term})
+	n.failPendingProposals("the replica stopped")
 	n.cancel()
 	n.staging.Wait()
 	if closeErr := n.storage.Close(); err == nil && closeErr != nil {
@@ -257,15 +257,15 @@
 // replica answers nothing.
 func (n *Node) Failed() <-chan error { return n.failed }
 
-// stopped returns the error of all calls on a stopped replica.
-func (n *Node) stopped() error { return &StoppedError{Cause: n.err} }
+// stoppedError returns the error of all calls on a stopped replica.
+func (n *Node) stoppedError() error { return &StoppedError{Cause: n.err} }
 
 // Stop hands leadership over, syncs and closes the log. When ctx ends first, it
 // stops without the handover. It may be called again.
 func (n *Node) Stop(ctx context.Context) error {
-	n.leaving.Store(true)
+	n.shuttingDown.Store(true)
 	if err := n.TransferLeadership(ctx); err != nil && ctx.Err() != nil {
-		event.ReplicaStopsLeads.Write(n.logger, event.Err(err))
+		event.LeaderReplicaStopping.Write(n.logger, event.Err(err))
 	}
 	n.stopOnce.Do(func() { close(n.stop) })
 	n.cancel()
@@ -275,8 +275,8 @@
 	return n.err
 }
 
-// do runs f on the event loop and waits for it. An error of f stops the replica.
-func (n *Node) do(ctx context.Context, f func() error) error {
+// callOnLoop runs f on the event loop and waits for it. An error of f stops the replica.
+func (n *Node) callOnLoop(ctx context.Context, f func() error) error {
 	if ctx.Err() != nil {
 		return ctx.Err()
 	}
@@ -288,7 +288,7 @@
 	select {
 	case n.calls <- call:
 	case <-n.done:
-		return n.stopped()
+		return n.stoppedError()
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -296,7 +296,7 @@
 	case <-finished:
 		return nil
 	case <-n.done:
-		return n.stopped()
+		return n.stoppedError()
 	}
 }
 
--- a/quorum/node/node_test.go
+++ b/quorum/node/node_test.go
@@ -18,17 +18,17 @@
 	"github.com/cairnlift/cairnlift/quorum/wal/waltest"
 )
 
-var three = []string{"a", "b", "c"}
+var threeHosts = []string{"a", "b", "c"}
 
 // forSeeds runs a test in virtual time, once for each seed.
 func forSeeds(t *testing.T, seeds uint64, names []string, test func(*nodetest.Group)) {
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { playSeed(t, seed+1, names, test) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, seed+1, names, test) })
 	}
 }
 
-// playSeed runs a test in virtual time with one seed.
-func playSeed(t *testing.T, seed uint64, names []string, test func(*nodetest.Group)) {
+// runSeed runs a test in virtual time with one seed.
+func runSeed(t *testing.T, seed uint64, names []string, test func(*nodetest.Group)) {
 	synctest.Test(t, func(t *testing.T) {
 		g := nodetest.NewGroup(t, seed, names...)
 		defer g.Kill()
@@ -40,14 +40,14 @@
 // Sequence: a lone replica, and a group of three, take a hundred commands without
 // a fault. Cause: any fault in the plain path from proposal to applied entry.
 func TestGroupCommits(t *testing.T) {
-	for _, names := range [][]string{{"a"}, three} {
+	for _, names := range [][]string{{"a"}, threeHosts} {
 		forSeeds(t, 3, names, func(g *nodetest.Group) {
 			g.MustStart()
 			for i := range 100 {
 				g.Propose(fmt.Sprint(i))
 			}
 			for _, name := range names {
-				g.Wait("all commands on "+name, func() bool { return g.Has(name, "99") })
+				g.Wait("all commands on "+name, func() bool { return g.HasCommand(name, "99") })
 			}
 		})
 	}
@@ -77,8 +77,8 @@
 				g.T.Fatalf("step %d: no restart: %v", step, err)
 			}
 			for i := range acked {
-				if !g.Has("a", fmt.Sprint(i)) {
-					g.T.Fatalf("step %d: command %d of %d is lost: %v", step, i, acked, h.Machine.List())
+				if !g.HasCommand("a", fmt.Sprint(i)) {
+					g.T.Fatalf("step %d: command %d of %d is lost: %v", step, i, acked, h.StateMachine.Commands())
 				}
 			}
 			g.Kill("a")
@@ -92,7 +92,7 @@
 // repaired and the replica started again.
 // Cause: a storage error that is retried or only logged.
 func TestFailingDiskStopsReplica(t *testing.T) {
-	forSeeds(t, 6, three, func(g *nodetest.Group) {
+	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		sick := g.Leader()
@@ -119,7 +119,7 @@
 		g.Propose("3", sick)
 		g.Kill(sick)
 		g.MustStart(sick)
-		g.Wait("3 on the repaired replica", func() bool { return g.Has(sick, "3") })
+		g.Wait("3 on the repaired replica", func() bool { return g.HasCommand(sick, "3") })
 	})
 }
 
@@ -127,12 +127,12 @@
 // Sequence: of three replicas one is cut off, and the disk of another fails while
 // it stores a command of the leader.
 // Cause: the follower's answer leaves before the entry is synced.
-func TestFollowerAnswersAfterSync(t *testing.T) {
-	forSeeds(t, 4, three, func(g *nodetest.Group) {
+func TestFollowerAcknowledgesAfterSync(t *testing.T) {
+	forSeeds(t, 4, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
-		for _, name := range three {
-			g.Wait("1 on "+name, func() bool { return g.Has(name, "1") })
+		for _, name := range threeHosts {
+			g.Wait("1 on "+name, func() bool { return g.HasCommand(name, "1") })
 		}
 		leader, Followers := g.Leader(), g.Followers()
 		g.Isolate(Followers[0], true)
@@ -156,7 +156,7 @@
 // compacted away, and is then connected, or restarted, again.
 // Cause: the leader no longer has the entries and doesn't send its snapshot.
 func TestFollowerFarBehindGetsSnapshot(t *testing.T) {
-	forSeeds(t, 6, three, func(g *nodetest.Group) {
+	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		behind := g.Followers()[0]
@@ -168,11 +168,11 @@
 			g.Kill(behind)
 			g.MustStart(behind)
 		}
-		restores := g.Host(behind).Machine.Restores()
+		restores := g.Host(behind).StateMachine.Restores()
 		g.Isolate(behind, false)
 		last := fmt.Sprintf("%d-%0500d", 599, 599)
-		g.Wait("the last command", func() bool { return g.Has(behind, last) })
-		if g.Host(behind).Machine.Restores() == restores {
+		g.Wait("the last command", func() bool { return g.HasCommand(behind, last) })
+		if g.Host(behind).StateMachine.Restores() == restores {
 			g.T.Fatalf("seed %d: no snapshot was sent", g.Seed)
 		}
 	})
@@ -183,8 +183,8 @@
 // Sequence: a leader is cut off in silence while it takes a command; the others
 // elect a new leader; the old one is connected again.
 // Cause: no check of the quorum, or a proposal's end that is guessed.
-func TestLeaderCutOff(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+func TestPartitionedLeader(t *testing.T) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		old := g.Leader()
@@ -205,9 +205,9 @@
 			g.T.Fatalf("replica that is cut off answers a read: %v", err)
 		}
 		g.Isolate(old, false)
-		g.Wait("2 on the old leader", func() bool { return g.Has(old, "2") })
-		for _, name := range three {
-			if g.Has(name, "lost") {
+		g.Wait("2 on the old leader", func() bool { return g.HasCommand(old, "2") })
+		for _, name := range threeHosts {
+			if g.HasCommand(name, "lost") {
 				g.T.Fatalf("seed %d: the late entry of the old leader is applied on %s", g.Seed, name)
 			}
 		}
@@ -219,13 +219,13 @@
 // Sequence: the leader's process stands still, others elect a leader and commit;
 // then it wakes with a proposal and a read in its queues.
 // Cause: a leader that trusts its office without asking a majority.
-func TestFrozenLeaderWakes(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestPausedLeaderResumes(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		old := g.Leader()
 		h := g.Host(old)
-		thaw := h.Machine.Freeze()
+		thaw := h.StateMachine.Freeze()
 		defer thaw()
 		type answer struct {
 			err  error
@@ -240,11 +240,11 @@
 			return err
 		}
 		asked.Go(func() { propose("2") })
-		g.Wait("a frozen leader", func() bool { return slices.Contains(h.Machine.List(), "2") })
+		g.Wait("a frozen leader", func() bool { return slices.Contains(h.StateMachine.Commands(), "2") })
 		asked.Go(func() { late <- propose("late") })
 		asked.Go(func() {
 			_, err := h.Node.ReadBarrier(nodetest.Within(time.Minute))
-			reads <- answer{err, h.Machine.List()}
+			reads <- answer{err, h.StateMachine.Commands()}
 		})
 		g.Propose("3", old)
 		thaw()
@@ -254,8 +254,8 @@
 		if err := <-late; err == nil {
 			g.T.Fatalf("seed %d: woken leader acknowledged a late command", g.Seed)
 		}
-		g.Wait("3 on the old leader", func() bool { return g.Has(old, "3") })
-		if g.Has(old, "late") {
+		g.Wait("3 on the old leader", func() bool { return g.HasCommand(old, "3") })
+		if g.HasCommand(old, "late") {
 			g.T.Fatalf("seed %d: a late command took effect", g.Seed)
 		}
 	})
@@ -265,8 +265,8 @@
 // election timeout, or loses what was in progress.
 // Sequence: the leader is stopped while it has a command to commit.
 // Cause: no handover before the stop.
-func TestStopHandsOver(t *testing.T) {
-	forSeeds(t, 6, three, func(g *nodetest.Group) {
+func TestStopTransfersLeadership(t *testing.T) {
+	forSeeds(t, 6, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Propose("1")
 		leader := g.Leader()
--- a/quorum/node/nodetest/group.go
+++ b/quorum/node/nodetest/group.go
@@ -31,7 +31,7 @@
 	defaultMaxVoters       = 5
 	// patience is how long Wait waits, in its polls.
 	pollInterval = time.Millisecond
-	patience     = 60_000
+	maxPolls     = 60_000
 )
 
 // ReplaceAfter is how long a voter is silent before a spare takes its place: five
@@ -42,8 +42,8 @@
 type Host struct {
 	Disk *waltest.Disk
 	// Node is nil while the replica isn't running.
-	Node    *node.Node
-	Machine *Machine
+	Node         *node.Node
+	StateMachine *StateMachine
 	// Metrics are the running replica's.
 	Metrics metrics.Registry
 }
@@ -60,12 +60,12 @@
 	Peers []string
 	// WithoutReplica are names of peers that answer, and keep no replica.
 	WithoutReplica []string
-	// Silent are addresses that take questions and never answer.
-	Silent []string
+	// Unresponsive are addresses that take questions and never answer.
+	Unresponsive []string
 	// Discover goes into the options of replicas that are started.
 	Discover func() []string
-	// Delay is called for a question about identity and for its answer.
-	Delay func()
+	// IdentifyDelay is called for a question about identity and for its answer.
+	IdentifyDelay func()
 
 	names  []string
 	spares map[string]bool
@@ -73,16 +73,16 @@
 	hosts  map[string]*Host
 	cut    map[[2]string]bool
 	starts uint64
-	// moved holds the addresses of hosts that are not reached at their names.
-	moved map[string]string
+	// addresses holds the addresses of hosts that are not reached at their names.
+	addresses map[string]string
 }
 
 // NewGroup returns a group whose replicas don't run yet. The seed decides on
 // election timeouts, and on what power cuts leave on disks.
 func NewGroup(t testing.TB, seed uint64, names ...string) *Group {
 	g := &Group{
-		T: t, Seed: seed, SnapshotEntries: defaultSnapshotEntries, MaxVoters: defaultMaxVoters, Delay: func() {},
-		names: names, spares: map[string]bool{}, hosts: map[string]*Host{}, cut: map[[2]string]bool{}, moved: map[string]string{},
+		T: t, Seed: seed, SnapshotEntries: defaultSnapshotEntries, MaxVoters: defaultMaxVoters, IdentifyDelay: func() {},
+		names: names, spares: map[string]bool{}, hosts: map[string]*Host{}, cut: map[[2]string]bool{}, addresses: map[string]string{},
 	}
 	for i, name := range names {
 		g.hosts[name] = &Host{Disk: waltest.NewDisk(seed + uint64(i))}
@@ -115,7 +115,7 @@
 	for _, n := range told {
 		peers = append(peers, settings.Peer{Name: n, Address: g.AddressOf(n)})
 	}
-	m := &Machine{}
+	m := &StateMachine{}
 	registry := metrics.NewRegistry()
 	started, err := node.Start(node.Options{
 		Cell: cell, Name: name, Address: g.AddressOf(name), Peers: peers,
@@ -128,7 +128,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.hosts[name].Node, g.hosts[name].Machine, g.hosts[name].Metrics = started, m, registry
+	g.hosts[name].Node, g.hosts[name].StateMachine, g.hosts[name].Metrics = started, m, registry
 	return nil
 }
 
@@ -229,11 +229,11 @@
 // Names returns all hosts.
 func (g *Group) Names() []string { return slices.Clone(g.names) }
 
-// Move gives a host another address, from its next start on.
-func (g *Group) Move(name, address string) {
+// SetAddress gives a host another address, from its next start on.
+func (g *Group) SetAddress(name, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.moved[name] = address
+	g.addresses[name] = address
 }
 
 // AddressOf returns a host's address: its name, unless it was moved.
@@ -244,7 +244,7 @@
 }
 
 func (g *Group) addressOf(name string) string {
-	if address := g.moved[name]; address != "" {
+	if address := g.addresses[name]; address != "" {
 		return address
 	}
 	return name
@@ -260,14 +260,14 @@
 	return ""
 }
 
-// reach returns the replica at the other end of a link.
-func (g *Group) reach(from, to string) (*node.Node, error) {
+// nodeAt returns the replica at the other end of a link.
+func (g *Group) nodeAt(from, to string) (*node.Node, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	to = g.hostAt(to)
 	h := g.hosts[to]
 	if h == nil || h.Node == nil || g.cut[[2]string{from, to}] {
-		return nil, errCut
+		return nil, errLinkCut
 	}
 	return h.Node, nil
 }
@@ -275,7 +275,7 @@
 // Wait returns once a condition holds, and ends the test if it never does.
 func (g *Group) Wait(what string, holds func() bool) {
 	g.T.Helper()
-	for range patience {
+	for range maxPolls {
 		if holds() {
 			return
 		}
@@ -330,7 +330,7 @@
 
 // ProposeOnce proposes a command to one host, as soon as its replica leads.
 func (g *Group) ProposeOnce(name, command string) error {
-	for range patience {
+	for range maxPolls {
 		_, _, err := g.Node(name).Propose(Within(time.Second), []byte(command))
 		var notLeader *node.NotLeaderError
 		if !errors.As(err, &notLeader) {
@@ -341,8 +341,8 @@
 	return errors.New("replica never leads")
 }
 
-// Has reports whether a host knows a command, by a confirmed read.
-func (g *Group) Has(name, command string) bool {
+// HasCommand reports whether a host knows a command, by a confirmed read.
+func (g *Group) HasCommand(name, command string) bool {
 	h := g.Host(name)
 	if h.Node == nil {
 		return false
@@ -350,11 +350,11 @@
 	if _, err := h.Node.ReadBarrier(Within(time.Second)); err != nil {
 		return false
 	}
-	return slices.Contains(h.Machine.List(), command)
+	return slices.Contains(h.StateMachine.Commands(), command)
 }
 
-// WaitWhole waits until the running replicas are the voters, and nobody else.
-func (g *Group) WaitWhole() {
+// WaitAllVoters waits until the running replicas are the voters, and nobody else.
+func (g *Group) WaitAllVoters() {
 	g.T.Helper()
 	g.Wait("a whole group", func() bool {
 		replicas := g.Node(g.Leader()).Status().Membership.Replicas
--- a/quorum/node/nodetest/link.go
+++ b/quorum/node/nodetest/link.go
@@ -13,9 +13,9 @@
 	"github.com/cairnlift/cairnlift/quorum/node"
 )
 
-var errCut = errors.New("link is cut")
+var errLinkCut = errors.New("link is cut")
 
-const linkLength = 4096
+const linkQueueLength = 4096
 
 // link is a replica's transport inside a group.
 type link struct {
@@ -34,7 +34,7 @@
 // Start implements node.Transport.
 func (l *link) Start(unreachable func(uint64)) {
 	l.unreachable = unreachable
-	l.queue = make(chan *apiv1.QuorumMessage, linkLength)
+	l.queue = make(chan *apiv1.QuorumMessage, linkQueueLength)
 	l.closing = make(chan struct{})
 	l.sender.Go(l.run)
 }
@@ -54,7 +54,7 @@
 	l.mu.Lock()
 	to := l.addresses.Address(m.To)
 	l.mu.Unlock()
-	n, err := l.g.reach(l.from, to)
+	n, err := l.g.nodeAt(l.from, to)
 	if err != nil {
 		l.unreachable(m.To)
 		return
@@ -72,11 +72,11 @@
 	l.addresses.SetMembers(m)
 }
 
-// Heard implements node.Transport.
-func (l *link) Heard(id uint64, address string) {
+// RecordSender implements node.Transport.
+func (l *link) RecordSender(id uint64, address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.addresses.Heard(id, address)
+	l.addresses.RecordSender(id, address)
 }
 
 // Send implements node.Transport.
@@ -91,7 +91,7 @@
 
 // Identify implements node.Transport.
 func (l *link) Identify(ctx context.Context, address string, founder uint64) (*apiv1.IdentifyResponse, error) {
-	if slices.Contains(l.g.Silent, address) {
+	if slices.Contains(l.g.Unresponsive, address) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -101,19 +101,19 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	n, err := l.g.reach(l.from, address)
+	n, err := l.g.nodeAt(l.from, address)
 	if err != nil {
 		return nil, err
 	}
-	l.g.Delay()
+	l.g.IdentifyDelay()
 	answer, err := n.Service().Identify(ctx, &apiv1.IdentifyRequest{Cell: cell, Founder: founder})
-	l.g.Delay()
+	l.g.IdentifyDelay()
 	return answer, err
 }
 
 // Join implements node.Transport.
 func (l *link) Join(ctx context.Context, address string, r *apiv1.Replica) (*apiv1.JoinResponse, error) {
-	n, err := l.g.reach(l.from, address)
+	n, err := l.g.nodeAt(l.from, address)
 	if err != nil {
 		return nil, err
 	}
--- a/quorum/node/nodetest/machine.go
+++ b/quorum/node/nodetest/machine.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// Machine is a state machine that lists the commands that it applied.
-type Machine struct {
+// StateMachine is a state machine that lists the commands that it applied.
+type StateMachine struct {
 	mu       sync.Mutex
 	commands []string
 	restores int
@@ -16,7 +16,7 @@
 }
 
 // Apply implements quorum.StateMachine. Its result is the command.
-func (m *Machine) Apply(_ uint64, command []byte) []byte {
+func (m *StateMachine) Apply(_ uint64, command []byte) []byte {
 	m.mu.Lock()
 	frozen := m.frozen
 	m.commands = append(m.commands, string(command))
@@ -28,14 +28,14 @@
 }
 
 // Snapshot implements quorum.StateMachine.
-func (m *Machine) Snapshot() ([]byte, error) {
+func (m *StateMachine) Snapshot() ([]byte, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return json.Marshal(m.commands)
 }
 
 // Restore implements quorum.StateMachine.
-func (m *Machine) Restore(data []byte) error {
+func (m *StateMachine) Restore(data []byte) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.commands = nil
@@ -43,15 +43,15 @@
 	return json.Unmarshal(data, &m.commands)
 }
 
-// List returns the commands in the order of the log.
-func (m *Machine) List() []string {
+// Commands returns the commands in the order of the log.
+func (m *StateMachine) Commands() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return slices.Clone(m.commands)
 }
 
 // Restores returns how often a snapshot replaced the state.
-func (m *Machine) Restores() int {
+func (m *StateMachine) Restores() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.restores
@@ -59,7 +59,7 @@
 
 // Freeze makes the replica stand still at its next Apply, as a stopped process
 // does, until the returned function is called.
-func (m *Machine) Freeze() (thaw func()) {
+func (m *StateMachine) Freeze() (thaw func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	frozen := make(chan struct{})
--- a/quorum/node/options.go
+++ b/quorum/node/options.go
@@ -109,8 +109,8 @@
 // membershipPolicy is what these options say on the leader's own changes.
 func (o *Options) membershipPolicy() membershipPolicy {
 	return membershipPolicy{
-		replaceTicks: int(o.ReplaceAfter / o.Tick), recentTicks: o.ElectionTicks,
-		goneTicks: int(goneAfter / o.Tick), maxVoters: o.MaxVoters,
+		replaceTicks: int(o.ReplaceAfter / o.Tick), responsiveTicks: o.ElectionTicks,
+		departedTicks: int(departedAfter / o.Tick), maxVoters: o.MaxVoters,
 	}
 }
 
--- a/quorum/node/peer.go
+++ b/quorum/node/peer.go
@@ -22,18 +22,18 @@
 
 	mu        sync.Mutex
 	queue     []*apiv1.QuorumMessage
-	waiting   chan struct{}
+	wake      chan struct{}
 	snapshots chan *apiv1.QuorumMessage
 	ctx       context.Context
 	close     context.CancelFunc
 }
 
-// startPeer starts a replica's senders; t.mu is held.
-func (t *TwirpTransport) startPeer(id uint64, address string) *peer {
+// startPeerLocked starts a replica's senders; t.mu is held.
+func (t *TwirpTransport) startPeerLocked(id uint64, address string) *peer {
 	p := &peer{
 		t: t, id: id, address: address,
-		client:    t.clientOf(address),
-		waiting:   make(chan struct{}, 1),
+		client:    t.clientForLocked(address),
+		wake:      make(chan struct{}, 1),
 		snapshots: make(chan *apiv1.QuorumMessage, 1),
 	}
 	p.ctx, p.close = context.WithCancel(t.ctx)
@@ -42,9 +42,9 @@
 	return p
 }
 
-// add queues a message. When the queue is full the oldest goes: every message may
+// enqueue queues a message. When the queue is full the oldest goes: every message may
 // be lost, and the newer one says more about the leader and its log.
-func (p *peer) add(m *apiv1.QuorumMessage) {
+func (p *peer) enqueue(m *apiv1.QuorumMessage) {
 	if m.Kind == apiv1.MessageKind_MESSAGE_KIND_SNAPSHOT {
 		select {
 		case p.snapshots <- m:
@@ -61,13 +61,13 @@
 	p.queue = append(p.queue, m)
 	p.mu.Unlock()
 	select {
-	case p.waiting <- struct{}{}:
+	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// take removes the messages of the next request from the queue.
-func (p *peer) take() []*apiv1.QuorumMessage {
+// nextBatch removes the messages of the next request from the queue.
+func (p *peer) nextBatch() []*apiv1.QuorumMessage {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	size, count := 0, 0
@@ -86,11 +86,11 @@
 func (p *peer) sendMessages() {
 	for {
 		select {
-		case <-p.waiting:
+		case <-p.wake:
 		case <-p.ctx.Done():
 			return
 		}
-		for batch := p.take(); len(batch) > 0 && p.ctx.Err() == nil; batch = p.take() {
+		for batch := p.nextBatch(); len(batch) > 0 && p.ctx.Err() == nil; batch = p.nextBatch() {
 			p.deliver(batch, p.t.opts.DeliverTimeout)
 		}
 	}
--- a/quorum/node/propose.go
+++ b/quorum/node/propose.go
@@ -39,34 +39,34 @@
 func (n *Node) submit(ctx context.Context, p *proposal) outcome {
 	select {
 	case <-n.done:
-		return outcome{err: n.stopped()}
+		return outcome{err: n.stoppedError()}
 	default:
 	}
-	if n.leaving.Load() || n.Status().Role != quorum.Leader {
-		return outcome{err: &NotLeaderError{LeaderAddress: n.otherLeader()}}
+	if n.shuttingDown.Load() || n.Status().Role != quorum.Leader {
+		return outcome{err: &NotLeaderError{LeaderAddress: n.otherLeaderAddress()}}
 	}
 	p.done = make(chan outcome, 1)
 	select {
 	case n.proposals <- p:
 	case <-n.done:
-		return outcome{err: n.stopped()}
+		return outcome{err: n.stoppedError()}
 	default:
-		n.meters.overloaded.Inc(1)
+		n.metrics.overloaded.Inc(1)
 		return outcome{err: &OverloadedError{Cause: "too many proposals wait"}}
 	}
 	select {
 	case o := <-p.done:
 		return o
 	case <-ctx.Done():
-		return n.giveUp(p, &OverloadedError{Cause: ctx.Err().Error()}, ctx.Err().Error())
+		return n.abandonProposal(p, &OverloadedError{Cause: ctx.Err().Error()}, ctx.Err().Error())
 	case <-n.done:
-		return n.giveUp(p, n.stopped(), "the replica stopped")
+		return n.abandonProposal(p, n.stoppedError(), "the replica stopped")
 	}
 }
 
-// giveUp ends a proposal for its caller: with an error that says it was not
+// abandonProposal ends a proposal for its caller: with an error that says it was not
 // proposed only if the event loop can't propose it any more.
-func (n *Node) giveUp(p *proposal, unproposed error, cause string) outcome {
+func (n *Node) abandonProposal(p *proposal, unproposed error, cause string) outcome {
 	select {
 	case o := <-p.done:
 		return o
@@ -75,12 +75,12 @@
 	if p.claimed.CompareAndSwap(false, true) {
 		return outcome{err: unproposed}
 	}
-	n.meters.unknown.Inc(1)
+	n.metrics.unknown.Inc(1)
 	return outcome{err: &UnknownError{Cause: cause}}
 }
 
-// append hands a proposal to the core.
-func (n *Node) append(p *proposal) {
+// appendProposal hands a proposal to the core.
+func (n *Node) appendProposal(p *proposal) {
 	if !p.claimed.CompareAndSwap(false, true) {
 		return
 	}
@@ -91,53 +91,53 @@
 		p.index, p.term, err = n.raft.Propose(p.data)
 	}
 	if err != nil {
-		p.done <- outcome{err: n.proposeError(err)}
+		p.done <- outcome{err: n.translateProposeError(err)}
 		return
 	}
-	n.meters.proposals.Inc(1)
-	n.waiting = append(n.waiting, p)
+	n.metrics.proposals.Inc(1)
+	n.pendingProposals = append(n.pendingProposals, p)
 }
 
-// proposeError translates the core's errors.
-func (n *Node) proposeError(err error) error {
+// translateProposeError translates the core's errors.
+func (n *Node) translateProposeError(err error) error {
 	switch {
 	case errors.Is(err, quorum.ErrNotLeader):
-		return &NotLeaderError{LeaderAddress: n.otherLeader()}
+		return &NotLeaderError{LeaderAddress: n.otherLeaderAddress()}
 	case errors.Is(err, quorum.ErrTransferring):
 		return &NotLeaderError{}
 	case errors.Is(err, quorum.ErrOverloaded):
-		n.meters.overloaded.Inc(1)
+		n.metrics.overloaded.Inc(1)
 		return &OverloadedError{Cause: err.Error()}
 	}
 	return err
 }
 
-// answer ends the proposals up to a committed entry. One of another term at a
+// completeProposals ends the proposals up to a committed entry. One of another term at a
 // proposal's index took its place: the proposal can never be committed.
-func (n *Node) answer(e *apiv1.LogEntry, result []byte) {
-	for len(n.waiting) > 0 && n.waiting[0].index <= e.Index {
-		p := n.waiting[0]
-		n.waiting = n.waiting[1:]
+func (n *Node) completeProposals(e *apiv1.LogEntry, result []byte) {
+	for len(n.pendingProposals) > 0 && n.pendingProposals[0].index <= e.Index {
+		p := n.pendingProposals[0]
+		n.pendingProposals = n.pendingProposals[1:]
 		if p.index == e.Index && p.term == e.Term {
 			p.done <- outcome{result: result, index: e.Index}
 			continue
 		}
-		p.done <- outcome{err: &NotLeaderError{LeaderAddress: n.otherLeader()}}
+		p.done <- outcome{err: &NotLeaderError{LeaderAddress: n.otherLeaderAddress()}}
 	}
 }
 
-// failLost ends the proposals of a leadership that is over.
-func (n *Node) failLost(rd quorum.Ready) {
-	if len(n.waiting) > 0 && (rd.Role != quorum.Leader || rd.Term != n.waiting[0].term) {
-		n.failWaiting("leadership was lost")
+// failProposalsOfEarlierTerm ends the proposals of a leadership that is over.
+func (n *Node) failProposalsOfEarlierTerm(rd quorum.Ready) {
+	if len(n.pendingProposals) > 0 && (rd.Role != quorum.Leader || rd.Term != n.pendingProposals[0].term) {
+		n.failPendingProposals("leadership was lost")
 	}
 }
 
-// failWaiting ends all appended proposals without knowing what becomes of them.
-func (n *Node) failWaiting(cause string) {
-	for _, p := range n.waiting {
-		n.meters.unknown.Inc(1)
+// failPendingProposals ends all appended proposals without knowing what becomes of them.
+func (n *Node) failPendingProposals(cause string) {
+	for _, p := range n.pendingProposals {
+		n.metrics.unknown.Inc(1)
 		p.done <- outcome{err: &UnknownError{Cause: cause}}
 	}
-	n.waiting = nil
+	n.pendingProposals = nil
 }
--- a/quorum/node/read.go
+++ b/quorum/node/read.go
@@ -15,9 +15,9 @@
 // on its way share the next.
 type readQueue struct {
 	// waiting have not been asked for yet; asked are waiting for context's answer.
-	waiting []*barrier
-	asked   []*barrier
-	context uint64
+	waiting  []*barrier
+	inFlight []*barrier
+	context  uint64
 	// confirmed wait until the entry at their index is applied; ordered by index.
 	confirmed []confirmedReads
 }
@@ -38,7 +38,7 @@
 	select {
 	case n.barriers <- b:
 	case <-n.done:
-		return 0, n.stopped()
+		return 0, n.stoppedError()
 	default:
 		return 0, &OverloadedError{Cause: "too many reads wait"}
 	}
@@ -48,18 +48,18 @@
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	case <-n.done:
-		return 0, n.stopped()
+		return 0, n.stoppedError()
 	}
 }
 
 // startRead asks the core to confirm the readers that wait.
 func (n *Node) startRead() {
 	q := &n.reads
-	if len(q.waiting) == 0 || len(q.asked) > 0 {
+	if len(q.waiting) == 0 || len(q.inFlight) > 0 {
 		return
 	}
 	q.context++
-	q.asked, q.waiting = q.waiting, nil
+	q.inFlight, q.waiting = q.waiting, nil
 	n.raft.ReadIndex(q.context)
 }
 
@@ -68,17 +68,17 @@
 func (n *Node) finishReads(states []quorum.ReadState) {
 	q := &n.reads
 	for _, s := range states {
-		if s.Context != q.context || len(q.asked) == 0 {
+		if s.Context != q.context || len(q.inFlight) == 0 {
 			continue
 		}
 		if s.Rejected {
-			for _, b := range q.asked {
-				b.done <- outcome{err: &NotLeaderError{LeaderAddress: n.otherLeader()}}
+			for _, b := range q.inFlight {
+				b.done <- outcome{err: &NotLeaderError{LeaderAddress: n.otherLeaderAddress()}}
 			}
 		} else {
-			q.confirmed = append(q.confirmed, confirmedReads{s.Index, q.asked})
+			q.confirmed = append(q.confirmed, confirmedReads{s.Index, q.inFlight})
 		}
-		q.asked = nil
+		q.inFlight = nil
 	}
 	for len(q.confirmed) > 0 && q.confirmed[0].index <= n.applied {
 		for _, b := range q.confirmed[0].barriers {
--- a/quorum/node/rejoin_test.go
+++ b/quorum/node/rejoin_test.go
@@ -12,8 +12,8 @@
 // Sequence: a follower loses its disk and is taken in again; it comes to lead, as the
 // leader loses its disk; that one asks to be taken in, and so on for each host.
 // Cause: the replica that was taken in holds something that it can't pass on.
-func TestRepairedReplicaRepairsTheNext(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestConsecutiveDiskReplacements(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		number := 0
 		fill := func() {
@@ -26,8 +26,8 @@
 		for _, name := range []string{g.Followers()[0], g.Leader(), g.Followers()[1], g.Leader(), g.Leader()} {
 			g.ReplaceDisk(name)
 			fill()
-			g.WaitWhole()
-			g.Wait(fmt.Sprint(number, " on ", name), func() bool { return g.Has(name, fmt.Sprint(number)) })
+			g.WaitAllVoters()
+			g.Wait(fmt.Sprint(number, " on ", name), func() bool { return g.HasCommand(name, fmt.Sprint(number)) })
 		}
 	})
 }
--- a/quorum/node/restart_test.go
+++ b/quorum/node/restart_test.go
@@ -12,15 +12,15 @@
 	// startSpread is the time within which the hosts of a group that lost power are back,
 	// in the test group's time, where the shortest election timeout is 100 ms.
 	startSpread = 60 * time.Millisecond
-	// leaderWithin is the longest that a group may be without a leader once all its hosts
+	// maxTimeToLeader is the longest that a group may be without a leader once all its hosts
 	// are back: less than one election timeout, in which nothing can be learnt that its disks
 	// don't say.
-	leaderWithin = 80 * time.Millisecond
+	maxTimeToLeader = 80 * time.Millisecond
 )
 
-// restartWhole kills all hosts and starts them in random order within startSpread. It
+// restartAll kills all hosts and starts them in random order within startSpread. It
 // returns how long after the last start there is a leader.
-func restartWhole(g *nodetest.Group, random *rand.Rand) time.Duration {
+func restartAll(g *nodetest.Group, random *rand.Rand) time.Duration {
 	g.Kill()
 	names := g.Names()
 	random.Shuffle(len(names), func(i, j int) { names[i], names[j] = names[j], names[i] })
@@ -37,16 +37,16 @@
 // all hosts are back at once.
 // Sequence: all hosts of a group stop and start within half an election timeout of each
 // other. Cause: each waits a whole timeout or two for a leader that can't be there.
-func TestGroupThatRestartsWholeElectsAtOnce(t *testing.T) {
-	for name, hosts := range map[string][]string{"three": three, "five": {"a", "b", "c", "d", "e"}} {
+func TestFullRestartElectsWithinElectionTimeout(t *testing.T) {
+	for name, hosts := range map[string][]string{"three": threeHosts, "five": {"a", "b", "c", "d", "e"}} {
 		t.Run(name, func(t *testing.T) {
 			forSeeds(t, 20, hosts, func(g *nodetest.Group) {
 				random := rand.New(rand.NewPCG(g.Seed, 5))
 				g.MustStart()
-				g.WaitWhole()
+				g.WaitAllVoters()
 				for round := range 3 {
 					g.Propose("before")
-					if took := restartWhole(g, random); took >= leaderWithin {
+					if took := restartAll(g, random); took >= maxTimeToLeader {
 						g.T.Errorf("seed %d, round %d: %v without a leader", g.Seed, round, took)
 					}
 				}
@@ -59,11 +59,11 @@
 // Symptom: a planned restart of a follower deposes the leader.
 // Sequence: followers restart one after another, at any distance from the leader's
 // heartbeats. Cause: one that has just started asks for votes before it heard the leader.
-func TestRestartedFollowersLeaveTheLeader(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+func TestFollowerRestartsKeepLeader(t *testing.T) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 6))
 		g.MustStart()
-		g.WaitWhole()
+		g.WaitAllVoters()
 		leader := g.Leader()
 		term := g.Node(leader).Status().Term
 		for range 6 {
@@ -86,8 +86,8 @@
 // one of them loses its disk before the third has learnt that it is a member. Cause: the third
 // takes the membership from the founder only, which has forgotten it, and the one that is
 // left has no majority.
-func TestNewGroupElectsOnlyOnceItIsKnown(t *testing.T) {
-	forSeeds(t, 40, three, func(g *nodetest.Group) {
+func TestNewGroupElectsAfterAllMembersKnowIt(t *testing.T) {
+	forSeeds(t, 40, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		g.Leader()
 		for _, name := range g.Names() {
--- a/quorum/node/service.go
+++ b/quorum/node/service.go
@@ -33,7 +33,7 @@
 	return server.PathPrefix(), http.MaxBytesHandler(server, MaxRequestBytes)
 }
 
-func (s service) check(cell string) error {
+func (s service) checkRequest(cell string) error {
 	if cell != s.n.opts.Cell {
 		return twirp.NotFoundError("this replica is of another cell")
 	}
@@ -47,7 +47,7 @@
 
 // Deliver implements apiv1.Quorum.
 func (s service) Deliver(_ context.Context, r *apiv1.DeliverRequest) (*apiv1.DeliverResponse, error) {
-	if err := s.check(r.Cell); err != nil {
+	if err := s.checkRequest(r.Cell); err != nil {
 		return nil, err
 	}
 	for _, m := range r.Messages {
@@ -60,22 +60,22 @@
 // replica that had this address before its disk was lost. An answer to it would
 // count as a promise of that one, and a vote in its name as a second vote.
 func (n *Node) receive(m *apiv1.QuorumMessage, sender string) {
-	n.meters.received.Inc(1)
+	n.metrics.received.Inc(1)
 	if m.To != n.id() {
-		n.meters.foreign.Inc(1)
+		n.metrics.misaddressed.Inc(1)
 		return
 	}
-	n.transport.Heard(m.From, sender)
+	n.transport.RecordSender(m.From, sender)
 	select {
 	case n.inbox <- m:
 	default:
-		n.meters.inboxDropped.Inc(1)
+		n.metrics.inboxDropped.Inc(1)
 	}
 }
 
 // Identify implements apiv1.Quorum.
 func (s service) Identify(_ context.Context, r *apiv1.IdentifyRequest) (*apiv1.IdentifyResponse, error) {
-	if err := s.check(r.Cell); err != nil {
+	if err := s.checkRequest(r.Cell); err != nil {
 		return nil, err
 	}
 	status := s.n.Status()
@@ -83,7 +83,7 @@
 	return &apiv1.IdentifyResponse{
 		ReplicaId:         id.ReplicaId,
 		Name:              id.Name,
-		Membership:        s.n.groupFor(r.Founder),
+		Membership:        s.n.membershipForFounder(r.Founder),
 		Term:              max(status.Term, s.n.storedTerm),
 		Leader:            status.Leader,
 		LeaderAddress:     s.n.LeaderAddress(),
@@ -93,7 +93,7 @@
 
 // Join implements apiv1.Quorum. It may be asked again for the same replica.
 func (s service) Join(ctx context.Context, r *apiv1.JoinRequest) (*apiv1.JoinResponse, error) {
-	if err := s.check(r.Cell); err != nil {
+	if err := s.checkRequest(r.Cell); err != nil {
 		return nil, err
 	}
 	if r.Replica.GetId() == 0 || r.Replica.Name == "" || r.Replica.Address == "" {
@@ -101,25 +101,25 @@
 	}
 	status := s.n.Status()
 	if status.Role != quorum.Leader {
-		return s.n.referToLeader(), nil
+		return s.n.notLeaderResponse(), nil
 	}
-	if member := findByID(status.Membership, r.Replica.Id); member != nil {
-		return s.n.readdress(ctx, status.Membership, member, r.Replica.Address), nil
+	if member := findReplica(status.Membership, r.Replica.Id); member != nil {
+		return s.n.updateAddress(ctx, status.Membership, member, r.Replica.Address), nil
 	}
-	if reason := s.n.refuseJoin(ctx, status.Membership, r.Replica); reason != "" {
+	if reason := s.n.joinRefusalReason(ctx, status.Membership, r.Replica); reason != "" {
 		return &apiv1.JoinResponse{Message: reason}, nil
 	}
 	learner := proto.CloneOf(r.Replica)
-	learner.Spare = learner.Spare && !voterNamed(status.Membership, learner.Name)
+	learner.Spare = learner.Spare && !hasVoterNamed(status.Membership, learner.Name)
 	if err := s.n.AddLearner(ctx, learner); err != nil {
 		return &apiv1.JoinResponse{Message: err.Error()}, nil
 	}
 	return &apiv1.JoinResponse{Accepted: true}, nil
 }
 
-// referToLeader answers a request that only a leader can take. Without a leader it
+// notLeaderResponse answers a request that only a leader can take. Without a leader it
 // says so: in a group that lost its majority this is all that a joining host learns.
-func (n *Node) referToLeader() *apiv1.JoinResponse {
+func (n *Node) notLeaderResponse() *apiv1.JoinResponse {
 	answer := &apiv1.JoinResponse{NotLeader: true, LeaderAddress: n.LeaderAddress()}
 	if answer.LeaderAddress == "" {
 		answer.Message = "no leader is known here"
@@ -127,9 +127,9 @@
 	return answer
 }
 
-// voterNamed reports whether a voter has a name. Who comes back with an empty disk
+// hasVoterNamed reports whether a voter has a name. Who comes back with an empty disk
 // takes its own place and is no spare.
-func voterNamed(m *apiv1.Membership, name string) bool {
+func hasVoterNamed(m *apiv1.Membership, name string) bool {
 	for _, r := range m.GetReplicas() {
 		if r.Name == name && !r.Learner {
 			return true
@@ -138,28 +138,28 @@
 	return false
 }
 
-// readdress notes that a member has another address since it was restarted. The
+// updateAddress notes that a member has another address since it was restarted. The
 // others need a majority without it for that: hosts move one at a time.
-func (n *Node) readdress(ctx context.Context, m *apiv1.Membership, member *apiv1.Replica, address string) *apiv1.JoinResponse {
+func (n *Node) updateAddress(ctx context.Context, m *apiv1.Membership, member *apiv1.Replica, address string) *apiv1.JoinResponse {
 	if member.Address == address {
 		return &apiv1.JoinResponse{Accepted: true}
 	}
 	// All else stays: a spare that lost its mark would get a vote beside the voters.
 	moved := proto.CloneOf(member)
 	moved.Address = address
-	if err := n.change(ctx, withReplaced(m, moved)); err != nil {
+	if err := n.changeMembership(ctx, withReplaced(m, moved)); err != nil {
 		return &apiv1.JoinResponse{Message: err.Error()}
 	}
 	return &apiv1.JoinResponse{Accepted: true}
 }
 
-// refuseJoin keeps a second process with a name that is in use from having the
+// joinRefusalReason keeps a second process with a name that is in use from having the
 // first one removed as its predecessor. The first is asked whether it is there.
-func (n *Node) refuseJoin(ctx context.Context, m *apiv1.Membership, joiner *apiv1.Replica) string {
+func (n *Node) joinRefusalReason(ctx context.Context, m *apiv1.Membership, joiner *apiv1.Replica) string {
 	if joiner.Name == n.opts.Name {
 		return "the leader has this name"
 	}
-	// The one who asks waits askTimeout in all, and would take silence for a refusal.
+	// The one who asks waits requestTimeout in all, and would take silence for a refusal.
 	ctx, cancel := context.WithTimeout(ctx, n.opts.electionTimeout())
 	defer cancel()
 	for _, r := range m.GetReplicas() {
--- a/quorum/node/size.go
+++ b/quorum/node/size.go
@@ -22,95 +22,95 @@
 type membershipPolicy struct {
 	// replaceTicks is how long a voter must be silent for a spare to take its place.
 	replaceTicks int
-	// recentTicks is how recently a replica must have been heard to count as running.
-	recentTicks int
-	// goneTicks is how long a replica must be silent to count as gone for good.
-	goneTicks int
+	// responsiveTicks is how recently a replica must have been heard to count as running.
+	responsiveTicks int
+	// departedTicks is how long a replica must be silent to count as gone for good.
+	departedTicks int
 	// maxVoters is the number of voters that the group grows to; 0 leaves the number as
 	// it was founded.
 	maxVoters int
 }
 
-// goneAfter is when a host that is silent no longer counts for the size of the group.
+// departedAfter is when a host that is silent no longer counts for the size of the group.
 // It is far above a restart, a cut or a replacement, which take seconds: a group that
 // shrinks at each of them would have to grow again.
-const goneAfter = time.Minute
+const departedAfter = time.Minute
 
-// votersFor returns how many of the hosts that are there should vote: an odd number,
+// targetVoters returns how many of the hosts that are there should vote: an odd number,
 // since an even one needs one host more and bears no more losses.
-func votersFor(hosts, maxVoters int) int {
+func targetVoters(hosts, maxVoters int) int {
 	return max(1, (min(hosts, maxVoters)-1)/2*2+1)
 }
 
-// census counts the replicas by what they can do for the group.
-type census struct {
+// groupSummary counts the replicas by what they can do for the group.
+type groupSummary struct {
 	voters int
 	// present are replicas that are not gone for good.
 	present int
-	// ready are spares that run and have the whole log.
-	ready []*apiv1.Replica
-	// whole is set when every voter runs and has the whole log.
-	whole bool
-	// goneVoter and goneLearner are each one that is gone for good, if there is any.
-	goneVoter, goneLearner *apiv1.Replica
+	// readySpares are spares that run and have the whole log.
+	readySpares []*apiv1.Replica
+	// allVotersCurrent is set when every voter runs and has the whole log.
+	allVotersCurrent bool
+	// departedVoter and departedLearner are each one that is gone for good, if there is any.
+	departedVoter, departedLearner *apiv1.Replica
 }
 
-func takeCensus(s quorum.Status, p membershipPolicy) census {
-	c := census{whole: true}
+func summarizeGroup(s quorum.Status, p membershipPolicy) groupSummary {
+	c := groupSummary{allVotersCurrent: true}
 	for _, r := range s.Membership.GetReplicas() {
-		silent := s.SilentTicks[r.Id]
-		if r.Id != s.ID && silent >= p.goneTicks {
-			c.countGone(r)
+		silent := s.TicksSinceContact[r.Id]
+		if r.Id != s.ID && silent >= p.departedTicks {
+			c.countDeparted(r)
 			continue
 		}
 		c.present++
-		runs := r.Id == s.ID || silent < p.recentTicks && caughtUp(s, r.Id)
+		runs := r.Id == s.ID || silent < p.responsiveTicks && caughtUp(s, r.Id)
 		switch {
 		case !r.Learner:
 			c.voters++
-			c.whole = c.whole && runs
+			c.allVotersCurrent = c.allVotersCurrent && runs
 		case r.Spare && runs:
-			c.ready = append(c.ready, r)
+			c.readySpares = append(c.readySpares, r)
 		}
 	}
 	return c
 }
 
-func (c *census) countGone(r *apiv1.Replica) {
+func (c *groupSummary) countDeparted(r *apiv1.Replica) {
 	if r.Learner {
-		c.goneLearner = r
+		c.departedLearner = r
 		return
 	}
 	c.voters++
-	c.whole = false
-	c.goneVoter = r
+	c.allVotersCurrent = false
+	c.departedVoter = r
 }
 
-// resize returns the change towards the number of voters that the hosts allow.
-func resize(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
+// resizeGroup returns the change towards the number of voters that the hosts allow.
+func resizeGroup(s quorum.Status, p membershipPolicy) (next *apiv1.Membership, reason string) {
 	if p.maxVoters == 0 {
 		return nil, ""
 	}
-	c := takeCensus(s, p)
-	target := votersFor(c.present, p.maxVoters)
+	c := summarizeGroup(s, p)
+	target := targetVoters(c.present, p.maxVoters)
 	switch {
-	case c.voters < target && c.whole && len(c.ready) >= votesToOdd(c.voters):
-		return withVoter(s.Membership, c.ready[0].Id), "give a vote to " + c.ready[0].Name + ", a spare"
-	case c.goneLearner != nil:
+	case c.voters < target && c.allVotersCurrent && len(c.readySpares) >= votesToNextOdd(c.voters):
+		return withPromoted(s.Membership, c.readySpares[0].Id), "give a vote to " + c.readySpares[0].Name + ", a spare"
+	case c.departedLearner != nil:
 		// A host that comes back asks to be taken in again; without this the list of
 		// replicas fills with hosts that were replaced.
-		return without(s.Membership, c.goneLearner.Id), "forget " + c.goneLearner.Name + ", which is gone"
-	case c.voters > target && target > 1 && c.goneVoter != nil:
-		return without(s.Membership, c.goneVoter.Id), "remove " + c.goneVoter.Name + ", which is gone"
-	case c.voters > target && target > 1 && c.whole:
+		return withRemoved(s.Membership, c.departedLearner.Id), "forget " + c.departedLearner.Name + ", which is gone"
+	case c.voters > target && target > 1 && c.departedVoter != nil:
+		return withRemoved(s.Membership, c.departedVoter.Id), "remove " + c.departedVoter.Name + ", which is gone"
+	case c.voters > target && target > 1 && c.allVotersCurrent:
 		least := leastUpToDate(s)
-		return without(s.Membership, least.Id), "take the vote of " + least.Name
+		return withRemoved(s.Membership, least.Id), "take the vote of " + least.Name
 	}
 	return nil, ""
 }
 
-// votesToOdd is the number of votes that lead to the next odd number of voters.
-func votesToOdd(voters int) int {
+// votesToNextOdd is the number of votes that lead to the next odd number of voters.
+func votesToNextOdd(voters int) int {
 	if voters%2 == 0 {
 		return 1
 	}
--- a/quorum/node/size_test.go
+++ b/quorum/node/size_test.go
@@ -10,9 +10,9 @@
 	"github.com/cairnlift/cairnlift/quorum/node/nodetest"
 )
 
-// settled lets a group take every host in and make the changes of its membership
+// settleTime lets a group take every host in and make the changes of its membership
 // that it wants.
-const settled = 10 * nodetest.ReplaceAfter
+const settleTime = 10 * nodetest.ReplaceAfter
 
 // foundersAndSpares starts three founding hosts, and others that join them.
 func foundersAndSpares(g *nodetest.Group, spares ...string) {
@@ -22,10 +22,10 @@
 	for _, name := range spares {
 		g.AddSpare(name)
 	}
-	for _, name := range slices.Concat(three, spares) {
-		g.Wait("the log on "+name, func() bool { return g.Has(name, "first") })
+	for _, name := range slices.Concat(threeHosts, spares) {
+		g.Wait("the log on "+name, func() bool { return g.HasCommand(name, "first") })
 	}
-	time.Sleep(settled)
+	time.Sleep(settleTime)
 }
 
 // Symptom: after a power cut that cost two hosts their disks nothing is served any
@@ -42,7 +42,7 @@
 func TestTwoDisksLostInAPowerCut(t *testing.T) {
 	for _, spares := range [][]string{{"d", "e"}, {"d", "e", "f"}} {
 		t.Run(fmt.Sprint(3+len(spares), " hosts"), func(t *testing.T) {
-			forSeeds(t, 15, three, func(g *nodetest.Group) {
+			forSeeds(t, 15, threeHosts, func(g *nodetest.Group) {
 				foundersAndSpares(g, spares...)
 				g.Propose("acknowledged")
 				voters := g.Voters()
@@ -53,8 +53,8 @@
 					g.Host(name).Disk.Erase()
 				}
 				g.MustStart()
-				for _, name := range slices.Concat(three, spares) {
-					g.Wait("the acknowledged command on "+name, func() bool { return g.Has(name, "acknowledged") })
+				for _, name := range slices.Concat(threeHosts, spares) {
+					g.Wait("the acknowledged command on "+name, func() bool { return g.HasCommand(name, "acknowledged") })
 				}
 			})
 		})
@@ -64,10 +64,10 @@
 // Symptom: a group needs one host more than it should, or bears one loss less.
 // Sequence: one host after another joins three founding ones.
 // Cause: every newcomer gets a vote, or none.
-func TestVotersFollowTheHosts(t *testing.T) {
+func TestVoterCountFollowsHosts(t *testing.T) {
 	for spares, want := range []int{3, 3, 5, 5, 5} {
 		t.Run(fmt.Sprint(3+spares, " hosts"), func(t *testing.T) {
-			forSeeds(t, 3, three, func(g *nodetest.Group) {
+			forSeeds(t, 3, threeHosts, func(g *nodetest.Group) {
 				foundersAndSpares(g, []string{"d", "e", "f", "g"}[:spares]...)
 				if voters := g.Voters(); len(voters) != want {
 					g.T.Fatalf("seed %d: voters are %v", g.Seed, voters)
@@ -80,7 +80,7 @@
 // Symptom: the operators' group of four or seven hosts loses votes by itself.
 // Sequence: a group whose number of voters is set by its settings runs for minutes.
 // Cause: the number of voters is brought to a figure that nobody asked for.
-func TestFoundedSizeStays(t *testing.T) {
+func TestFoundingSizeIsKept(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g"}
 	for _, count := range []int{4, 7} {
 		forSeeds(t, 2, names[:count], func(g *nodetest.Group) {
@@ -100,8 +100,8 @@
 // it, and another one right after; both come back with empty disks.
 // Cause: a vote that is given while a voter is silent, or to a spare that holds little
 // of the log, makes a majority of all that are left.
-func TestLossesWhileTheGroupGrows(t *testing.T) {
-	forSeeds(t, 60, three, func(g *nodetest.Group) {
+func TestDiskLossDuringGrowth(t *testing.T) {
+	forSeeds(t, 60, threeHosts, func(g *nodetest.Group) {
 		random := rand.New(rand.NewPCG(g.Seed, 2))
 		g.MustStart()
 		g.Propose("first")
@@ -115,7 +115,7 @@
 		g.MustStart(lost)
 		g.Wait("five voters", func() bool { return len(g.Voters()) == 5 })
 		for _, name := range []string{"a", "b", "c", "d", "e"} {
-			g.Wait("all on "+name, func() bool { return g.Has(name, "first") && g.Has(name, "with one lost") })
+			g.Wait("all on "+name, func() bool { return g.HasCommand(name, "first") && g.HasCommand(name, "with one lost") })
 		}
 	})
 }
@@ -124,8 +124,8 @@
 // three hosts left stops with the next loss.
 // Sequence: two of five hosts are taken away; after some minutes one more is lost.
 // Cause: the majority is still counted from five.
-func TestGroupShrinksWithItsHosts(t *testing.T) {
-	forSeeds(t, 5, three, func(g *nodetest.Group) {
+func TestGroupShrinksWhenHostsDepart(t *testing.T) {
+	forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
 		g.Kill("d", "e")
 		time.Sleep(2 * time.Minute)
@@ -140,8 +140,8 @@
 // Symptom: after some hundred replaced hosts no host is taken in any more.
 // Sequence: spares join and are taken away, one after another.
 // Cause: a learner that is gone is kept for ever, and the number of replicas is bounded.
-func TestSparesThatAreGoneAreForgotten(t *testing.T) {
-	forSeeds(t, 1, three, func(g *nodetest.Group) {
+func TestDepartedSparesAreRemoved(t *testing.T) {
+	forSeeds(t, 1, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
 		for i := range 20 {
 			name := fmt.Sprint("spare-", i)
@@ -161,14 +161,14 @@
 // to two of those their disk; after each round the group repairs itself.
 // Cause: any fault in how votes are given, taken and replaced. Seeds 252 and 354 stood in
 // a group of four voters that had lost two disks, while a replaced voter's was whole.
-func TestTwoLossesAgainAndAgain(t *testing.T) {
-	forSeeds(t, 20, three, twoLossesAgainAndAgain)
+func TestRepeatedDoubleDiskLoss(t *testing.T) {
+	forSeeds(t, 20, threeHosts, repeatedDoubleDiskLoss)
 	for _, seed := range []uint64{252, 354} {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playSeed(t, seed, three, twoLossesAgainAndAgain) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { runSeed(t, seed, threeHosts, repeatedDoubleDiskLoss) })
 	}
 }
 
-func twoLossesAgainAndAgain(g *nodetest.Group) {
+func repeatedDoubleDiskLoss(g *nodetest.Group) {
 	const rounds = 8
 	foundersAndSpares(g, "d", "e", "f")
 	all := []string{"a", "b", "c", "d", "e", "f"}
@@ -193,7 +193,7 @@
 		g.MustStart(down...)
 		for _, name := range all {
 			for past := range round + 1 {
-				g.Wait(fmt.Sprint(past, " on ", name), func() bool { return g.Has(name, fmt.Sprint(past)) })
+				g.Wait(fmt.Sprint(past, " on ", name), func() bool { return g.HasCommand(name, fmt.Sprint(past)) })
 			}
 		}
 		g.Wait("five running voters", func() bool { return runningVoters(g) == 5 })
@@ -218,7 +218,7 @@
 // Symptom: a new deployment never serves anything.
 // Sequence: one of the three hosts that the settings name has no disk.
 // Cause: the founder waits for the answer of a replica that never comes to be.
-func TestFoundingWithoutAHostThatHasNoDisk(t *testing.T) {
+func TestFormingWithoutPeerThatKeepsNoReplica(t *testing.T) {
 	for _, hollow := range []string{"0", "n", "z"} { // before, between and after the others
 		forSeeds(t, 3, []string{"m", "o"}, func(g *nodetest.Group) {
 			g.Peers = []string{hollow, "m", "o"}
@@ -238,8 +238,8 @@
 // leader at times, is cut off from all others or from all but one, for up to four times
 // as long as it takes to replace it.
 // Cause: any fault in what a replica does that hears no leader, or an old one.
-func TestLossesBesideCuts(t *testing.T) {
-	forSeeds(t, 20, three, func(g *nodetest.Group) {
+func TestDiskLossDuringPartition(t *testing.T) {
+	forSeeds(t, 20, threeHosts, func(g *nodetest.Group) {
 		foundersAndSpares(g, "d", "e")
 		random := rand.New(rand.NewPCG(g.Seed, 5))
 		for round := range 6 {
@@ -261,10 +261,10 @@
 			g.ReplaceDisk(lost)
 			time.Sleep(time.Duration(random.Int64N(int64(4 * nodetest.ReplaceAfter))))
 			g.Heal()
-			time.Sleep(settled)
+			time.Sleep(settleTime)
 			for _, name := range g.Names() {
 				for past := range round + 1 {
-					if !g.Has(name, fmt.Sprint(past)) {
+					if !g.HasCommand(name, fmt.Sprint(past)) {
 						g.T.Fatalf("seed %d, round %d: %d is not on %s: %v", g.Seed, round, past, name, g.Node(name).Status())
 					}
 				}
--- a/quorum/node/slowdisk_test.go
+++ b/quorum/node/slowdisk_test.go
@@ -33,12 +33,12 @@
 // the others' acknowledgements only after its own sync, and leads on.
 // Before: each commit takes 60 ms for as long as the disk is slow. After: the last ones
 // take what a fast disk takes.
-func TestLeaderWithASlowDiskHandsOver(t *testing.T) {
-	forSeeds(t, 10, three, func(g *nodetest.Group) {
+func TestLeaderWithSlowDiskTransfersLeadership(t *testing.T) {
+	forSeeds(t, 10, threeHosts, func(g *nodetest.Group) {
 		g.MustStart()
-		g.WaitWhole()
+		g.WaitAllVoters()
 		leader := g.Leader()
-		g.Host(leader).Disk.Slow(slowSync)
+		g.Host(leader).Disk.SetSyncDelay(slowSync)
 		times := commitTimes(g, "slow")
 		if last := times[len(times)-1]; last >= slowSync {
 			g.T.Errorf("seed %d: a commit still takes %v after %v", g.Seed, last, times)
@@ -47,7 +47,7 @@
 			g.T.Errorf("seed %d: %s leads on", g.Seed, now)
 		}
 		for _, name := range g.Names() {
-			if !g.Has(name, "slow 0") {
+			if !g.HasCommand(name, "slow 0") {
 				g.T.Errorf("seed %d: %s lacks what was committed on the slow disk", g.Seed, name)
 			}
 		}
@@ -57,26 +57,26 @@
 // Symptom: leadership wanders and every commit waits for elections.
 // Sequence: all disks turn slow alike, as on a shared storage; or the leader's is slow
 // for two syncs only. Cause: a leader that hands over without a faster voter, or at once.
-func TestLeaderStaysWithoutAFasterVoter(t *testing.T) {
+func TestLeaderKeepsLeadershipWithoutFasterVoter(t *testing.T) {
 	slow := map[string]func(g *nodetest.Group, leader string){
 		"all": func(g *nodetest.Group, _ string) {
 			for _, name := range g.Names() {
-				g.Host(name).Disk.Slow(slowSync)
+				g.Host(name).Disk.SetSyncDelay(slowSync)
 			}
 			commitTimes(g, "all")
 		},
 		"a moment": func(g *nodetest.Group, leader string) {
-			g.Host(leader).Disk.Slow(slowSync)
+			g.Host(leader).Disk.SetSyncDelay(slowSync)
 			g.Propose("first")
-			g.Host(leader).Disk.Slow(0)
+			g.Host(leader).Disk.SetSyncDelay(0)
 			commitTimes(g, "later")
 		},
 	}
 	for name, play := range slow {
 		t.Run(name, func(t *testing.T) {
-			forSeeds(t, 5, three, func(g *nodetest.Group) {
+			forSeeds(t, 5, threeHosts, func(g *nodetest.Group) {
 				g.MustStart()
-				g.WaitWhole()
+				g.WaitAllVoters()
 				leader := g.Leader()
 				term := g.Node(leader).Status().Term
 				play(g, leader)
--- a/quorum/node/transport.go
+++ b/quorum/node/transport.go
@@ -22,9 +22,9 @@
 	Start(unreachable func(id uint64))
 	// SetMembers says where replicas are.
 	SetMembers(*apiv1.Membership)
-	// Heard says where the sender of a message is, which may be no member that is
+	// RecordSender says where the sender of a message is, which may be no member that is
 	// known here yet; see AddressBook.
-	Heard(id uint64, address string)
+	RecordSender(id uint64, address string)
 	// Send takes messages over and never blocks.
 	Send([]*apiv1.QuorumMessage)
 	// Identify asks who is at an address; see apiv1.IdentifyRequest for founder.
@@ -113,22 +113,22 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.addresses.SetMembers(m)
-	t.reconnect()
+	t.updatePeersLocked()
 }
 
-// Heard implements Transport.
-func (t *TwirpTransport) Heard(id uint64, address string) {
+// RecordSender implements Transport.
+func (t *TwirpTransport) RecordSender(id uint64, address string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.addresses.Address(id) == address {
 		return
 	}
-	t.addresses.Heard(id, address)
-	t.reconnect()
+	t.addresses.RecordSender(id, address)
+	t.updatePeersLocked()
 }
 
-// reconnect makes the peers follow the addresses; t.mu is held.
-func (t *TwirpTransport) reconnect() {
+// updatePeersLocked makes the peers follow the addresses; t.mu is held.
+func (t *TwirpTransport) updatePeersLocked() {
 	if t.closed {
 		return
 	}
@@ -141,7 +141,7 @@
 	}
 	for id, address := range all {
 		if t.peers[id] == nil {
-			t.peers[id] = t.startPeer(id, address)
+			t.peers[id] = t.startPeerLocked(id, address)
 		}
 	}
 }
@@ -156,12 +156,12 @@
 			t.dropped.Inc(1)
 			continue
 		}
-		p.add(m)
+		p.enqueue(m)
 	}
 }
 
-// clientOf returns the client of an address; t.mu is held.
-func (t *TwirpTransport) clientOf(address string) apiv1.Quorum {
+// clientForLocked returns the client of an address; t.mu is held.
+func (t *TwirpTransport) clientForLocked(address string) apiv1.Quorum {
 	c := t.clients[address]
 	if c == nil {
 		c = apiv1.NewQuorumProtobufClient("http://"+address, t.client)
@@ -170,20 +170,20 @@
 	return c
 }
 
-func (t *TwirpTransport) lockedClientOf(address string) apiv1.Quorum {
+func (t *TwirpTransport) clientFor(address string) apiv1.Quorum {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.clientOf(address)
+	return t.clientForLocked(address)
 }
 
 // Identify implements Transport.
 func (t *TwirpTransport) Identify(ctx context.Context, address string, founder uint64) (*apiv1.IdentifyResponse, error) {
-	return t.lockedClientOf(address).Identify(ctx, &apiv1.IdentifyRequest{Cell: t.opts.Cell, Founder: founder})
+	return t.clientFor(address).Identify(ctx, &apiv1.IdentifyRequest{Cell: t.opts.Cell, Founder: founder})
 }
 
 // Join implements Transport.
 func (t *TwirpTransport) Join(ctx context.Context, address string, r *apiv1.Replica) (*apiv1.JoinResponse, error) {
-	return t.lockedClientOf(address).Join(ctx, &apiv1.JoinRequest{Cell: t.opts.Cell, Replica: r})
+	return t.clientFor(address).Join(ctx, &apiv1.JoinRequest{Cell: t.opts.Cell, Replica: r})
 }
 
 // Close implements Transport. Messages that wait are dropped.
--- a/quorum/node/twirp_test.go
+++ b/quorum/node/twirp_test.go
@@ -22,7 +22,7 @@
 // server is a replica with a real disk behind a real listener.
 type server struct {
 	node    *node.Node
-	machine *nodetest.Machine
+	machine *nodetest.StateMachine
 	http    *http.Server
 }
 
@@ -42,7 +42,7 @@
 }
 
 func startServer(t testing.TB, l net.Listener, self settings.Peer, peers []settings.Peer, o node.Options) *server {
-	s := &server{machine: &nodetest.Machine{}}
+	s := &server{machine: &nodetest.StateMachine{}}
 	o.Cell, o.Name, o.Address, o.Peers = "test", self.Name, self.Address, peers
 	if o.StateMachine == nil {
 		o.StateMachine = s.machine
@@ -127,7 +127,7 @@
 	}
 	for _, s := range servers {
 		awaitRead(s.node)
-		if got := s.machine.List(); acked == 0 || len(got) < acked || len(got) > acked+unknown {
+		if got := s.machine.Commands(); acked == 0 || len(got) < acked || len(got) > acked+unknown {
 			t.Errorf("%d commands, %d acknowledged and %d unknown: %v", len(got), acked, unknown, got)
 		}
 	}
@@ -159,7 +159,7 @@
 // memory grows without bound.
 // Sequence: one of two peers takes requests and never answers.
 // Cause: a sender that waits without a deadline, a shared or unbounded queue.
-func TestSilentPeerHoldsUpNobody(t *testing.T) {
+func TestUnresponsivePeerDoesNotBlockOthers(t *testing.T) {
 	listeners, peers := listenAll(t, 2)
 	silent := make(chan struct{})
 	got := make(chan struct{})
--- a/quorum/node/view.go
+++ b/quorum/node/view.go
@@ -12,20 +12,20 @@
 	mu      sync.Mutex
 	status  quorum.Status
 	changed chan struct{}
-	// group is the membership of a group that this replica asked to join or is
+	// pendingMembership is the membership of a group that this replica asked to join or is
 	// about to belong to.
-	group *apiv1.Membership
-	// promised is the founder that this replica said it is empty to.
-	promised uint64
+	pendingMembership *apiv1.Membership
+	// promisedFounder is the founder that this replica said it is empty to.
+	promisedFounder uint64
 }
 
-// publish shows the core's state to other goroutines.
-func (n *Node) publish() {
+// publishStatus shows the core's state to other goroutines.
+func (n *Node) publishStatus() {
 	s := n.raft.Status()
-	n.meters.term.Update(int64(s.Term))
-	n.meters.commit.Update(int64(s.Commit))
-	n.meters.appliedIndex.Update(int64(s.Applied))
-	n.meters.role.Update(int64(s.Role))
+	n.metrics.term.Update(int64(s.Term))
+	n.metrics.commit.Update(int64(s.Commit))
+	n.metrics.appliedIndex.Update(int64(s.Applied))
+	n.metrics.role.Update(int64(s.Role))
 	v := &n.view
 	v.mu.Lock()
 	before := v.status
@@ -78,41 +78,41 @@
 // LeaderAddress returns where the leader is, empty when none is known.
 func (n *Node) LeaderAddress() string {
 	s := n.Status()
-	return findByID(n.group(), s.Leader).GetAddress()
+	return findReplica(n.groupMembership(), s.Leader).GetAddress()
 }
 
-// otherLeader is LeaderAddress, but empty if that is this replica.
-func (n *Node) otherLeader() string {
+// otherLeaderAddress is LeaderAddress, but empty if that is this replica.
+func (n *Node) otherLeaderAddress() string {
 	if s := n.Status(); s.Leader == n.id() {
 		return ""
 	}
 	return n.LeaderAddress()
 }
 
-// group returns the membership, or that of the group to join.
-func (n *Node) group() *apiv1.Membership { return n.groupFor(0) }
+// groupMembership returns the membership, or that of the group to join.
+func (n *Node) groupMembership() *apiv1.Membership { return n.membershipForFounder(0) }
 
-// groupFor returns what a founder is told. To be told nothing is a promise.
-func (n *Node) groupFor(founder uint64) *apiv1.Membership {
+// membershipForFounder returns what a founder is told. To be told nothing is a promise.
+func (n *Node) membershipForFounder(founder uint64) *apiv1.Membership {
 	n.view.mu.Lock()
 	defer n.view.mu.Unlock()
 	if n.view.status.Membership != nil {
 		return n.view.status.Membership
 	}
-	if n.view.group == nil && founder != 0 {
-		n.view.promised = founder
+	if n.view.pendingMembership == nil && founder != 0 {
+		n.view.promisedFounder = founder
 	}
-	return n.view.group
+	return n.view.pendingMembership
 }
 
-func (n *Node) setGroup(m *apiv1.Membership) {
+func (n *Node) setGroupMembership(m *apiv1.Membership) {
 	n.view.mu.Lock()
-	n.view.group = m
+	n.view.pendingMembership = m
 	n.view.mu.Unlock()
 	n.transport.SetMembers(m)
 }
 
-func findByID(m *apiv1.Membership, id uint64) *apiv1.Replica {
+func findReplica(m *apiv1.Membership, id uint64) *apiv1.Replica {
 	for _, r := range m.GetReplicas() {
 		if r.Id == id {
 			return r
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -51,8 +51,8 @@
 	Membership *apiv1.Membership
 	// Match is the last index known to be on each replica; set on a leader.
 	Match map[uint64]uint64
-	// SilentTicks is how long ago each replica was heard; set on a leader.
-	SilentTicks map[uint64]int
+	// TicksSinceContact is how long ago each replica was heard; set on a leader.
+	TicksSinceContact map[uint64]int
 }
 
 // ReadState answers a ReadIndex call: once the entry at Index is applied, a read
@@ -82,8 +82,8 @@
 	Leader     uint64
 }
 
-// Stored is what a replica finds on its disk when it starts.
-type Stored struct {
+// StoredState is what a replica finds on its disk when it starts.
+type StoredState struct {
 	HardState *apiv1.HardState
 	// Snapshot is the newest whole one, nil when there is none.
 	Snapshot *apiv1.QuorumSnapshot
@@ -95,7 +95,7 @@
 // durable when it returns nil; after an error the replica must stop, since it
 // can't know what is on the disk.
 type Storage interface {
-	Load() (Stored, error)
+	Load() (StoredState, error)
 	// Save appends entries (cutting off any that they replace) and the hard state.
 	Save(hs *apiv1.HardState, entries []*apiv1.LogEntry) error
 	// SaveSnapshot stores a snapshot and drops the log up to its index. The entries
--- a/quorum/raft.go
+++ b/quorum/raft.go
@@ -89,19 +89,19 @@
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	// startTicks are the ticks left in which a replica that has just started asks for
+	// startupTicks are the ticks left in which a replica that has just started asks for
 	// pre-votes early; see early.go.
-	startTicks int
-	// voteTicks are the ticks left in which the candidate that got this replica's vote is
+	startupTicks int
+	// voteWindowTicks are the ticks left in which the candidate that got this replica's vote is
 	// expected to win; see early.go.
-	voteTicks int
+	voteWindowTicks int
 
 	messages   []*apiv1.QuorumMessage
 	readStates []ReadState
-	// unsent: there may be something to send to a follower.
-	unsent bool
-	ready  readyState
-	saves  saveTimes
+	// appendsPending: there may be something to send to a follower.
+	appendsPending bool
+	ready          readyState
+	saveDurations  durationWindow
 	// compactionTail is the constant of that name, but in tests.
 	compactionTail int
 }
@@ -109,7 +109,7 @@
 // New returns a replica that continues from what is stored. A replica without
 // any stored state waits to be taken in by a group. A new group starts from a
 // snapshot at index 1 and term 1 that holds the membership.
-func New(cfg Config, stored Stored) (*Raft, error) {
+func New(cfg Config, stored StoredState) (*Raft, error) {
 	if err := cfg.validate(); err != nil {
 		return nil, err
 	}
@@ -117,7 +117,7 @@
 	if err := r.load(stored); err != nil {
 		return nil, err
 	}
-	r.beginStart()
+	r.beginStartup()
 	r.becomeFollower(r.term, 0)
 	r.ready.saved = r.hardState()
 	r.ready.role, r.ready.term, r.ready.leader = r.role, r.term, r.leader
@@ -127,11 +127,11 @@
 	return r, nil
 }
 
-func (r *Raft) load(stored Stored) error {
+func (r *Raft) load(stored StoredState) error {
 	if s := stored.Snapshot; s != nil {
 		meta := s.GetMeta()
 		if err := validateMembership(meta.GetMembership()); err != nil {
-			return errors.Mark(err, ErrStored)
+			return errors.Mark(err, ErrInvalidStoredState)
 		}
 		r.snapshot = s
 		r.log.restore(meta.GetIndex(), meta.GetTerm())
@@ -153,7 +153,7 @@
 	}
 	r.log.commitTo(hs.GetCommit())
 	if r.log.lastTerm() > r.term {
-		return errors.Wrapf(ErrStored, "term %d is older than the last entry's", r.term)
+		return errors.Wrapf(ErrInvalidStoredState, "term %d is older than the last entry's", r.term)
 	}
 	return nil
 }
@@ -164,11 +164,11 @@
 			continue
 		}
 		if e.GetIndex() != r.log.lastIndex()+1 || e.GetTerm() < r.log.lastTerm() {
-			return errors.Wrapf(ErrStored, "entry %d of term %d follows entry %d of term %d",
+			return errors.Wrapf(ErrInvalidStoredState, "entry %d of term %d follows entry %d of term %d",
 				e.GetIndex(), e.GetTerm(), r.log.lastIndex(), r.log.lastTerm())
 		}
 		if err := r.appendToLog([]*apiv1.LogEntry{e}); err != nil {
-			return errors.Mark(err, ErrStored)
+			return errors.Mark(err, ErrInvalidStoredState)
 		}
 	}
 	r.log.stable = r.log.lastIndex()
@@ -178,14 +178,14 @@
 // Tick tells the replica that one more tick has passed.
 func (r *Raft) Tick() {
 	r.electionElapsed++
-	r.tickStart()
+	r.tickStartup()
 	r.expireForwardedReads()
 	if r.role == Leader {
 		r.tickLeader()
 		return
 	}
 	switch {
-	case r.electionElapsed < r.timeout():
+	case r.electionElapsed < r.campaignTimeout():
 	case r.isVoter(r.id):
 		r.campaign(PreCandidate, false)
 	case r.leader != 0:
@@ -199,14 +199,14 @@
 func (r *Raft) tickLeader() {
 	r.electionElapsed = 0 // a leader hears itself
 	for _, p := range r.progress {
-		p.silentTicks++
+		p.ticksSinceContact++
 		p.restoreTicks++
 	}
 	r.transferElapsed++
 	if r.transferElapsed >= r.cfg.ElectionTicks {
 		r.transferee = 0
 	}
-	if !r.hearsMajority(r.membership.current()) {
+	if !r.majorityRecentlyActive(r.membership.current()) {
 		r.becomeFollower(r.term, 0)
 		return
 	}
@@ -216,26 +216,26 @@
 	}
 }
 
-// hearsMajority reports whether a leader heard a majority of the voters within an
+// majorityRecentlyActive reports whether a leader heard a majority of the voters within an
 // election timeout. One that did not steps down (check-quorum): cut off, it would
 // else believe in its office for as long as the cut lasts, and take work that it
 // can never commit.
-func (r *Raft) hearsMajority(m *apiv1.Membership) bool {
+func (r *Raft) majorityRecentlyActive(m *apiv1.Membership) bool {
 	heard, voters := 0, 0
 	for _, replica := range m.GetReplicas() {
 		if replica.GetLearner() {
 			continue
 		}
 		voters++
-		if r.hears(replica.GetId()) {
+		if r.recentlyActive(replica.GetId()) {
 			heard++
 		}
 	}
 	return heard > voters/2
 }
 
-func (r *Raft) hears(id uint64) bool {
-	return id == r.id || r.progress[id].silentTicks < r.cfg.ElectionTicks
+func (r *Raft) recentlyActive(id uint64) bool {
+	return id == r.id || r.progress[id].ticksSinceContact < r.cfg.ElectionTicks
 }
 
 // Status returns the replica's view of its group.
@@ -252,10 +252,10 @@
 	}
 	if r.role == Leader {
 		s.Match = make(map[uint64]uint64, len(r.progress))
-		s.SilentTicks = make(map[uint64]int, len(r.progress))
+		s.TicksSinceContact = make(map[uint64]int, len(r.progress))
 		for id, p := range r.progress {
 			s.Match[id] = p.match
-			s.SilentTicks[id] = p.silentTicks
+			s.TicksSinceContact[id] = p.ticksSinceContact
 		}
 	}
 	return s
@@ -287,7 +287,7 @@
 	r.rejectReads()
 	r.leader = leader
 	if leader != 0 {
-		r.startTicks = 0
+		r.startupTicks = 0
 	}
 }
 
--- a/quorum/read.go
+++ b/quorum/read.go
@@ -37,11 +37,11 @@
 // leads: whatever was acknowledged before the read began is at or below that
 // index, since no later leader can have committed anything by then.
 type reads struct {
-	round     uint64
-	waiting   []readRequest
-	rounds    []readRound
-	unsettled int // requests in rounds
-	forwarded []forwardedRead
+	round       uint64
+	waiting     []readRequest
+	rounds      []readRound
+	unconfirmed int // requests in rounds
+	forwarded   []forwardedRead
 }
 
 // ReadIndex asks for an index to read at. The answer is a ReadState with the same
@@ -50,7 +50,7 @@
 func (r *Raft) ReadIndex(context uint64) {
 	switch {
 	case r.role == Leader:
-		r.takeRead(readRequest{from: r.id, context: context})
+		r.enqueueRead(readRequest{from: r.id, context: context})
 	case r.leader == 0 || len(r.reads.forwarded) >= maxReads:
 		r.readStates = append(r.readStates, ReadState{Context: context, Rejected: true})
 	default:
@@ -62,9 +62,9 @@
 	}
 }
 
-func (r *Raft) takeRead(request readRequest) {
-	if len(r.reads.waiting)+r.reads.unsettled >= maxReads {
-		r.answerRead(request, 0, false)
+func (r *Raft) enqueueRead(request readRequest) {
+	if len(r.reads.waiting)+r.reads.unconfirmed >= maxReads {
+		r.respondRead(request, 0, false)
 		return
 	}
 	r.reads.waiting = append(r.reads.waiting, request)
@@ -73,13 +73,13 @@
 func (r *Raft) handleReadIndex(m *apiv1.QuorumMessage) {
 	request := readRequest{from: m.GetFrom(), context: m.GetContext()}
 	if r.role != Leader {
-		r.answerRead(request, 0, false)
+		r.respondRead(request, 0, false)
 		return
 	}
-	r.takeRead(request)
+	r.enqueueRead(request)
 }
 
-func (r *Raft) answerRead(request readRequest, index uint64, confirmed bool) {
+func (r *Raft) respondRead(request readRequest, index uint64, confirmed bool) {
 	if request.from == r.id {
 		r.readStates = append(r.readStates, ReadState{Context: request.context, Index: index, Rejected: !confirmed})
 		return
@@ -101,7 +101,7 @@
 	r.reads.rounds = append(r.reads.rounds, readRound{
 		number: r.reads.round, index: r.log.commit, requests: r.reads.waiting,
 	})
-	r.reads.unsettled += len(r.reads.waiting)
+	r.reads.unconfirmed += len(r.reads.waiting)
 	r.reads.waiting = nil
 	r.progress[r.id].ackedRound = r.reads.round
 	r.broadcastHeartbeat()
@@ -118,9 +118,9 @@
 	for len(r.reads.rounds) > 0 && r.reads.rounds[0].number <= confirmed {
 		round := r.reads.rounds[0]
 		r.reads.rounds = r.reads.rounds[1:]
-		r.reads.unsettled -= len(round.requests)
+		r.reads.unconfirmed -= len(round.requests)
 		for _, request := range round.requests {
-			r.answerRead(request, round.index, true)
+			r.respondRead(request, round.index, true)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		r.reads.waiting = append(r.reads.waiting, round.requests...)
 	}
 	for _, request := range r.reads.waiting {
-		r.answerRead(request, 0, false)
+		r.respondRead(request, 0, false)
 	}
 	for _, f := range r.reads.forwarded {
 		r.readStates = append(r.readStates, ReadState{Context: f.context, Rejected: true})
--- a/quorum/ready.go
+++ b/quorum/ready.go
@@ -36,9 +36,9 @@
 	return hs
 }
 
-// mustSave reports whether the hard state has to be persisted. A new commit index
+// mustSaveHardState reports whether the hard state has to be persisted. A new commit index
 // alone is not worth a sync.
-func (r *Raft) mustSave(hs hardState) bool {
+func (r *Raft) mustSaveHardState(hs hardState) bool {
 	saved := r.ready.saved
 	if hs.term != saved.term || hs.vote != saved.vote {
 		return true
@@ -55,29 +55,29 @@
 		return true
 	case r.log.stable < r.log.lastIndex(), r.log.applied < r.log.commit:
 		return true
-	case r.role == Leader && r.unsent, r.canStartReadRound():
+	case r.role == Leader && r.appendsPending, r.canStartReadRound():
 		return true
 	case r.role != r.ready.role, r.term != r.ready.term, r.leader != r.ready.leader:
 		return true
 	}
-	return r.mustSave(r.hardState())
+	return r.mustSaveHardState(r.hardState())
 }
 
 // Ready returns what the driver has to do now. The next one may be taken only
 // after Advance.
 func (r *Raft) Ready() Ready {
 	if r.ready.outstanding {
-		broken("a Ready was taken before the one before it was advanced")
+		invariantViolated("a Ready was taken before the one before it was advanced")
 	}
 	if r.canStartReadRound() {
 		r.startReadRound()
 	}
-	if r.role == Leader && r.unsent {
+	if r.role == Leader && r.appendsPending {
 		r.flushAppends()
 	}
 	out := Ready{
 		Snapshot:   r.ready.snapshot,
-		Entries:    r.log.handOut(),
+		Entries:    r.log.beginWrite(),
 		Messages:   r.messages,
 		Committed:  r.nextCommitted(),
 		ReadStates: r.readStates,
@@ -85,12 +85,12 @@
 		Term:       r.term,
 		Leader:     r.leader,
 	}
-	if hs := r.hardState(); r.mustSave(hs) {
+	if hs := r.hardState(); r.mustSaveHardState(hs) {
 		out.HardState = &apiv1.HardState{Term: hs.term, Vote: hs.vote, Commit: hs.commit}
 		r.ready.saved = hs
 	}
 	r.messages, r.readStates = nil, nil
-	r.handOut(out)
+	r.acceptReady(out)
 	return out
 }
 
@@ -101,7 +101,7 @@
 	return r.log.slice(r.log.applied+1, to)
 }
 
-func (r *Raft) handOut(out Ready) {
+func (r *Raft) acceptReady(out Ready) {
 	r.ready = readyState{
 		saved: r.ready.saved,
 		role:  out.Role, term: out.Term, leader: out.Leader,
@@ -115,11 +115,11 @@
 // counted them would then be one copy short.
 func (r *Raft) Advance() {
 	if !r.ready.outstanding {
-		broken("Advance without a Ready")
+		invariantViolated("Advance without a Ready")
 	}
 	r.ready.outstanding = false
 	r.log.applied = max(r.log.applied, r.ready.applied)
-	r.log.written()
+	r.log.finishWrite()
 	if r.role != Leader {
 		return
 	}
--- a/quorum/replication.go
+++ b/quorum/replication.go
@@ -10,7 +10,7 @@
 // an entry with this index and this term is handed out as committed; an entry of
 // another term at the index says that it never will be.
 func (r *Raft) Propose(data []byte) (index, term uint64, err error) {
-	if err := r.mayPropose(); err != nil {
+	if err := r.checkCanPropose(); err != nil {
 		return 0, 0, err
 	}
 	if len(data) > MaxCommandBytes {
@@ -20,7 +20,7 @@
 	return e.GetIndex(), e.GetTerm(), nil
 }
 
-func (r *Raft) mayPropose() error {
+func (r *Raft) checkCanPropose() error {
 	switch {
 	case r.role != Leader || !r.isVoter(r.id):
 		return ErrNotLeader
@@ -40,10 +40,10 @@
 func (r *Raft) appendAsLeader(kind apiv1.EntryKind, data []byte) *apiv1.LogEntry {
 	e := &apiv1.LogEntry{Term: r.term, Index: r.log.lastIndex() + 1, Kind: kind, Data: data}
 	if err := r.appendToLog([]*apiv1.LogEntry{e}); err != nil {
-		broken("the leader's own entry %d is malformed: %v", e.GetIndex(), err)
+		invariantViolated("the leader's own entry %d is malformed: %v", e.GetIndex(), err)
 	}
 	r.uncommittedBytes += entrySize(e)
-	r.unsent = true
+	r.appendsPending = true
 	return e
 }
 
@@ -65,7 +65,7 @@
 
 // flushAppends sends each follower what it lacks, as far as the bounds allow.
 func (r *Raft) flushAppends() {
-	r.unsent = false
+	r.appendsPending = false
 	for _, replica := range r.membership.current().GetReplicas() {
 		if replica.GetId() == r.id {
 			continue
@@ -82,9 +82,9 @@
 	full := len(p.inflight) >= r.cfg.MaxInflight
 	hasNew := p.next <= r.log.lastIndex() && !full
 	switch {
-	case p.state == restoring, p.state == probing && p.probed:
+	case p.state == restoring, p.state == probing && p.probeSent:
 		return false
-	case !hasNew && !p.poked && p.sentCommit >= min(r.log.commit, p.next-1) && p.state != probing:
+	case !hasNew && !p.forceSend && p.sentCommit >= min(r.log.commit, p.next-1) && p.state != probing:
 		return false
 	}
 	previous, ok := r.log.term(p.next - 1)
@@ -99,7 +99,7 @@
 	if hasNew {
 		m.Entries = r.log.batch(p.next, r.cfg.MaxEntriesPerMessage, MaxMessageBytes)
 	}
-	p.sent(len(m.GetEntries()), r.log.commit)
+	p.recordSend(len(m.GetEntries()), r.log.commit)
 	r.send(m)
 	return p.state == replicating && hasNew
 }
@@ -119,9 +119,9 @@
 		answer.Index = r.log.commit
 	case !r.log.matches(m.GetIndex(), m.GetLogTerm()):
 		answer.Reject, answer.Index = true, m.GetIndex()
-		answer.RejectHint, answer.LogTerm = r.log.lastNotAfter(m.GetIndex(), m.GetLogTerm())
+		answer.RejectHint, answer.LogTerm = r.log.lastWithTermAtMost(m.GetIndex(), m.GetLogTerm())
 	default:
-		if err := r.takeEntries(m.GetEntries()); err != nil {
+		if err := r.appendMissing(m.GetEntries()); err != nil {
 			return err
 		}
 		answer.Index = m.GetIndex() + uint64(len(m.GetEntries()))
@@ -132,10 +132,10 @@
 	return nil
 }
 
-// takeEntries appends the entries that are missing. Those that the log holds
+// appendMissing appends the entries that are missing. Those that the log holds
 // stay, even when more follow them: the message may be an old one, and what it
 // cut off could already be counted by the leader.
-func (r *Raft) takeEntries(entries []*apiv1.LogEntry) error {
+func (r *Raft) appendMissing(entries []*apiv1.LogEntry) error {
 	conflict := r.log.firstConflict(entries)
 	if conflict == 0 {
 		return nil
@@ -147,10 +147,10 @@
 	term := m.GetLogTerm()
 	for i, e := range m.GetEntries() {
 		if e.GetIndex() != m.GetIndex()+1+uint64(i) || e.GetTerm() < term || e.GetTerm() > m.GetTerm() {
-			return errors.Wrapf(ErrMessage, "entry %d of term %d after index %d", e.GetIndex(), e.GetTerm(), m.GetIndex())
+			return errors.Wrapf(ErrInvalidMessage, "entry %d of term %d after index %d", e.GetIndex(), e.GetTerm(), m.GetIndex())
 		}
 		if len(e.GetData()) > MaxCommandBytes {
-			return errors.Wrapf(ErrMessage, "entry %d holds %d bytes", e.GetIndex(), len(e.GetData()))
+			return errors.Wrapf(ErrInvalidMessage, "entry %d holds %d bytes", e.GetIndex(), len(e.GetData()))
 		}
 		term = e.GetTerm()
 	}
@@ -162,20 +162,20 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.silentTicks = 0
-	p.noteSave(m)
+	p.ticksSinceContact = 0
+	p.recordSaveDuration(m)
 	if m.GetReject() {
-		hint, _ := r.log.lastNotAfter(m.GetRejectHint(), m.GetLogTerm())
-		if p.rejected(m.GetIndex(), hint) {
-			r.unsent = true
+		hint, _ := r.log.lastWithTermAtMost(m.GetRejectHint(), m.GetLogTerm())
+		if p.recordReject(m.GetIndex(), hint) {
+			r.appendsPending = true
 		}
 		return
 	}
 	if m.GetIndex() > r.log.lastIndex() {
-		broken("replica %d acknowledged entry %d, the leader's log ends at %d", m.GetFrom(), m.GetIndex(), r.log.lastIndex())
+		invariantViolated("replica %d acknowledged entry %d, the leader's log ends at %d", m.GetFrom(), m.GetIndex(), r.log.lastIndex())
 	}
-	p.acknowledged(m.GetIndex())
-	r.unsent = true
+	p.recordAck(m.GetIndex())
+	r.appendsPending = true
 	r.advanceCommit()
 	r.continueTransfer(m.GetFrom())
 }
@@ -191,8 +191,8 @@
 	}
 	r.uncommittedBytes -= r.log.size(r.log.commit+1, index)
 	r.log.commitTo(index)
-	r.unsent = true
-	r.leaveIfRemoved()
+	r.appendsPending = true
+	r.stepDownIfRemoved()
 }
 
 // quorumOf returns the highest value that a majority of the voters has reached.
@@ -243,13 +243,13 @@
 	if r.role != Leader || p == nil {
 		return
 	}
-	p.silentTicks = 0
-	p.probed = false
+	p.ticksSinceContact = 0
+	p.probeSent = false
 	r.retrySnapshot(p)
 	if p.match < r.log.lastIndex() {
 		// Messages may have been lost with nothing after them to show it.
-		p.poked = true
-		r.unsent = true
+		p.forceSend = true
+		r.appendsPending = true
 	}
 	p.ackedRound = max(p.ackedRound, m.GetContext())
 	r.confirmReads()
@@ -260,6 +260,6 @@
 // it asks where their logs agree instead of waiting for answers.
 func (r *Raft) ReportUnreachable(id uint64) {
 	if p := r.progress[id]; p != nil && id != r.id {
-		p.unreachable()
+		p.markUnreachable()
 	}
 }
--- a/quorum/script_test.go
+++ b/quorum/script_test.go
@@ -32,7 +32,7 @@
 					continue
 				}
 				commands, want, fails := strings.Cut(line, "=>")
-				commands, s.held = strings.CutPrefix(commands, "-")
+				commands, s.manualDelivery = strings.CutPrefix(commands, "-")
 				err := s.runAll(t, strings.Split(commands, ";"))
 				if fails != (err != nil) || err != nil && !strings.Contains(err.Error(), strings.TrimSpace(want)) {
 					t.Fatalf("%s:%d: %s: got error %v", file, i+1, line, err)
@@ -44,7 +44,7 @@
 
 type script struct {
 	*cluster
-	held bool
+	manualDelivery bool
 }
 
 // runAll returns the error of the last command; an earlier one must have none.
@@ -64,12 +64,12 @@
 	name, args := words[0], words[1:]
 	if name == "group" {
 		cfg := Config{ElectionTicks: 10, HeartbeatTicks: 1, MaxEntriesPerMessage: 1, MaxInflight: 4, MaxUncommitted: 6}
-		s.cluster = newCluster(t, 1, cfg, int(number(args[0])))
+		s.cluster = newCluster(t, 1, cfg, int(parseUint(args[0])))
 		return nil
 	}
 	if args[0] == "*" {
 		for _, id := range s.ids {
-			if !s.hosts[id].up {
+			if !s.replicas[id].up {
 				continue
 			}
 			if err := s.run(t, append([]string{name, fmt.Sprint(id)}, args[1:]...)); err != nil {
@@ -78,52 +78,52 @@
 		}
 		return nil
 	}
-	err := s.command(name, number(args[0]), s.hosts[number(args[0])], args[1:])
-	if !s.held {
-		s.settle()
+	err := s.command(name, parseUint(args[0]), s.replicas[parseUint(args[0])], args[1:])
+	if !s.manualDelivery {
+		s.runUntilIdle()
 	}
 	return err
 }
 
-func number(s string) uint64 {
+func parseUint(s string) uint64 {
 	n, _ := strconv.ParseUint(s, 10, 64)
 	return n
 }
 
-func (s *script) command(name string, id uint64, h *host, args []string) error {
+func (s *script) command(name string, id uint64, h *testReplica, args []string) error {
 	switch name {
 	case "blank": // a replica without any state
-		s.add(id, Stored{})
+		s.add(id, StoredState{})
 	case "cut": // from all others
-		s.side[id] = 1
+		s.partition[id] = 1
 	case "unlink": // only the way between two replicas
-		s.broken[[2]uint64{id, number(args[0])}], s.broken[[2]uint64{number(args[0]), id}] = true, true
+		s.brokenLinks[[2]uint64{id, parseUint(args[0])}], s.brokenLinks[[2]uint64{parseUint(args[0]), id}] = true, true
 	case "heal":
-		clear(s.side)
-		clear(s.broken)
+		clear(s.partition)
+		clear(s.brokenLinks)
 	case "crash":
 		h.up = false
 	case "tear": // a write of which only the first parts reach the disk
-		s.take(h)
-		h.persist(int(number(args[0])))
+		s.takeReady(h)
+		h.persist(int(parseUint(args[0])))
 		h.up = false
 	case "restart":
 		s.start(h, id)
 	case "tick":
-		for range number(args[0]) {
-			if h.Tick(); !s.held {
-				s.settle()
+		for range parseUint(args[0]) {
+			if h.Tick(); !s.manualDelivery {
+				s.runUntilIdle()
 			}
 		}
-		s.drive(h)
+		s.processReady(h)
 	case "elect": // once the others have not heard a leader for long enough
-		s.forgetLeader()
+		s.expireElectionTimers()
 		for n := 0; n < 100 && h.role != Leader; n++ {
 			h.Tick()
-			s.settle()
+			s.runUntilIdle()
 		}
 	case "campaign":
-		s.forgetLeader()
+		s.expireElectionTimers()
 		h.campaign(Candidate, false)
 	case "propose":
 		for _, command := range args {
@@ -135,27 +135,27 @@
 			}
 		}
 	case "member":
-		_, _, err := h.ProposeMembership(changed(h.membership.current(), args[0], number(args[1])))
+		_, _, err := h.ProposeMembership(changeMembership(h.membership.current(), args[0], parseUint(args[1])))
 		return err
 	case "transfer":
-		return h.TransferLeadership(number(args[0]))
+		return h.TransferLeadership(parseUint(args[0]))
 	case "read":
-		h.ReadIndex(number(args[0]))
+		h.ReadIndex(parseUint(args[0]))
 	case "compact":
 		return h.compact()
 	case "deliver": // what is on the wire from one replica to the next of a path
 		for _, arg := range args {
-			s.pass(id, number(arg))
-			id = number(arg)
+			s.deliverBetween(id, parseUint(arg))
+			id = parseUint(arg)
 		}
 	case "drive":
-		s.drive(h)
+		s.processReady(h)
 	case "drop":
-		s.wire = nil
+		s.messages = nil
 	case "forge": // a message: kind, sender, term, index, log term, commit
 		m := &apiv1.QuorumMessage{
-			Kind: apiv1.MessageKind(apiv1.MessageKind_value["MESSAGE_KIND_"+args[0]]), From: number(args[1]), To: id,
-			Term: number(args[2]), Index: number(args[3]), LogTerm: number(args[4]), Commit: number(args[5]),
+			Kind: apiv1.MessageKind(apiv1.MessageKind_value["MESSAGE_KIND_"+args[0]]), From: parseUint(args[1]), To: id,
+			Term: parseUint(args[2]), Index: parseUint(args[3]), LogTerm: parseUint(args[4]), Commit: parseUint(args[5]),
 		}
 		m.Snapshot = &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: m.Index, Term: m.LogTerm, Membership: h.membership.current()}}
 		return h.Step(m)
@@ -176,27 +176,27 @@
 	return nil
 }
 
-func (s *script) forgetLeader() {
-	for _, h := range s.hosts {
+func (s *script) expireElectionTimers() {
+	for _, h := range s.replicas {
 		h.electionElapsed = s.cfg.ElectionTicks
 	}
 }
 
-func (s *script) pass(from, to uint64) {
-	wire := s.wire
-	s.wire = nil
+func (s *script) deliverBetween(from, to uint64) {
+	wire := s.messages
+	s.messages = nil
 	for _, m := range wire {
 		if m.From == from && m.To == to {
 			s.deliver(m)
 		} else {
-			s.wire = append(s.wire, m)
+			s.messages = append(s.messages, m)
 		}
 	}
-	s.drive(s.hosts[to])
+	s.processReady(s.replicas[to])
 }
 
 // describe returns what "want" compares.
-func (h *host) describe() map[string]string {
+func (h *testReplica) describe() map[string]string {
 	s := h.Status()
 	list := func(items any) string { return strings.ReplaceAll(strings.Trim(fmt.Sprint(items), "[]"), " ", ",") }
 	var members, reads []string
@@ -207,7 +207,7 @@
 	for _, e := range h.log.entries {
 		terms = append(terms, e.Term)
 	}
-	for _, a := range h.answers {
+	for _, a := range h.readResults {
 		reads = append(reads, fmt.Sprintf("%d@%d%s", a.Context, a.Index, map[bool]string{true: "!"}[a.Rejected]))
 	}
 	return map[string]string{
--- a/quorum/simulation_test.go
+++ b/quorum/simulation_test.go
@@ -24,10 +24,10 @@
 	for seed := *firstSeed; seed < *firstSeed+*seeds; seed++ {
 		s := newSimulation(t, seed, done)
 		for range 3000 {
-			s.disturb()
+			s.injectFault()
 			s.step()
 		}
-		s.recover()
+		s.checkRecovery()
 		done["elections"] += len(s.leaders)
 		done["commits"] += len(s.committed)
 	}
@@ -37,94 +37,94 @@
 type simulation struct {
 	*cluster
 	*rand.Rand
-	late  map[*apiv1.QuorumMessage]int // steps until delivery
-	reads map[[2]uint64]uint64         // floor by host and context
-	calm  bool
-	done  map[string]int
+	delays     map[*apiv1.QuorumMessage]int // steps until delivery
+	readFloors map[[2]uint64]uint64         // floor by host and context
+	faultFree  bool
+	counts     map[string]int
 }
 
 func newSimulation(t testing.TB, seed uint64, done map[string]int) *simulation {
-	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 0)), done: done}
-	s.late, s.reads = map[*apiv1.QuorumMessage]int{}, map[[2]uint64]uint64{}
+	s := &simulation{Rand: rand.New(rand.NewPCG(seed, 0)), counts: done}
+	s.delays, s.readFloors = map[*apiv1.QuorumMessage]int{}, map[[2]uint64]uint64{}
 	cfg := Config{ElectionTicks: 10, HeartbeatTicks: 1 + s.IntN(3), MaxEntriesPerMessage: 1 + s.IntN(4), MaxInflight: 1 + s.IntN(4), MaxUncommitted: 20}
 	s.cluster = newCluster(t, seed, cfg, 1+s.IntN(5))
-	s.tail = s.IntN(5)
+	s.compactionTail = s.IntN(5)
 	return s
 }
 
 func (s *simulation) chance(percent int) bool { return s.IntN(100) < percent }
 
-func (s *simulation) anyID() uint64 { return s.ids[s.IntN(len(s.ids))] }
+func (s *simulation) randomID() uint64 { return s.ids[s.IntN(len(s.ids))] }
 
 func (s *simulation) step() {
 	for _, id := range s.ids {
-		h := s.hosts[id]
+		h := s.replicas[id]
 		if !h.up || h.frozen {
 			continue
 		}
 		if s.chance(40) {
 			h.Tick()
 		}
-		s.work(h)
+		s.stepDriver(h)
 		if s.chance(20) {
-			s.call(h)
+			s.randomCall(h)
 		}
 	}
-	s.network()
+	s.deliverDue()
 	if s.chance(2) {
-		s.checkLogs()
+		s.checkLogMatching()
 	}
 }
 
-// work takes the driver one step further, so that calls and messages come between
+// stepDriver takes the driver one step further, so that calls and messages come between
 // any two of its steps.
-func (s *simulation) work(h *host) {
+func (s *simulation) stepDriver(h *testReplica) {
 	switch {
-	case s.calm:
-		s.drive(h)
-		s.answer(h)
-	case h.current == nil && h.HasReady():
-		s.take(h)
-	case h.current == nil || s.chance(30):
+	case s.faultFree:
+		s.processReady(h)
+		s.checkReads(h)
+	case h.pendingReady == nil && h.HasReady():
+		s.takeReady(h)
+	case h.pendingReady == nil || s.chance(30):
 	case !h.synced:
-		h.persist(2 + len(h.current.Entries))
+		h.persist(2 + len(h.pendingReady.Entries))
 	default:
-		s.finish(h)
-		s.answer(h)
+		s.finishReady(h)
+		s.checkReads(h)
 	}
 }
 
-// call lets callers and operators ask something of a host. Contexts of reads
+// randomCall lets callers and operators ask something of a host. Contexts of reads
 // start afresh with the host.
-func (s *simulation) call(h *host) {
+func (s *simulation) randomCall(h *testReplica) {
 	switch n := s.IntN(100); {
 	case n < 45:
 		if index, term, err := h.Propose([]byte(strconv.Itoa(s.IntN(1000)))); err == nil {
 			s.proposed[[2]uint64{index, term}] = true
 		}
 	case n < 78:
-		h.asked++
-		s.reads[[2]uint64{h.id, h.asked}] = s.floor
-		h.ReadIndex(h.asked)
-	case n < 83 && h.current == nil:
+		h.readsRequested++
+		s.readFloors[[2]uint64{h.id, h.readsRequested}] = s.readFloor
+		h.ReadIndex(h.readsRequested)
+	case n < 83 && h.pendingReady == nil:
 		_ = h.compact()
-	case n < 85 && !s.calm:
-		_ = h.TransferLeadership(s.anyID())
+	case n < 85 && !s.faultFree:
+		_ = h.TransferLeadership(s.randomID())
 	case n < 87:
-		h.ReportUnreachable(s.anyID())
-	case !s.calm && h.role == Leader:
-		s.change(h)
+		h.ReportUnreachable(s.randomID())
+	case !s.faultFree && h.role == Leader:
+		s.randomMembershipChange(h)
 	}
 }
 
-// change is the operators' part: it puts new replicas in the place of lost ones,
+// randomMembershipChange is the operators' part: it puts new replicas in the place of lost ones,
 // and otherwise adds, promotes and removes at random.
-func (s *simulation) change(leader *host) {
+func (s *simulation) randomMembershipChange(leader *testReplica) {
 	m := leader.membership.current()
-	i := slices.IndexFunc(m.Replicas, func(r *apiv1.Replica) bool { return s.hosts[r.Id].lost || r.Learner })
+	i := slices.IndexFunc(m.Replicas, func(r *apiv1.Replica) bool { return s.replicas[r.Id].lost || r.Learner })
 	step, id := "add", uint64(len(s.ids)+1)
 	switch {
-	case i >= 0 && s.hosts[m.Replicas[i].Id].lost:
+	case i >= 0 && s.replicas[m.Replicas[i].Id].lost:
 		step, id = "remove", m.Replicas[i].Id
 	case i >= 0:
 		step, id = "promote", m.Replicas[i].Id
@@ -133,39 +133,39 @@
 	case len(s.ids) > 9:
 		return
 	}
-	if _, _, err := leader.ProposeMembership(changed(m, step, id)); err != nil {
+	if _, _, err := leader.ProposeMembership(changeMembership(m, step, id)); err != nil {
 		return
 	}
-	s.done[step]++
+	s.counts[step]++
 	if step == "add" {
-		s.add(id, Stored{})
+		s.add(id, StoredState{})
 	}
 }
 
-// answer checks a host's confirmed reads: each must see everything that was
+// checkReads checks a host's confirmed reads: each must see everything that was
 // acknowledged or read before it began.
-func (s *simulation) answer(h *host) {
-	for _, a := range h.answers {
-		if floor := s.reads[[2]uint64{h.id, a.Context}]; !a.Rejected && a.Index < floor {
+func (s *simulation) checkReads(h *testReplica) {
+	for _, a := range h.readResults {
+		if floor := s.readFloors[[2]uint64{h.id, a.Context}]; !a.Rejected && a.Index < floor {
 			s.fail("stale read at %d on %d, entry %d was acknowledged before", a.Index, h.id, floor)
 		}
 		if !a.Rejected && h.applied >= a.Index {
-			s.floor = max(s.floor, h.applied)
-			s.done["reads"]++
+			s.readFloor = max(s.readFloor, h.applied)
+			s.counts["reads"]++
 		}
 	}
-	h.answers = nil
+	h.readResults = nil
 }
 
-// disturb does at random what a host, its disk or the network can suffer. Of what
+// injectFault does at random what a host, its disk or the network can suffer. Of what
 // was being written at a crash, a random first part has reached the disk.
-func (s *simulation) disturb() {
-	id := s.anyID()
-	h := s.hosts[id]
+func (s *simulation) injectFault() {
+	id := s.randomID()
+	h := s.replicas[id]
 	switch n := s.IntN(1000 * (1 + int(s.seed%4))); { // groups differ in how often
 	case n < 6 && h.up:
-		if h.current != nil && !h.synced {
-			h.persist(s.IntN(len(h.current.Entries) + 2))
+		if h.pendingReady != nil && !h.synced {
+			h.persist(s.IntN(len(h.pendingReady.Entries) + 2))
 		}
 		h.up = false
 	case n < 30 && !h.up && !h.lost:
@@ -175,30 +175,30 @@
 	case n < 60:
 		h.frozen = false
 	case n < 66:
-		s.side[id] = 1 - s.side[id]
+		s.partition[id] = 1 - s.partition[id]
 	case n < 90:
-		clear(s.side)
-		clear(s.broken)
+		clear(s.partition)
+		clear(s.brokenLinks)
 	case n < 96:
-		s.broken[[2]uint64{id, s.anyID()}] = true
-	case n < 99 && s.mayLose(id):
+		s.brokenLinks[[2]uint64{id, s.randomID()}] = true
+	case n < 99 && s.mayLoseDisk(id):
 		h.up, h.lost = false, true
-		s.done["lost disks"]++
+		s.counts["lost disks"]++
 	}
 }
 
-// mayLose allows to lose a disk for good only while the newest leader's committed
+// mayLoseDisk allows to lose a disk for good only while the newest leader's committed
 // membership has three voters and none that was lost before it.
-func (s *simulation) mayLose(id uint64) bool {
-	newest := s.hosts[id]
-	for _, h := range s.hosts {
+func (s *simulation) mayLoseDisk(id uint64) bool {
+	newest := s.replicas[id]
+	for _, h := range s.replicas {
 		if h.term > newest.term || h.term == newest.term && h.role == Leader {
 			newest = h
 		}
 	}
 	voters := 0
 	for _, r := range newest.membership.current().GetReplicas() {
-		if s.hosts[r.Id].lost {
+		if s.replicas[r.Id].lost {
 			return false
 		}
 		if !r.Learner {
@@ -209,37 +209,37 @@
 		newest.committedOwnTerm() && newest.membership.lastIndex() <= newest.log.commit
 }
 
-// network delivers what is due, in any order, some of it twice or never. What
+// deliverDue delivers what is due, in any order, some of it twice or never. What
 // comes for a frozen host waits, and is taken in some time after it wakes.
-func (s *simulation) network() {
-	wire := s.wire
-	s.wire = nil
+func (s *simulation) deliverDue() {
+	wire := s.messages
+	s.messages = nil
 	for _, m := range wire {
-		delay, known := s.late[m]
+		delay, known := s.delays[m]
 		switch {
-		case !known && !s.calm && s.chance(5): // lost
+		case !known && !s.faultFree && s.chance(5): // lost
 			continue
 		case !known:
-			s.late[m] = s.delay()
+			s.delays[m] = s.randomDelay()
 			if s.chance(3) {
-				s.wire = append(s.wire, m)
+				s.messages = append(s.messages, m)
 			}
 		case delay > 0:
-			s.late[m]--
-		case s.hosts[m.To].frozen:
-			s.late[m] = s.IntN(20)
+			s.delays[m]--
+		case s.replicas[m.To].frozen:
+			s.delays[m] = s.IntN(20)
 		default:
 			s.deliver(m)
 			continue
 		}
-		s.wire = append(s.wire, m)
+		s.messages = append(s.messages, m)
 	}
 }
 
-// delay and work keep to the paper's timing requirement (5.6) once the faults end.
-func (s *simulation) delay() int {
+// randomDelay and work keep to the paper's timing requirement (5.6) once the faults end.
+func (s *simulation) randomDelay() int {
 	switch {
-	case s.calm:
+	case s.faultFree:
 		return 0
 	case s.chance(2):
 		return s.IntN(150)
@@ -247,17 +247,17 @@
 	return s.IntN(4)
 }
 
-// recover ends the faults and checks that the group works, that everything
+// checkRecovery ends the faults and checks that the group works, that everything
 // acknowledged is there, and that nobody disturbs it.
-func (s *simulation) recover() {
-	s.calm = true
-	clear(s.side)
-	clear(s.broken)
+func (s *simulation) checkRecovery() {
+	s.faultFree = true
+	clear(s.partition)
+	clear(s.brokenLinks)
 	for _, id := range s.ids {
-		if h := s.hosts[id]; !h.up && !h.lost {
+		if h := s.replicas[id]; !h.up && !h.lost {
 			s.start(h, id)
 		}
-		s.hosts[id].frozen = false
+		s.replicas[id].frozen = false
 	}
 	terms := 0
 	for n := range 900 {
@@ -266,11 +266,11 @@
 		}
 		s.step()
 	}
-	var leader *host
+	var leader *testReplica
 	for range 20 {
-		s.settle()
+		s.runUntilIdle()
 		for _, id := range s.ids {
-			h := s.hosts[id]
+			h := s.replicas[id]
 			if h.Tick(); h.up && h.role == Leader {
 				leader = h
 			}
@@ -280,8 +280,8 @@
 		s.fail("%d elections, then %d without a fault", terms, len(s.leaders)-terms)
 	}
 	for _, r := range leader.membership.current().GetReplicas() {
-		if h := s.hosts[r.Id]; h.up && (h.applied != leader.log.lastIndex() || h.applied < s.floor) {
-			s.fail("replica %d ends at %d, the leader at %d, acknowledged up to %d", r.Id, h.applied, leader.log.lastIndex(), s.floor)
+		if h := s.replicas[r.Id]; h.up && (h.applied != leader.log.lastIndex() || h.applied < s.readFloor) {
+			s.fail("replica %d ends at %d, the leader at %d, acknowledged up to %d", r.Id, h.applied, leader.log.lastIndex(), s.readFloor)
 		}
 	}
 }
--- a/quorum/snapshot.go
+++ b/quorum/snapshot.go
@@ -29,7 +29,7 @@
 	}
 	term, ok := r.log.term(index)
 	if !ok {
-		broken("entry %d is applied but not in the log", index)
+		invariantViolated("entry %d is applied but not in the log", index)
 	}
 	r.snapshot = &apiv1.QuorumSnapshot{
 		Meta: &apiv1.SnapshotMeta{Index: index, Term: term, Membership: r.membership.at(index)},
@@ -43,7 +43,7 @@
 // sendSnapshot sends the newest snapshot to a follower whose next entry is
 // compacted.
 func (r *Raft) sendSnapshot(to uint64, p *progress) {
-	p.become(restoring)
+	p.setState(restoring)
 	p.restoreIndex = r.snapshot.GetMeta().GetIndex()
 	p.restoreTicks = 0
 	r.send(&apiv1.QuorumMessage{
@@ -55,7 +55,7 @@
 // in its snapshot in time: the message may be lost.
 func (r *Raft) retrySnapshot(p *progress) {
 	if p.state == restoring && p.restoreTicks > snapshotTimeouts*r.cfg.ElectionTicks {
-		p.become(probing)
+		p.setState(probing)
 	}
 }
 
@@ -66,7 +66,7 @@
 func (r *Raft) handleSnapshot(m *apiv1.QuorumMessage) error {
 	meta := m.GetSnapshot().GetMeta()
 	if err := validateMembership(meta.GetMembership()); err != nil || meta.GetIndex() == 0 || meta.GetTerm() > r.term {
-		return errors.Wrapf(ErrMessage, "snapshot at %d of term %d: %v", meta.GetIndex(), meta.GetTerm(), err)
+		return errors.Wrapf(ErrInvalidMessage, "snapshot at %d of term %d: %v", meta.GetIndex(), meta.GetTerm(), err)
 	}
 	switch {
 	case meta.GetIndex() <= r.log.commit:
--- a/quorum/step.go
+++ b/quorum/step.go
@@ -10,28 +10,28 @@
 // only says that the message was unusable.
 func (r *Raft) Step(m *apiv1.QuorumMessage) error {
 	if m.GetTo() != r.id || m.GetFrom() == r.id || m.GetFrom() == 0 {
-		return errors.Wrapf(ErrMessage, "message from %d to %d came to %d", m.GetFrom(), m.GetTo(), r.id)
+		return errors.Wrapf(ErrInvalidMessage, "message from %d to %d came to %d", m.GetFrom(), m.GetTo(), r.id)
 	}
-	if r.leftOut(m) {
+	if r.fromNonMember(m) {
 		return nil
 	}
 	switch {
 	case m.GetTerm() > r.term:
-		if !r.enterTerm(m) {
+		if !r.handleNewerTerm(m) {
 			return nil
 		}
 	case m.GetTerm() < r.term:
-		r.answerStale(m)
+		r.respondToStaleTerm(m)
 		return nil
 	}
 	return r.dispatch(m)
 }
 
-// leftOut reports whether m is to be dropped as the answer of a replica that is
+// fromNonMember reports whether m is to be dropped as the answer of a replica that is
 // no member (any more) to this leader. A removed replica with a newer term would
 // else depose the leader of a group that it does not belong to. To drop a message
 // is always safe: it could have been lost.
-func (r *Raft) leftOut(m *apiv1.QuorumMessage) bool {
+func (r *Raft) fromNonMember(m *apiv1.QuorumMessage) bool {
 	return r.role == Leader && isResponse(m.GetKind()) && r.progress[m.GetFrom()] == nil
 }
 
@@ -61,11 +61,11 @@
 	return false
 }
 
-// enterTerm handles the newer term of a message (5.1): whoever learns of a newer
+// handleNewerTerm handles the newer term of a message (5.1): whoever learns of a newer
 // term follows in it. It returns false when the message is to be ignored.
-func (r *Raft) enterTerm(m *apiv1.QuorumMessage) bool {
+func (r *Raft) handleNewerTerm(m *apiv1.QuorumMessage) bool {
 	kind := m.GetKind()
-	if isVoteRequest(kind) && !m.GetTransfer() && r.hearsLeader() {
+	if isVoteRequest(kind) && !m.GetTransfer() && r.leaderRecentlyActive() {
 		return false
 	}
 	switch {
@@ -81,17 +81,17 @@
 	return true
 }
 
-// hearsLeader reports whether there was a sign of a living leader within the
+// leaderRecentlyActive reports whether there was a sign of a living leader within the
 // shortest election timeout. A vote is refused then (thesis, 4.2.3): a replica
 // that was cut off or removed could else depose a leader that all others hear.
-func (r *Raft) hearsLeader() bool {
+func (r *Raft) leaderRecentlyActive() bool {
 	return r.leader != 0 && r.electionElapsed < r.cfg.ElectionTicks
 }
 
-// answerStale tells a replica that its term has passed. A leader has to know to
+// respondToStaleTerm tells a replica that its term has passed. A leader has to know to
 // step down; and since votes and pre-votes don't reach a group that hears its
 // leader, a replica stuck in a newer term would else neither follow nor be heard.
-func (r *Raft) answerStale(m *apiv1.QuorumMessage) {
+func (r *Raft) respondToStaleTerm(m *apiv1.QuorumMessage) {
 	switch {
 	case isFromLeader(m.GetKind()):
 		r.send(&apiv1.QuorumMessage{
@@ -99,14 +99,14 @@
 			To:   m.GetFrom(), Reject: true,
 		})
 	case m.GetKind() == apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE:
-		r.answerVote(m, false)
+		r.sendVoteResponse(m, false)
 	}
 }
 
 // dispatch handles a message of the own term, or about a pre-vote.
 func (r *Raft) dispatch(m *apiv1.QuorumMessage) error {
 	if isFromLeader(m.GetKind()) {
-		r.follow(m.GetFrom())
+		r.acceptLeader(m.GetFrom())
 	}
 	switch m.GetKind() {
 	case apiv1.MessageKind_MESSAGE_KIND_PRE_VOTE, apiv1.MessageKind_MESSAGE_KIND_VOTE:
@@ -130,15 +130,15 @@
 	case apiv1.MessageKind_MESSAGE_KIND_READ_INDEX_RESPONSE:
 		r.handleReadIndexResponse(m)
 	default:
-		return errors.Wrapf(ErrMessage, "kind %d", m.GetKind())
+		return errors.Wrapf(ErrInvalidMessage, "kind %d", m.GetKind())
 	}
 	return nil
 }
 
-// follow accepts the leader of the current term.
-func (r *Raft) follow(leader uint64) {
+// acceptLeader accepts the leader of the current term.
+func (r *Raft) acceptLeader(leader uint64) {
 	if r.role == Leader {
-		broken("replicas %d and %d both lead in term %d", r.id, leader, r.term)
+		invariantViolated("replicas %d and %d both lead in term %d", r.id, leader, r.term)
 	}
 	if r.role != Follower || r.leader != leader {
 		r.becomeFollower(r.term, leader)
--- a/quorum/transfer.go
+++ b/quorum/transfer.go
@@ -20,8 +20,8 @@
 	case to == r.id:
 		r.transferee = 0
 		return nil
-	case !r.hears(to):
-		return errors.Wrapf(ErrNotHeard, "replica %d", to)
+	case !r.recentlyActive(to):
+		return errors.Wrapf(ErrUnresponsive, "replica %d", to)
 	}
 	r.transferee = to
 	r.transferElapsed = 0
--- a/quorum/wal/frame.go
+++ b/quorum/wal/frame.go
@@ -17,11 +17,11 @@
 //
 // Numbers are little-endian.
 const (
-	segmentMagic = "CAIRNWAL"
-	headerSize   = 28
-	frameMagic   = 0x1dca17f3
-	frameHeader  = 12
-	maxPayload   = 1 << 30
+	segmentMagic    = "CAIRNWAL"
+	headerSize      = 28
+	frameMagic      = 0x1dca17f3
+	frameHeaderSize = 12
+	maxPayload      = 1 << 30
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -71,15 +71,15 @@
 // decodeFrame returns the payload of the frame that b begins with, and the
 // frame's whole size.
 func decodeFrame(b []byte, salt uint64) (payload []byte, size int, ok bool) {
-	if len(b) < frameHeader || binary.LittleEndian.Uint32(b) != frameMagic {
+	if len(b) < frameHeaderSize || binary.LittleEndian.Uint32(b) != frameMagic {
 		return nil, 0, false
 	}
 	length := binary.LittleEndian.Uint32(b[4:])
-	if length > maxPayload || int(length) > len(b)-frameHeader {
+	if length > maxPayload || int(length) > len(b)-frameHeaderSize {
 		return nil, 0, false
 	}
-	size = frameHeader + int(length)
-	payload = b[frameHeader:size]
+	size = frameHeaderSize + int(length)
+	payload = b[frameHeaderSize:size]
 	if binary.LittleEndian.Uint32(b[8:]) != frameChecksum(salt, payload) {
 		return nil, 0, false
 	}
--- a/quorum/wal/identity.go
+++ b/quorum/wal/identity.go
@@ -9,7 +9,7 @@
 	apiv1 "github.com/cairnlift/cairnlift/api/v1"
 )
 
-const identityName = "identity"
+const identityFile = "identity"
 
 // Identity returns whose data the folder holds, nil when it is empty.
 func (l *Log) Identity() (*apiv1.ReplicaIdentity, error) {
@@ -17,9 +17,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "log folder can't be listed")
 	}
-	path := l.path(identityName)
-	if !slices.Contains(names, identityName) {
-		return nil, l.mustBeEmpty(names)
+	path := l.path(identityFile)
+	if !slices.Contains(names, identityFile) {
+		return nil, l.requireNoLog(names)
 	}
 	b, err := l.fs.ReadFile(path)
 	if err != nil {
@@ -33,15 +33,15 @@
 	return id, nil
 }
 
-// mustBeEmpty refuses a log without an identity: it belongs to a replica that is
+// requireNoLog refuses a log without an identity: it belongs to a replica that is
 // not known, and going on under a new id would count it twice.
-func (l *Log) mustBeEmpty(names []string) error {
+func (l *Log) requireNoLog(names []string) error {
 	seqs, err := segmentSequences(l.folder, names)
 	if err != nil {
 		return err
 	}
 	if len(seqs) > 0 || len(snapshotIDs(names)) > 0 {
-		return &DamageError{File: l.path(identityName), Reason: "the file is missing but there is a log"}
+		return &DamageError{File: l.path(identityFile), Reason: "the file is missing but there is a log"}
 	}
 	return nil
 }
@@ -53,9 +53,9 @@
 	}
 	payload, err := proto.Marshal(id)
 	if err != nil {
-		return l.fail("encode", l.path(identityName), err)
+		return l.fail("encode", l.path(identityFile), err)
 	}
-	if err := l.writeBlob(identityName, payload); err != nil {
+	if err := l.writeBlob(identityFile, payload); err != nil {
 		l.err = err
 		return err
 	}
--- a/quorum/wal/load.go
+++ b/quorum/wal/load.go
@@ -12,52 +12,52 @@
 )
 
 // Load implements quorum.Storage. It is called once, before any Save.
-func (l *Log) Load() (quorum.Stored, error) {
+func (l *Log) Load() (quorum.StoredState, error) {
 	if l.err != nil {
-		return quorum.Stored{}, l.err
+		return quorum.StoredState{}, l.err
 	}
 	names, err := l.fs.List(l.folder)
 	if err != nil {
-		return quorum.Stored{}, errors.Wrap(err, "log folder can't be listed")
+		return quorum.StoredState{}, errors.Wrap(err, "log folder can't be listed")
 	}
 	names, err = l.removeTemporary(names)
 	if err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
 	r := &replay{}
 	if err := l.readSegments(names, r); err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
 	l.snapshots = snapshotIDs(names)
 	if len(l.snapshots) > 0 && len(l.segments) == 0 {
-		return quorum.Stored{}, &DamageError{File: l.folder, Reason: "there are snapshots but no log"}
+		return quorum.StoredState{}, &DamageError{File: l.folder, Reason: "there are snapshots but no log"}
 	}
 	snapshot, err := l.newestSnapshot(r)
 	if err != nil {
-		return quorum.Stored{}, err
+		return quorum.StoredState{}, err
 	}
-	entries, ok := r.after(snapshot.GetMeta())
+	entries, ok := r.entriesAfter(snapshot.GetMeta())
 	if !ok {
 		first := l.path(segmentName(l.segments[0].sequence))
-		return quorum.Stored{}, &DamageError{File: first, Reason: "the log begins after the newest snapshot's end"}
+		return quorum.StoredState{}, &DamageError{File: first, Reason: "the log begins after the newest snapshot's end"}
 	}
-	l.hardState = raiseTo(snapshot.GetMeta(), r.hardState)
-	if err := l.openLast(); err != nil {
-		return quorum.Stored{}, err
+	l.hardState = raiseHardState(snapshot.GetMeta(), r.hardState)
+	if err := l.openLastSegment(); err != nil {
+		return quorum.StoredState{}, err
 	}
-	if snapshot != nil && !r.continues(snapshot.Meta) {
+	if snapshot != nil && !r.continuesFrom(snapshot.Meta) {
 		if err := l.recordSnapshot(snapshot.Meta); err != nil {
-			return quorum.Stored{}, err
+			return quorum.StoredState{}, err
 		}
 	}
 	l.loaded = true
-	return quorum.Stored{HardState: l.hardState, Snapshot: snapshot, Entries: entries}, nil
+	return quorum.StoredState{HardState: l.hardState, Snapshot: snapshot, Entries: entries}, nil
 }
 
-// raiseTo brings a hard state up to the snapshot that is stored: a snapshot
+// raiseHardState brings a hard state up to the snapshot that is stored: a snapshot
 // arrives committed, and from a leader whose term is at least its own. Nobody
 // got this replica's vote in a term that it had not stored.
-func raiseTo(m *apiv1.SnapshotMeta, hs *apiv1.HardState) *apiv1.HardState {
+func raiseHardState(m *apiv1.SnapshotMeta, hs *apiv1.HardState) *apiv1.HardState {
 	if hs == nil {
 		return nil
 	}
@@ -99,26 +99,26 @@
 		if _, ok := decodeHeader(b); last && !ok && len(b) <= headerSize {
 			// A power cut while the file was created: the header is synced before
 			// any frame is written, so this file never held one.
-			event.SegmentUnfinished.Write(l.logger, event.File(path))
+			event.UnfinishedSegmentRemoved.Write(l.logger, event.File(path))
 			return l.remove(segmentName(seq))
 		}
-		s, size, err := readSegment(path, b, last, r.visit)
+		s, size, err := readSegment(path, b, last, r.applyRecord)
 		if err != nil {
 			return err
 		}
 		l.segments = append(l.segments, s)
 		l.size = size
 		if cut := int64(len(b)) - size; cut > 0 {
-			event.TornRecordCut.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(cut)))
+			event.TornRecordTruncated.Write(l.logger, event.File(path), event.Offset(size), event.Bytes(int(cut)))
 		}
 	}
 	return nil
 }
 
-// openLast opens the last segment for appending. What Load read may still be
+// openLastSegment opens the last segment for appending. What Load read may still be
 // unsynced when only the process died: it is synced before anyone acts on it,
 // or a power cut later could take back what this replica then acknowledged.
-func (l *Log) openLast() error {
+func (l *Log) openLastSegment() error {
 	if len(l.segments) == 0 {
 		if err := l.syncFolder(); err != nil {
 			return err
--- a/quorum/wal/replay.go
+++ b/quorum/wal/replay.go
@@ -20,15 +20,15 @@
 
 func (r *replay) last() uint64 { return r.first + uint64(len(r.entries)) - 1 }
 
-// has reports whether the log holds the entry of that index and term.
-func (r *replay) has(index, term uint64) bool {
+// contains reports whether the log holds the entry of that index and term.
+func (r *replay) contains(index, term uint64) bool {
 	if !r.started || index < r.first || index > r.last() {
 		return false
 	}
 	return r.entries[index-r.first].Term == term
 }
 
-func (r *replay) visit(rec *apiv1.WalRecord) error {
+func (r *replay) applyRecord(rec *apiv1.WalRecord) error {
 	if rec.HardState != nil {
 		r.hardState = rec.HardState
 	}
@@ -36,31 +36,31 @@
 		if m.Index > maxIndex {
 			return errors.Newf("snapshot index %d is out of range", m.Index)
 		}
-		r.snapshot(m)
+		r.applySnapshot(m)
 	}
-	return r.add(rec.Entries)
+	return r.appendEntries(rec.Entries)
 }
 
-// snapshot handles the record of a stored snapshot. Entries before it stay, so
+// applySnapshot handles the record of a stored snapshot. Entries before it stay, so
 // that an older snapshot can stand in for a damaged one. A log that doesn't
 // contain the snapshot's last entry is replaced as a whole. Nothing is known
 // from a snapshot whose preceding entries were dropped: the entries that follow
 // in the log tell where it begins, and after checks that against the snapshots.
-func (r *replay) snapshot(m *apiv1.SnapshotMeta) {
-	if !r.started || m.Index < r.first || r.has(m.Index, m.Term) {
+func (r *replay) applySnapshot(m *apiv1.SnapshotMeta) {
+	if !r.started || m.Index < r.first || r.contains(m.Index, m.Term) {
 		return
 	}
-	r.restart(m.Index + 1)
+	r.reset(m.Index + 1)
 }
 
-func (r *replay) restart(first uint64) {
+func (r *replay) reset(first uint64) {
 	r.first = first
 	r.entries = nil
 	r.started = true
 }
 
-// add appends entries, which replace those of the same and higher indexes.
-func (r *replay) add(entries []*apiv1.LogEntry) error {
+// appendEntries appends entries, which replace those of the same and higher indexes.
+func (r *replay) appendEntries(entries []*apiv1.LogEntry) error {
 	if len(entries) == 0 {
 		return nil
 	}
@@ -74,7 +74,7 @@
 		}
 	}
 	if !r.started || from < r.first {
-		r.restart(from)
+		r.reset(from)
 	}
 	if from > r.last()+1 {
 		return errors.Newf("entry %d follows entry %d", from, r.last())
@@ -83,15 +83,15 @@
 	return nil
 }
 
-// continues reports whether entries after a snapshot fit the log as recorded.
+// continuesFrom reports whether entries after a snapshot fit the log as recorded.
 // They don't when the process died between storing the snapshot and recording it.
-func (r *replay) continues(m *apiv1.SnapshotMeta) bool {
-	return !r.started || r.has(m.Index, m.Term) || r.first == m.Index+1
+func (r *replay) continuesFrom(m *apiv1.SnapshotMeta) bool {
+	return !r.started || r.contains(m.Index, m.Term) || r.first == m.Index+1
 }
 
-// after returns the entries that follow a snapshot. With ok false the log can't
+// entriesAfter returns the entries that follow a snapshot. With ok false the log can't
 // continue it: entries between are missing.
-func (r *replay) after(m *apiv1.SnapshotMeta) (entries []*apiv1.LogEntry, ok bool) {
+func (r *replay) entriesAfter(m *apiv1.SnapshotMeta) (entries []*apiv1.LogEntry, ok bool) {
 	index := m.GetIndex()
 	if !r.started || r.last() < index {
 		return nil, true
@@ -99,7 +99,7 @@
 	if r.first > index+1 {
 		return nil, false
 	}
-	if r.first <= index && !r.has(index, m.GetTerm()) {
+	if r.first <= index && !r.contains(index, m.GetTerm()) {
 		// The snapshot came from the leader and the process died before it was
 		// recorded: the log is the conflicting one that the snapshot replaces.
 		return nil, true
--- a/quorum/wal/segment.go
+++ b/quorum/wal/segment.go
@@ -25,7 +25,7 @@
 	return fmt.Sprintf("%016x%s", sequence, segmentSuffix)
 }
 
-func (s *segment) note(r *apiv1.WalRecord) {
+func (s *segment) updateLastIndex(r *apiv1.WalRecord) {
 	if n := len(r.Entries); n > 0 {
 		s.lastIndex = max(s.lastIndex, r.Entries[n-1].Index)
 	}
@@ -91,7 +91,7 @@
 		if err := visit(r); err != nil {
 			return s, 0, &DamageError{File: path, Offset: int64(offset), Reason: err.Error()}
 		}
-		s.note(r)
+		s.updateLastIndex(r)
 		offset += size
 	}
 	return s, int64(offset), nil
--- a/quorum/wal/snapshot.go
+++ b/quorum/wal/snapshot.go
@@ -22,24 +22,24 @@
 	temporarySuffix = ".tmp"
 	damagedSuffix   = ".damaged"
 	blobMagic       = "CAIRNBLB"
-	blobHeader      = 16
-	// keptSnapshots is how many snapshots stay on the disk: if the newest can't be
+	blobHeaderSize  = 16
+	// retainedSnapshots is how many snapshots stay on the disk: if the newest can't be
 	// read, the one before it and the log since then hold the same state.
-	keptSnapshots = 2
+	retainedSnapshots = 2
 )
 
 func encodeBlob(payload []byte) []byte {
-	b := make([]byte, 0, blobHeader+len(payload))
+	b := make([]byte, 0, blobHeaderSize+len(payload))
 	b = append(b, blobMagic...)
 	b = binary.LittleEndian.AppendUint64(b, xxhash.Sum64(payload))
 	return append(b, payload...)
 }
 
 func decodeBlob(b []byte) ([]byte, bool) {
-	if len(b) < blobHeader || string(b[:len(blobMagic)]) != blobMagic {
+	if len(b) < blobHeaderSize || string(b[:len(blobMagic)]) != blobMagic {
 		return nil, false
 	}
-	payload := b[blobHeader:]
+	payload := b[blobHeaderSize:]
 	return payload, binary.LittleEndian.Uint64(b[8:]) == xxhash.Sum64(payload)
 }
 
@@ -115,10 +115,10 @@
 	}
 	s := &apiv1.QuorumSnapshot{}
 	if err := proto.Unmarshal(payload, s); err != nil {
-		return nil, &DamageError{File: path, Offset: blobHeader, Reason: err.Error()}
+		return nil, &DamageError{File: path, Offset: blobHeaderSize, Reason: err.Error()}
 	}
 	if s.Meta == nil || s.Meta.Index > maxIndex || filepath.Base(path) != (snapshotID{s.Meta.Index, s.Meta.Term}).name() {
-		return nil, &DamageError{File: path, Offset: blobHeader, Reason: "the file holds another snapshot"}
+		return nil, &DamageError{File: path, Offset: blobHeaderSize, Reason: "the file holds another snapshot"}
 	}
 	return s, nil
 }
@@ -137,10 +137,10 @@
 		}
 		s, err := decodeSnapshot(path, b)
 		if err == nil {
-			if !r.reaches(id, damaged) {
+			if !r.coversAll(id, damaged) {
 				return nil, damage
 			}
-			return s, l.setAside(damaged)
+			return s, l.renameDamaged(damaged)
 		}
 		damage = errors.CombineErrors(damage, err)
 		damaged = append(damaged, id)
@@ -149,19 +149,19 @@
 	return nil, damage
 }
 
-// reaches reports whether the log leads from a snapshot to each later one.
-func (r *replay) reaches(from snapshotID, to []snapshotID) bool {
+// coversAll reports whether the log leads from a snapshot to each later one.
+func (r *replay) coversAll(from snapshotID, to []snapshotID) bool {
 	for _, id := range to {
-		if r.first > from.index+1 || !r.has(id.index, id.term) {
+		if r.first > from.index+1 || !r.contains(id.index, id.term) {
 			return false
 		}
 	}
 	return true
 }
 
-// setAside renames damaged snapshots, so that they stay for inspection but are
+// renameDamaged renames damaged snapshots, so that they stay for inspection but are
 // not counted among the kept ones.
-func (l *Log) setAside(ids []snapshotID) error {
+func (l *Log) renameDamaged(ids []snapshotID) error {
 	for _, id := range ids {
 		path := l.path(id.name())
 		event.SnapshotDamaged.Write(l.logger, event.File(path))
--- a/quorum/wal/wal.go
+++ b/quorum/wal/wal.go
@@ -28,7 +28,7 @@
 )
 
 const (
-	lockName            = "lock"
+	lockFile            = "lock"
 	defaultSegmentBytes = 16 << 20
 )
 
@@ -59,10 +59,10 @@
 	file      File
 	size      int64
 	hardState *apiv1.HardState
-	// unsaved is set while only the commit index changed since the last write.
-	unsaved   bool
-	snapshots []snapshotID
-	buffer    []byte
+	// hardStateDirty is set while only the commit index changed since the last write.
+	hardStateDirty bool
+	snapshots      []snapshotID
+	buffer         []byte
 }
 
 var _ quorum.Storage = (*Log)(nil)
@@ -83,7 +83,7 @@
 	if err := l.fs.MkdirAll(l.folder); err != nil {
 		return nil, &WriteError{Op: "create", File: l.folder, Cause: err}
 	}
-	lock, err := l.fs.Lock(l.path(lockName))
+	lock, err := l.fs.Lock(l.path(lockFile))
 	if err != nil {
 		return nil, err
 	}
@@ -175,7 +175,7 @@
 		return err
 	}
 	l.size += int64(len(l.buffer))
-	current.note(r)
+	current.updateLastIndex(r)
 	return nil
 }
 
@@ -184,7 +184,7 @@
 // replica learns it again from its leader, and a sync per commit would double
 // the syncs of a follower.
 func (l *Log) Save(hs *apiv1.HardState, entries []*apiv1.LogEntry) error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	voted := hs != nil && (hs.Term != l.hardState.GetTerm() || hs.Vote != l.hardState.GetVote())
@@ -196,7 +196,7 @@
 	}
 	if hs != nil {
 		l.hardState = proto.CloneOf(hs)
-		l.unsaved = true
+		l.hardStateDirty = true
 	}
 	if !write {
 		return nil
@@ -207,17 +207,17 @@
 // flush writes the hard state, if it isn't yet, together with entries.
 func (l *Log) flush(entries []*apiv1.LogEntry) error {
 	r := &apiv1.WalRecord{Entries: entries}
-	if l.unsaved {
+	if l.hardStateDirty {
 		r.HardState = l.hardState
 	}
 	if err := l.append(r); err != nil {
 		return err
 	}
-	l.unsaved = false
+	l.hardStateDirty = false
 	return nil
 }
 
-func (l *Log) usable() error {
+func (l *Log) checkUsable() error {
 	if l.err == nil && !l.loaded {
 		panic("wal: the log is read by Load before it is written, or a torn end would be followed by whole records")
 	}
@@ -227,7 +227,7 @@
 // SaveSnapshot implements quorum.Storage. The snapshot before it stays, and with
 // it the log since then.
 func (l *Log) SaveSnapshot(s *apiv1.QuorumSnapshot) error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	if err := l.StageSnapshot(s); err != nil {
@@ -251,7 +251,7 @@
 // CommitSnapshot notes a staged snapshot in the log and drops what only older
 // ones need. One that a newer snapshot has overtaken is left alone.
 func (l *Log) CommitSnapshot(m *apiv1.SnapshotMeta) error {
-	if err := l.usable(); err != nil {
+	if err := l.checkUsable(); err != nil {
 		return err
 	}
 	id := snapshotID{m.Index, m.Term}
@@ -265,7 +265,7 @@
 		return err
 	}
 	l.snapshots = append(l.snapshots, id)
-	return l.drop()
+	return l.dropObsolete()
 }
 
 // recordSnapshot notes in the log that a snapshot is stored.
@@ -274,17 +274,17 @@
 	return l.append(&apiv1.WalRecord{HardState: l.hardState, Snapshot: position})
 }
 
-// drop removes what no kept snapshot needs. The folder is synced after each
+// dropObsolete removes what no kept snapshot needs. The folder is synced after each
 // segment: if a later removal reached the disk without an earlier one, the files
 // left would have a gap, which Load takes for damage.
-func (l *Log) drop() error {
-	for len(l.snapshots) > keptSnapshots {
+func (l *Log) dropObsolete() error {
+	for len(l.snapshots) > retainedSnapshots {
 		if err := l.remove(l.snapshots[0].name()); err != nil {
 			return err
 		}
 		l.snapshots = l.snapshots[1:]
 	}
-	if len(l.snapshots) < keptSnapshots {
+	if len(l.snapshots) < retainedSnapshots {
 		return nil
 	}
 	for len(l.segments) > 1 && l.segments[0].lastIndex <= l.snapshots[0].index {
@@ -309,7 +309,7 @@
 // Close writes a commit index that was kept back and gives the folder free.
 func (l *Log) Close() error {
 	err := l.err
-	if err == nil && l.unsaved {
+	if err == nil && l.hardStateDirty {
 		err = l.flush(nil)
 	}
 	if l.file != nil {
--- a/quorum/wal/wal_test.go
+++ b/quorum/wal/wal_test.go
@@ -18,7 +18,7 @@
 
 const folder = "/data"
 
-func entries(term, from, to uint64) []*apiv1.LogEntry {
+func makeEntries(term, from, to uint64) []*apiv1.LogEntry {
 	var es []*apiv1.LogEntry
 	for i := from; i <= to; i++ {
 		es = append(es, &apiv1.LogEntry{Term: term, Index: i, Data: fmt.Appendf(nil, "%d-%d", term, i)})
@@ -26,7 +26,7 @@
 	return es
 }
 
-func snapshot(index, term uint64) *apiv1.QuorumSnapshot {
+func makeSnapshot(index, term uint64) *apiv1.QuorumSnapshot {
 	return &apiv1.QuorumSnapshot{Meta: &apiv1.SnapshotMeta{Index: index, Term: term}, Data: fmt.Appendf(nil, "state at %d", index)}
 }
 
@@ -44,39 +44,39 @@
 	return s.Save(o.hs, o.entries)
 }
 
-// history overwrites a conflicting end, compacts, and takes in leaders'
+// testOps overwrites a conflicting end, compacts, and takes in leaders'
 // snapshots both ahead of the log and in conflict with it.
-func history() []op {
+func testOps() []op {
 	ops := []op{
-		{snapshot: snapshot(1, 1)},
-		{hs: &apiv1.HardState{Term: 1, Vote: 7}, entries: entries(1, 2, 4)},
-		{entries: entries(1, 5, 9)},
-		{hs: &apiv1.HardState{Term: 2, Commit: 5}, entries: entries(2, 7, 8)},
-		{snapshot: snapshot(5, 1)},
-		{entries: entries(2, 9, 30)},
-		{snapshot: snapshot(20, 2)},
-		{entries: entries(2, 31, 33)},
-		{snapshot: snapshot(50, 3)},
-		{hs: &apiv1.HardState{Term: 4, Vote: 9}, entries: entries(4, 51, 60)},
-		{snapshot: snapshot(55, 5)},
-		{hs: &apiv1.HardState{Term: 5}, entries: entries(5, 56, 57)},
-		{snapshot: snapshot(57, 5)},
+		{snapshot: makeSnapshot(1, 1)},
+		{hs: &apiv1.HardState{Term: 1, Vote: 7}, entries: makeEntries(1, 2, 4)},
+		{entries: makeEntries(1, 5, 9)},
+		{hs: &apiv1.HardState{Term: 2, Commit: 5}, entries: makeEntries(2, 7, 8)},
+		{snapshot: makeSnapshot(5, 1)},
+		{entries: makeEntries(2, 9, 30)},
+		{snapshot: makeSnapshot(20, 2)},
+		{entries: makeEntries(2, 31, 33)},
+		{snapshot: makeSnapshot(50, 3)},
+		{hs: &apiv1.HardState{Term: 4, Vote: 9}, entries: makeEntries(4, 51, 60)},
+		{snapshot: makeSnapshot(55, 5)},
+		{hs: &apiv1.HardState{Term: 5}, entries: makeEntries(5, 56, 57)},
+		{snapshot: makeSnapshot(57, 5)},
 	}
 	for i := uint64(58); i < 64; i++ {
-		ops = append(ops, op{entries: entries(5, i, i)})
+		ops = append(ops, op{entries: makeEntries(5, i, i)})
 	}
 	return ops
 }
 
-// model returns what a log holds after ops, by the contract of quorum.Storage.
-func model(ops []op) quorum.Stored {
-	var st quorum.Stored
+// expectedState returns what a log holds after ops, by the contract of quorum.Storage.
+func expectedState(ops []op) quorum.StoredState {
+	var st quorum.StoredState
 	for _, o := range ops {
 		if o.hs != nil {
 			st.HardState = o.hs
 		}
 		if len(o.entries) > 0 {
-			st.Entries = append(through(st.Entries, o.entries[0].Index-1), o.entries...)
+			st.Entries = append(entriesThrough(st.Entries, o.entries[0].Index-1), o.entries...)
 		}
 		if o.snapshot != nil {
 			st.Snapshot = o.snapshot
@@ -84,7 +84,7 @@
 			if st.HardState.GetTerm() < m.Term {
 				st.HardState = &apiv1.HardState{Term: m.Term}
 			}
-			kept := through(st.Entries, m.Index)
+			kept := entriesThrough(st.Entries, m.Index)
 			if n := len(kept); n > 0 && kept[n-1].Index == m.Index && kept[n-1].Term == m.Term {
 				st.Entries = st.Entries[n:]
 			} else {
@@ -95,7 +95,7 @@
 	return st
 }
 
-func through(es []*apiv1.LogEntry, index uint64) []*apiv1.LogEntry {
+func entriesThrough(es []*apiv1.LogEntry, index uint64) []*apiv1.LogEntry {
 	for i, e := range es {
 		if e.Index > index {
 			return es[:i:i]
@@ -104,9 +104,9 @@
 	return es
 }
 
-// equal ignores the commit index, which may be older than what was saved, and a
+// equalState ignores the commit index, which may be older than what was saved, and a
 // term that only a snapshot tells.
-func equal(a, b quorum.Stored) bool {
+func equalState(a, b quorum.StoredState) bool {
 	same := a.HardState.GetVote() == b.HardState.GetVote()
 	same = same && max(a.HardState.GetTerm(), a.Snapshot.GetMeta().GetTerm()) == max(b.HardState.GetTerm(), b.Snapshot.GetMeta().GetTerm())
 	same = same && proto.Equal(a.Snapshot, b.Snapshot) && len(a.Entries) == len(b.Entries)
@@ -116,10 +116,10 @@
 	return same
 }
 
-func open(d *waltest.Disk) (*wal.Log, quorum.Stored, error) {
+func open(d *waltest.Disk) (*wal.Log, quorum.StoredState, error) {
 	l, err := wal.Open(wal.Options{Folder: folder, FS: d, SegmentBytes: 150})
 	if err != nil {
-		return nil, quorum.Stored{}, err
+		return nil, quorum.StoredState{}, err
 	}
 	st, err := l.Load()
 	if err != nil {
@@ -128,36 +128,36 @@
 	return l, st, err
 }
 
-// start does what a replica does: its identity is stored before all else.
-func start(d *waltest.Disk) (*wal.Log, quorum.Stored, error) {
+// startReplica does what a replica does: its identity is stored before all else.
+func startReplica(d *waltest.Disk) (*wal.Log, quorum.StoredState, error) {
 	l, err := wal.Open(wal.Options{Folder: folder, FS: d, SegmentBytes: 150})
 	if err != nil {
-		return nil, quorum.Stored{}, err
+		return nil, quorum.StoredState{}, err
 	}
 	id, err := l.Identity()
 	if err == nil && id == nil {
 		err = l.SaveIdentity(&apiv1.ReplicaIdentity{ReplicaId: 7})
 	}
 	if err != nil {
-		return l, quorum.Stored{}, err
+		return l, quorum.StoredState{}, err
 	}
 	st, err := l.Load()
 	return l, st, err
 }
 
-// run stores an identity and the history up to the first error; it returns how
+// runOps stores an identity and the history up to the first error; it returns how
 // many ops were acknowledged.
-func run(d *waltest.Disk) (*wal.Log, int, error) {
-	l, _, err := start(d)
+func runOps(d *waltest.Disk) (*wal.Log, int, error) {
+	l, _, err := startReplica(d)
 	if err != nil {
 		return l, 0, err
 	}
-	for i, o := range history() {
+	for i, o := range testOps() {
 		if err := o.run(l); err != nil {
 			return l, i, err
 		}
 	}
-	return l, len(history()), nil
+	return l, len(testOps()), nil
 }
 
 // Symptom: after a restart a replica lacks what it acknowledged, or won't start.
@@ -169,7 +169,7 @@
 func TestFaultAtEveryStep(t *testing.T) {
 	d := waltest.NewDisk(0)
 	d.FailAt(0, 0)
-	if _, _, err := run(d); err != nil {
+	if _, _, err := runOps(d); err != nil {
 		t.Fatal(err)
 	}
 	steps := d.Steps()
@@ -189,7 +189,7 @@
 func faultAt(fault waltest.Fault, step int, seed uint64) error {
 	d := waltest.NewDisk(seed)
 	d.FailAt(step, fault)
-	l, acked, err := run(d)
+	l, acked, err := runOps(d)
 	if err != nil {
 		var failed *wal.WriteError
 		if !errors.As(err, &failed) {
@@ -198,7 +198,7 @@
 		if fault == waltest.NoSpace && !errors.Is(err, syscall.ENOSPC) {
 			return fmt.Errorf("ENOSPC is hidden: %w", err)
 		}
-		if again := l.Save(nil, entries(9, 90, 90)); !errors.Is(again, err) {
+		if again := l.Save(nil, makeEntries(9, 90, 90)); !errors.Is(again, err) {
 			return fmt.Errorf("use after a failed write returned %w", again)
 		}
 	}
@@ -215,17 +215,17 @@
 
 // checkRestart starts twice, with a power cut between, and then writes on.
 func checkRestart(d *waltest.Disk, acked int) error {
-	var first quorum.Stored
+	var first quorum.StoredState
 	for n := range 2 {
-		l, st, err := start(d)
+		l, st, err := startReplica(d)
 		if err != nil {
 			return fmt.Errorf("start %d: %w", n, err)
 		}
-		next := min(acked+1, len(history()))
-		if !equal(st, model(history()[:acked])) && !equal(st, model(history()[:next])) {
+		next := min(acked+1, len(testOps()))
+		if !equalState(st, expectedState(testOps()[:acked])) && !equalState(st, expectedState(testOps()[:next])) {
 			return fmt.Errorf("start %d after %d operations found %v", n, acked, st)
 		}
-		if n > 0 && !equal(st, first) {
+		if n > 0 && !equalState(st, first) {
 			return fmt.Errorf("a power cut took back what the start before had read: %v, then %v", first, st)
 		}
 		first = st
@@ -237,7 +237,7 @@
 		return err
 	}
 	last := st.Snapshot.GetMeta().GetIndex() + uint64(len(st.Entries))
-	if err := l.Save(&apiv1.HardState{Term: 8}, entries(8, last+1, last+3)); err != nil {
+	if err := l.Save(&apiv1.HardState{Term: 8}, makeEntries(8, last+1, last+3)); err != nil {
 		return err
 	}
 	d.CutPower()
@@ -253,10 +253,10 @@
 // Sequence: one bit of one file flips, at each byte of each file in turn.
 // Cause: a broken record taken for a torn end, or a snapshot used unchecked.
 // Only a flip in the last record of all can't be told from a torn one.
-func TestDamageStops(t *testing.T) {
+func TestDamageStopsLoad(t *testing.T) {
 	d := waltest.NewDisk(1)
-	l, n, err := run(d)
-	if err != nil || n != len(history()) {
+	l, n, err := runOps(d)
+	if err != nil || n != len(testOps()) {
 		t.Fatal(n, err)
 	}
 	l.Close()
@@ -289,7 +289,7 @@
 				t.Fatalf("damage of %s at %d: %v", file, offset, err)
 			default:
 				survived++
-				if m := st.Snapshot.GetMeta(); !proto.Equal(st.Snapshot, snapshot(m.GetIndex(), m.GetTerm())) {
+				if m := st.Snapshot.GetMeta(); !proto.Equal(st.Snapshot, makeSnapshot(m.GetIndex(), m.GetTerm())) {
 					t.Fatalf("damage of %s at %d is not noticed: the snapshot is %v", file, offset, st.Snapshot)
 				}
 				end := st.Snapshot.GetMeta().GetIndex() + uint64(len(st.Entries))
@@ -308,21 +308,21 @@
 // another, or a snapshot is gone whose log was dropped.
 // Sequence: the file is written and renamed, then the power is cut.
 // Cause: a rename whose folder isn't synced.
-func TestWholeFilesAreDurable(t *testing.T) {
+func TestRenamedFilesAreDurable(t *testing.T) {
 	for seed := range uint64(20) {
 		d := waltest.NewDisk(seed)
-		l, _, err := start(d)
+		l, _, err := startReplica(d)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := l.SaveIdentity(&apiv1.ReplicaIdentity{ReplicaId: 8}); err != nil {
 			t.Fatal(err)
 		}
-		if err := l.StageSnapshot(snapshot(9, 1)); err != nil {
+		if err := l.StageSnapshot(makeSnapshot(9, 1)); err != nil {
 			t.Fatal(err)
 		}
 		d.CutPower()
-		l, st, err := start(d)
+		l, st, err := startReplica(d)
 		id, idErr := l.Identity()
 		if err != nil || idErr != nil || id.GetReplicaId() != 8 || st.Snapshot.GetMeta().GetIndex() != 9 {
 			t.Fatalf("seed %d: found %v, %v: %v %v", seed, id, st, err, idErr)
@@ -334,7 +334,7 @@
 // Sequence: a second process opens the folder while the first has it, and again
 // once the first has closed it.
 // Cause: no lock on the folder, or one that outlives its holder.
-func TestFolderHasOneUser(t *testing.T) {
+func TestOpenLocksFolder(t *testing.T) {
 	o := wal.Options{Folder: t.TempDir()}
 	l, err := wal.Open(o)
 	if err != nil {
@@ -355,17 +355,17 @@
 // end. It must never panic, and what it accepts must take further writes and come
 // back whole.
 func FuzzLoad(f *testing.F) {
-	snap := wal.Payload(snapshot(4, 1))
-	first := wal.Payload(&apiv1.WalRecord{HardState: &apiv1.HardState{Term: 1}, Entries: entries(1, 2, 6)})
-	second := wal.Payload(&apiv1.WalRecord{Entries: entries(2, 5, 9), Snapshot: &apiv1.SnapshotMeta{Index: 4, Term: 1}})
+	snap := wal.MustMarshal(makeSnapshot(4, 1))
+	first := wal.MustMarshal(&apiv1.WalRecord{HardState: &apiv1.HardState{Term: 1}, Entries: makeEntries(1, 2, 6)})
+	second := wal.MustMarshal(&apiv1.WalRecord{Entries: makeEntries(2, 5, 9), Snapshot: &apiv1.SnapshotMeta{Index: 4, Term: 1}})
 	f.Add(first, second, []byte{}, snap, uint64(4), uint64(1))
 	f.Add(second, first, []byte("torn"), []byte{}, uint64(0), uint64(0))
-	f.Add(first, second, wal.Segment(1, first), snap, uint64(4), uint64(2))
+	f.Add(first, second, wal.EncodeSegment(1, first), snap, uint64(4), uint64(2))
 	f.Fuzz(func(t *testing.T, first, second, tail, snap []byte, index, term uint64) {
 		d := waltest.NewDisk(1)
-		d.Put(folder+"/0000000000000001.log", append(wal.Segment(1, first, second), tail...))
+		d.Put(folder+"/0000000000000001.log", append(wal.EncodeSegment(1, first, second), tail...))
 		if len(snap) > 0 {
-			d.Put(fmt.Sprintf("%s/%016x-%016x.snapshot", folder, index, term), wal.Blob(snap))
+			d.Put(fmt.Sprintf("%s/%016x-%016x.snapshot", folder, index, term), wal.EncodeBlob(snap))
 		}
 		l, st, err := open(d)
 		if err != nil {
@@ -375,7 +375,7 @@
 		if n := len(st.Entries); n > 0 {
 			last = st.Entries[n-1].Index
 		}
-		if err := l.Save(&apiv1.HardState{Term: 9}, entries(9, last+1, last+2)); err != nil {
+		if err := l.Save(&apiv1.HardState{Term: 9}, makeEntries(9, last+1, last+2)); err != nil {
 			t.Fatal(err)
 		}
 		l.Close()
--- a/quorum/wal/waltest/disk.go
+++ b/quorum/wal/waltest/disk.go
@@ -37,17 +37,17 @@
 // Disk is a file system that remembers what is durable. Each call that changes
 // something is a step; steps are counted from 1.
 type Disk struct {
-	mu      sync.Mutex
-	rand    *rand.Rand
-	steps   int
-	failAt  int
-	fault   Fault
-	dead    bool
-	full    bool
-	slow    time.Duration
-	stored  map[string]*file
-	content map[string]*file
-	locked  map[string]bool
+	mu         sync.Mutex
+	rand       *rand.Rand
+	steps      int
+	failAt     int
+	fault      Fault
+	poweredOff bool
+	full       bool
+	syncDelay  time.Duration
+	durable    map[string]*file
+	current    map[string]*file
+	locked     map[string]bool
 }
 
 var _ wal.FS = (*Disk)(nil)
@@ -57,8 +57,8 @@
 func NewDisk(seed uint64) *Disk {
 	return &Disk{
 		rand:    rand.New(rand.NewPCG(seed, 1)),
-		stored:  map[string]*file{},
-		content: map[string]*file{},
+		durable: map[string]*file{},
+		current: map[string]*file{},
 		locked:  map[string]bool{},
 	}
 }
@@ -83,28 +83,28 @@
 func (d *Disk) CutPower() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	names := d.stored
+	names := d.durable
 	if d.rand.IntN(2) == 0 {
-		names = d.content
+		names = d.current
 	}
-	d.stored, d.content = map[string]*file{}, map[string]*file{}
+	d.durable, d.current = map[string]*file{}, map[string]*file{}
 	// In order, so that each file gets the same draws in every run of a seed.
 	for _, name := range slices.Sorted(maps.Keys(names)) {
-		b := d.survivor(names[name])
-		survivor := &file{stored: b, content: slices.Clone(b)}
-		d.stored[name], d.content[name] = survivor, survivor
+		b := d.contentAfterPowerCut(names[name])
+		survivor := &file{durable: b, current: slices.Clone(b)}
+		d.durable[name], d.current[name] = survivor, survivor
 	}
 	d.locked = map[string]bool{}
-	d.failAt, d.dead, d.full = 0, false, false
+	d.failAt, d.poweredOff, d.full = 0, false, false
 }
 
-// survivor returns a file's bytes after a power cut.
-func (d *Disk) survivor(f *file) []byte {
-	kept := slices.Clone(f.stored)
-	if len(f.content) <= len(f.stored) || d.rand.IntN(3) == 0 {
+// contentAfterPowerCut returns a file's bytes after a power cut.
+func (d *Disk) contentAfterPowerCut(f *file) []byte {
+	kept := slices.Clone(f.durable)
+	if len(f.current) <= len(f.durable) || d.rand.IntN(3) == 0 {
 		return kept
 	}
-	tail := append([]byte(nil), f.content[len(f.stored):]...)
+	tail := append([]byte(nil), f.current[len(f.durable):]...)
 	tail = tail[:d.rand.IntN(len(tail)+1)]
 	if n := len(tail); n > 0 && d.rand.IntN(2) == 0 {
 		clear(tail[d.rand.IntN(n):])
@@ -116,36 +116,36 @@
 func (d *Disk) Corrupt(name string, offset int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.content[name].content[offset] ^= 0x10
-	d.content[name].stored[offset] ^= 0x10
+	d.current[name].current[offset] ^= 0x10
+	d.current[name].durable[offset] ^= 0x10
 }
 
 // Put stores a file of any content.
 func (d *Disk) Put(name string, b []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := &file{stored: slices.Clone(b), content: slices.Clone(b)}
-	d.stored[name], d.content[name] = f, f
+	f := &file{durable: slices.Clone(b), current: slices.Clone(b)}
+	d.durable[name], d.current[name] = f, f
 }
 
 // Names returns the paths of all files, sorted.
 func (d *Disk) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return slices.Sorted(maps.Keys(d.content))
+	return slices.Sorted(maps.Keys(d.current))
 }
 
-// Slow makes each sync of a file take a time; 0 ends it.
-func (d *Disk) Slow(sync time.Duration) {
+// SetSyncDelay makes each sync of a file take a time; 0 ends it.
+func (d *Disk) SetSyncDelay(sync time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slow = sync
+	d.syncDelay = sync
 }
 
-// wait lasts as long as a sync does.
-func (d *Disk) wait() {
+// waitSync lasts as long as a sync does.
+func (d *Disk) waitSync() {
 	d.mu.Lock()
-	slow := d.slow
+	slow := d.syncDelay
 	d.mu.Unlock()
 	time.Sleep(slow)
 }
@@ -171,32 +171,32 @@
 func (d *Disk) Erase() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.stored, d.content = map[string]*file{}, map[string]*file{}
+	d.durable, d.current = map[string]*file{}, map[string]*file{}
 }
 
-// step counts a step and returns its fault.
-func (d *Disk) step() (fault Fault, failed bool, err error) {
-	if d.dead {
+// nextStep counts a step and returns its fault.
+func (d *Disk) nextStep() (fault Fault, failed bool, err error) {
+	if d.poweredOff {
 		return 0, false, ErrPowerCut
 	}
 	d.steps++
 	if d.failAt == 0 || d.steps != d.failAt {
 		return 0, false, nil
 	}
-	d.dead = d.fault == PowerCut
+	d.poweredOff = d.fault == PowerCut
 	d.full = d.fault == NoSpace
 	return d.fault, true, nil
 }
 
-// change runs a step on the folder.
-func (d *Disk) change(takesSpace bool, do func()) error {
+// changeFolder runs a step on the folder.
+func (d *Disk) changeFolder(takesSpace bool, do func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, _, err := d.step()
+	_, _, err := d.nextStep()
 	if err != nil {
 		return err
 	}
-	if d.dead {
+	if d.poweredOff {
 		return ErrPowerCut
 	}
 	if d.full && takesSpace {
@@ -214,7 +214,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var names []string
-	for name := range d.content {
+	for name := range d.current {
 		if path.Dir(name) == folder {
 			names = append(names, path.Base(name))
 		}
@@ -227,17 +227,17 @@
 func (d *Disk) ReadFile(name string) ([]byte, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.content[name]
+	f := d.current[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
-	return slices.Clone(f.content), nil
+	return slices.Clone(f.current), nil
 }
 
 // Create implements wal.FS.
 func (d *Disk) Create(name string) (wal.File, error) {
 	f := &file{}
-	err := d.change(true, func() { d.content[name] = f })
+	err := d.changeFolder(true, func() { d.current[name] = f })
 	return &handle{d, f}, err
 }
 
@@ -245,7 +245,7 @@
 func (d *Disk) Append(name string) (wal.File, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	f := d.content[name]
+	f := d.current[name]
 	if f == nil {
 		return nil, fs.ErrNotExist
 	}
@@ -254,26 +254,26 @@
 
 // Rename implements wal.FS.
 func (d *Disk) Rename(from, to string) error {
-	return d.change(false, func() {
-		d.content[to] = d.content[from]
-		delete(d.content, from)
+	return d.changeFolder(false, func() {
+		d.current[to] = d.current[from]
+		delete(d.current, from)
 	})
 }
 
 // Remove implements wal.FS.
 func (d *Disk) Remove(name string) error {
-	return d.change(false, func() { delete(d.content, name) })
+	return d.changeFolder(false, func() { delete(d.current, name) })
 }
 
 // SyncDir implements wal.FS.
 func (d *Disk) SyncDir(folder string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fault, failed, err := d.step()
+	fault, failed, err := d.nextStep()
 	if err := stepError(fault, failed, err); err != nil {
 		return err
 	}
-	d.stored = maps.Clone(d.content)
+	d.durable = maps.Clone(d.current)
 	return nil
 }
 
--- a/quorum/wal/waltest/file.go
+++ b/quorum/wal/waltest/file.go
@@ -8,8 +8,8 @@
 
 // file is an inode: what is on the disk and what a reader sees.
 type file struct {
-	stored  []byte
-	content []byte
+	durable []byte
+	current []byte
 }
 
 // handle is an open file.
@@ -22,43 +22,43 @@
 func (h *handle) Write(b []byte) (int, error) {
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	fault, failed, err := h.d.step()
+	fault, failed, err := h.d.nextStep()
 	if err != nil {
 		return 0, err
 	}
 	if h.d.full {
 		part := len(b) / 2
-		h.f.content = append(h.f.content, b[:part]...)
+		h.f.current = append(h.f.current, b[:part]...)
 		return part, syscall.ENOSPC
 	}
 	if failed && (fault == PowerCut || fault == ShortWrite) {
 		part := h.d.rand.IntN(len(b) + 1)
-		h.f.content = append(h.f.content, b[:part]...)
+		h.f.current = append(h.f.current, b[:part]...)
 		if fault == PowerCut {
 			return part, ErrPowerCut
 		}
 		return part, io.ErrShortWrite
 	}
-	h.f.content = append(h.f.content, b...)
+	h.f.current = append(h.f.current, b...)
 	return len(b), nil
 }
 
 // Sync implements wal.File.
 func (h *handle) Sync() error {
-	h.d.wait()
+	h.d.waitSync()
 	h.d.mu.Lock()
 	defer h.d.mu.Unlock()
-	fault, failed, err := h.d.step()
+	fault, failed, err := h.d.nextStep()
 	if err := stepError(fault, failed, err); err != nil {
 		return err
 	}
-	h.f.stored = slices.Clone(h.f.content)
+	h.f.durable = slices.Clone(h.f.current)
 	return nil
 }
 
 // Truncate implements wal.File.
 func (h *handle) Truncate(size int64) error {
-	return h.d.change(false, func() { h.f.content = h.f.content[:size] })
+	return h.d.changeFolder(false, func() { h.f.current = h.f.current[:size] })
 }
 
 // Close implements wal.File.
--- a/quorum/wal/writable.go
+++ b/quorum/wal/writable.go
@@ -13,18 +13,18 @@
 	probeBytes = 64 << 10
 )
 
-// Writable returns nil if a folder's disk takes and syncs a write, else why not. What
+// CheckWritable returns nil if a folder's disk takes and syncs a write, else why not. What
 // is written is removed again.
-func Writable(fs FS, folder string) error {
+func CheckWritable(fs FS, folder string) error {
 	path := filepath.Join(folder, probeFile)
-	if err := probe(fs, folder, path); err != nil {
+	if err := probeDisk(fs, folder, path); err != nil {
 		_ = fs.Remove(path) // The disk is failing; the next probe empties the file.
 		return errors.Wrapf(err, "probe of %s", path)
 	}
 	return nil
 }
 
-func probe(fs FS, folder, path string) error {
+func probeDisk(fs FS, folder, path string) error {
 	if err := fs.MkdirAll(folder); err != nil {
 		return err
 	}
--- a/quorum/wal/writable_test.go
+++ b/quorum/wal/writable_test.go
@@ -10,11 +10,11 @@
 // Symptom: a replica is started on a disk that refuses its first write, again and again.
 // Sequence: each single step of the probe fails in turn, then none does.
 // Cause: a refused step that is taken for success, or a file that the probe leaves.
-func TestWritable(t *testing.T) {
+func TestCheckWritable(t *testing.T) {
 	disk := waltest.NewDisk(1)
 	for step := 1; ; step++ {
 		disk.FailAt(step, waltest.NoSpace)
-		err := wal.Writable(disk, "/data")
+		err := wal.CheckWritable(disk, "/data")
 		if err == nil {
 			if step < 3 { // Create and write take space; sync and remove do not.
 				t.Fatalf("step %d fails unnoticed", step)
@@ -22,7 +22,7 @@
 			break
 		}
 		disk.FreeSpace()
-		if err := wal.Writable(disk, "/data"); err != nil {
+		if err := wal.CheckWritable(disk, "/data"); err != nil {
 			t.Fatalf("after step %d: %v", step, err)
 		}
 	}
--- a/record/account.go
+++ b/record/account.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Costs are times by cause.
-type Costs [causes]time.Duration
+// Breakdown are times by cause.
+type Breakdown [numCauses]time.Duration
 
-func (c *Costs) add(o Costs) {
+func (c *Breakdown) add(o Breakdown) {
 	for cause := range c {
 		c[cause] += o[cause]
 	}
 }
 
 // Lost is the time that was not spent at work.
-func (c *Costs) Lost() time.Duration {
+func (c *Breakdown) Lost() time.Duration {
 	var sum time.Duration
 	for cause, d := range c {
 		if Cause(cause) != Working {
@@ -27,21 +27,21 @@
 	return sum
 }
 
-// chain accounts for the time of a job that ended, from the time that it was handed in: the
+// criticalPath accounts for the time of a job that ended, from the time that it was handed in: the
 // task that ended last is followed back to when its step's turn had come, then the one that
 // ended last before that, and so on. A job ends with its slowest tasks; what the others met
 // cost nobody anything.
-func (h *history) chain(j *job) Costs {
-	var costs Costs
-	end := j.over
-	for !end.IsZero() && end.After(j.handedIn) {
-		s, last := j.lastDone(end)
+func (h *history) criticalPath(j *job) Breakdown {
+	var costs Breakdown
+	end := j.finishedAt
+	for !end.IsZero() && end.After(j.submittedAt) {
+		s, last := j.lastFinished(end)
 		if last == nil {
 			break
 		}
-		done, _ := last.done()
-		turn := j.turnOf(s)
-		costs.add(h.taskCosts(s, last, span{turn, done}))
+		done, _ := last.finishedAt()
+		turn := j.readyAt(s)
+		costs.add(h.taskBreakdown(s, last, span{turn, done}))
 		if !turn.Before(end) {
 			break
 		}
@@ -50,8 +50,8 @@
 	return costs
 }
 
-// lastDone returns the task that ended last, no later than at, with its step.
-func (j *job) lastDone(at time.Time) (*step, *task) {
+// lastFinished returns the task that ended last, no later than at, with its step.
+func (j *job) lastFinished(at time.Time) (*step, *task) {
 	var found *task
 	var of *step
 	var newest time.Time
@@ -59,7 +59,7 @@
 		s := j.steps[name]
 		for _, id := range slices.Sorted(maps.Keys(s.tasks)) {
 			t := s.tasks[id]
-			if done, ok := t.done(); ok && !done.After(at) && (found == nil || done.After(newest)) {
+			if done, ok := t.finishedAt(); ok && !done.After(at) && (found == nil || done.After(newest)) {
 				of, found, newest = s, t, done
 			}
 		}
@@ -67,27 +67,27 @@
 	return of, found
 }
 
-// turnOf is when a step's turn had come: when the last step that ended before its first
+// readyAt is when a step's turn had come: when the last step that ended before its first
 // sign did, or the job was handed in.
-func (j *job) turnOf(s *step) time.Time {
-	turn := j.handedIn
-	first := s.first()
+func (j *job) readyAt(s *step) time.Time {
+	turn := j.submittedAt
+	first := s.firstActivity()
 	for _, other := range j.steps {
 		if other == s {
 			continue
 		}
-		if ended, ok := other.ended(); ok && !ended.After(first) && ended.After(turn) {
+		if ended, ok := other.finishedAt(); ok && !ended.After(first) && ended.After(turn) {
 			turn = ended
 		}
 	}
 	return turn
 }
 
-// ended is when the last task of a step ended well; false while one has not.
-func (s *step) ended() (time.Time, bool) {
+// finishedAt is when the last task of a step ended well; false while one has not.
+func (s *step) finishedAt() (time.Time, bool) {
 	var last time.Time
 	for _, t := range s.tasks {
-		done, ok := t.done()
+		done, ok := t.finishedAt()
 		if !ok {
 			return time.Time{}, false
 		}
@@ -98,9 +98,9 @@
 	return last, len(s.tasks) > 0
 }
 
-// taskCosts accounts for a task's time within a span.
-func (h *history) taskCosts(s *step, t *task, within span) Costs {
-	var costs Costs
+// taskBreakdown accounts for a task's time within a span.
+func (h *history) taskBreakdown(s *step, t *task, within span) Breakdown {
+	var costs Breakdown
 	at := within.from
 	why := WaitsUnexplained
 	for _, r := range t.runs {
@@ -117,18 +117,18 @@
 		if end.IsZero() || end.After(within.to) {
 			end = within.to
 		}
-		r.addWork(&costs, span{r.start, end})
-		at, why = end, r.why
+		r.addRunTime(&costs, span{r.start, end})
+		at, why = end, r.cause
 	}
 	return costs
 }
 
 // addGap adds a time without a run: while there was no leader, nobody could end it.
-func (h *history) addGap(costs *Costs, gap span, why Cause) {
+func (h *history) addGap(costs *Breakdown, gap span, why Cause) {
 	length := gap.length()
-	for _, away := range h.away {
+	for _, away := range h.leaderless {
 		lost := min(length, gap.overlap(away))
-		costs[LeaderAway] += lost
+		costs[NoLeader] += lost
 		length -= lost
 	}
 	costs[why] += length
@@ -136,7 +136,7 @@
 
 // addWait adds the time before a task's first run, by what the lines on its step say. Each
 // line holds until the next one.
-func (h *history) addWait(costs *Costs, s *step, gap span) {
+func (h *history) addWait(costs *Breakdown, s *step, gap span) {
 	waits := slices.Clone(s.waits)
 	slices.SortStableFunc(waits, func(a, b wait) int { return a.to.Compare(b.to) })
 	at := gap.from
@@ -155,20 +155,20 @@
 	}
 	before := gap.length()
 	if len(waits) > 0 {
-		before = span{gap.from, minTime(gap.to, waits[0].from)}.length()
+		before = span{gap.from, earlierOf(gap.to, waits[0].from)}.length()
 	}
 	h.addGap(costs, span{gap.from, gap.from.Add(before)}, WaitsUnexplained)
 }
 
-func minTime(a, b time.Time) time.Time {
+func earlierOf(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
 	}
 	return a
 }
 
-// addWork adds the time of a run, what its paces took apart.
-func (r *run) addWork(costs *Costs, within span) {
+// addRunTime adds the time of a run, what its paces took apart.
+func (r *run) addRunTime(costs *Breakdown, within span) {
 	const full = 100
 	at, percent := within.from, float64(full)
 	spend := func(until time.Time) {
@@ -194,25 +194,25 @@
 	Path string
 	Zone string
 	From time.Time
-	// Tasks is the time that all tasks together had, Costs what was lost of it.
-	Tasks time.Duration
-	Costs Costs
+	// TaskTime is the time that all tasks together had, Costs what was lost of it.
+	TaskTime  time.Duration
+	Breakdown Breakdown
 }
 
 // Cause is the one that took most.
 func (w *Window) Cause() Cause {
 	worst := Working
-	for c := Working + 1; c < causes; c++ {
-		if w.Costs[c] > 0 && (worst == Working || w.Costs[c] > w.Costs[worst]) {
+	for c := Working + 1; c < numCauses; c++ {
+		if w.Breakdown[c] > 0 && (worst == Working || w.Breakdown[c] > w.Breakdown[worst]) {
 			worst = c
 		}
 	}
 	return worst
 }
 
-// reportInterval is the time that one report of a tail stands for: agents report a worker on
+// tailReportInterval is the time that one report of a tail stands for: agents report a worker on
 // which nothing ends twice a second.
-const reportInterval = 500 * time.Millisecond
+const tailReportInterval = 500 * time.Millisecond
 
 // windows returns the windows of a long-running job, from the first start of one of its
 // tasks until it was canceled or the lines end.
@@ -232,45 +232,45 @@
 		}
 	}
 	last := h.last
-	if !j.canceled.IsZero() {
-		last = j.canceled
+	if !j.canceledAt.IsZero() {
+		last = j.canceledAt
 	}
 	var windows []Window
 	if len(tasks) == 0 {
 		return nil
 	}
 	for from := first; !from.Add(length).After(last); from = from.Add(length) {
-		w := Window{Job: j.id, Path: j.path, Zone: j.zone, From: from, Tasks: length * time.Duration(len(tasks))}
+		w := Window{Job: j.id, Path: j.path, Zone: j.zone, From: from, TaskTime: length * time.Duration(len(tasks))}
 		for _, t := range tasks {
-			w.Costs.add(h.longRunningCosts(t, span{from, from.Add(length)}))
+			w.Breakdown.add(h.longRunningBreakdown(t, span{from, from.Add(length)}))
 		}
 		windows = append(windows, w)
 	}
 	return windows
 }
 
-// longRunningCosts accounts for a long-running task's time within a span.
-func (h *history) longRunningCosts(t *task, within span) Costs {
-	var costs Costs
+// longRunningBreakdown accounts for a long-running task's time within a span.
+func (h *history) longRunningBreakdown(t *task, within span) Breakdown {
+	var costs Breakdown
 	at, why := within.from, WaitsUnexplained
 	for _, r := range t.runs {
 		if !r.end.IsZero() && !r.end.After(within.from) {
-			why = r.why
+			why = r.cause
 			continue
 		}
 		if r.start.After(at) {
-			h.addGap(&costs, span{at, minTime(r.start, within.to)}, why)
+			h.addGap(&costs, span{at, earlierOf(r.start, within.to)}, why)
 		}
-		at, why = within.to, r.why
+		at, why = within.to, r.cause
 		if r.end.IsZero() || !r.end.Before(within.to) {
 			break
 		}
 		at = r.end
 	}
 	h.addGap(&costs, span{at, within.to}, why)
-	for _, over := range t.over {
+	for _, over := range t.overObjectiveAt {
 		if !over.Before(within.from) && over.Before(within.to) {
-			costs[OverObjective] += reportInterval
+			costs[OverObjective] += tailReportInterval
 		}
 	}
 	costs[Working] = max(0, within.length()-costs.Lost())
@@ -287,11 +287,11 @@
 	Late
 	TooLate
 	FailedJob
-	StillOpen
-	outcomes
+	Unfinished
+	numOutcomes
 )
 
-var outcomeNames = [outcomes]string{"in time", "late", "too late", "failed", "open"}
+var outcomeNames = [numOutcomes]string{"in time", "late", "too late", "failed", "open"}
 
 // String returns the outcome's name in tables.
 func (o Outcome) String() string { return outcomeNames[o] }
@@ -301,9 +301,9 @@
 
 func (j *job) outcome() Outcome {
 	switch {
-	case j.over.IsZero():
-		return StillOpen
-	case j.how == "failed":
+	case j.finishedAt.IsZero():
+		return Unfinished
+	case j.result == "failed":
 		return FailedJob
 	case j.took > tooLateFactor*j.allowed:
 		return TooLate
@@ -326,13 +326,13 @@
 
 func (h *history) sortedJobs() []*job {
 	return slices.SortedFunc(maps.Values(h.jobs), func(a, b *job) int {
-		return cmp.Or(a.handedIn.Compare(b.handedIn), cmp.Compare(a.id, b.id))
+		return cmp.Or(a.submittedAt.Compare(b.submittedAt), cmp.Compare(a.id, b.id))
 	})
 }
 
 // Outcomes returns all outcomes, in the order in which they are shown.
 func Outcomes() []Outcome {
-	list := make([]Outcome, outcomes)
+	list := make([]Outcome, numOutcomes)
 	for i := range list {
 		list[i] = Outcome(i)
 	}
--- a/record/cause.go
+++ b/record/cause.go
@@ -14,30 +14,30 @@
 const (
 	// Working is time at work at full speed.
 	Working Cause = iota
-	// LeaderAway is time in which no leader gave orders.
-	LeaderAway
-	// WaitsForRoom is time in which each worker lacked processors, memory or accelerators,
+	// LeaderlessTime is time in which no leader gave orders.
+	NoLeader
+	// WaitsForCapacity is time in which each worker lacked processors, memory or accelerators,
 	// had enough tasks of the step already, or was out of reach.
-	WaitsForRoom
-	// WaitsDisturbs is time in which most workers were ruled out since the task would have
+	WaitsForCapacity
+	// WaitsForInterference is time in which most workers were ruled out since the task would have
 	// disturbed what serves there, or would have gone too slowly.
-	WaitsDisturbs
+	WaitsForInterference
 	// WaitsUnexplained is time before a start that no line explains.
 	WaitsUnexplained
 	// SlowedDown is what paces took of the time at work.
 	SlowedDown
 	// Moved is time from a stop for a better place to the next start.
 	Moved
-	// HostGone is time from the loss of a worker to the next start.
-	HostGone
+	// WorkerLost is time from the loss of a worker to the next start.
+	WorkerLost
 	// Failed is time from a failure to the next start.
 	Failed
 	// OverObjective is time with a tail over its objective.
 	OverObjective
-	causes
+	numCauses
 )
 
-var causeNames = [causes]string{
+var causeNames = [numCauses]string{
 	"working", "leader away", "waits for room", "waits, disturbs", "waits, unexplained", "slowed down", "moved", "host gone",
 	"failed", "over objective",
 }
@@ -69,14 +69,14 @@
 	case room+disturbs == 0:
 		return WaitsUnexplained
 	case disturbs >= room:
-		return WaitsDisturbs
+		return WaitsForInterference
 	}
-	return WaitsForRoom
+	return WaitsForCapacity
 }
 
 // Causes returns all causes, in the order in which they are shown.
 func Causes() []Cause {
-	list := make([]Cause, causes)
+	list := make([]Cause, numCauses)
 	for i := range list {
 		list[i] = Cause(i)
 	}
