--- a/api/v1/agent.twirp.go
+++ b/api/v1/agent.twirp.go
@@ -31,16 +31,16 @@
 // Agent Interface
 // ===============
 
-// Agent is the gate in front of the targets of one host.
+// Agent is the admission control in front of the targets of one host.
 type Agent interface {
 	// Dispatch runs one attempt of a request on a target and returns its outcome.
 	Dispatch(context.Context, *DispatchRequest) (*DispatchResponse, error)
 
-	// Revoke ends an attempt that the entry has given up on. The answer says
-	// whether it was run; after it a late dispatch of that attempt is refused.
+	// Revoke ends an attempt that the entry has abandoned. The response reports whether the attempt
+	// was run. A dispatch of the attempt that arrives later is refused.
 	Revoke(context.Context, *RevokeRequest) (*RevokeResponse, error)
 
-	// Drain makes a target leave: no new work, and what is in progress finishes.
+	// Drain takes a target out of service: it gets no new requests, and those in progress finish.
 	Drain(context.Context, *DrainRequest) (*DrainResponse, error)
 }
 
--- a/api/v1/control.twirp.go
+++ b/api/v1/control.twirp.go
@@ -26,19 +26,19 @@
 // Control Interface
 // =================
 
-// Control is what agents and other entries ask of an entry host.
+// Control is the service of an entry host for agents and other entries.
 type Control interface {
-	// Heartbeat is the one message per agent and interval. It goes to the agent's
-	// home entry, which passes the part about the worker on to the leader.
+	// Heartbeat is sent once per agent and interval, to the agent's home entry, which forwards the
+	// part about the worker to the leader.
 	Heartbeat(context.Context, *HeartbeatRequest) (*HeartbeatResponse, error)
 
-	// Renew carries the workers' parts of many heartbeats to the leader.
+	// Renew forwards the workers' parts of many heartbeats to the leader.
 	Renew(context.Context, *RenewRequest) (*RenewResponse, error)
 
-	// Sync exchanges announcements between entries and passes configuration on.
+	// Sync exchanges agents' announcements between entries and propagates the configuration.
 	Sync(context.Context, *SyncRequest) (*SyncResponse, error)
 
-	// Propose hands a command to the leader and waits until it is applied.
+	// Propose submits a command to the leader and waits until it is applied.
 	Propose(context.Context, *ProposeRequest) (*ProposeResponse, error)
 }
 
--- a/api/v1/jobs.twirp.go
+++ b/api/v1/jobs.twirp.go
@@ -26,18 +26,18 @@
 // Jobs Interface
 // ==============
 
-// Jobs is what entries and agents ask of the control hosts.
+// Jobs is the service of the control hosts for entries and agents.
 type Jobs interface {
-	// Read answers from this replica's state once that is known to be the newest.
+	// Read returns data from this replica's state once the state is confirmed to be the newest.
 	Read(context.Context, *JobsReadRequest) (*JobsReadResponse, error)
 
-	// Report carries what an agent knows of its worker to the leader.
+	// Report sends an agent's report about its worker to the leader.
 	Report(context.Context, *JobsReportRequest) (*JobsReportResponse, error)
 
-	// Orders waits for orders to a worker; the leader alone answers.
+	// Orders waits for orders to a worker. Only the leader returns orders.
 	Orders(context.Context, *JobsOrdersRequest) (*JobsOrdersResponse, error)
 
-	// Members tells who belongs to the control group.
+	// Members returns the members of the control group.
 	Members(context.Context, *JobsMembersRequest) (*JobsMembersResponse, error)
 }
 
--- a/api/v1/quorum.twirp.go
+++ b/api/v1/quorum.twirp.go
@@ -26,15 +26,15 @@
 // Quorum Interface
 // ================
 
-// Quorum carries messages of the replicated log between replicas.
+// Quorum transports the messages of the replicated log between replicas.
 type Quorum interface {
-	// Deliver hands over messages; the answer says nothing about their effect.
+	// Deliver delivers messages. The response does not report their effect.
 	Deliver(context.Context, *DeliverRequest) (*DeliverResponse, error)
 
-	// Identify tells who the asked replica is; used when a group is formed.
+	// Identify returns the identity of the queried replica. It is used when a group is formed.
 	Identify(context.Context, *IdentifyRequest) (*IdentifyResponse, error)
 
-	// Join asks the leader to take in a replica as a learner.
+	// Join requests that the leader add a replica as a learner.
 	Join(context.Context, *JoinRequest) (*JoinResponse, error)
 }
 
