--- a/jobapi/jobapi.go
+++ b/jobapi/jobapi.go
@@ -280,7 +280,7 @@
 		return
 	}
 	if !slices.ContainsFunc(resp.Hosts, func(listed *apiv1.HostRecord) bool { return listed.Host == move.Host }) {
-		writeError(w, http.StatusNotFound, "unknown host "+strconv.Quote(move.Host))
+		writeError(w, http.StatusNotFound, "there is no host "+strconv.Quote(move.Host))
 		return
 	}
 	outcome, err := h.RequestMove(ctx, move)
