--- a/agent/heartbeat.go
+++ b/agent/heartbeat.go
@@ -189,7 +189,7 @@
 	c, err := configdelta.ApplyChain(a.heartbeatState.configuration, resp.Deltas)
 	a.heartbeatState.needWholeConfiguration = err != nil
 	if err != nil {
-		a.log.Warn("configuration deltas cannot be applied; requesting the whole configuration", zap.Error(err))
+		a.log.Warn("changes of the configuration don't fit, asking for all of it", zap.Error(err))
 		return nil
 	}
 	return c
--- a/agent/worker.go
+++ b/agent/worker.go
@@ -69,7 +69,7 @@
 	queriedAt := d.agent.bootNow()
 	o, err := d.readObservation(ctx)
 	if err != nil {
-		d.log.Warn("worker does not respond", zap.Error(err))
+		d.log.Warn("worker does not answer", zap.Error(err))
 		return
 	}
 	usage, err := d.worker.Usage(ctx)
@@ -184,7 +184,7 @@
 	ctx, cancel := context.WithTimeout(ctx, workerCallTimeout)
 	defer cancel()
 	if err := d.worker.Renew(ctx, tasks, deadline); err != nil {
-		d.log.Warn("lease renewal failed", zap.Int("tasks", len(tasks)), zap.Error(err))
+		d.log.Warn("renewal failed", zap.Int("tasks", len(tasks)), zap.Error(err))
 	}
 }
 
--- a/control/control.go
+++ b/control/control.go
@@ -37,7 +37,7 @@
 
 // Error implements error.
 func (e *UnavailableError) Error() string {
-	return fmt.Sprintf("no quorum: %s; retry after %v", e.Cause, e.RetryAfter)
+	return fmt.Sprintf("no quorum: %s; come back in %v", e.Cause, e.RetryAfter)
 }
 
 // UnknownError reports that a command may or may not be committed.
--- a/entry/claim.go
+++ b/entry/claim.go
@@ -267,7 +267,7 @@
 		cmd := &apiv1.Command{Body: &apiv1.Command_Settle{Settle: s}}
 		if _, err := e.control.Propose(ctx, cmd); err != nil {
 			e.metrics.settlesLost.Inc(1)
-			e.log.Warn("storing the outcome of a request failed", zap.String("request", s.GetRequestId()), zap.Error(err))
+			e.log.Warn("outcome not stored", zap.String("request", s.GetRequestId()), zap.Error(err))
 		}
 	})
 }
--- a/entry/shutdown.go
+++ b/entry/shutdown.go
@@ -19,7 +19,7 @@
 func (e *Entry) shutdown(internal, admin, callers *server) error {
 	started := e.now()
 	e.leaving.Store(true)
-	e.log.Info("entry shutting down", zap.Duration("bound", e.settings.ShutdownBound.Duration))
+	e.log.Info("entry leaves", zap.Duration("bound", e.settings.ShutdownBound.Duration))
 	ctx, cancel := context.WithTimeout(context.Background(), e.settings.ShutdownBound.Duration)
 	defer cancel()
 	sleepContext(ctx, e.settings.DrainDelay.Duration)
@@ -28,7 +28,7 @@
 		_ = callers.http.Close()
 	}
 	if !e.background.WaitUntil(ctx) {
-		e.log.Warn("shutdown bound reached before all outcomes were stored")
+		e.log.Warn("shutdown bound reached; outcomes not stored")
 	}
 	e.stopNode(ctx)
 	_ = internal.http.Shutdown(ctx)
@@ -41,7 +41,7 @@
 func (e *Entry) countCutOff() {
 	n := e.inProgress.Load()
 	e.metrics.cutOff.Inc(n)
-	e.log.Error("shutdown bound reached; requests in progress aborted", zap.Int64("requests", n))
+	e.log.Error("shutdown bound reached; requests cut off", zap.Int64("requests", n))
 }
 
 // sleepContext waits for d. It returns false when the context ends first.
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -125,7 +125,7 @@
 			// push names the current version.
 			return false
 		}
-		e.log.Warn("configuration deltas cannot be applied; requesting the whole configuration",
+		e.log.Warn("changes of the configuration don't fit, asking for all of it",
 			zap.String("entry", peer.Name), zap.Uint64("version", version), zap.Error(err))
 		return true
 	}
